--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -258,7 +258,8 @@
 
 /// The epoch of this start: one more than that of the last, whose number is kept beside the newest version. Danger: a
 /// folder that was restored from a backup brings an old epoch back; the time of the start, in seconds, is never less
-/// than any number of restarts, so that it counts on past it.
+/// than any number of restarts, so that it counts on past it. A wall clock that was stepped back does not take it back,
+/// since it is one more than the last at least; one stepped forward leaves it ahead for good, which only spends numbers.
 fn epoch(dir: &Path) -> Result<u64, String> {
     let file = dir.join("epoch");
     let last =
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -19,7 +19,8 @@
 pub struct Kept {
     /// The version.
     pub version: Version,
-    /// When it was kept, in milliseconds of Unix time.
+    /// When it was kept, in milliseconds of Unix time. It is told and decides nothing, so that a wall clock that steps makes
+    /// a version neither too old nor too new: versions are ordered by their stamps.
     pub at_ms: u64,
 }
 
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -9,7 +9,8 @@
 /// long waits would leave them none.
 const MARGIN_PART: Nanos = 12;
 
-/// The one clock: monotonic, from the Unix time at the start, since nodes' start times are Unix times.
+/// The one clock: monotonic, from the Unix time at the start, since nodes' start times are Unix times. A wall clock that
+/// steps later changes no span; `starts` tells what a step means for nodes' start times.
 #[derive(Clone, Copy)]
 pub struct Clock {
     base: Nanos,
@@ -18,13 +19,25 @@
 
 impl Clock {
     pub fn new() -> Self {
-        let base = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { base: base.as_nanos() as Nanos, start: Instant::now() }
+        Clock { base: wall(), start: Instant::now() }
     }
 
     pub fn now(&self) -> Nanos {
-        self.base.saturating_add(self.start.elapsed().as_nanos() as Nanos)
+        self.read().0
     }
+
+    /// One reading in both forms. Danger: between two readings the process may be held up, and what is counted from
+    /// the second would last for that much longer.
+    pub fn read(&self) -> (Nanos, Instant) {
+        let now = Instant::now();
+        let since = now.saturating_duration_since(self.start);
+        (self.base.saturating_add(since.as_nanos() as Nanos), now)
+    }
+}
+
+/// Unix time; 0 where the clock stands before that.
+pub fn wall() -> Nanos {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
 
 /// What is kept of a client's time for the way here and back.
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -7,6 +7,7 @@
 use crate::listed::Listed;
 use crate::listing::Listing;
 use crate::plan::Plan;
+use crate::starts::Starts;
 use crate::tally::{Fate, Tally};
 use crate::ticket::{Answer, Ticket};
 use aniseyoke_decision::api::*;
@@ -17,7 +18,7 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
@@ -27,6 +28,8 @@
     pub request: Request,
     /// What attempts carry.
     pub job: J,
+    /// When its last byte came, or its head, where the rest still comes: its time counts from then.
+    pub came: Instant,
 }
 
 struct Attempt<T> {
@@ -86,6 +89,7 @@
     plan: Arc<Plan>,
     /// The list as discovery tells it.
     listing: Listing,
+    starts: Starts,
 }
 
 /// The owner of the module, of requests, attempts and timers, over a node side.
@@ -125,6 +129,7 @@
                 limits,
                 plan,
                 listing: Listing::default(),
+                starts: Starts::default(),
             }),
             fleet,
             watch,
@@ -159,13 +164,16 @@
 
     /// A request has come; its answer comes from the ticket.
     pub fn arrive(&self, asked: Asked<F::Job>) -> Ticket<F> {
-        let Asked { mut request, job } = asked;
+        let Asked { mut request, job, came } = asked;
         let core = &mut *self.core.borrow_mut();
-        let now = self.clock.now();
+        let (now, since) = self.clock.read();
         let (answer, answered) = oneshot::channel();
         let id = core.next;
         core.next += 1;
-        let patience = request.remaining;
+        let comes = job.comes();
+        // Danger: between its coming and now the process may have been held up, or have asked after the client.
+        let gone = if comes { Duration::ZERO } else { since.saturating_duration_since(came) };
+        let patience = request.remaining.saturating_sub(gone.as_nanos() as Nanos);
         request.id = id;
         // Danger: where routes and pools were asked at two times, a version could come between them.
         let table = &core.plan.routing.table;
@@ -175,7 +183,6 @@
         let margin = margin(patience);
         request.remaining = patience - margin;
         let (patience_left, job) = (request.remaining, Rc::new(job));
-        let comes = job.comes();
         if comes {
             let myself = self.myself.clone();
             job.on_taken(move || myself.upgrade().iter().for_each(|engine| engine.taken(id)));
@@ -338,7 +345,7 @@
 
     /// Starts an attempt that has room.
     fn start(&self, core: &mut Core<F>, id: RequestId, number: usize) {
-        let now = self.clock.now();
+        let (now, since) = self.clock.read();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let job = pending.job.clone();
         // Danger: between the decision on a repeat and its writing lie a queue and a connection that comes up late.
@@ -348,8 +355,8 @@
         let Some(attempt) = pending.attempts.get_mut(number) else { return };
         let wait = Duration::from_nanos(attempt.wait.saturating_sub(now.saturating_sub(attempt.sent)).max(1));
         let (tether, myself) = (Rc::new(F::Tether::default()), self.myself.clone());
-        known.into_iter().for_each(|known| tether.only_within(Duration::from_nanos(known)));
-        let trying = self.fleet.clone().attempt(attempt.server, job, wait, tether.clone());
+        known.into_iter().for_each(|known| tether.only_within(since, Duration::from_nanos(known)));
+        let trying = self.fleet.clone().attempt(attempt.server, job, since, wait, tether.clone());
         let task = tokio::task::spawn_local(async move {
             let ended = trying.await;
             if let Some(engine) = myself.upgrade() {
--- a/crates/core/src/engine/news.rs
+++ b/crates/core/src/engine/news.rs
@@ -1,6 +1,8 @@
 //! What the core is told of the fleet and of how it is to be used: the list, operators' orders, other plans.
 
 use super::*;
+use crate::clock::wall;
+use crate::starts::Clocks;
 use std::borrow::Cow;
 
 /// An entry of the list, and where to connect; no address: one that can't be read.
@@ -12,8 +14,12 @@
         self.told.set(self.told.get() || matches!(kind, ListKind::Full | ListKind::Delta));
         entries.iter().for_each(|(e, _)| self.listed.borrow_mut().add(e.server));
         let core = &mut *self.core.borrow_mut();
+        let dated = self.dated(core, entries);
+        let entries = dated.as_slice();
         if kind != ListKind::Failed {
             core.listing.take(kind != ListKind::Delta, entries);
+            let Core { starts, listing, .. } = core;
+            starts.retain(|server| listing.started(server).is_some());
         }
         let overlay = &core.plan.routing.overlay;
         let laid: Cow<'_, [Listed]> = match overlay.is_empty() {
@@ -25,6 +31,17 @@
         self.feed_all(core, events);
     }
 
+    /// The entries with the times from which nodes count as started.
+    fn dated(&self, core: &mut Core<F>, entries: &[Listed]) -> Vec<Listed> {
+        let clocks = Clocks { own: self.clock.now(), wall: wall() };
+        let dated = entries.iter().map(|(entry, addr)| {
+            let before = core.listing.started(entry.server);
+            let started = core.starts.of(entry.server, entry.started, before, clocks);
+            (Entry { started, ..entry.clone() }, *addr)
+        });
+        dated.collect()
+    }
+
     /// Tells node side, limits and module of entries as operators want them.
     fn tell(&self, core: &mut Core<F>, kind: ListKind, laid: &[Listed], events: &mut VecDeque<Event>) {
         if kind != ListKind::Failed {
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -26,7 +26,7 @@
 impl Tether for Nothing {
     fn bar(&self) {}
     fn cut(&self) {}
-    fn only_within(&self, _time: Duration) {}
+    fn only_within(&self, _since: Instant, _time: Duration) {}
 }
 
 /// What was started, in order, with the end that each attempt waits for.
@@ -62,6 +62,7 @@
         self: Rc<Self>,
         _server: ServerId,
         _job: Rc<Parcel>,
+        _since: Instant,
         _wait: Duration,
         _tether: Rc<Nothing>,
     ) -> impl Future<Output = Ended<()>> + 'static {
@@ -94,7 +95,7 @@
 
 fn ask(engine: &Rc<Engine<Held>>, key: u64) -> Ticket<Held> {
     let request = Request { key: Some(key), remaining: 2_000_000_000, ..Request::default() };
-    engine.arrive(Asked { request, job: Parcel })
+    engine.arrive(Asked { request, job: Parcel, came: Instant::now() })
 }
 
 async fn until(what: impl Fn() -> bool) {
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// A client's request as it goes on to any node, in a node side's own terms.
 pub trait Job: 'static {
@@ -31,8 +31,8 @@
     /// Ends the attempt now, and its connection with it.
     fn cut(&self);
 
-    /// What is not yet written by the end of this time stays unwritten: a repeat would no longer be known for one.
-    fn only_within(&self, time: Duration);
+    /// What is not yet written so long after `since` stays unwritten: a repeat would no longer be known for one.
+    fn only_within(&self, since: Instant, time: Duration);
 }
 
 /// What came of an attempt.
@@ -74,11 +74,12 @@
     /// Closes the connections to a node that carry no attempt.
     fn close_idle(&self, server: ServerId);
 
-    /// One attempt: at most `wait` long from the last byte of the request on.
+    /// One attempt: at most `wait` long from `since` on, or from the last byte of the request, where that still comes.
     fn attempt(
         self: Rc<Self>,
         server: ServerId,
         job: Rc<Self::Job>,
+        since: Instant,
         wait: Duration,
         tether: Rc<Self::Tether>,
     ) -> impl Future<Output = Ended<Self::Reply>> + 'static;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,6 +10,7 @@
 mod listed;
 mod listing;
 pub mod plan;
+mod starts;
 pub mod tally;
 pub mod ticket;
 
--- a/crates/core/src/listing.rs
+++ b/crates/core/src/listing.rs
@@ -1,6 +1,6 @@
 //! The list as discovery tells it, kept so that what operators say of nodes can be laid over it anew.
 
-use aniseyoke_decision::api::{Entry, ServerId, State};
+use aniseyoke_decision::api::{Entry, Nanos, ServerId, State};
 use aniseyoke_routes::Overlay;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
@@ -27,6 +27,11 @@
         }
     }
 
+    /// When a node counts as started; none: it is not listed.
+    pub fn started(&self, server: ServerId) -> Option<Nanos> {
+        self.entries.get(&server).map(|(entry, _)| entry.started)
+    }
+
     /// All entries, in no order.
     pub fn entries(&self) -> impl Iterator<Item = &(Entry, Option<SocketAddr>)> {
         self.entries.values()
--- a/crates/pace/src/kept.rs
+++ b/crates/pace/src/kept.rs
@@ -56,6 +56,11 @@
 /// The age of a list that may be used, by a site's name, the version that the platform tells, the time, and the age up
 /// to which a list counts.
 ///
+/// Only a wall clock spans two processes, and it may have been stepped in between. Forward, the list seems older than it is:
+/// it is used for less long, or not at all. Back by more than `SKEW_MOST` past its own time, it lies ahead and is not used.
+/// Back by less than it is old, it seems that much younger, which nothing here can tell: it is used for at most that
+/// step longer than it should be, and in any case only until the service answers for its version.
+///
 /// # Errors
 /// Why it may not be used.
 pub fn judge(
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -24,7 +24,7 @@
 /// A larger file is not read, in bytes: such a list takes less. Danger: a proxy may have 32 MB for everything.
 const FILE_MOST: u64 = 4 << 20;
 
-/// What stands in the file.
+/// What stands in the file. Its time is the wall clock's at the writing; see [`judge`] for what a step of that clock does.
 #[derive(Serialize, Deserialize)]
 struct Kept {
     site: String,
@@ -63,10 +63,9 @@
     let file = folder.join(KEPT);
     let found = find(&file, &site, rules.fresh_for, config);
     let held = match &found {
-        Some(kept) => {
+        Some((kept, age)) => {
             config.known = Some(kept.list.clone());
-            let at = Duration::from_millis(kept.at_ms);
-            Held::new(Source::Disk, Some(kept.list.version), Some(at))
+            Held::new(Source::Disk, Some(kept.list.version), Some(*age))
         }
         None => platform(config),
     };
@@ -76,8 +75,8 @@
     (held, keeper.map_err(|why| tracing::warn!("the list is not kept: {why}")).ok())
 }
 
-/// The list in a file, if it may be used.
-fn find(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<Kept> {
+/// The list in a file and its age, if it may be used.
+fn find(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<(Kept, Duration)> {
     let name = file.display();
     let length = std::fs::metadata(file).map_or(0, |about| about.len());
     if length > FILE_MOST {
@@ -108,11 +107,11 @@
     match judge(&label, site, known, unix_ms(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
-            let age = age.as_secs();
+            let seconds = age.as_secs();
             tracing::info!(
-                "{name}: begun with version {version} of the list, {entries} entries, {age} s old"
+                "{name}: begun with version {version} of the list, {entries} entries, {seconds} s old"
             );
-            Some(kept)
+            Some((kept, age))
         }
         Err(unfit) => {
             tracing::warn!("{name}: the kept list is not used: {unfit}");
--- a/crates/proxy/src/discovery/paced.rs
+++ b/crates/proxy/src/discovery/paced.rs
@@ -36,20 +36,21 @@
 pub struct Held {
     source: Cell<Source>,
     version: Cell<Option<u64>>,
-    /// When it was last known to be right; none: never.
-    at: Cell<Option<Duration>>,
+    /// When it was last known to be right, and how old it was then; none: never. A wall clock that steps later does not
+    /// change its age.
+    at: Cell<Option<(Instant, Duration)>>,
     calls: Cell<u64>,
     refused: Cell<u64>,
     failed: Cell<u64>,
 }
 
 impl Held {
-    /// A list of a version that was known to be right at a time.
-    pub fn new(source: Source, version: Option<u64>, at: Option<Duration>) -> Rc<Self> {
+    /// A list of a version that was known to be right so long ago.
+    pub fn new(source: Source, version: Option<u64>, age: Option<Duration>) -> Rc<Self> {
         Rc::new(Held {
             source: Cell::new(source),
             version: Cell::new(version),
-            at: Cell::new(at),
+            at: Cell::new(age.map(|age| (Instant::now(), age))),
             calls: Cell::default(),
             refused: Cell::default(),
             failed: Cell::default(),
@@ -64,7 +65,7 @@
             Source::Disk => "disk",
             Source::Service => "service",
         };
-        let age = self.at.get().map(|at| unix().saturating_sub(at).as_secs_f64());
+        let age = self.at.get().map(|(since, age)| (since.elapsed() + age).as_secs_f64());
         json!({"from": source, "version": self.version.get(), "age_s": age, "calls": self.calls.get(),
                "refused": self.refused.get(), "failed": self.failed.get()})
     }
@@ -147,7 +148,7 @@
             tracing::info!("the list service tells version {}", members.version);
         }
         self.held.version.set(Some(members.version));
-        self.held.at.set(Some(unix()));
+        self.held.at.set(Some((Instant::now(), Duration::ZERO)));
         self.keeper.iter_mut().for_each(|k| k.told(members));
     }
 
--- a/crates/proxy/src/drain.rs
+++ b/crates/proxy/src/drain.rs
@@ -1,4 +1,5 @@
-//! Whether clients are to go elsewhere: by an operator's call, or because the process is to end.
+//! Whether clients are to go elsewhere: by an operator's call, or because the process is to end. All spans are of the
+//! monotonic clock.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -11,6 +11,7 @@
 use hyper::{Method, Request, Response, StatusCode, Version};
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::time::Instant;
 
 /// Headers that belong to one connection and do not go on.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -44,6 +45,7 @@
     pub(super) async fn respond(
         self: &Rc<Self>,
         request: Request<Incoming>,
+        came: Instant,
         socket: &Rc<Socket>,
     ) -> Response<Outgoing> {
         if request.uri().path() == "/_health" {
@@ -51,7 +53,7 @@
             return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
         }
         let word = if request.version() == Version::HTTP_11 { Word::Interim } else { Word::Begin };
-        let mut asked = match self.asked(request).await {
+        let mut asked = match self.asked(request, came).await {
             Ok(asked) => asked,
             Err((status, why)) => {
                 let mut response = bad(status, why);
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -127,12 +127,14 @@
             let service = service_fn(|request| {
                 client.busy.set(true);
                 let fault = client.seen.fault.take();
+                // The head's last byte came with the bytes that were read last, or before.
+                let came = client.seen.moved.get().unwrap_or_else(Instant::now);
                 let (server, client) = (&self, &client);
                 let busy = Busy(client.clone());
                 async move {
                     let mut response = match fault {
                         Some(why) => bad(StatusCode::BAD_REQUEST, why),
-                        None => server.respond(request, &client.socket).await,
+                        None => server.respond(request, came, &client.socket).await,
                     };
                     // In a crowd a connection is worth more to the next client than to the one that has its answer.
                     let leaves = client.seen.heads.get() == 1 && server.packed();
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -19,10 +19,11 @@
 const ID_MOST: usize = 128;
 
 impl Server {
-    /// Reads a request into the module's terms, or says what is wrong with it.
+    /// Reads a request, whose head `came` then, into the module's terms, or says what is wrong with it.
     pub(super) async fn asked(
         &self,
         request: Request<Incoming>,
+        mut came: Instant,
     ) -> Result<Asked<Job>, (StatusCode, &'static str)> {
         let (head, body) = request.into_parts();
         let mut parts = head.uri.path().strip_prefix('/').unwrap_or("").split('/');
@@ -61,6 +62,9 @@
             Fault::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
             Fault::NoRoom => (StatusCode::SERVICE_UNAVAILABLE, "no room for the body"),
         })?;
+        if !body.is_empty() {
+            came = Instant::now();
+        }
         let tenant = head.headers.get(ACCOUNT).and_then(|a| a.to_str().ok());
         let tenant = tenant.and_then(|a| self.names.tenants.iter().position(|t| t == a));
         let request = api::Request {
@@ -69,7 +73,7 @@
             tenant: tenant.map(|t| t as u32),
             pool: None,
             key: parts.next_back().filter(|k| !k.is_empty()).map(key),
-            remaining: self.killed_at.get().map_or(patience, |at| patience.min(nanos_until(at))),
+            remaining: self.killed_at.get().map_or(patience, |at| patience.min(nanos_until(at, came))),
             write,
             retry: head.headers.get(REPEAT).is_some_and(|v| v == "1"),
         };
@@ -79,12 +83,13 @@
         strip(&mut headers);
         // The body is passed on with the length that it has.
         headers.remove(header::CONTENT_LENGTH);
-        Ok(Asked { request, job: Job { method: head.method, uri, headers, body, waiter: None } })
+        let job = Job { method: head.method, uri, headers, body, waiter: None };
+        Ok(Asked { request, job, came: came.into_std() })
     }
 }
 
-fn nanos_until(at: Instant) -> Nanos {
-    Nanos::try_from(at.saturating_duration_since(Instant::now()).as_nanos()).unwrap_or(Nanos::MAX)
+fn nanos_until(at: Instant, from: Instant) -> Nanos {
+    Nanos::try_from(at.saturating_duration_since(from).as_nanos()).unwrap_or(Nanos::MAX)
 }
 
 /// An id is printable and has no blanks: anything else may be read otherwise by who it is passed on to.
--- a/crates/proxy/src/front/stop.rs
+++ b/crates/proxy/src/front/stop.rs
@@ -14,6 +14,8 @@
 const ACCEPT_MOST: Duration = Duration::from_millis(600);
 /// A proxy may be killed so long after the longest deadline after SIGTERM; it ends a little sooner.
 const END_BEFORE: Duration = Duration::from_millis(600);
+/// What comes after SIGTERM is answered by then, also by a process that is held up for 0.15 s before it writes.
+const ANSWER_BEFORE: Duration = Duration::from_millis(500);
 /// A deadline that is longer counts as this then.
 const DEADLINE_MOST: Duration = Duration::from_secs(3);
 
@@ -28,7 +30,7 @@
         let longest = Duration::from_nanos(longest);
         // Danger: a request that comes now on a connection that is still open may have a deadline beyond this process's
         // own end; one that came before may keep it, since what is unanswered at the end is not held against it.
-        self.killed_at.set(Some(start + longest.min(DEADLINE_MOST) + END_BEFORE));
+        self.killed_at.set(Some(start + longest.min(DEADLINE_MOST) + ANSWER_BEFORE));
         let mut until = start + ACCEPT_FOR;
         if !handed {
             while let Ok(accepted) = timeout_at(until.min(start + ACCEPT_MOST), listener.accept()).await {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod front;
 mod handover;
 mod keeping;
+mod last_look;
 mod opening;
 pub mod operator;
 mod peers;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,4 +1,5 @@
-//! Which processes of this proxy live side by side while one replaces another, and what each may take.
+//! Which processes of this proxy live side by side while one replaces another, and what each may take. Locks tell who
+//! lives, and no time is exchanged, so that no clock can make one seem to have ended.
 
 use std::fs::{self, File, OpenOptions};
 use std::os::unix::fs::FileExt;
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,9 +1,10 @@
 //! One TCP stream under hyper: what has been written to it, whether its peer has gone, and the budget of
 //! descriptors that all streams share.
 
+use super::last_look::{retold, LastLook};
 use super::KERNEL_BUFFER;
 use socket2::SockRef;
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
 use std::pin::Pin;
@@ -94,11 +95,25 @@
     There,
     /// It may have gone, and was asked; nothing came of that.
     Asked,
+    /// It may have gone, and there is nothing left to ask it by.
+    Unsure,
+    /// It has closed its connection.
+    Gone,
+}
+
+/// What a look at the kernel alone tells of a peer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Glance {
+    /// It has not ended its sending.
+    There,
+    /// It may have gone.
+    Unsure,
     /// It has closed its connection.
     Gone,
 }
 
 /// A peer that waits for an answer, as others may ask after it.
+#[derive(Clone)]
 pub struct Waiter {
     /// Danger: what is still out for a peer that has gone must not keep its descriptor.
     socket: Weak<Socket>,
@@ -119,6 +134,11 @@
             Some(socket) => socket.presence(self.word, self.most).await,
         }
     }
+
+    /// What can be told without a wait.
+    pub fn glance(&self) -> Glance {
+        self.socket.upgrade().map_or(Glance::Gone, |socket| socket.glance())
+    }
 }
 
 /// A stream that several parties look at: hyper reads and writes it through [`Io`].
@@ -141,6 +161,10 @@
     ahead: Cell<usize>,
     /// So many more bytes may come.
     room: Cell<usize>,
+    /// What the first byte of the message waits on.
+    look: RefCell<Option<LastLook>>,
+    /// It was not written for that reason.
+    withheld: Cell<bool>,
     _permit: Permit,
 }
 
@@ -159,12 +183,15 @@
             went: Notify::new(),
             ahead: Cell::new(0),
             room: Cell::new(usize::MAX),
+            look: RefCell::default(),
+            withheld: Cell::new(false),
             _permit: permit,
         })
     }
 
-    /// A new message is about to be written, and at most `room` bytes may come in answer.
-    pub fn begin(&self, room: usize) {
+    /// A new message is about to be written, if `look` allows it then, and at most `room` bytes may come in answer.
+    pub fn begin(&self, room: usize, look: LastLook) {
+        self.look.replace(Some(look));
         self.room.set(room);
         self.begun.set(false);
         self.whole.set(false);
@@ -175,6 +202,11 @@
         self.whole.get()
     }
 
+    /// Whether the message was not written since the last look forbade it.
+    pub fn withheld(&self) -> bool {
+        self.withheld.get()
+    }
+
     /// Whether something is still to be written for which the kernel has no room.
     pub fn stalled(&self) -> bool {
         self.stalled.get()
@@ -225,6 +257,9 @@
             Err(_) => return self.left(),
         }
         let lately = self.asked.get().is_some_and(|at| at.elapsed() < ASK_EVERY);
+        if !lately && word == Word::Begin && self.ahead.get() >= BEGIN.len() && !self.stalled.get() {
+            return Presence::Unsure;
+        }
         if !lately && !self.ask(word) {
             return self.left();
         }
@@ -237,6 +272,21 @@
         }
     }
 
+    /// What the kernel tells of the peer, with no wait and nothing sent.
+    fn glance(&self) -> Glance {
+        if self.gone.get() {
+            return Glance::Gone;
+        }
+        match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Glance::There,
+            Ok(_) => Glance::Unsure,
+            Err(_) => {
+                self.left();
+                Glance::Gone
+            }
+        }
+    }
+
     fn left(&self) -> Presence {
         self.gone.set(true);
         self.went.notify_one();
@@ -348,17 +398,34 @@
         (n > 0).then_some(n)
     }
 
+    /// Looks once more before a message's first byte; returns its head with the time that is left now, where it tells one.
+    fn last_look(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
+        if self.0.begun.get() {
+            return Ok(None);
+        }
+        let look = self.0.look.borrow();
+        let Some(look) = &*look else { return Ok(None) };
+        let Some(left) = look.left() else {
+            self.0.withheld.set(true);
+            return Err(io::Error::other("held back"));
+        };
+        Ok(retold(head, left))
+    }
+
+    /// `head`: the bytes that are to be written first; `send` gets what replaces them.
     fn poll_send(
         &self,
         cx: &mut Context<'_>,
-        send: impl Fn(&TcpStream) -> io::Result<usize>,
+        head: &[u8],
+        send: impl Fn(&TcpStream, Option<&[u8]>) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
             if self.0.stream.poll_write_ready(cx)?.is_pending() {
                 self.0.stalled.set(true);
                 return Poll::Pending;
             }
-            match send(&self.0.stream) {
+            let retold = self.last_look(head)?;
+            match send(&self.0.stream, retold.as_deref()) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 sent => {
                     self.0.begun.set(true);
@@ -383,7 +450,7 @@
         if let Some(n) = self.gone_ahead(buf) {
             return Poll::Ready(Ok(n));
         }
-        self.poll_send(cx, |s| s.try_write(buf))
+        self.poll_send(cx, buf, |s, retold| s.try_write(retold.unwrap_or(buf)))
     }
 
     fn poll_write_vectored(
@@ -391,11 +458,19 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let first = bufs.iter().find(|buf| !buf.is_empty());
-        if let Some(n) = first.and_then(|buf| self.gone_ahead(buf)) {
+        let first = bufs.iter().position(|buf| !buf.is_empty()).unwrap_or(0);
+        let (head, rest) =
+            bufs[first.min(bufs.len())..].split_first().map_or((&[][..], &[][..]), |(h, r)| (h, r));
+        if let Some(n) = self.gone_ahead(head) {
             return Poll::Ready(Ok(n));
         }
-        self.poll_send(cx, |s| s.try_write_vectored(bufs))
+        self.poll_send(cx, head, |s, retold| match retold {
+            None => s.try_write_vectored(bufs),
+            Some(head) => {
+                let all: Vec<_> = std::iter::once(IoSlice::new(head)).chain(rest.iter().copied()).collect();
+                s.try_write_vectored(&all)
+            }
+        })
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -32,7 +32,8 @@
     pub bans: BTreeSet<String>,
 }
 
-/// Tells one writing of the file from the next.
+/// Tells one writing of the file from the next, by equality alone: a wall clock that steps makes none seem older. The
+/// inode differs as well, since each writing is a file of its own.
 type Stamp = (u64, i64, i64);
 
 /// The file, and what it last said.
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -41,6 +41,11 @@
         Payload::Whole { bytes: Bytes::new(), _held: None }
     }
 
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        matches!(self, Payload::Whole { bytes, .. } if bytes.is_empty())
+    }
+
     /// The body for one more attempt, if it can be sent once more.
     pub fn send(&self) -> Option<Sending> {
         match self {
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,6 +1,7 @@
 //! Connections to cache nodes and the origin, and one attempt on one of them with its outcome.
 
 use super::budget::Budget;
+use super::last_look::{told, LastLook};
 use super::opening::Opening;
 use super::relay::{Outgoing, Relay};
 use super::socket::{Descriptors, Io, Presence, Socket, Waiter};
@@ -25,7 +26,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
-use tokio::time::{sleep, Instant};
+use tokio::time::{sleep, sleep_until, Instant};
 
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
@@ -39,6 +40,10 @@
 const HOLD: Duration = Duration::from_millis(20);
 /// Who waits for a permit to open a connection looks this often for one that has become idle.
 const PERMIT_LOOK: Duration = Duration::from_millis(20);
+/// The process may be held up for so long between reading its clock and writing.
+const HELD_UP_MOST: Duration = Duration::from_millis(150);
+/// So often an attempt whose request was withheld at the last look is looked at anew.
+const WITHHELD_MOST: usize = 2;
 const LOOKUP: HeaderName = HeaderName::from_static("x-lookup");
 const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
@@ -53,23 +58,28 @@
 }
 
 impl Job {
-    /// Returns if the client still waits, and whether that had to be asked for; never if it has gone: who waits for the
-    /// client ends the attempt then.
+    /// Returns if the client still waits, and whether that had to be asked for, or that there is no way left to ask it;
+    /// never if it has gone: who waits for the client ends the attempt then.
     /// Danger: between the decision on an attempt and its writing lie a queue, a timer, leave to open and a connection
     /// that comes up late; the client may have left by then, unseen by a process that was busy.
-    async fn waits(&self, tether: &Tether) -> bool {
+    async fn waits(&self, tether: &Tether) -> Result<bool, Unsure> {
         let presence = match &self.waiter {
             // Danger: a client that has its answer must not be sent a word behind it.
-            Some(waiter) if !tether.shut() => waiter.presence().await,
+            Some(waiter) if !tether.shut(Instant::now()) => waiter.presence().await,
             _ => Presence::There,
         };
-        if presence == Presence::Gone {
-            std::future::pending::<()>().await;
+        match presence {
+            Presence::There => Ok(false),
+            Presence::Asked => Ok(true),
+            Presence::Unsure => Err(Unsure),
+            Presence::Gone => std::future::pending().await,
         }
-        presence == Presence::Asked
     }
 }
 
+/// Nothing tells whether the client is still there. What can't be known to be for somebody is not begun.
+struct Unsure;
+
 impl aniseyoke_core::Job for Job {
     fn key(&self) -> &[u8] {
         let path = self.uri.path().strip_prefix('/').unwrap_or("");
@@ -135,15 +145,16 @@
         }
     }
 
-    fn only_within(&self, time: Duration) {
-        self.until.set(Some(Instant::now() + time));
+    /// Danger: the process may be held up right behind the last look at the clock, and write that much later.
+    fn only_within(&self, since: std::time::Instant, time: Duration) {
+        self.until.set(Some(Instant::from_std(since) + time.saturating_sub(HELD_UP_MOST)));
     }
 }
 
 impl Tether {
-    /// Whether it must not be written any more.
-    fn shut(&self) -> bool {
-        self.barred.get() || self.until.get().is_some_and(|until| Instant::now() >= until)
+    /// Whether it must not be written at this time any more.
+    pub fn shut(&self, now: Instant) -> bool {
+        self.barred.get() || self.until.get().is_some_and(|until| now >= until)
     }
 }
 
@@ -262,10 +273,11 @@
         self: Rc<Self>,
         server: ServerId,
         job: Rc<Job>,
+        since: std::time::Instant,
         wait: Duration,
         tether: Rc<Tether>,
     ) -> Ended {
-        self.within(server, &job, wait, &tether).await
+        self.within(server, &job, Instant::from_std(since) + wait, wait, &tether).await
     }
 }
 
@@ -299,18 +311,33 @@
         oldest.map(|n| n.idle.remove(0)).is_some()
     }
 
-    /// One attempt: at most `wait` long from the last byte of the request on.
-    async fn within(self: &Rc<Self>, server: ServerId, job: &Job, wait: Duration, tether: &Tether) -> Ended {
+    /// One attempt: until it is due, or, where the last byte of its request still comes, `wait` long from then on.
+    async fn within(
+        self: &Rc<Self>,
+        server: ServerId,
+        job: &Job,
+        due: Instant,
+        wait: Duration,
+        tether: &Rc<Tether>,
+    ) -> Ended {
         let over = async {
             tokio::select! {
-                () = job.body.taken() => sleep(wait).await,
                 () = stuck(tether) => {}
+                () = async {
+                    match job.body.upload() {
+                        None => sleep_until(due).await,
+                        Some(upload) => {
+                            upload.taken().await;
+                            sleep(wait).await;
+                        }
+                    }
+                } => {}
             }
         };
         tokio::select! {
             biased;
             () = tether.idle.notified() => Status::Moot.into(),
-            ended = self.exchange(server, job, wait, tether) => ended,
+            ended = self.exchange(server, job, due, wait, tether) => ended,
             () = over => {
                 let written = tether.socket.borrow().as_ref().is_some_and(|s| s.whole());
                 // A request that was not written whole has not run.
@@ -323,15 +350,17 @@
         self: &Rc<Self>,
         server: ServerId,
         job: &Job,
+        due: Instant,
         wait: Duration,
-        tether: &Tether,
+        tether: &Rc<Tether>,
     ) -> Ended {
-        let due = Instant::now() + wait;
+        let mut withheld = 0;
         loop {
             // Danger: a wait for a permit must come before the body is taken up: what an attempt has read of an upload is
             // gone with it.
             let Some(idle) = self.permit(server, due, wait).await else { return Status::Moot.into() };
-            let asked = job.waits(tether).await;
+            let mut asked_at = Instant::now();
+            let Ok(asked) = job.waits(tether).await else { return Status::Moot.into() };
             let idle = idle.filter(|idle| !asked || idle.clean());
             let Some(body) = job.body.send() else { return Status::Moot.into() };
             let Some((addr, epoch)) = self.open_to(server) else { return Status::Moot.into() };
@@ -339,7 +368,10 @@
                 Some(connection) => (connection, true),
                 None => match self.connect(addr).await {
                     Ok(connection) => {
-                        job.waits(tether).await;
+                        asked_at = Instant::now();
+                        if job.waits(tether).await.is_err() {
+                            return Status::Moot.into();
+                        }
                         (connection, false)
                     }
                     Err(status) => return status.into(),
@@ -353,10 +385,13 @@
             }
             // Danger: while the connection came up the node may have been told to drain or have restarted, or
             // the request may have had its answer. Nothing may be written then.
-            if tether.shut() || self.open_to(server).is_none_or(|(_, now)| now != epoch) {
+            if tether.shut(Instant::now()) || self.epoch(server) != Some(epoch) {
                 return Status::Moot.into();
             }
-            connection.socket.begin(ANSWER_MOST);
+            let (pool, look_at) = (Rc::downgrade(self), Rc::downgrade(tether));
+            let waiter = job.waiter.clone();
+            let look = LastLook { pool, server, epoch, tether: look_at, waiter, asked: asked_at, due };
+            connection.socket.begin(ANSWER_MOST, look);
             tether.socket.replace(Some(connection.socket.clone()));
             let upload = job.body.upload();
             if upload.is_some() {
@@ -364,6 +399,15 @@
             }
             let sent = connection.sender.send_request(request(job, body, addr, due)).await;
             let Ok(response) = sent else {
+                // The process was held up, or its work came in another order; who may have left is asked anew.
+                if connection.socket.withheld() {
+                    withheld += 1;
+                    let now = Instant::now();
+                    if withheld > WITHHELD_MOST || now >= due || tether.shut(now) {
+                        return Status::Moot.into();
+                    }
+                    continue;
+                }
                 // The client's own failure says nothing of the node.
                 if upload.is_some_and(|u| u.failed()) {
                     return Status::Moot.into();
@@ -472,6 +516,11 @@
         Some((node.addr?, node.epoch))
     }
 
+    /// Of a node that takes new work.
+    pub fn epoch(&self, server: ServerId) -> Option<u64> {
+        self.open_to(server).map(|(_, epoch)| epoch)
+    }
+
     fn newest(&self, server: ServerId) -> Option<Connection> {
         let mut nodes = self.nodes.borrow_mut();
         let idle = &mut nodes.get_mut(&server)?.idle;
@@ -519,11 +568,15 @@
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
     let headers = request.headers_mut();
-    *headers = job.headers.clone();
-    let left = due.saturating_duration_since(Instant::now()).as_secs_f64();
-    if let Ok(left) = HeaderValue::try_from(format!("{left:.4}")) {
+    headers.reserve(job.headers.len() + 2);
+    // The last look replaces it; ahead of the others, so that it is among the first bytes written.
+    let left = due.saturating_duration_since(Instant::now());
+    if let Ok(left) = HeaderValue::try_from(told(left)) {
         headers.insert(TIME_LEFT, left);
     }
+    for (name, value) in job.headers.iter().filter(|(name, _)| **name != TIME_LEFT) {
+        headers.append(name, value.clone());
+    }
     if !headers.contains_key(HOST) {
         if let Ok(host) = HeaderValue::try_from(addr.to_string()) {
             headers.insert(HOST, host);
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use tokio::net::TcpListener;
 
+const LONG: Duration = Duration::from_secs(30);
+
 /// Danger: a report that can't be read, or says what can't be, must spoil neither its answer nor what is known.
 #[test]
 fn a_load_report_counts_only_if_it_makes_sense() {
@@ -37,6 +39,6 @@
         body: Payload::empty(),
         waiter: None,
     };
-    let ended = upstreams.within(1, &job, Duration::from_secs(30), &Tether::default()).await;
+    let ended = upstreams.within(1, &job, Instant::now() + LONG, LONG, &Rc::default()).await;
     assert_eq!(ended.status, Status::Moot);
 }
--- a/crates/proxy/src/wall.rs
+++ b/crates/proxy/src/wall.rs
@@ -1,4 +1,10 @@
-//! The wall clock. Nothing else in the program reads it, so that the fault rig can have a process whose clock is wrong.
+//! The wall clock. Nothing else in the proxy's own modules reads it, so that the fault rig can have a process whose clock
+//! is wrong. It may step in either direction at any time, so that no span is counted by it; what it is read for:
+//!
+//! - at the start: the core's and the slots' own clocks go on from it by the monotonic one, and a later step moves
+//!   neither; it numbers the process for a control service, which compares such numbers for equality alone;
+//! - the time beside a kept list, and whether one that is found may be used (`aniseyoke_pace::kept::judge`);
+//! - the time beside a kept version, from which its age is told in the log and decides nothing.
 
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -24,7 +30,7 @@
     Ok(())
 }
 
-/// Unix time.
+/// Unix time; 0 where the clock stands before that.
 pub fn unix() -> Duration {
     let (ahead, behind) = WRONG.get().copied().unwrap_or_default();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/proxy/tests/leavers.rs
+++ b/crates/proxy/tests/leavers.rs
@@ -456,6 +456,58 @@
     }
 }
 
+/// Danger: on HTTP/1.0 a client can be asked nine times at the most; after that an attempt would go out for nobody.
+#[test]
+fn where_a_client_can_be_asked_no_more_no_attempt_is_begun() {
+    let (nodes, discovery) = ([(); 9].map(|()| Server::new()), Server::new());
+    let members =
+        nodes.iter().enumerate().map(|(n, node)| member(&format!("c{n}"), node.addr, "std", "ready"));
+    let mut settings = config(discovery.addr, &members.collect::<Vec<_>>());
+    no_cancel(&mut settings);
+    settings["settings"]["caps"]["attempts_cap"] = json!(9);
+    let proxy = Proxy::new(&settings);
+    let mut client = Some(proxy.client());
+    let peer = client.as_mut().expect("it is there");
+    peer.write(&get("read", "").replacen("HTTP/1.1", "HTTP/1.0", 1));
+    peer.0.get_ref().shutdown(Shutdown::Write).expect("half closed");
+    // The first node takes long, so that five of the nine are spent.
+    let (mut at, mut held, mut got, mut left) = (take_any(&nodes), 1600, 0, None::<std::time::Instant>);
+    loop {
+        at.1.request();
+        let late = left.map(|left| left.elapsed());
+        assert!(late.is_none_or(|late| late <= TERM), "begun {late:?} after the client had left");
+        sleep(Duration::from_millis(held));
+        held = 150;
+        if let Some(peer) = &mut client {
+            let stream = peer.0.get_mut();
+            stream.set_nonblocking(true).expect("not blocking");
+            let mut part = [0; 64];
+            while let Ok(n) = std::io::Read::read(stream, &mut part) {
+                assert!(n > 0, "it was closed after {got} bytes");
+                got += n;
+            }
+            if got >= "HTTP/1.0 ".len() {
+                (client, left) = (None, Some(std::time::Instant::now()));
+                sleep(TERM);
+            }
+        }
+        at.1.reply("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+        let more = std::time::Instant::now() + Duration::from_millis(800);
+        let next = loop {
+            let came = nodes.iter().enumerate().find_map(|(n, s)| Some((n, s.taken.try_recv().ok()?)));
+            if came.is_some() || std::time::Instant::now() > more {
+                break came;
+            }
+            sleep(Duration::from_millis(1));
+        };
+        match next {
+            Some((n, stream)) => at = (n, Peer::new(stream)),
+            None => break,
+        }
+    }
+    assert!(left.is_some(), "only {got} of its bytes were spent");
+}
+
 /// Danger: a client that only ended its sending would be taken for one that has gone.
 #[test]
 fn who_ended_its_sending_and_waits_gets_its_answer_however_long_that_takes() {
