--- /dev/null
+++ b/crates/faults-preload/src/clock.rs
@@ -0,0 +1,1 @@
+//! Calls about time: `clock_gettime`. To be filled.
