--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -32,7 +32,10 @@
     Fdatasync,
     Rename,
     Ftruncate,
+    /// `clock_gettime` of the monotonic clock.
     ClockGettime,
+    /// `clock_gettime` of the wall clock, `gettimeofday` and `time`.
+    WallClock,
 }
 
 impl Call {
--- a/crates/proxy/src/last_look.rs
+++ b/crates/proxy/src/last_look.rs
@@ -42,10 +42,10 @@
         if !open || tether.shut(now) {
             return None;
         }
-        let lately = now.saturating_duration_since(self.asked) < ASKED_LATELY;
         let there = match self.waiter.as_ref().map_or(Glance::There, Waiter::glance) {
             Glance::There => true,
-            Glance::Unsure => lately,
+            // Danger: the process may have been held up behind the first reading of the clock.
+            Glance::Unsure => self.asked.elapsed() < ASKED_LATELY,
             Glance::Gone => false,
         };
         there.then_some(left)
