--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -3,11 +3,11 @@
 use crate::config::{Config, Names};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Features, Overlay as Said, Pool as Part, Route};
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use aniseyoke_core::Plan;
 use aniseyoke_decision::api::{server_id, Pool, Settings};
-use aniseyoke_routes::overlay::{On, Overlay, Remark};
-use aniseyoke_routes::{Routing, Rule, Table};
+use aniseyoke_routes::overlay::{NodeSelector, Overlay, NodeOverride};
+use aniseyoke_routes::{Routing, RouteRule, RoutingTable};
 use rustc_hash::FxHashMap;
 
 /// So many names that the platform does not know are told at once. Danger: ten thousand routes to a class with a slip in
@@ -17,7 +17,7 @@
 /// Looks names up, and gathers those that the platform does not know.
 struct Lookup<'a> {
     resolved: &'a Resolved,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
     left_out: usize,
 }
 
@@ -42,7 +42,7 @@
             let key = key();
             let listed = if known.names.is_empty() { "none".into() } else { known.names.join(", ") };
             let why = format!("the platform names no {} {name:?}; it names {listed}", known.what);
-            self.faults.push(Fault { place: self.resolved.origin(&key).to_string(), key, why });
+            self.faults.push(ConfigError { location: self.resolved.origin(&key).to_string(), key, reason: why });
         } else if found.is_none() {
             self.left_out += 1;
         }
@@ -64,22 +64,22 @@
         n: usize,
         route: &Route,
         pool: u32,
-    ) -> Rule<u32> {
+    ) -> RouteRule<u32> {
         let mut number = |known: &Known<'_>, name: &Option<String>, field: &str| {
             name.as_ref().and_then(|name| self.number(known, name, || format!("routes.{n}.{field}")))
         };
         let (class, tenant) =
             (number(classes, &route.class, "class"), number(tenants, &route.tenant, "tenant"));
-        Rule { class, tenant, prefix: route.rule(pool).prefix, pool }
+        RouteRule { class, tenant, prefix: route.rule(pool).prefix, pool }
     }
 
-    fn remark(&mut self, (zones, kinds): (&Known<'_>, &Known<'_>), n: usize, said: &Said) -> Remark {
+    fn remark(&mut self, (zones, kinds): (&Known<'_>, &Known<'_>), n: usize, said: &Said) -> NodeOverride {
         let mut number = |known: &Known<'_>, name: &Option<String>, field: &str| {
             name.as_ref().and_then(|name| self.number(known, name, || format!("overlays.{n}.{field}")))
         };
         let (zone, kind) = (number(zones, &said.zone, "zone"), number(kinds, &said.kind, "kind"));
         let node = said.node.as_deref().map(server_id);
-        Remark { on: On { node, zone, kind }, weight: said.weight, drain: said.drain }
+        NodeOverride { selector: NodeSelector { node, zone, kind }, weight: said.weight, drain: said.drain }
     }
 }
 
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// All that names a tenant, class, zone or kind that the platform does not, with the place that says so.
-pub fn plan(resolved: &Resolved, platform: &Config) -> Result<Plan, Vec<Fault>> {
+pub fn plan(resolved: &Resolved, platform: &Config) -> Result<Plan, Vec<ConfigError>> {
     let operator = &resolved.operator;
     let mut settings = platform.settings.clone();
     let Names { classes, tenants, zones, kinds } = &platform.names;
@@ -120,20 +120,20 @@
         rules.push(lookup.rule((&classes, &tenants), n, route, pool));
     }
     let remarks = operator.overlays.iter().enumerate();
-    let remarks: Vec<Remark> = remarks.map(|(n, said)| lookup.remark((&zones, &kinds), n, said)).collect();
+    let remarks: Vec<NodeOverride> = remarks.map(|(n, said)| lookup.remark((&zones, &kinds), n, said)).collect();
     turn_off(&mut settings, &operator.features);
     let Lookup { mut faults, left_out, .. } = lookup;
     if left_out > 0 {
         let why = format!("{left_out} more names that the platform does not know");
-        faults.push(Fault { place: "all layers".into(), key: String::new(), why });
+        faults.push(ConfigError { location: "all layers".into(), key: String::new(), reason: why });
     }
     if !faults.is_empty() {
         return Err(faults);
     }
-    let table = Table::new(&rules).map_err(|faults| {
+    let table = RoutingTable::new(&rules).map_err(|faults| {
         let told = faults.into_iter().map(|(n, fault)| {
             let key = format!("routes.{n}");
-            Fault { place: resolved.origin(&key).to_string(), key, why: format!("{fault:?}") }
+            ConfigError { location: resolved.origin(&key).to_string(), key, reason: format!("{fault:?}") }
         });
         told.collect::<Vec<_>>()
     })?;
@@ -144,7 +144,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use aniseyoke_config::layers::{resolve, Source};
+    use aniseyoke_config::layers::{resolve, Layer};
     use aniseyoke_decision::api::{Entry, State};
 
     const PLATFORM: &str = r#"{
@@ -159,9 +159,9 @@
         }
     }"#;
 
-    fn planned(text: &str) -> Result<Plan, Vec<Fault>> {
+    fn planned(text: &str) -> Result<Plan, Vec<ConfigError>> {
         let platform = Config::parse(PLATFORM, |_| None).expect("sound");
-        let resolved = resolve([Source::File("f.toml".into(), text.into())]).expect("sound by itself");
+        let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
         plan(&resolved, &platform)
     }
 
@@ -190,7 +190,7 @@
         assert_eq!(table.pool(Some(&1), None, b"k/7"), None);
         let entry =
             |name: &str, zone| Entry { server: server_id(name), zone, weight: 1.0, ..Entry::default() };
-        let laid = |name: &str, zone| plan.routing.overlay.laid(&entry(name, zone));
+        let laid = |name: &str, zone| plan.routing.overlay.apply(&entry(name, zone));
         assert_eq!((laid("n2", 1).weight, laid("n1", 0).state), (0.5, State::Draining));
         assert_eq!(laid("n2", 0), entry("n2", 0));
     }
@@ -201,7 +201,7 @@
             "\"caps\": {\"attempts_cap\": 4, \"cancelling\": true, \"second_copies\": false}, \"localities\"";
         let platform = Config::parse(&PLATFORM.replace("\"localities\"", caps), |_| None).expect("sound");
         let caps = |text: &str| {
-            let resolved = resolve([Source::File("f.toml".into(), text.into())]).expect("sound by itself");
+            let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
             let s = plan(&resolved, &platform).expect("sound").settings;
             (s.max_attempts, s.cancel, s.second_copies)
         };
@@ -225,8 +225,8 @@
             "overlays.0.kind",
         ];
         assert_eq!(keys, wanted);
-        assert!(faults.iter().all(|f| f.place.starts_with("f.toml:")), "{faults:?}");
-        assert!(faults[0].why.contains("it names a"), "{}", faults[0]);
+        assert!(faults.iter().all(|f| f.location.starts_with("f.toml:")), "{faults:?}");
+        assert!(faults[0].reason.contains("it names a"), "{}", faults[0]);
     }
 
     /// Danger: one slip in a name that ten thousand routes use would fill the log, and every answer to the service.
@@ -237,6 +237,6 @@
             .collect();
         let faults = planned(&format!("[pools.p]\nzones = [\"east\"]\n{routes}")).expect_err("many");
         assert_eq!(faults.len(), 101);
-        assert!(faults[100].why.starts_with("400 more"), "{}", faults[100]);
+        assert!(faults[100].reason.starts_with("400 more"), "{}", faults[100]);
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -7,10 +7,10 @@
 use crate::versions::{last_good, reserve, Below, InForce, Serving, Subscription};
 use crate::{front, operator, wall};
 use aniseyoke_config::layers::Resolved;
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use aniseyoke_control::Version;
-use aniseyoke_logging::Handle;
-use aniseyoke_pace::Place;
+use aniseyoke_logging::LogHandle;
+use aniseyoke_pace::FleetPosition;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
     }
 }
 
-fn told(faults: &[Fault]) -> Vec<String> {
+fn told(faults: &[ConfigError]) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
@@ -46,7 +46,7 @@
     // Danger: until it is handled this signal ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(|e| one(format!("SIGHUP: {e}")))?;
     let resolved = operator::read(file.as_deref()).map_err(|faults| told(&faults))?;
-    let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log)).map_err(one)?;
+    let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log)).map_err(|e| one(e.to_string()))?;
     wall::start().map_err(one)?;
     let platform = Config::from_env().map_err(one)?;
     let source = file.as_deref().map(operator::source).transpose().map_err(|fault| told(&[fault]))?;
@@ -68,7 +68,7 @@
     let (each_second, again, swapped) = (log.clone(), log.clone(), log);
     let about = Rc::new(RefCell::new(about(&resolved, file.as_deref(), last.as_deref())));
     let platform = below.clone();
-    let place = Place::new(plan.settings.me, plan.settings.proxies);
+    let place = FleetPosition::new(plan.settings.me, plan.settings.proxies);
     let paced = resolved.operator.list.as_ref().map(|rules| {
         let (held, keeper) = discovery::begin(rules, &mut config);
         // Danger: what is pushed counts as told at once; to wait for a slot then is to use nodes that have been taken away.
@@ -100,7 +100,7 @@
             tokio::task::spawn_local(serving.run(ordered));
             subscription.start(control, at, last).map_err(no_thread)
         }),
-        each_second: Box::new(move || each_second.tell_left_out()),
+        each_second: Box::new(move || each_second.report_suppressed()),
         reread: Box::new(move || reread(&platform.platform, &rereads.borrow(), file.as_deref(), &again)),
     };
     front::run(config, beyond, stop, hangup).await.map_err(one)
@@ -118,7 +118,7 @@
 
 /// Takes over what may change while the proxy runs, and names what waits for a restart. Danger: a file with a slip in
 /// it must not take a proxy down that serves.
-fn reread(platform: &Config, in_force: &InForce, file: Option<&Path>, log: &Handle) {
+fn reread(platform: &Config, in_force: &InForce, file: Option<&Path>, log: &LogHandle) {
     let source = file.map(operator::source).transpose().map_err(|fault| vec![fault]);
     let now = source.and_then(|file| {
         let below = Below { platform: platform.clone(), file };
