--- a/crates/core/src/listing.rs
+++ b/crates/core/src/listing.rs
@@ -53,7 +53,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use aniseyoke_routes::overlay::{NodeSelector, NodeOverride};
+    use aniseyoke_routes::overlay::{NodeOverride, NodeSelector};
 
     fn entry(server: u64, zone: u32) -> (Entry, Option<SocketAddr>) {
         (Entry { server, zone, weight: 1.0, ..Entry::default() }, None)
--- a/crates/lab/src/keeper/mod.rs
+++ b/crates/lab/src/keeper/mod.rs
@@ -273,7 +273,8 @@
     #[test]
     fn counters_wrap_upwards_stop_at_nothing_and_begin_where_they_are_told() {
         let mut k = keeper();
-        let count = |opcode, delta, expires| head(opcode, "n", Extras::Counter { delta, initial: 5, expires });
+        let count =
+            |opcode, delta, expires| head(opcode, "n", Extras::Counter { delta, initial: 5, expires });
         let read = |said: Said| (said.status, said.value.to_vec());
         let is = |n: u64| (Status::Ok, n.to_be_bytes().to_vec());
         let must = count(Opcode::Increment, 1, u32::MAX);
--- a/crates/lab/src/keeper/server.rs
+++ b/crates/lab/src/keeper/server.rs
@@ -2,7 +2,9 @@
 
 use super::{Keeper, Said};
 use aniseyoke_memcached::decode::InvalidRequest;
-use aniseyoke_memcached::{encode, semantics, sasl, Decoder, ProtocolError, Header, Limits, Opcode, Part, Direction, Status};
+use aniseyoke_memcached::{
+    encode, sasl, semantics, Decoder, Direction, Header, Limits, Opcode, Part, ProtocolError, Status,
+};
 use bytes::{Bytes, BytesMut};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -37,7 +39,8 @@
 impl Session {
     fn answer(&mut self, to: &Header, said: &Said) {
         let Said { status, extras, key, value, cas } = said;
-        let head = Header { extras: *extras, key: key.clone(), cas: *cas, ..Header::response_to(to, *status) };
+        let head =
+            Header { extras: *extras, key: key.clone(), cas: *cas, ..Header::response_to(to, *status) };
         // Keys come from packets and values are bounded, so that the format has room for them.
         let _ = encode::packet(Direction::Response, &head, value, &mut self.out);
     }
@@ -162,7 +165,9 @@
             let head = Header { opcode, opaque, ..Header::request(Opcode::Noop) };
             session.answer(&head, &Said::words(Status::TooLarge));
         }
-        ProtocolError::InconsistentLengths { .. } => session.answer(&Header::request(Opcode::Noop), &Said::words(Status::Invalid)),
+        ProtocolError::InconsistentLengths { .. } => {
+            session.answer(&Header::request(Opcode::Noop), &Said::words(Status::Invalid))
+        }
         ProtocolError::UnknownMagic(_) | ProtocolError::InvalidResponse => {}
     }
 }
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -19,8 +19,13 @@
 
 /// Asks for good; `place`: which of how many proxies.
 pub async fn ask(n: usize, place: (u32, u32), every: u64, addr: SocketAddr, shared: Rc<Shared>) {
-    let rules =
-        PollRules { interval: every, max_backoff: 10 * SECOND, answer_timeout: SECOND, max_answer_timeout: 8 * SECOND }.bounded();
+    let rules = PollRules {
+        interval: every,
+        max_backoff: 10 * SECOND,
+        answer_timeout: SECOND,
+        max_answer_timeout: 8 * SECOND,
+    }
+    .bounded();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
     let mut polls = PollSchedule::new(rules, FleetPosition::new(place.0, place.1), unix, now());
     let (mut stream, mut version) = (None, None);
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -105,7 +105,11 @@
                 opens.remove_node(entry.server);
             }
             if entry.state != State::Gone {
-                opens.add_node(now, entry.server, if entry.kind == self.ledger_kind { *ledger } else { *node });
+                opens.add_node(
+                    now,
+                    entry.server,
+                    if entry.kind == self.ledger_kind { *ledger } else { *node },
+                );
             }
         }
     }
--- a/crates/lab/src/sim/lists.rs
+++ b/crates/lab/src/sim/lists.rs
@@ -90,7 +90,8 @@
         }
         let must = nanos(self.day.site.roster.must_ask_in) / 2;
         let caller = &mut host.caller;
-        let hold = caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.watch_duration(now));
+        let hold =
+            caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.watch_duration(now));
         caller.watches += 1;
         caller.watch = Some(caller.watches);
         let number = caller.watches;
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -102,7 +102,8 @@
             return None;
         }
     };
-    let label = ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
+    let label =
+        ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
     let known = config.known.as_ref().map(|known| known.version);
     match check_age(&label, site, known, unix_ms(), fresh_for) {
         Ok(age) => {
--- a/crates/proxy/src/discovery/paced.rs
+++ b/crates/proxy/src/discovery/paced.rs
@@ -6,7 +6,7 @@
 use crate::wall::unix;
 use aniseyoke_config::model::List;
 use aniseyoke_pace::PollRules;
-use aniseyoke_pace::{Nanos, FleetPosition, PollSchedule};
+use aniseyoke_pace::{FleetPosition, Nanos, PollSchedule};
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/proxy/src/opening.rs
+++ b/crates/proxy/src/opening.rs
@@ -4,7 +4,7 @@
 use crate::wall::unix;
 use aniseyoke_config::model::Opening as Rules;
 use aniseyoke_decision::api::{Entry, ServerId, State};
-use aniseyoke_pace::{Nanos, ConnectionPermits, FleetPosition};
+use aniseyoke_pace::{ConnectionPermits, FleetPosition, Nanos};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::{Duration, Instant};
 
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's file: where it is found, how the log is set by it, and what of it waits for a restart.
 
-use aniseyoke_config::layers::{environment, resolve, Resolved, Layer};
+use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Format, Level, Log, Operator};
 use aniseyoke_config::ConfigError;
 use std::path::{Path, PathBuf};
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -6,8 +6,8 @@
 use aniseyoke_config::ConfigError;
 use aniseyoke_core::Plan;
 use aniseyoke_decision::api::{server_id, Pool, Settings};
-use aniseyoke_routes::overlay::{NodeSelector, Overlay, NodeOverride};
-use aniseyoke_routes::{Routing, RouteRule, RoutingTable};
+use aniseyoke_routes::overlay::{NodeOverride, NodeSelector, Overlay};
+use aniseyoke_routes::{RouteRule, Routing, RoutingTable};
 use rustc_hash::FxHashMap;
 
 /// So many names that the platform does not know are told at once. Danger: ten thousand routes to a class with a slip in
@@ -42,7 +42,11 @@
             let key = key();
             let listed = if known.names.is_empty() { "none".into() } else { known.names.join(", ") };
             let why = format!("the platform names no {} {name:?}; it names {listed}", known.what);
-            self.faults.push(ConfigError { location: self.resolved.origin(&key).to_string(), key, reason: why });
+            self.faults.push(ConfigError {
+                location: self.resolved.origin(&key).to_string(),
+                key,
+                reason: why,
+            });
         } else if found.is_none() {
             self.left_out += 1;
         }
@@ -120,7 +124,8 @@
         rules.push(lookup.rule((&classes, &tenants), n, route, pool));
     }
     let remarks = operator.overlays.iter().enumerate();
-    let remarks: Vec<NodeOverride> = remarks.map(|(n, said)| lookup.remark((&zones, &kinds), n, said)).collect();
+    let remarks: Vec<NodeOverride> =
+        remarks.map(|(n, said)| lookup.remark((&zones, &kinds), n, said)).collect();
     turn_off(&mut settings, &operator.features);
     let Lookup { mut faults, left_out, .. } = lookup;
     if left_out > 0 {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -46,7 +46,8 @@
     // Danger: until it is handled this signal ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(|e| one(format!("SIGHUP: {e}")))?;
     let resolved = operator::read(file.as_deref()).map_err(|faults| told(&faults))?;
-    let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log)).map_err(|e| one(e.to_string()))?;
+    let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log))
+        .map_err(|e| one(e.to_string()))?;
     wall::start().map_err(one)?;
     let platform = Config::from_env().map_err(one)?;
     let source = file.as_deref().map(operator::source).transpose().map_err(|fault| told(&[fault]))?;
--- a/crates/proxy/src/versions/below.rs
+++ b/crates/proxy/src/versions/below.rs
@@ -5,7 +5,7 @@
 use crate::operator;
 use crate::plan::plan;
 use crate::wall::unix_ms;
-use aniseyoke_config::layers::{environment, resolve, Resolved, Layer};
+use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Control, Operator};
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
--- a/crates/proxy/src/versions/serving.rs
+++ b/crates/proxy/src/versions/serving.rs
@@ -4,7 +4,7 @@
 use crate::Engine;
 use aniseyoke_core::Plan;
 use aniseyoke_decision::api::Entry;
-use aniseyoke_logging::{LogHandle, Levels};
+use aniseyoke_logging::{Levels, LogHandle};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
