--- a/crates/lab/src/rig/board.rs
+++ b/crates/lab/src/rig/board.rs
@@ -105,7 +105,8 @@
     HalfOpen,
     /// At most so many bytes a second in each direction of a connection.
     Bandwidth,
-    /// The two sets hear nothing of each other (a black hole both ways) until it ends.
+    /// The two sets hear nothing of each other until it ends: open connections go silent both ways, and the handshakes of
+    /// new ones stay unanswered.
     Partition,
 }
 
@@ -160,6 +161,8 @@
     pub stale_before: u64,
     /// Nothing passes while it holds.
     pub silent: bool,
+    /// No new connection comes about while it holds: nobody answers its handshake.
+    pub unreachable: bool,
 }
 
 impl Effect {
@@ -200,7 +203,8 @@
                     effect.reset_before = effect.reset_before.max(active.struck);
                 }
                 Fault::HalfOpen => effect.stale_before = effect.stale_before.max(active.struck),
-                Fault::BlackHole | Fault::Partition => effect.silent = true,
+                Fault::BlackHole => effect.silent = true,
+                Fault::Partition => (effect.silent, effect.unreachable) = (true, true),
                 Fault::Bandwidth => {
                     effect.rate = Some(effect.rate.map_or(active.rate, |r| r.min(active.rate)))
                 }
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -2,6 +2,7 @@
 //! (`docs/design-rig.md`).
 //!
 //! - [`board`]: parties, faults and the board of those in force; no I/O.
+//! - [`handshakes`]: a listening socket that may stop answering handshakes.
 //! - [`mesh`]: the relays of an experiment, on a thread of their own.
 //! - [`plan`]: an experiment's file and the schedule that a seed makes of it.
 //! - [`play`]: one experiment from start to end.
@@ -11,6 +12,7 @@
 //! - [`report`]: what came of an experiment, as a page with plots.
 
 pub mod board;
+pub mod handshakes;
 pub mod mesh;
 pub mod plan;
 pub mod play;
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -1,6 +1,7 @@
 //! A relay on one link: takes the connections of one party for another and carries their bytes, as the board says.
 
 use super::board::{Effect, Faults, Party};
+use super::handshakes::Handshakes;
 use crate::clock::mix;
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -36,7 +37,7 @@
     pub reset: AtomicU64,
     /// Held silent for a while, or for good.
     pub held: AtomicU64,
-    /// Of those, given up by their callers before the silence ended: nothing of them reaches the target.
+    /// Of those, given up by their callers before the silence ended: nothing that was held of them reaches the target.
     pub given_up: AtomicU64,
     /// Whose target could not be reached.
     pub unreached: AtomicU64,
@@ -92,35 +93,62 @@
     let counts = Arc::new(Counts::default());
     let kept = counts.clone();
     handle.spawn(async move {
-        let listener = match TcpListener::from_std(listener) {
-            Ok(listener) => listener,
-            Err(e) => return tracing::error!("relay {addr}: {e}"),
-        };
-        let mut number = 0u64;
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    number += 1;
-                    let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, addr.port().into(), number));
-                    Counts::add(&kept.taken, 1);
-                    tokio::spawn(carry(stream, link, faults.clone(), rng, kept.clone()));
-                }
-                Err(e) => {
-                    tracing::warn!("relay {addr}: {e}");
-                    sleep(Duration::from_millis(10)).await;
-                }
-            }
+        match TcpListener::from_std(listener).and_then(Handshakes::new) {
+            Ok(handshakes) => take(handshakes, link, faults, seed, kept).await,
+            Err(e) => tracing::error!("relay {addr}: {e}"),
         }
     });
     Ok(Relay { addr, counts })
 }
 
+/// Takes connections for as long as the board stands.
+async fn take(
+    mut handshakes: Handshakes,
+    link: Link,
+    mut faults: watch::Receiver<Arc<Faults>>,
+    seed: u64,
+    counts: Arc<Counts>,
+) {
+    let addr = handshakes.addr();
+    let mut number = 0u64;
+    loop {
+        let unreachable = faults.borrow_and_update().effect(link.from, link.to).unreachable;
+        if let Err(e) = handshakes.set_answers(!unreachable) {
+            tracing::warn!("relay {addr}: {e}");
+        }
+        let accepted = tokio::select! {
+            accepted = handshakes.accept(), if !unreachable => accepted,
+            changed = faults.changed() => match changed {
+                Ok(()) => continue,
+                Err(_) => return,
+            },
+        };
+        match accepted {
+            Ok(stream) => {
+                number += 1;
+                let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, addr.port().into(), number));
+                Counts::add(&counts.taken, 1);
+                tokio::spawn(carry(stream, link, faults.clone(), rng, counts.clone()));
+            }
+            Err(e) => {
+                tracing::warn!("relay {addr}: {e}");
+                sleep(Duration::from_millis(10)).await;
+            }
+        }
+    }
+}
+
 /// Whether a caller has closed its connection by now.
 async fn given_up(stream: &TcpStream) -> bool {
     let writable = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
     writable.is_ok_and(|ready| ready.is_read_closed() || ready.is_write_closed())
 }
 
+/// Whether its peer has reset a connection, by the kernel's word.
+fn was_reset(stream: &TcpStream) -> bool {
+    !matches!(socket2::SockRef::from(stream).take_error(), Ok(None))
+}
+
 fn reset(stream: &TcpStream) {
     // A socket that is gone already needs no reset.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
@@ -251,10 +279,16 @@
                 continue;
             }
         };
-        let effect = match hold(&mut faults, link, born, counts).await {
-            Some(effect) => effect,
+        let (effect, held) = match hold(&mut faults, link, born, counts).await {
+            Some(held) => held,
             None => return Ended::Reset,
         };
+        // Danger: over a real link what is not acknowledged is sent again until its sender resets the connection, and never
+        // after that; the relay has acknowledged what it holds.
+        if held && was_reset(read.as_ref()) {
+            Counts::add(&counts.given_up, 1);
+            return Ended::Reset;
+        }
         let mut chunk = &buf[..n];
         // Both directions draw on one budget; it never goes below nothing.
         let take = |left: u64| Some(left.saturating_sub(n as u64));
@@ -282,13 +316,14 @@
     }
 }
 
-/// Waits while the link is silent; none if the connection is to be reset. A half-open connection never comes back.
+/// Waits while the link is silent, and says whether it was; none if the connection is to be reset. A half-open connection
+/// never comes back.
 async fn hold(
     faults: &mut watch::Receiver<Arc<Faults>>,
     link: Link,
     born: u64,
     counts: &Counts,
-) -> Option<Effect> {
+) -> Option<(Effect, bool)> {
     let mut counted = false;
     loop {
         let effect = faults.borrow_and_update().effect(link.from, link.to);
@@ -296,7 +331,7 @@
             return None;
         }
         if !effect.silent && !effect.stale(born) {
-            return Some(effect);
+            return Some((effect, counted));
         }
         if !counted {
             Counts::add(&counts.held, 1);
--- a/crates/lab/src/rig/tests.rs
+++ b/crates/lab/src/rig/tests.rs
@@ -78,17 +78,88 @@
 }
 
 #[tokio::test]
-async fn a_partition_holds_bytes_until_it_heals_and_new_connections_go_unanswered() {
+async fn a_partition_holds_bytes_until_it_heals_and_handshakes_of_new_connections_go_unanswered() {
     let board = Board::default();
     let relay = relayed(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
+    // Twice, since what keeps handshakes unanswered has to come and go with the fault.
+    for id in [1, 2] {
+        board.strike(fault(id, Fault::Partition));
+        assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
+        for _ in 0..3 {
+            let connecting = TcpStream::connect(relay.addr);
+            assert!(
+                timeout(Duration::from_millis(200), connecting).await.is_err(),
+                "a handshake was answered"
+            );
+        }
+        let waits = TcpStream::connect(relay.addr);
+        let heals = async {
+            tokio::time::sleep(Duration::from_millis(200)).await;
+            board.lift(id);
+        };
+        // What was held comes through once it heals, and the handshake of who still waits.
+        let (waited, ()) = tokio::join!(timeout(Duration::from_secs(5), waits), heals);
+        let mut new = waited.expect("in time").expect("connected");
+        round(&mut new, 10, Duration::from_secs(5)).await.unwrap();
+        let mut rest = [0u8; 10];
+        timeout(Duration::from_secs(5), open.read_exact(&mut rest)).await.unwrap().unwrap();
+    }
+    let counts = &relay.counts;
+    assert_eq!(
+        (Counts::get(&counts.taken), Counts::get(&counts.held)),
+        (3, 2),
+        "none but who waited was taken"
+    );
+}
+
+/// Danger: over a real link a segment that was not acknowledged is sent again after an orderly close, and not after a
+/// reset; the relay has acknowledged what it holds.
+#[tokio::test]
+async fn what_a_partition_holds_of_a_connection_comes_through_after_a_close_and_not_after_a_reset() {
+    let board = Board::default();
+    let relay = relayed(&board).await;
+    let mut open = Vec::new();
+    for _ in 0..2 {
+        let mut stream = TcpStream::connect(relay.addr).await.unwrap();
+        round(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
+        open.push(stream);
+    }
     board.strike(fault(1, Fault::Partition));
+    for stream in &mut open {
+        assert_eq!(round(stream, 100, Duration::from_millis(200)).await, Err("silent".into()));
+    }
+    let reset = open.pop().unwrap();
+    socket2::SockRef::from(&reset).set_linger(Some(Duration::ZERO)).unwrap();
+    drop(reset);
+    drop(open);
+    board.lift(1);
+    let counts = relay.counts.clone();
+    let came = || (Counts::get(&counts.bytes_to), Counts::get(&counts.given_up));
+    let both = async {
+        while came() != (120, 1) {
+            tokio::time::sleep(Duration::from_millis(5)).await;
+        }
+    };
+    timeout(Duration::from_secs(5), both).await.unwrap_or_else(|_| panic!("{:?}", came()));
+    // Longer than anything that was held takes to come through.
+    tokio::time::sleep(Duration::from_millis(200)).await;
+    assert_eq!(came(), (120, 1));
+}
+
+#[tokio::test]
+async fn a_black_hole_holds_bytes_until_it_ends_and_new_connections_are_taken_and_go_unanswered() {
+    let board = Board::default();
+    let relay = relayed(&board).await;
+    let mut open = TcpStream::connect(relay.addr).await.unwrap();
+    round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
+    board.strike(fault(1, Fault::BlackHole));
     assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
     assert_eq!(round(&mut new, 10, Duration::from_millis(300)).await, Err("silent".into()));
     board.lift(1);
-    // What was held comes through once it heals, on both.
+    // What was held comes through once it ends, on both.
     let mut rest = [0u8; 10];
     timeout(Duration::from_secs(5), open.read_exact(&mut rest)).await.unwrap().unwrap();
     timeout(Duration::from_secs(5), new.read_exact(&mut rest)).await.unwrap().unwrap();
@@ -115,12 +186,12 @@
 
 /// Danger: over a real link no handshake comes about in a partition, so that callers that gave up leave nothing behind.
 #[tokio::test]
-async fn callers_that_gave_up_in_a_partition_do_not_reach_the_target_when_it_heals() {
+async fn callers_that_gave_up_in_a_black_hole_do_not_reach_the_target_when_it_ends() {
     let board = Board::default();
     let (target, taken) = counting().await;
     let link = Link { from: Party::Proxy(0), to: Party::Discovery, target };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
-    board.strike(fault(1, Fault::Partition));
+    board.strike(fault(1, Fault::BlackHole));
     for resets in [false, true] {
         let mut gave_up = TcpStream::connect(relay.addr).await.unwrap();
         gave_up.write_all(b"asked").await.unwrap();
