--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -45,7 +45,8 @@
     began: Instant,
     /// Danger: were these of the clients' budget, a flood of clients would cut the proxy off from the list.
     descriptors: Rc<Descriptors>,
-    sender: Option<SendRequest<Body>>,
+    /// Kept from one call to the next.
+    connection: Option<Connection>,
     names: Rc<Names>,
     /// At an address that has not answered yet: the wait before the next call.
     again: Option<Duration>,
@@ -53,6 +54,12 @@
     paced: Option<Paced>,
 }
 
+/// A connection to the service, on which one call goes out after another.
+struct Connection {
+    sender: SendRequest<Body>,
+    socket: Rc<Socket>,
+}
+
 /// Why there is no list.
 enum Fault {
     /// The service wants no call now, and perhaps says for how long.
@@ -103,7 +110,7 @@
             rhythm: Watch::new(must_ask_in),
             began: Instant::now(),
             descriptors,
-            sender: None,
+            connection: None,
             names,
             again: None,
             paced,
@@ -169,7 +176,7 @@
                 }
                 Err(e) => {
                     tracing::warn!("discovery at {}: {e}", self.addr);
-                    self.sender = None;
+                    self.connection = None;
                     self.paced.iter_mut().for_each(|p| p.failed(&e));
                     if self.in_slots() {
                         // The module's waits come on top of the slot's otherwise, and the next call too late.
@@ -208,7 +215,7 @@
     /// From here on asks at this address, for the whole list first: its versions may be other ones.
     fn move_to(&mut self, addr: SocketAddr) {
         tracing::info!("discovery is now at {addr}");
-        (self.addr, self.version, self.sender, self.again) = (addr, None, None, Some(AGAIN));
+        (self.addr, self.version, self.connection, self.again) = (addr, None, None, Some(AGAIN));
         self.rhythm.moved();
         self.paced.iter_mut().for_each(Paced::moved);
     }
@@ -225,12 +232,12 @@
     }
 
     async fn call(&mut self) -> Result<Members, Fault> {
-        let kept = self.sender.is_some();
+        let kept = self.connection.is_some();
         let called = self.call_once().await;
         // A kept connection that has ended says nothing of discovery; a watch must go on at once. Danger: where calls are
         // paced, a service that ends all connections at once would have all proxies call at once.
         match called {
-            Err(Fault::Broken(_)) if kept && self.sender.is_none() && !self.in_slots() => {
+            Err(Fault::Broken(_)) if kept && self.connection.is_none() && !self.in_slots() => {
                 self.call_once().await
             }
             called => called,
@@ -247,10 +254,14 @@
     }
 
     async fn exchange(&mut self) -> Result<Members, Fault> {
-        let mut sender = match self.sender.take() {
-            Some(sender) => sender,
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
             None => self.connect().await?,
         };
+        // Danger: where a link falls silent, the kernel would go on sending a call that was given up, and when the link is
+        // well those of all proxies would come to the service at once, each beside the call that took its place.
+        connection.socket.reset_on_close(true);
+        let sender = &mut connection.sender;
         sender.ready().await.map_err(|e| format!("connection lost: {e}"))?;
         let path = match self.version {
             None => "/catalog/members".to_owned(),
@@ -262,21 +273,23 @@
         let (head, body) = response.map_err(|e| format!("no answer: {e}"))?.into_parts();
         let body =
             Limited::new(body, LIST_MOST).collect().await.map_err(|e| format!("broken answer: {e}"))?;
-        self.sender = Some(sender);
+        connection.socket.reset_on_close(false);
+        self.connection = Some(connection);
         if head.status != StatusCode::OK {
             return Err(Fault::Refused(head.status, advised(&head.headers)));
         }
         serde_json::from_slice(&body.to_bytes()).map_err(|e| Fault::Broken(format!("not a list: {e}")))
     }
 
-    async fn connect(&self) -> Result<SendRequest<Body>, String> {
+    async fn connect(&self) -> Result<Connection, String> {
         let permit = self.descriptors.take().ok_or("no descriptor left")?;
         let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(self.addr)).await;
         let stream =
             connecting.map_err(|_| "no connection in time")?.map_err(|e| format!("no connection: {e}"))?;
-        let io = TokioIo::new(Io(Socket::new(stream, permit)));
-        let (sender, connection) = http1::handshake(io).await.map_err(|e| e.to_string())?;
-        tokio::task::spawn_local(connection);
-        Ok(sender)
+        let socket = Socket::new(stream, permit);
+        let io = TokioIo::new(Io(socket.clone()));
+        let (sender, driver) = http1::handshake(io).await.map_err(|e| e.to_string())?;
+        tokio::task::spawn_local(driver);
+        Ok(Connection { sender, socket })
     }
 }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -205,6 +205,13 @@
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
     }
 
+    /// From here on its end is a reset: what the peer's machine has not acknowledged by then is never sent again. Or it ends in
+    /// order, and the kernel goes on sending that for minutes.
+    pub fn reset_on_close(&self, resets: bool) {
+        // One that can't be set ends in order, which is as good as it was.
+        let _ = SockRef::from(&self.stream).set_linger(resets.then_some(Duration::ZERO));
+    }
+
     /// Whether the peer is there now, when something is about to be sent on for it. One that may have gone is asked, and
     /// what comes of that is waited for a little, `most`; not for each of many requests that it may have sent.
     /// Danger: a process that was busy does its work in any order; the kernel knows what the runtime has not looked at.
--- a/crates/proxy/tests/rig/mod.rs
+++ b/crates/proxy/tests/rig/mod.rs
@@ -13,6 +13,9 @@
 /// How long a step may take before the test is given up: far longer than any takes.
 pub const LONG: Duration = Duration::from_secs(30);
 
+/// How long what follows at once may take on a busy machine.
+const SOON: Duration = Duration::from_secs(2);
+
 /// A message as it came: its first line, headers in lower case, and body.
 #[derive(Debug, PartialEq)]
 pub struct Message {
@@ -96,6 +99,23 @@
         read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
+    /// Waits until the connection ends, and then for a reset, which drops what is still on its way.
+    pub fn ends_with_a_reset(&mut self) -> bool {
+        match self.0.read(&mut [0; 1]) {
+            Err(e) => return e.kind() == std::io::ErrorKind::ConnectionReset,
+            Ok(n) => assert_eq!(n, 0, "more came"),
+        }
+        // One that follows upon an orderly end is told as an error of the socket.
+        let until = Instant::now() + SOON;
+        while Instant::now() < until {
+            if self.0.get_ref().take_error().expect("an answer").is_some() {
+                return true;
+            }
+            std::thread::sleep(Duration::from_millis(1));
+        }
+        false
+    }
+
     pub fn request(&mut self) -> Message {
         self.read().expect("a request")
     }
--- a/crates/proxy/tests/watches.rs
+++ b/crates/proxy/tests/watches.rs
@@ -59,6 +59,24 @@
     );
 }
 
+/// Danger: the kernel goes on sending what a silent link has not taken, until the connection is reset. Calls that were given up
+/// in order would come to the service when the link is well, those of all proxies at once, each beside a later one.
+#[test]
+fn a_call_that_is_given_up_is_reset_so_that_it_is_not_sent_again() {
+    let r = rig();
+    let mut silent = r.discovery.take();
+    silent.request();
+    let mut next = r.discovery.take();
+    assert!(silent.ends_with_a_reset(), "the given-up call ended in order");
+    next.request();
+    // One that stands at an address that discovery has left is given up as well.
+    let there = Server::new();
+    std::fs::write(&r.proxy.file, config(there.addr, &[]).to_string()).expect("written");
+    r.proxy.signal("-HUP");
+    assert!(next.ends_with_a_reset(), "the call at the old address ended in order");
+    there.take().request();
+}
+
 /// Danger: of what one answer says of a node the last word counts: it drains, is gone, and is back as a new process.
 #[test]
 fn a_node_that_is_gone_and_back_within_one_answer_is_used_on_new_connections() {
