--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab/src/scale/lists.rs
@@ -3,8 +3,8 @@
 use super::member::{Shared, Traffic};
 use super::now;
 use crate::clock::SECOND;
-use aniseyoke_pace::polls::Rules;
-use aniseyoke_pace::{Place, Polls};
+use aniseyoke_pace::PollRules;
+use aniseyoke_pace::{FleetPosition, PollSchedule};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,18 +19,23 @@
 
 /// Asks for good; `place`: which of how many proxies.
 pub async fn ask(n: usize, place: (u32, u32), every: u64, addr: SocketAddr, shared: Rc<Shared>) {
-    let rules =
-        Rules { every, back_off_most: 10 * SECOND, answer: SECOND, answer_most: 8 * SECOND }.bounded();
+    let rules = PollRules {
+        interval: every,
+        max_backoff: 10 * SECOND,
+        answer_timeout: SECOND,
+        max_answer_timeout: 8 * SECOND,
+    }
+    .bounded();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
-    let mut polls = Polls::new(rules, Place::new(place.0, place.1), unix, now());
+    let mut polls = PollSchedule::new(rules, FleetPosition::new(place.0, place.1), unix, now());
     let (mut stream, mut version) = (None, None);
     loop {
         let at = now();
-        sleep(Duration::from_nanos(polls.due(at).saturating_sub(at))).await;
+        sleep(Duration::from_nanos(polls.next_poll(at).saturating_sub(at))).await;
         let at = now();
-        polls.polled(at);
-        let hold = version.map_or(0, |_| polls.hold(at));
-        let within = Duration::from_nanos(polls.limit(at, hold));
+        polls.poll_started(at);
+        let hold = version.map_or(0, |_| polls.watch_duration(at));
+        let within = Duration::from_nanos(polls.call_timeout(at, hold));
         match timeout(within, call(stream.take(), addr, version, hold / 1_000_000)).await {
             Ok(Ok((kept, told, traffic))) => {
                 (stream, version) = (Some(kept), told.or(version));
@@ -40,7 +45,7 @@
                 shared.lists[n].set(sum);
             }
             Ok(Err(_)) => polls.failed(now()),
-            Err(_) => polls.late(now()),
+            Err(_) => polls.timed_out(now()),
         }
     }
 }
--- a/crates/lab/src/scale/play/start.rs
+++ b/crates/lab/src/scale/play/start.rs
@@ -157,7 +157,7 @@
                 seed: self.seed,
                 purging: self.purging(),
                 join_ms: plan.join.0.as_millis() as u64,
-                list_every: aniseyoke_pace::polls::Rules::every_by(must_ask_in),
+                list_every: aniseyoke_pace::PollRules::default_interval(must_ask_in),
                 members: of(Role::Proxy).chain(of(Role::Node)).collect(),
             };
             let lab = programs.lab.clone();
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -8,7 +8,7 @@
 use aniseyoke_core::margin;
 use aniseyoke_decision::api::{Action, Entry, Event, ListKind, RequestId, ServerId, State, Status};
 use aniseyoke_decision::Balancer;
-use aniseyoke_pace::{Opens, Place};
+use aniseyoke_pace::{ConnectionPermits, FleetPosition};
 use rustc_hash::FxHashMap;
 
 /// An attempt as its proxy sees it.
@@ -49,7 +49,7 @@
     /// Its side of the list service.
     pub caller: Caller,
     /// Leave to open connections, with what all proxies open a second to a node and to the ledger, where that is limited.
-    pub opens: Option<(Opens, (f64, f64))>,
+    pub opens: Option<(ConnectionPermits, (f64, f64))>,
     started: FxHashMap<ServerId, Nanos>,
     ledger_kind: u32,
     conn_idle: Nanos,
@@ -59,11 +59,11 @@
 impl Host {
     pub fn new(day: &Day, me: usize, options: &Options) -> Self {
         let settings = module_settings(day, me);
-        let place = Place::new(settings.me, settings.proxies);
+        let place = FleetPosition::new(settings.me, settings.proxies);
         let seed = mix(day.seed, 0x5eed, me as u64);
         Host {
             caller: Caller::new(day, me, options.list.as_ref()),
-            opens: options.opening.map(|rates| (Opens::new(place, 0, 0), rates)),
+            opens: options.opening.map(|rates| (ConnectionPermits::new(place, 0, 0), rates)),
             started: FxHashMap::default(),
             ledger_kind: day.site.cache.kinds.len() as u32,
             conn_idle: settings.conn_idle,
@@ -102,10 +102,14 @@
         for entry in entries {
             let anew = self.started.insert(entry.server, entry.started).is_some_and(|s| s != entry.started);
             if anew || entry.state == State::Gone {
-                opens.gone(entry.server);
+                opens.remove_node(entry.server);
             }
             if entry.state != State::Gone {
-                opens.listed(now, entry.server, if entry.kind == self.ledger_kind { *ledger } else { *node });
+                opens.add_node(
+                    now,
+                    entry.server,
+                    if entry.kind == self.ledger_kind { *ledger } else { *node },
+                );
             }
         }
     }
--- a/crates/lab/src/sim/lists.rs
+++ b/crates/lab/src/sim/lists.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 use aniseyoke_decision::api::{Event, ListKind};
-use aniseyoke_pace::polls::Rules;
-use aniseyoke_pace::{Place, Polls};
+use aniseyoke_pace::PollRules;
+use aniseyoke_pace::{FleetPosition, PollSchedule};
 
 /// The list service, and how it is asked.
 #[derive(Clone, Debug, Default)]
@@ -29,7 +29,7 @@
 /// One proxy's side of it.
 #[derive(Default)]
 pub struct Caller {
-    polls: Option<Polls>,
+    polls: Option<PollSchedule>,
     /// A call is out, or waits for its slot.
     busy: bool,
     /// A watch is held; its number.
@@ -40,14 +40,14 @@
 impl Caller {
     /// Proxy `me` of a day.
     pub fn new(day: &Day, me: usize, service: Option<&Service>) -> Self {
-        let place = Place::new(me as u32, day.site.proxy.count as u32);
-        let rules = Rules {
-            every: Rules::every_by(nanos(day.site.roster.must_ask_in)),
-            back_off_most: BACK_OFF_MOST,
-            answer: ANSWER.0,
-            answer_most: ANSWER.1,
+        let place = FleetPosition::new(me as u32, day.site.proxy.count as u32);
+        let rules = PollRules {
+            interval: PollRules::default_interval(nanos(day.site.roster.must_ask_in)),
+            max_backoff: BACK_OFF_MOST,
+            answer_timeout: ANSWER.0,
+            max_answer_timeout: ANSWER.1,
         };
-        let polls = service.filter(|s| s.paced).map(|_| Polls::new(rules, place, 0, 0));
+        let polls = service.filter(|s| s.paced).map(|_| PollSchedule::new(rules, place, 0, 0));
         Caller { polls, ..Caller::default() }
     }
 }
@@ -59,7 +59,7 @@
         if anew && std::mem::replace(&mut caller.busy, true) {
             return;
         }
-        let at = caller.polls.as_ref().map_or(now, |polls| polls.due(now));
+        let at = caller.polls.as_ref().map_or(now, |polls| polls.next_poll(now));
         self.queue.push(at, Happening::Ask(proxy));
     }
 
@@ -75,7 +75,7 @@
         asks[second] += 1;
         let over = service.takes.is_some_and(|most| asks[second] > most);
         let host = &mut self.hosts[proxy as usize];
-        host.caller.polls.iter_mut().for_each(|p| p.polled(now));
+        host.caller.polls.iter_mut().for_each(|p| p.poll_started(now));
         let way = self.way();
         if now < nanos(service.down) {
             return self.later(way, Happening::Unlisted(proxy, false));
@@ -90,7 +90,8 @@
         }
         let must = nanos(self.day.site.roster.must_ask_in) / 2;
         let caller = &mut host.caller;
-        let hold = caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.hold(now));
+        let hold =
+            caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.watch_duration(now));
         caller.watches += 1;
         caller.watch = Some(caller.watches);
         let number = caller.watches;
@@ -126,7 +127,7 @@
     pub(super) fn told_list(&mut self, proxy: u32) {
         self.list(proxy);
         if self.options.list.is_some() {
-            self.hosts[proxy as usize].caller.polls.iter_mut().for_each(Polls::answered);
+            self.hosts[proxy as usize].caller.polls.iter_mut().for_each(PollSchedule::answered);
             self.ask_list(proxy, false);
         }
     }
@@ -139,7 +140,7 @@
         caller.busy = false;
         if let Some(polls) = &mut caller.polls {
             match refused {
-                true => polls.refused(now, after),
+                true => polls.rejected(now, after),
                 false => polls.failed(now),
             }
         }
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -278,7 +278,7 @@
         let (proxy, member, ledger, by) = (out.proxy, out.member, out.ledger, out.permit_by.unwrap_or(now));
         let server = self.server(member);
         if let Some((opens, _)) = &mut self.hosts[proxy as usize].opens {
-            if let Err(wait) = opens.take(EPOCH + now, server) {
+            if let Err(wait) = opens.try_acquire(EPOCH + now, server) {
                 if now + wait > by {
                     return self.end_attempt(ticket, Status::Moot);
                 }
--- a/crates/pace/src/lib.rs
+++ b/crates/pace/src/lib.rs
@@ -1,33 +1,33 @@
-//! What keeps hundreds of proxies that do not talk to each other within bounds together.
+//! Pacing: how hundreds of proxies that do not talk to each other keep the load that they cause together within bounds.
 //!
-//! All that a proxy knows of the others is how many there are and which of them it is. From that alone it has slots of
-//! its own in a common cycle ([`slots`]), so that whatever is done at such slots only is done by all together at an
-//! even rate, whatever happened before: a cold start, an outage, a storm of changes.
+//! All that a proxy knows of the others is how many there are and which of them it is ([`FleetPosition`]). From that
+//! alone it computes a time slot of its own in a cycle that all share ([`slots`]). What is done in such slots only is
+//! done by the whole fleet at an even rate, whatever happened before: a cold start, an outage, a burst of changes.
 //!
-//! - [`told`]: by when a change of the list has to be here.
-//! - [`watch`]: how long a call is held and given, and by when the next goes out, where calls are not paced.
-//! - [`polls`]: when the list service is asked, where calls are paced.
-//! - [`opens`]: when a connection to a node may be opened.
-//! - [`kept`]: whether a list that was kept on disk may be used.
+//! - [`notification_deadline`]: by when a change of the endpoint list has to have arrived, and what follows for each call.
+//! - [`watch`]: timeouts of long polls to the discovery service where calls are not paced.
+//! - [`poll_schedule`]: when the discovery service is polled where calls are paced.
+//! - [`connection_permits`]: when a connection to a node may be opened.
+//! - [`retained_list`]: whether an endpoint list that was stored on disk may be used at a start.
 //!
-//! No I/O and no clock: times go in as nanoseconds on one clock that never steps back.
+//! No I/O and no clock: times are passed in as nanoseconds on one monotonic clock of the caller.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
-pub mod kept;
-pub mod opens;
-pub mod polls;
+pub mod connection_permits;
+pub mod notification_deadline;
+pub mod poll_schedule;
+pub mod retained_list;
 pub mod slots;
-pub mod told;
 pub mod watch;
 
-pub use opens::Opens;
-pub use polls::Polls;
-pub use slots::{Place, Slots};
-pub use watch::Watch;
+pub use connection_permits::ConnectionPermits;
+pub use poll_schedule::{PollRules, PollSchedule};
+pub use slots::{FleetPosition, SlotSchedule};
+pub use watch::WatchTimeouts;
 
-/// Nanoseconds.
+/// A time or a span of time in nanoseconds.
 pub type Nanos = u64;
 
-/// A second.
+/// One second.
 pub const SECOND: Nanos = 1_000_000_000;
--- a/crates/pace/src/slots/tests.rs
+++ b/crates/pace/src/slots/tests.rs
@@ -2,31 +2,32 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_fleets_slots_lie_evenly_over_a_cycle_whenever_each_proxy_started() {
-    let (cycle, of) = (1000, 10);
-    let mut all: Vec<Nanos> = (0..of)
-        .map(|me| {
-            // Each has a clock of its own, begun at another time.
-            let begun = 777 * u64::from(me);
-            let slots = Slots::new(cycle, Place::new(me, of), 0.0, 50_000, 50_000 - begun);
-            slots.next(60_000 - begun) + begun
+fn slots_of_a_fleet_are_evenly_spaced_whenever_each_proxy_started() {
+    let (cycle, size) = (1000, 10);
+    let mut slots: Vec<Nanos> = (0..size)
+        .map(|index| {
+            // Each proxy has a clock of its own, which began at another time.
+            let began = 777 * u64::from(index);
+            let schedule =
+                SlotSchedule::new(cycle, FleetPosition::new(index, size), 0.0, 50_000, 50_000 - began);
+            schedule.first_from(60_000 - began) + began
         })
         .collect();
-    all.sort_unstable();
-    assert!(all.windows(2).all(|w| w[1] - w[0] == 100), "{all:?}");
+    slots.sort_unstable();
+    assert!(slots.windows(2).all(|pair| pair[1] - pair[0] == 100), "{slots:?}");
 }
 
 proptest! {
     #[test]
     fn slots_come_once_in_each_cycle(
-        cycle in 1u64..10_000_000, me in 0u32..2000, of in 0u32..1000, shift in -2.0f64..2.0,
-        unix in 0u64..u64::MAX / 4, now in 0u64..1 << 40, at in 0u64..1 << 50,
+        cycle in 1u64..10_000_000, index in 0u32..2000, size in 0u32..1000, shift in -2.0f64..2.0,
+        unix in 0u64..u64::MAX / 4, now in 0u64..1 << 40, time in 0u64..1 << 50,
     ) {
-        let slots = Slots::new(cycle, Place::new(me, of), shift, unix, now);
-        let next = slots.next(at);
-        prop_assert!(next >= at && next - at < cycle);
-        prop_assert_eq!(slots.next(next), next);
-        prop_assert_eq!(slots.next(next + 1), next + cycle);
-        prop_assert_eq!(slots.by(next) + 1, slots.by(next + cycle));
+        let schedule = SlotSchedule::new(cycle, FleetPosition::new(index, size), shift, unix, now);
+        let slot = schedule.first_from(time);
+        prop_assert!(slot >= time && slot - time < cycle);
+        prop_assert_eq!(schedule.first_from(slot), slot);
+        prop_assert_eq!(schedule.first_from(slot + 1), slot + cycle);
+        prop_assert_eq!(schedule.count_until(slot) + 1, schedule.count_until(slot + cycle));
     }
 }
--- a/crates/pace/src/watch.rs
+++ b/crates/pace/src/watch.rs
@@ -1,93 +1,96 @@
-//! How a proxy whose calls are not paced watches the list: how long a call asks discovery to wait, when it is given up,
-//! and by when the next goes out whatever became of it ([`told`](crate::told)).
+//! Timeouts of the watch (long poll) on the endpoint list of a proxy whose calls are not paced: how long a call asks the
+//! discovery service to wait for a change, when the call is given up, and by when the next one starts whatever became of
+//! it ([`notification_deadline`](crate::notification_deadline)).
 
-use super::told::{ANSWERED, CALL_WITHIN, TURN};
+use super::notification_deadline::{MAX_CALL_INTERVAL, MAX_QUEUE_WAIT, MIN_CALL_TIMEOUT};
 use super::{Nanos, SECOND};
 
-/// The shortest wait that is asked for.
-const HOLD_LEAST: Nanos = SECOND;
+/// The shortest wait for a change that a call asks for.
+const MIN_WATCH_DURATION: Nanos = SECOND;
 /// How long discovery may take beyond the wait that it was asked for.
 const GRACE: Nanos = SECOND;
-/// The same once no answer came in that time: it may be that calls wait for their turn.
-const GRACE_MOST: Nanos = TURN;
-/// How long the first call for the whole list may take, which waits for nothing.
-const WHOLE: Nanos = 1200 * SECOND / 1000;
+/// The same after a call timed out: calls may be queued at discovery.
+const SLOW_GRACE: Nanos = MAX_QUEUE_WAIT;
+/// How long the first call for the full list may take, which waits for no change.
+const FIRST_FULL_LIST_TIMEOUT: Nanos = 1200 * SECOND / 1000;
 
-/// One proxy's watch.
+/// The timeouts of one proxy's watch, which follow from how its last calls ended.
 #[derive(Clone, Debug)]
-pub struct Watch {
-    hold: Nanos,
-    /// No answer came in time, and none has come in time since.
+pub struct WatchTimeouts {
+    watch_duration: Nanos,
+    /// A call timed out, and none has been answered in time since.
     slow: bool,
-    /// There was no answer since the last one, or since the start.
+    /// The last call was not answered.
     failed: bool,
-    /// When the last call went out.
-    last: Nanos,
+    /// When the last call started.
+    last_call: Nanos,
 }
 
-impl Watch {
-    /// By the time within which the platform wants the list asked for, in nanoseconds; 0: it names none.
-    pub fn new(must_ask_in: Nanos) -> Self {
-        let most = CALL_WITHIN - GRACE;
-        let hold = match must_ask_in {
-            0 => most,
-            limit => (limit / 2).clamp(HOLD_LEAST, most),
+impl WatchTimeouts {
+    /// For a platform that wants the list to be polled within `must_poll_within`; 0: it sets no limit.
+    pub fn new(must_poll_within: Nanos) -> Self {
+        let max = MAX_CALL_INTERVAL - GRACE;
+        let watch_duration = match must_poll_within {
+            0 => max,
+            limit => (limit / 2).clamp(MIN_WATCH_DURATION, max),
         };
-        Watch { hold, slow: false, failed: false, last: 0 }
+        WatchTimeouts { watch_duration, slow: false, failed: false, last_call: 0 }
     }
 
-    /// A call goes out.
-    pub fn called(&mut self, now: Nanos) {
-        self.last = now;
+    /// A call starts.
+    pub fn call_started(&mut self, now: Nanos) {
+        self.last_call = now;
     }
 
-    /// For how long a call that goes out now asks discovery to wait for a change.
-    pub fn hold(&self) -> Nanos {
-        // Danger: a call that waits for long and is then given more time as well may be silent for longer than there is.
+    /// For how long a call that starts now asks discovery to wait for a change.
+    pub fn watch_duration(&self) -> Nanos {
+        // Danger: a long wait and more grace on top of it may be a longer silence than the deadline leaves.
         if self.slow {
-            self.hold.min(CALL_WITHIN - GRACE_MOST)
+            self.watch_duration.min(MAX_CALL_INTERVAL - SLOW_GRACE)
         } else {
-            self.hold
+            self.watch_duration
         }
     }
 
-    /// After what time a call is given up; `whole`: it is for the whole list, and asks for no wait. Danger: a call that is
-    /// given up before its turn came is one more that waits for a turn, and nothing is ever heard.
-    pub fn limit(&self, whole: bool) -> Nanos {
-        match (whole, self.failed) {
-            (true, false) => WHOLE,
-            (true, true) => ANSWERED,
-            (false, _) => (self.hold() + if self.slow { GRACE_MOST } else { GRACE }).max(ANSWERED),
+    /// After what time a call is given up. A call for the full list waits for no change. Danger: a call that is given up
+    /// while it is queued is followed by another that is queued, and no answer ever comes.
+    pub fn call_timeout(&self, full_list: bool) -> Nanos {
+        match (full_list, self.failed) {
+            (true, false) => FIRST_FULL_LIST_TIMEOUT,
+            (true, true) => MIN_CALL_TIMEOUT,
+            (false, _) => {
+                (self.watch_duration() + if self.slow { SLOW_GRACE } else { GRACE }).max(MIN_CALL_TIMEOUT)
+            }
         }
     }
 
     /// An answer has come.
     pub fn answered(&mut self, now: Nanos) {
-        if now.saturating_sub(self.last) < self.hold() + GRACE {
+        if now.saturating_sub(self.last_call) < self.watch_duration() + GRACE {
             self.slow = false;
         }
         self.failed = false;
     }
 
-    /// There was no answer in time. Returns whether that says no more than that this one call was lost, and the next goes
-    /// out at once.
-    pub fn late(&mut self) -> bool {
+    /// The call timed out. Returns whether the next one starts at once: a first timeout says no more than that this one call
+    /// was lost.
+    pub fn timed_out(&mut self) -> bool {
         self.failed = true;
         !std::mem::replace(&mut self.slow, true)
     }
 
-    /// The call failed otherwise, or was refused.
+    /// The call failed otherwise, or was rejected.
     pub fn failed(&mut self) {
         self.failed = true;
     }
 
-    /// When the next call goes out at the latest, if the last one got no answer.
-    pub fn by(&self) -> Option<Nanos> {
-        self.failed.then(|| self.last.saturating_add(CALL_WITHIN))
+    /// When the next call starts at the latest, if the last one was not answered.
+    pub fn retry_deadline(&self) -> Option<Nanos> {
+        self.failed.then(|| self.last_call.saturating_add(MAX_CALL_INTERVAL))
     }
 
-    /// Discovery is at another address: what was learned of the old one is void.
-    pub fn moved(&mut self) {
+    /// Discovery is at another address: what was learned of the old one no longer holds.
+    pub fn address_changed(&mut self) {
         (self.slow, self.failed) = (false, false);
     }
 }
--- a/crates/pace/src/watch/tests.rs
+++ b/crates/pace/src/watch/tests.rs
@@ -1,103 +1,108 @@
 use super::*;
-use crate::told::{MARGIN, TOLD_AFTER};
+use crate::notification_deadline::{NOTIFICATION_DEADLINE, SAFETY_MARGIN};
 use proptest::prelude::*;
 
 #[test]
-fn a_silent_call_is_followed_by_one_with_more_time_and_a_shorter_wait() {
-    let mut watch = Watch::new(10 * SECOND);
-    assert_eq!((watch.hold(), watch.limit(false)), (2600 * SECOND / 1000, CALL_WITHIN));
-    watch.called(0);
-    assert!(watch.late(), "one lost call says nothing of discovery");
-    assert_eq!((watch.hold(), watch.limit(false)), (1600 * SECOND / 1000, CALL_WITHIN));
-    watch.called(CALL_WITHIN);
-    assert!(!watch.late());
-    assert_eq!(watch.by(), Some(2 * CALL_WITHIN));
-    watch.called(2 * CALL_WITHIN);
-    // It comes after its wait, and later than it would where all is well.
-    watch.answered(2 * CALL_WITHIN + 2700 * SECOND / 1000);
-    assert_eq!((watch.by(), watch.hold()), (None, 1600 * SECOND / 1000));
-    watch.called(4 * CALL_WITHIN);
-    watch.answered(4 * CALL_WITHIN + SECOND);
-    assert_eq!(watch.hold(), 2600 * SECOND / 1000);
+fn a_call_that_timed_out_is_followed_by_one_with_more_grace_and_a_shorter_watch() {
+    let mut watch = WatchTimeouts::new(10 * SECOND);
+    let given = |watch: &WatchTimeouts| (watch.watch_duration(), watch.call_timeout(false));
+    assert_eq!(given(&watch), (2600 * SECOND / 1000, MAX_CALL_INTERVAL));
+    watch.call_started(0);
+    assert!(watch.timed_out(), "one lost call says nothing of discovery");
+    assert_eq!(given(&watch), (1600 * SECOND / 1000, MAX_CALL_INTERVAL));
+    watch.call_started(MAX_CALL_INTERVAL);
+    assert!(!watch.timed_out());
+    assert_eq!(watch.retry_deadline(), Some(2 * MAX_CALL_INTERVAL));
+    watch.call_started(2 * MAX_CALL_INTERVAL);
+    // The answer comes after the watch, and later than it would if discovery were not slow.
+    watch.answered(2 * MAX_CALL_INTERVAL + 2700 * SECOND / 1000);
+    assert_eq!((watch.retry_deadline(), watch.watch_duration()), (None, 1600 * SECOND / 1000));
+    watch.call_started(4 * MAX_CALL_INTERVAL);
+    watch.answered(4 * MAX_CALL_INTERVAL + SECOND);
+    assert_eq!(watch.watch_duration(), 2600 * SECOND / 1000);
 }
 
 #[test]
-fn a_new_address_is_asked_for_the_whole_list_with_little_time_first() {
-    let mut watch = Watch::new(0);
-    watch.called(0);
-    watch.late();
-    watch.moved();
-    assert_eq!((watch.limit(true), watch.by()), (WHOLE, None));
-    watch.late();
-    assert_eq!(watch.limit(true), ANSWERED);
+fn the_first_call_for_the_full_list_at_a_new_address_has_a_short_timeout() {
+    let mut watch = WatchTimeouts::new(0);
+    watch.call_started(0);
+    watch.timed_out();
+    watch.address_changed();
+    assert_eq!((watch.call_timeout(true), watch.retry_deadline()), (FIRST_FULL_LIST_TIMEOUT, None));
+    watch.timed_out();
+    assert_eq!(watch.call_timeout(true), MIN_CALL_TIMEOUT);
 }
 
-/// What may become of a call: after which part of its time, and how long another would wait before the next.
+/// How a call may end: after which part of its time, and how long another party would wait before the next.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Answered(f64),
-    Failed(f64, u64),
-    Late(u64),
-    Moved(f64),
+enum CallOutcome {
+    Answered { part: f64 },
+    Failed { part: f64, wait_ms: u64 },
+    TimedOut { wait_ms: u64 },
+    AddressChanged { part: f64 },
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn call_outcome() -> impl Strategy<Value = CallOutcome> {
     let part = || 0.0f64..1.0;
     prop_oneof![
-        part().prop_map(Fate::Answered),
-        (part(), 0u64..100_000).prop_map(|(part, ms)| Fate::Failed(part, ms)),
-        (0u64..100_000).prop_map(Fate::Late),
-        part().prop_map(Fate::Moved),
+        part().prop_map(|part| CallOutcome::Answered { part }),
+        (part(), 0u64..100_000).prop_map(|(part, wait_ms)| CallOutcome::Failed { part, wait_ms }),
+        (0u64..100_000).prop_map(|wait_ms| CallOutcome::TimedOut { wait_ms }),
+        part().prop_map(|part| CallOutcome::AddressChanged { part }),
     ]
 }
 
 proptest! {
-    /// Whatever becomes of the calls, and however long the waits of others are: discovery that can be reached from any
-    /// moment on has been asked, and its answer awaited, before its changes count as told.
+    /// Whatever becomes of the calls, and however long other parties would wait between them: a discovery service that can
+    /// be reached from any moment on has been called, and its answer waited for, before the notification deadline.
     #[test]
-    fn from_any_moment_on_a_call_is_answered_before_a_change_counts_as_told(
-        must_ask_in in 0u64..100, whole in any::<bool>(), fates in prop::collection::vec(fate(), 1..60)
+    fn from_any_moment_on_a_call_is_answered_before_the_notification_deadline(
+        must_poll_within in 0u64..100, full_list in any::<bool>(),
+        outcomes in prop::collection::vec(call_outcome(), 1..60)
     ) {
-        let mut watch = Watch::new(must_ask_in * SECOND);
-        let (mut now, mut last, mut whole) = (0u64, None::<(u64, bool)>, whole);
-        for fate in fates {
-            if let Some((last, first)) = last {
-                // Discovery can be reached from just after the last call went out on. A first call at an address may be
-                // given up early; the one after it is not.
-                let given = watch.limit(whole);
-                prop_assert!(given >= ANSWERED || first, "{given} at {now}");
-                let told = if given >= ANSWERED { now + ANSWERED } else { now + given + ANSWERED };
-                prop_assert!(told - last <= TOLD_AFTER - MARGIN, "{} after {last}", told - last);
+        let mut watch = WatchTimeouts::new(must_poll_within * SECOND);
+        let (mut now, mut last, mut full_list) = (0u64, None::<(u64, bool)>, full_list);
+        for outcome in outcomes {
+            if let Some((last, first_at_address)) = last {
+                // Discovery becomes reachable just after the last call started. The first call at an address may be given up
+                // early; the one after it is not.
+                let timeout = watch.call_timeout(full_list);
+                prop_assert!(timeout >= MIN_CALL_TIMEOUT || first_at_address, "{timeout} at {now}");
+                let early = if timeout >= MIN_CALL_TIMEOUT { 0 } else { timeout };
+                let notified = now + early + MIN_CALL_TIMEOUT;
+                prop_assert!(notified - last <= NOTIFICATION_DEADLINE - SAFETY_MARGIN, "{} after {last}", notified - last);
             }
-            let (limit, start) = (watch.limit(whole), now);
-            watch.called(now);
-            prop_assert!(limit <= CALL_WITHIN);
-            let mut first = false;
-            match fate {
-                Fate::Answered(part) => {
-                    now += (limit as f64 * part) as u64;
+            let (timeout, start) = (watch.call_timeout(full_list), now);
+            watch.call_started(now);
+            prop_assert!(timeout <= MAX_CALL_INTERVAL);
+            let mut first_at_address = false;
+            match outcome {
+                CallOutcome::Answered { part } => {
+                    now += (timeout as f64 * part) as u64;
                     watch.answered(now);
-                    whole = false;
+                    full_list = false;
                 }
-                Fate::Failed(part, ms) => {
-                    now += (limit as f64 * part) as u64;
+                CallOutcome::Failed { part, wait_ms } => {
+                    now += (timeout as f64 * part) as u64;
                     watch.failed();
-                    now = (now + ms * SECOND / 1000).min(watch.by().expect("a time")).max(now);
+                    let next = now + wait_ms * SECOND / 1000;
+                    now = next.min(watch.retry_deadline().expect("a time")).max(now);
                 }
-                Fate::Late(ms) => {
-                    now += limit;
-                    if !watch.late() {
-                        now = (now + ms * SECOND / 1000).min(watch.by().expect("a time")).max(now);
+                CallOutcome::TimedOut { wait_ms } => {
+                    now += timeout;
+                    if !watch.timed_out() {
+                        let next = now + wait_ms * SECOND / 1000;
+                        now = next.min(watch.retry_deadline().expect("a time")).max(now);
                     }
                 }
-                Fate::Moved(part) => {
-                    now += (limit as f64 * part) as u64;
-                    watch.moved();
-                    (whole, first) = (true, true);
+                CallOutcome::AddressChanged { part } => {
+                    now += (timeout as f64 * part) as u64;
+                    watch.address_changed();
+                    (full_list, first_at_address) = (true, true);
                 }
             }
-            // A change of a moved discovery counts from the move on.
-            last = Some((if first { now } else { start }, first));
+            // A change at a new address counts from the change of address on.
+            last = Some((if first_at_address { now } else { start }, first_at_address));
         }
     }
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -12,7 +12,7 @@
 use super::Body;
 use super::Engine;
 use aniseyoke_decision::api::{ListKind, Nanos};
-use aniseyoke_pace::Watch;
+use aniseyoke_pace::WatchTimeouts;
 use http_body_util::{BodyExt, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HeaderMap, HOST, RETRY_AFTER};
@@ -41,7 +41,7 @@
     /// Of the list held; none: there is no list yet.
     version: Option<u64>,
     /// How calls that are not paced are held, given up and made anew.
-    rhythm: Watch,
+    rhythm: WatchTimeouts,
     began: Instant,
     /// Danger: were these of the clients' budget, a flood of clients would cut the proxy off from the list.
     descriptors: Rc<Descriptors>,
@@ -107,7 +107,7 @@
         Discovery {
             addr,
             version,
-            rhythm: Watch::new(must_ask_in),
+            rhythm: WatchTimeouts::new(must_ask_in),
             began: Instant::now(),
             descriptors,
             connection: None,
@@ -126,7 +126,7 @@
         mut moved: mpsc::UnboundedReceiver<SocketAddr>,
     ) {
         loop {
-            let by = self.rhythm.by().map(|by| self.began + Duration::from_nanos(by));
+            let by = self.rhythm.retry_deadline().map(|by| self.began + Duration::from_nanos(by));
             tokio::select! {
                 Some(()) = asked.recv() => {}
                 Some(addr) = moved.recv() => self.move_to(addr),
@@ -187,7 +187,7 @@
                     // Danger: a watch that says nothing is no discovery that is down; to wait before the next call
                     // spends the time in which its news counts as told. A discovery that is slow gets more time.
                     if matches!(e, Fault::Late) {
-                        if self.rhythm.late() {
+                        if self.rhythm.timed_out() {
                             continue;
                         }
                     } else {
@@ -216,7 +216,7 @@
     fn move_to(&mut self, addr: SocketAddr) {
         tracing::info!("discovery is now at {addr}");
         (self.addr, self.version, self.connection, self.again) = (addr, None, None, Some(AGAIN));
-        self.rhythm.moved();
+        self.rhythm.address_changed();
         self.paced.iter_mut().for_each(Paced::moved);
     }
 
@@ -228,7 +228,7 @@
     /// How long a watch is held that goes out now.
     fn hold(&self) -> Duration {
         let paced = self.paced.as_ref().and_then(Paced::hold);
-        paced.unwrap_or_else(|| Duration::from_nanos(self.rhythm.hold()))
+        paced.unwrap_or_else(|| Duration::from_nanos(self.rhythm.watch_duration()))
     }
 
     async fn call(&mut self) -> Result<Members, Fault> {
@@ -247,9 +247,9 @@
     async fn call_once(&mut self) -> Result<Members, Fault> {
         let whole = self.version.is_none();
         let paced = self.paced.as_ref().and_then(|p| p.limit(whole));
-        let limit = paced.unwrap_or_else(|| Duration::from_nanos(self.rhythm.limit(whole)));
+        let limit = paced.unwrap_or_else(|| Duration::from_nanos(self.rhythm.call_timeout(whole)));
         self.paced.iter_mut().for_each(Paced::polled);
-        self.rhythm.called(nanos(self.began.elapsed()));
+        self.rhythm.call_started(nanos(self.began.elapsed()));
         tokio::time::timeout(limit, self.exchange()).await.unwrap_or(Err(Fault::Late))
     }
 
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -6,7 +6,7 @@
 use crate::wall::unix_ms;
 use aniseyoke_config::model::List;
 use aniseyoke_control::sealed::{Disk, Found, Sealed};
-use aniseyoke_pace::kept::{judge, Label};
+use aniseyoke_pace::retained_list::{check_age, ListMetadata};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -103,9 +103,10 @@
             return None;
         }
     };
-    let label = Label { site: kept.site.clone(), version: kept.list.version, at_ms: kept.at_ms };
+    let label =
+        ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
     let known = config.known.as_ref().map(|known| known.version);
-    match judge(&label, site, known, unix_ms(), fresh_for) {
+    match check_age(&label, site, known, unix_ms(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
             let age = age.as_secs();
--- a/crates/proxy/src/discovery/paced.rs
+++ b/crates/proxy/src/discovery/paced.rs
@@ -5,8 +5,8 @@
 use crate::config::Members;
 use crate::wall::unix;
 use aniseyoke_config::model::List;
-use aniseyoke_pace::polls::Rules;
-use aniseyoke_pace::{Nanos, Place, Polls};
+use aniseyoke_pace::PollRules;
+use aniseyoke_pace::{FleetPosition, Nanos, PollSchedule};
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -72,7 +72,7 @@
 
 /// When calls go out, what is kept of their answers, and what is told of both.
 pub struct Paced {
-    polls: Option<Polls>,
+    polls: Option<PollSchedule>,
     began: Instant,
     held: Rc<Held>,
     keeper: Option<Keeper>,
@@ -80,18 +80,18 @@
 
 /// When calls go out, by the operator's word and the platform's. Where a time of the operator's counts as another, the log
 /// names its key.
-pub fn polls(list: &List, must_ask_in: Nanos, place: Place) -> Polls {
-    let told = Rules {
-        every: list.every.map_or_else(|| Rules::every_by(must_ask_in), nanos),
-        back_off_most: nanos(list.back_off_most),
-        answer: nanos(ANSWER),
-        answer_most: nanos(list.answer_most),
+pub fn polls(list: &List, must_ask_in: Nanos, place: FleetPosition) -> PollSchedule {
+    let told = PollRules {
+        interval: list.every.map_or_else(|| PollRules::default_interval(must_ask_in), nanos),
+        max_backoff: nanos(list.back_off_most),
+        answer_timeout: nanos(ANSWER),
+        max_answer_timeout: nanos(list.answer_most),
     };
     let counts = told.bounded();
     let times = [
-        ("list.every", list.every.map(nanos), counts.every),
-        ("list.back_off_most", Some(told.back_off_most), counts.back_off_most),
-        ("list.answer_most", Some(told.answer_most), counts.answer_most),
+        ("list.every", list.every.map(nanos), counts.interval),
+        ("list.back_off_most", Some(told.max_backoff), counts.max_backoff),
+        ("list.answer_most", Some(told.max_answer_timeout), counts.max_answer_timeout),
     ];
     for (key, told, counts) in times {
         if let Some(told) = told.filter(|told| *told != counts) {
@@ -101,12 +101,12 @@
             );
         }
     }
-    Polls::new(counts, place, nanos(unix()), 0)
+    PollSchedule::new(counts, place, nanos(unix()), 0)
 }
 
 impl Paced {
     /// Without `polls` the list is kept and told of, and calls are not paced.
-    pub fn new(polls: Option<Polls>, held: Rc<Held>, keeper: Option<Keeper>) -> Self {
+    pub fn new(polls: Option<PollSchedule>, held: Rc<Held>, keeper: Option<Keeper>) -> Self {
         Paced { polls, began: Instant::now(), held, keeper }
     }
 
@@ -117,32 +117,32 @@
     /// How long until the next call may go out; none: calls are not paced.
     pub fn wait(&self) -> Option<Duration> {
         let now = self.now();
-        self.polls.as_ref().map(|polls| Duration::from_nanos(polls.due(now) - now))
+        self.polls.as_ref().map(|polls| Duration::from_nanos(polls.next_poll(now) - now))
     }
 
     /// For how long a call that goes out now asks the service to wait, where calls are paced.
     pub fn hold(&self) -> Option<Duration> {
-        self.polls.as_ref().map(|polls| Duration::from_nanos(polls.hold(self.now())))
+        self.polls.as_ref().map(|polls| Duration::from_nanos(polls.watch_duration(self.now())))
     }
 
     /// After what time a call is given up that goes out now, where calls are paced; `whole`: it is for the whole list, and
     /// asks for no wait.
     pub fn limit(&self, whole: bool) -> Option<Duration> {
         let (now, polls) = (self.now(), self.polls.as_ref()?);
-        let held = if whole { 0 } else { polls.hold(now) };
-        Some(Duration::from_nanos(polls.limit(now, held)))
+        let held = if whole { 0 } else { polls.watch_duration(now) };
+        Some(Duration::from_nanos(polls.call_timeout(now, held)))
     }
 
     /// A call goes out.
     pub fn polled(&mut self) {
         let now = self.now();
-        self.polls.iter_mut().for_each(|p| p.polled(now));
+        self.polls.iter_mut().for_each(|p| p.poll_started(now));
         self.held.calls.set(self.held.calls.get() + 1);
     }
 
     /// The service has told the list, or that nothing of it changed.
     pub fn answered(&mut self, members: &Members) {
-        self.polls.iter_mut().for_each(Polls::answered);
+        self.polls.iter_mut().for_each(PollSchedule::answered);
         if self.held.source.replace(Source::Service) != Source::Service {
             tracing::info!("the list service tells version {}", members.version);
         }
@@ -158,11 +158,11 @@
         match fault {
             Fault::Refused(_, after) => {
                 count(&self.held.refused);
-                polls.for_each(|p| p.refused(now, after.map(nanos)));
+                polls.for_each(|p| p.rejected(now, after.map(nanos)));
             }
             Fault::Late => {
                 count(&self.held.failed);
-                polls.for_each(|p| p.late(now));
+                polls.for_each(|p| p.timed_out(now));
             }
             Fault::Broken(_) => {
                 count(&self.held.failed);
@@ -174,6 +174,6 @@
     /// The service is at another address.
     pub fn moved(&mut self) {
         let now = self.now();
-        self.polls.iter_mut().for_each(|p| p.moved(now));
+        self.polls.iter_mut().for_each(|p| p.address_changed(now));
     }
 }
--- a/crates/proxy/src/opening.rs
+++ b/crates/proxy/src/opening.rs
@@ -4,7 +4,7 @@
 use crate::wall::unix;
 use aniseyoke_config::model::Opening as Rules;
 use aniseyoke_decision::api::{Entry, ServerId, State};
-use aniseyoke_pace::{Nanos, Opens, Place};
+use aniseyoke_pace::{ConnectionPermits, FleetPosition, Nanos};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::{Duration, Instant};
 
@@ -12,15 +12,15 @@
 pub struct Opening {
     rules: Rules,
     origin_kind: Option<u32>,
-    opens: Opens,
+    opens: ConnectionPermits,
     /// The start of each machine's process: one that was restarted is new to all proxies at once.
     started: FxHashMap<ServerId, Nanos>,
     began: Instant,
 }
 
 impl Opening {
-    pub fn new(rules: Rules, origin_kind: Option<u32>, place: Place) -> Self {
-        let opens = Opens::new(place, nanos(unix()), 0);
+    pub fn new(rules: Rules, origin_kind: Option<u32>, place: FleetPosition) -> Self {
+        let opens = ConnectionPermits::new(place, nanos(unix()), 0);
         Opening { rules, origin_kind, opens, started: FxHashMap::default(), began: Instant::now() }
     }
 
@@ -39,21 +39,21 @@
         for entry in entries {
             let server = entry.server;
             if entry.state == State::Gone {
-                self.opens.gone(server);
+                self.opens.remove_node(server);
                 self.started.remove(&server);
                 continue;
             }
             if self.started.insert(server, entry.started).is_some_and(|before| before != entry.started) {
-                self.opens.gone(server);
+                self.opens.remove_node(server);
             }
             let origin = self.origin_kind == Some(entry.kind);
             let rate = if origin { self.rules.origin } else { self.rules.per_node };
-            self.opens.listed(now, server, rate);
+            self.opens.add_node(now, server, rate);
         }
     }
 
     /// Takes a permit to open a connection; or how long to wait for the next.
     pub fn take(&mut self, server: ServerId) -> Result<(), Duration> {
-        self.opens.take(self.now(), server).map_err(Duration::from_nanos)
+        self.opens.try_acquire(self.now(), server).map_err(Duration::from_nanos)
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -10,7 +10,7 @@
 use aniseyoke_config::Fault;
 use aniseyoke_control::Version;
 use aniseyoke_logging::Handle;
-use aniseyoke_pace::Place;
+use aniseyoke_pace::FleetPosition;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -68,7 +68,7 @@
     let (each_second, again, swapped) = (log.clone(), log.clone(), log);
     let about = Rc::new(RefCell::new(about(&resolved, file.as_deref(), last.as_deref())));
     let platform = below.clone();
-    let place = Place::new(plan.settings.me, plan.settings.proxies);
+    let place = FleetPosition::new(plan.settings.me, plan.settings.proxies);
     let paced = resolved.operator.list.as_ref().map(|rules| {
         let (held, keeper) = discovery::begin(rules, &mut config);
         // Danger: what is pushed counts as told at once; to wait for a slot then is to use nodes that have been taken away.
