--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,5 +1,9 @@
-//! The wire of the bench's simulator, for the adapter `aniseyoke-benchlink`.
+//! An adapter that runs the decision module on the wire of the bench's simulator.
+//!
+//! - [`wire`]: the text protocol, one message a line.
+//! - [`adapter`]: one decision module for each instance, driven by these messages.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
+pub mod adapter;
 pub mod wire;
--- /dev/null
+++ b/crates/benchlink/src/wire/fields.rs
@@ -0,0 +1,162 @@
+//! Reads the fields of a line one by one.
+
+use aniseyoke_decision::api::{Nanos, Status};
+use aniseyoke_settings::SettingsError;
+use std::str::{FromStr, Split};
+
+/// Longer times are cut to this, so that sums of times don't overflow.
+const MAX_TIME: Nanos = u64::MAX / 4;
+
+/// Why a line is no message. Fields are called by their names in the bench's pages.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum WireError {
+    /// The line ends before a field, or the field is empty.
+    #[error("{0} is missing")]
+    Missing(&'static str),
+    /// A field is no number of its type.
+    #[error("{field} is not a number: {value:?}")]
+    NotANumber {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// A field is no flag.
+    #[error("{field} is neither 1 nor 0: {value:?}")]
+    NotAFlag {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// A field is no hexadecimal number.
+    #[error("{field} is not hex: {value:?}")]
+    NotHex {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// A field is no list of numbers.
+    #[error("{field} is not a row of numbers: {value:?}")]
+    NotARow {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// A field has none of the values that it may have.
+    #[error("{field} is unknown: {value:?}")]
+    Unknown {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// The settings of an instance can't be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// The fields of a line that were not read yet.
+pub struct Fields<'a>(Split<'a, char>);
+
+impl<'a> Fields<'a> {
+    /// All fields of a line.
+    pub fn of(line: &'a str) -> Self {
+        Fields(line.split(' '))
+    }
+
+    /// The next field, if there is one.
+    pub fn next(&mut self) -> Option<&'a str> {
+        self.0.next()
+    }
+
+    /// The next field as text.
+    pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
+        self.0.next().filter(|value| !value.is_empty()).ok_or(WireError::Missing(field))
+    }
+
+    /// The name of an instance.
+    pub fn instance(&mut self) -> Result<String, WireError> {
+        self.text("instance").map(str::to_owned)
+    }
+
+    /// A number.
+    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, WireError> {
+        parse_number(field, self.text(field)?)
+    }
+
+    /// A number that may be absent.
+    pub fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, WireError> {
+        match self.text(field)? {
+            "-" => Ok(None),
+            value => parse_number(field, value).map(Some),
+        }
+    }
+
+    /// A hexadecimal number that may be absent.
+    pub fn optional_hex(&mut self, field: &'static str) -> Result<Option<u64>, WireError> {
+        match self.text(field)? {
+            "-" => Ok(None),
+            value => match u64::from_str_radix(value, 16) {
+                Ok(number) => Ok(Some(number)),
+                Err(_) => Err(WireError::NotHex { field, value: value.to_owned() }),
+            },
+        }
+    }
+
+    /// A flag; an absent one is false.
+    pub fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
+        match self.text(field)? {
+            "1" => Ok(true),
+            "0" | "-" => Ok(false),
+            value => Err(WireError::NotAFlag { field, value: value.to_owned() }),
+        }
+    }
+
+    /// A span of time. It may be negative on the wire (already over), which counts as 0.
+    pub fn time(&mut self, field: &'static str) -> Result<Nanos, WireError> {
+        Ok(self.number::<i128>(field)?.clamp(0, i128::from(MAX_TIME)) as Nanos)
+    }
+
+    /// How an attempt ended.
+    pub fn status(&mut self) -> Result<Status, WireError> {
+        Ok(match self.text("reason")? {
+            "done" => Status::Ok,
+            "err" => Status::Error,
+            "busy" => Status::Full,
+            "etimedout" => Status::Timeout,
+            "econnrefused" => Status::ConnectFailed,
+            "econnreset" => Status::Reset,
+            "ecanceled" => Status::Cancelled,
+            "skipped" => Status::Moot,
+            "enoent" => Status::Miss,
+            value => return Err(unknown("reason", value)),
+        })
+    }
+
+    /// The columns of a load report; `-` for an absent report, or for a column that it lacks.
+    pub fn load_report(&mut self) -> Result<Vec<Option<f64>>, WireError> {
+        let field = "load";
+        let row = self.text(field)?;
+        let column = |value: &str| if value == "-" { Ok(None) } else { value.parse().map(Some) };
+        let columns: Result<_, std::num::ParseFloatError> = row.split(',').map(column).collect();
+        columns.map_err(|_| WireError::NotARow { field, value: row.to_owned() })
+    }
+
+    /// All fields that are left.
+    pub fn rest(&mut self) -> &mut Split<'a, char> {
+        &mut self.0
+    }
+}
+
+/// The error for a value that a field may not have.
+pub fn unknown(field: &'static str, value: &str) -> WireError {
+    WireError::Unknown { field, value: value.to_owned() }
+}
+
+/// Parses a number that a field holds.
+pub fn parse_number<T: FromStr>(field: &'static str, value: &str) -> Result<T, WireError> {
+    value.parse().map_err(|_| WireError::NotANumber { field, value: value.to_owned() })
+}
--- /dev/null
+++ b/crates/benchlink/src/wire/write.rs
@@ -0,0 +1,21 @@
+//! Writes actions as lines.
+
+use aniseyoke_decision::api::{Action, ServerId};
+use std::fmt::Write as _;
+
+/// Appends one action of an instance to a reply; `name` gives the wire's name of a server.
+pub fn write(reply: &mut String, instance: &str, action: &Action, name: impl Fn(ServerId) -> Option<String>) {
+    let name = |server: &ServerId| name(*server).unwrap_or_default();
+    // Writing to a string can't fail.
+    let _ = match action {
+        Action::Send { id, server, timeout } => {
+            writeln!(reply, "deliver {instance} {id} {} {timeout}", name(server))
+        }
+        Action::Cancel { id, attempt } => writeln!(reply, "abandon {instance} {id} {attempt}"),
+        Action::Refuse { id, retry_after } => writeln!(reply, "bounce {instance} {id} {retry_after}"),
+        Action::Fail { id } => writeln!(reply, "abort {instance} {id}"),
+        Action::Timer { token, delay } => writeln!(reply, "arm {instance} {token} {delay}"),
+        Action::Close(server) => writeln!(reply, "close {instance} {}", name(server)),
+        Action::Subscribe => writeln!(reply, "stream_changes {instance} 1"),
+    };
+}
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec line by line, and a whole conversation with the adapter's binary.
 
-use aniseyoke_benchlink::wire::{self, Line};
+use aniseyoke_benchlink::wire::{self, Message};
 use aniseyoke_decision::api::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -107,21 +107,20 @@
 #[test]
 fn lines_keep_their_values() {
     let line = "report_back proxy_3 2526988522394052 1 node_abuevth done 18500000 1 2 3.5,-";
-    let Ok(Line::Outcome(instance, Outcome { id, attempt, server, status, elapsed, last, hit }, row)) =
-        wire::parse(line)
-    else {
+    let Ok(Message::Outcome { instance, outcome, load_report }) = wire::parse(line) else {
         panic!("not an outcome")
     };
+    let Outcome { id, attempt, server, status, elapsed, last, hit } = outcome;
     assert_eq!((instance.as_str(), id, attempt, elapsed), ("proxy_3", 2_526_988_522_394_052, 1, 18_500_000));
-    assert_eq!(row, [Some(3.5), None]);
+    assert_eq!(load_report, [Some(3.5), None]);
     assert_eq!((server, status, last, hit), (server_id("node_abuevth"), Status::Ok, true, Some(false)));
-    let Ok(Line::Event(_, Event::Arrival(r))) =
+    let Ok(Message::Event { event: Event::Arrival(request), .. }) =
         wire::parse("arrival proxy_3 7 1 - 91f03b7c55d20a64 -5 12000000 1.5 7")
     else {
         panic!("not an arrival")
     };
-    assert_eq!((r.class, r.tenant, r.key), (1, None, Some(0x91f0_3b7c_55d2_0a64)));
-    assert_eq!((r.remaining, r.write, r.retry), (0, true, true));
+    assert_eq!((request.class, request.tenant, request.key), (1, None, Some(0x91f0_3b7c_55d2_0a64)));
+    assert_eq!((request.remaining, request.write, request.retry), (0, true, true));
 }
 
 #[test]
@@ -130,12 +129,19 @@
         "new_instance proxy_4 1 categories.count=3 categories.0.allowed_in=0,2 categories.0.allowed_on=1 \
         categories.1.allowed_in= categories.1.effect=new categories.1.group=new rules.let_go_in_ns=500 \
         client_habits.marks_retry=true some.new.key=x,y";
-    let Ok(Line::New { settings: s, .. }) = wire::parse(line) else { panic!("no start") };
-    assert_eq!((&s.classes[0].only.zones, &s.classes[0].only.kinds), (&Some(vec![0, 2]), &Some(vec![1])));
-    assert_eq!(s.classes[1].only.zones, Some(vec![]), "an empty list allows none");
-    assert_eq!((s.classes[1].effect, s.classes[1].group), (Effect::Unsafe, Group::Cell), "the strictest");
-    assert_eq!(s.classes[2].only.zones, None);
-    assert_eq!((s.let_go, s.marks_retry), (500, true));
+    let Ok(Message::InstanceStart { settings, .. }) = wire::parse(line) else { panic!("no start") };
+    assert_eq!(
+        (&settings.classes[0].only.zones, &settings.classes[0].only.kinds),
+        (&Some(vec![0, 2]), &Some(vec![1]))
+    );
+    assert_eq!(settings.classes[1].only.zones, Some(vec![]), "an empty list allows none");
+    assert_eq!(
+        (settings.classes[1].effect, settings.classes[1].group),
+        (Effect::Unsafe, Group::Cell),
+        "the strictest"
+    );
+    assert_eq!(settings.classes[2].only.zones, None);
+    assert_eq!((settings.let_go, settings.marks_retry), (500, true));
 }
 
 #[test]
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -151,7 +151,7 @@
         let told = root.get("settings").filter(|s| s.is_object()).ok_or("settings is missing")?;
         let mut pairs = Vec::new();
         flatten("", told, &mut pairs);
-        let mut settings = aniseyoke_settings::settings(pairs.iter().map(String::as_str))
+        let mut settings = aniseyoke_settings::parse_settings(pairs.iter().map(String::as_str))
             .map_err(|e| format!("settings: {e}"))?;
         // Danger: lists that are pushed come unasked on the simulator's wire alone. On sockets nobody hears of a change
         // who has no watch open, and it counts as told all the same.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,119 +1,165 @@
-//! The settings of a proxy as the platform writes them, a path and a value for each, in the module's terms. The
-//! simulator's wire and the configuration file of a real proxy use the same paths.
+//! Parses the platform's settings of a proxy, a dotted path and a value for each, into the decision module's [`Settings`].
+//! The simulator's wire and the configuration file of a real proxy use the same paths.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
+
+mod setting;
 
 use aniseyoke_decision::api::*;
+use setting::Setting;
+pub use setting::SettingsError;
 
-/// The idle time of connections where the settings name none: 5 s. A told 0 is no lack of one: it says that nodes
-/// close connections at once.
-pub const CONN_IDLE_UNTOLD: Nanos = 5_000_000_000;
+/// How long connections may be idle where the settings do not say: 5 s. A value of 0 says that nodes close connections at
+/// once.
+pub const DEFAULT_CONN_IDLE: Nanos = 5_000_000_000;
+/// More classes or tenants than this are an error.
+const MAX_COUNT: usize = 4096;
 
-fn set<T: std::str::FromStr>(slot: &mut T, path: &str, value: &str) -> Result<(), String> {
-    *slot = value.parse().map_err(|_| format!("{path} has a bad value: {value:?}"))?;
-    Ok(())
+/// Parses settings from `path=value` pairs; unknown paths are ignored.
+///
+/// # Errors
+/// If a pair has no value, or a known path has a value that can't be used.
+pub fn parse_settings<'a>(pairs: impl IntoIterator<Item = &'a str>) -> Result<Settings, SettingsError> {
+    let mut parser = Parser::default();
+    for pair in pairs {
+        parser.apply(&Setting::parse(pair)?)?;
+    }
+    Ok(parser.finish())
 }
 
-/// A list of whole numbers set apart by commas; empty text is an empty list.
-fn row(path: &str, value: &str) -> Result<Vec<u32>, String> {
-    let numbers = value.split(',').filter(|v| !v.is_empty()).map(str::parse);
-    numbers.collect::<Result<_, _>>().map_err(|_| format!("{path} has a bad value: {value:?}"))
+/// The settings read so far, and those that need others to be understood.
+struct Parser {
+    settings: Settings,
+    /// Negative: there is no origin.
+    origin_kind: i64,
+    retry_after_allowed: bool,
 }
 
-/// Reads settings from `path=value` pairs; unknown paths are passed over.
-pub fn settings<'a>(pairs: impl IntoIterator<Item = &'a str>) -> Result<Settings, String> {
-    let mut s = Settings { conn_idle: CONN_IDLE_UNTOLD, ..Settings::default() };
-    let (mut origin, mut retry_after) = (-1i64, true);
-    for pair in pairs {
-        let Some((path, v)) = pair.split_once('=') else {
-            return Err(format!("setting has no value: {pair:?}"));
-        };
-        let mut steps = path.splitn(3, '.');
-        let step = (steps.next().unwrap_or(""), steps.next().unwrap_or(""), steps.next());
-        match step {
-            ("categories" | "customers", "count", None) => {
-                let mut n = 0usize;
-                set(&mut n, path, v)?;
-                if n > 4096 {
-                    return Err(format!("{path} is too large: {n}"));
-                }
-                if step.0 == "categories" {
-                    s.classes.resize(n, Class::default());
-                } else {
-                    s.tenants.resize(n, Tenant::default());
-                }
+impl Default for Parser {
+    fn default() -> Self {
+        let settings = Settings { conn_idle: DEFAULT_CONN_IDLE, ..Settings::default() };
+        Parser { settings, origin_kind: -1, retry_after_allowed: true }
+    }
+}
+
+impl Parser {
+    fn apply(&mut self, setting: &Setting<'_>) -> Result<(), SettingsError> {
+        let mut steps = setting.path.splitn(3, '.');
+        let steps = (steps.next().unwrap_or(""), steps.next().unwrap_or(""), steps.next());
+        let settings = &mut self.settings;
+        match steps {
+            ("categories", "count", None) => {
+                settings.classes.resize(setting.count(MAX_COUNT)?, Class::default());
             }
-            ("categories", i, Some(field)) => {
-                let Some(c) = i.parse::<usize>().ok().and_then(|i| s.classes.get_mut(i)) else {
-                    continue;
-                };
-                match field {
-                    "promise_ns" => set(&mut c.aim, path, v)?,
-                    "deadline_ns" => set(&mut c.deadline, path, v)?,
-                    "dedup_window_ns" => set(&mut c.dedup_window, path, v)?,
-                    "late_value" => set(&mut c.late_value, path, v)?,
-                    "value" => set(&mut c.worth, path, v)?,
-                    "allowed_in" => c.only.zones = Some(row(path, v)?),
-                    "allowed_on" => c.only.kinds = Some(row(path, v)?),
-                    "stream" => set(&mut c.stream, path, v)?,
-                    "effect" => {
-                        c.effect = match v {
-                            "safe" => Effect::Safe,
-                            "keyed" => Effect::Keyed,
-                            // Anything new is held to the strictest rule.
-                            _ => Effect::Unsafe,
-                        }
-                    }
-                    "group" => {
-                        c.group = match v {
-                            "all" => Group::All,
-                            "zone" => Group::Zone,
-                            _ => Group::Cell,
-                        }
-                    }
-                    _ => {}
-                }
+            ("customers", "count", None) => {
+                settings.tenants.resize(setting.count(MAX_COUNT)?, Tenant::default());
             }
-            ("customers", i, Some("quota_rps")) => {
-                if let Some(t) = i.parse::<usize>().ok().and_then(|i| s.tenants.get_mut(i)) {
-                    set(&mut t.quota_rps, path, v)?;
+            ("categories", index, Some(field)) => {
+                if let Some(class) = indexed(&mut settings.classes, index) {
+                    apply_to_class(class, field, setting)?;
                 }
             }
-            _ => match path {
-                "zone" => set(&mut s.zone, path, v)?,
-                "n_instances" => set(&mut s.proxies, path, v)?,
-                "self_index" => set(&mut s.me, path, v)?,
-                "discovery" => s.must_ask = v == "subscribe",
-                "family_info.mode" => s.aside = v == "aside",
-                "report.columns" => {
-                    let at = |name| v.split(',').position(|column| column == name);
-                    s.report = Columns { busy: at("load_share"), rate: at("tps") };
+            ("customers", index, Some("quota_rps")) => {
+                if let Some(tenant) = indexed(&mut settings.tenants, index) {
+                    setting.read_into(&mut tenant.quota_rps)?;
                 }
-                "family_info.origin_kind" => set(&mut origin, path, v)?,
-                "over_share_worth" => set(&mut s.over_share_worth, path, v)?,
-                "worth_by" => s.worth_by_work = v == "work",
-                "caps.attempts_cap" => set(&mut s.max_attempts, path, v)?,
-                "caps.cancelling" => set(&mut s.cancel, path, v)?,
-                "caps.second_copies" => set(&mut s.second_copies, path, v)?,
-                "caps.retry_after" => set(&mut retry_after, path, v)?,
-                "caps.max_retry_after_ns" => set(&mut s.max_retry_after, path, v)?,
-                "caps.conn_idle_ns" => set(&mut s.conn_idle, path, v)?,
-                "deductions.handshake" => set(&mut s.handshake_price, path, v)?,
-                "deductions.cross_zone" => set(&mut s.cross_zone_price, path, v)?,
-                "client_habits.marks_retry" => set(&mut s.marks_retry, path, v)?,
-                "rules.cold_from" => set(&mut s.cold_from, path, v)?,
-                "rules.cold_ns" => set(&mut s.cold, path, v)?,
-                "rules.fall_multiple" => set(&mut s.fall_multiple, path, v)?,
-                "rules.fall_ns" => set(&mut s.fall, path, v)?,
-                "rules.let_go_in_ns" => set(&mut s.let_go, path, v)?,
-                "rules.must_ask_in_ns" => set(&mut s.must_ask_in, path, v)?,
-                _ => {}
-            },
+            }
+            _ => self.apply_to_proxy(setting)?,
         }
+        Ok(())
     }
-    s.origin_kind = u32::try_from(origin).ok();
-    if !retry_after {
-        s.max_retry_after = 0;
+
+    /// Settings that are neither of a class nor of a tenant.
+    fn apply_to_proxy(&mut self, setting: &Setting<'_>) -> Result<(), SettingsError> {
+        let settings = &mut self.settings;
+        match setting.path {
+            "zone" => setting.read_into(&mut settings.zone),
+            "n_instances" => setting.read_into(&mut settings.proxies),
+            "self_index" => setting.read_into(&mut settings.me),
+            "discovery" => {
+                settings.must_ask = setting.value == "subscribe";
+                Ok(())
+            }
+            "family_info.mode" => {
+                settings.aside = setting.value == "aside";
+                Ok(())
+            }
+            "family_info.origin_kind" => setting.read_into(&mut self.origin_kind),
+            "report.columns" => {
+                settings.report = report_columns(setting.value);
+                Ok(())
+            }
+            "over_share_worth" => setting.read_into(&mut settings.over_share_worth),
+            "worth_by" => {
+                settings.worth_by_work = setting.value == "work";
+                Ok(())
+            }
+            "caps.attempts_cap" => setting.read_into(&mut settings.max_attempts),
+            "caps.cancelling" => setting.read_into(&mut settings.cancel),
+            "caps.second_copies" => setting.read_into(&mut settings.second_copies),
+            "caps.retry_after" => setting.read_into(&mut self.retry_after_allowed),
+            "caps.max_retry_after_ns" => setting.read_into(&mut settings.max_retry_after),
+            "caps.conn_idle_ns" => setting.read_into(&mut settings.conn_idle),
+            "deductions.handshake" => setting.read_into(&mut settings.handshake_price),
+            "deductions.cross_zone" => setting.read_into(&mut settings.cross_zone_price),
+            "client_habits.marks_retry" => setting.read_into(&mut settings.marks_retry),
+            "rules.cold_from" => setting.read_into(&mut settings.cold_from),
+            "rules.cold_ns" => setting.read_into(&mut settings.cold),
+            "rules.fall_multiple" => setting.read_into(&mut settings.fall_multiple),
+            "rules.fall_ns" => setting.read_into(&mut settings.fall),
+            "rules.let_go_in_ns" => setting.read_into(&mut settings.let_go),
+            "rules.must_ask_in_ns" => setting.read_into(&mut settings.must_ask_in),
+            _ => Ok(()),
+        }
+    }
+
+    fn finish(self) -> Settings {
+        let mut settings = self.settings;
+        settings.origin_kind = u32::try_from(self.origin_kind).ok();
+        if !self.retry_after_allowed {
+            settings.max_retry_after = 0;
+        }
+        settings
+    }
+}
+
+/// The item that a step of a path names by its number.
+fn indexed<'a, T>(items: &'a mut [T], index: &str) -> Option<&'a mut T> {
+    index.parse::<usize>().ok().and_then(|index| items.get_mut(index))
+}
+
+fn apply_to_class(class: &mut Class, field: &str, setting: &Setting<'_>) -> Result<(), SettingsError> {
+    match field {
+        "promise_ns" => setting.read_into(&mut class.aim)?,
+        "deadline_ns" => setting.read_into(&mut class.deadline)?,
+        "dedup_window_ns" => setting.read_into(&mut class.dedup_window)?,
+        "late_value" => setting.read_into(&mut class.late_value)?,
+        "value" => setting.read_into(&mut class.worth)?,
+        "allowed_in" => class.only.zones = Some(setting.numbers()?),
+        "allowed_on" => class.only.kinds = Some(setting.numbers()?),
+        "stream" => setting.read_into(&mut class.stream)?,
+        "effect" => {
+            class.effect = match setting.value {
+                "safe" => Effect::Safe,
+                "keyed" => Effect::Keyed,
+                // An unknown effect is held to the strictest rule.
+                _ => Effect::Unsafe,
+            }
+        }
+        "group" => {
+            class.group = match setting.value {
+                "all" => Group::All,
+                "zone" => Group::Zone,
+                _ => Group::Cell,
+            }
+        }
+        _ => {}
     }
-    Ok(s)
+    Ok(())
+}
+
+/// Which columns of a load report mean what.
+fn report_columns(names: &str) -> Columns {
+    let position = |name| names.split(',').position(|column| column == name);
+    Columns { busy: position("load_share"), rate: position("tps") }
 }
