--- a/crates/config/src/model/faults.rs
+++ b/crates/config/src/model/faults.rs
@@ -2,8 +2,8 @@
 
 use super::{Operator, Overlay};
 use aniseyoke_decision::api::POOLS_MOST;
-use aniseyoke_routes::overlay::{NODES_MOST, REMARKS_MOST};
-use aniseyoke_routes::{Fault, Rule, Table, PREFIX_MOST};
+use aniseyoke_routes::overlay::{MAX_GENERAL_OVERRIDES, MAX_NODE_OVERRIDES};
+use aniseyoke_routes::{RouteError, RouteRule, RoutingTable, MAX_PREFIX_BYTES};
 use std::collections::BTreeSet;
 
 impl Operator {
@@ -38,15 +38,15 @@
                 faults.push((format!("routes.{n}.pool"), why));
             }
         }
-        let rules: Vec<Rule<&str>> = self.routes.iter().map(|r| r.rule(0)).collect();
-        for (n, fault) in Table::new(&rules).err().unwrap_or_default() {
+        let rules: Vec<RouteRule<&str>> = self.routes.iter().map(|r| r.rule(0)).collect();
+        for (n, fault) in RoutingTable::new(&rules).err().unwrap_or_default() {
             faults.push(match fault {
-                Fault::NoCondition => (format!("routes.{n}"), "it has no condition".into()),
-                Fault::Shadowed { by } => {
+                RouteError::NoCondition => (format!("routes.{n}"), "it has no condition".into()),
+                RouteError::Shadowed { by } => {
                     (format!("routes.{n}"), format!("route {by} takes all that would fit it"))
                 }
-                Fault::LongPrefix => {
-                    (format!("routes.{n}.prefix"), format!("it is longer than {PREFIX_MOST} bytes"))
+                RouteError::PrefixTooLong => {
+                    (format!("routes.{n}.prefix"), format!("it is longer than {MAX_PREFIX_BYTES} bytes"))
                 }
             });
         }
@@ -71,7 +71,7 @@
             }
         }
         for (count, most, of) in
-            [(nodes, NODES_MOST, "single nodes"), (wide, REMARKS_MOST, "zones and kinds")]
+            [(nodes, MAX_NODE_OVERRIDES, "single nodes"), (wide, MAX_GENERAL_OVERRIDES, "zones and kinds")]
         {
             if count > most {
                 faults.push(("overlays".into(), format!("{count} on {of} are more than {most}")));
@@ -82,9 +82,9 @@
 
 impl super::Route {
     /// The rule that it stands for, with the number of its pool.
-    pub fn rule(&self, pool: u32) -> Rule<&str> {
+    pub fn rule(&self, pool: u32) -> RouteRule<&str> {
         let prefix = self.prefix.as_deref().unwrap_or_default().as_bytes().to_vec();
-        Rule { class: self.class.as_deref(), tenant: self.tenant.as_deref(), prefix, pool }
+        RouteRule { class: self.class.as_deref(), tenant: self.tenant.as_deref(), prefix, pool }
     }
 }
 
--- a/crates/core/src/engine/news.rs
+++ b/crates/core/src/engine/news.rs
@@ -18,7 +18,7 @@
         let overlay = &core.plan.routing.overlay;
         let laid: Cow<'_, [Listed]> = match overlay.is_empty() {
             true => entries.into(),
-            false => entries.iter().map(|(e, addr)| (overlay.laid(e), *addr)).collect(),
+            false => entries.iter().map(|(e, addr)| (overlay.apply(e), *addr)).collect(),
         };
         let mut events = VecDeque::new();
         self.tell(core, kind, &laid, &mut events);
--- a/crates/core/src/listing.rs
+++ b/crates/core/src/listing.rs
@@ -37,7 +37,7 @@
         if old == new {
             return Vec::new();
         }
-        let laid = self.entries().map(|(e, addr)| (old.laid(e), (new.laid(e), *addr)));
+        let laid = self.entries().map(|(e, addr)| (old.apply(e), (new.apply(e), *addr)));
         let differs = laid.filter(|(old, (new, _))| old != new);
         let mut changed: Vec<_> = differs.map(|(_, new)| new).collect();
         changed.sort_by_key(|(e, _)| e.server);
@@ -48,15 +48,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use aniseyoke_routes::overlay::{On, Remark};
+    use aniseyoke_routes::overlay::{NodeOverride, NodeSelector};
 
     fn entry(server: u64, zone: u32) -> (Entry, Option<SocketAddr>) {
         (Entry { server, zone, weight: 1.0, ..Entry::default() }, None)
     }
 
     fn drained(zone: u32) -> Overlay {
-        let on = On { zone: Some(zone), ..On::default() };
-        Overlay::new(vec![Remark { on, weight: 1.0, drain: true }])
+        let on = NodeSelector { zone: Some(zone), ..NodeSelector::default() };
+        Overlay::new(vec![NodeOverride { selector: on, weight: 1.0, drain: true }])
     }
 
     #[test]
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -6,8 +6,8 @@
 use aniseyoke_config::Fault;
 use aniseyoke_core::Plan;
 use aniseyoke_decision::api::{server_id, Pool, Settings};
-use aniseyoke_routes::overlay::{On, Overlay, Remark};
-use aniseyoke_routes::{Routing, Rule, Table};
+use aniseyoke_routes::overlay::{NodeOverride, NodeSelector, Overlay};
+use aniseyoke_routes::{RouteRule, Routing, RoutingTable};
 use rustc_hash::FxHashMap;
 
 /// So many names that the platform does not know are told at once. Danger: ten thousand routes to a class with a slip in
@@ -64,22 +64,22 @@
         n: usize,
         route: &Route,
         pool: u32,
-    ) -> Rule<u32> {
+    ) -> RouteRule<u32> {
         let mut number = |known: &Known<'_>, name: &Option<String>, field: &str| {
             name.as_ref().and_then(|name| self.number(known, name, || format!("routes.{n}.{field}")))
         };
         let (class, tenant) =
             (number(classes, &route.class, "class"), number(tenants, &route.tenant, "tenant"));
-        Rule { class, tenant, prefix: route.rule(pool).prefix, pool }
+        RouteRule { class, tenant, prefix: route.rule(pool).prefix, pool }
     }
 
-    fn remark(&mut self, (zones, kinds): (&Known<'_>, &Known<'_>), n: usize, said: &Said) -> Remark {
+    fn remark(&mut self, (zones, kinds): (&Known<'_>, &Known<'_>), n: usize, said: &Said) -> NodeOverride {
         let mut number = |known: &Known<'_>, name: &Option<String>, field: &str| {
             name.as_ref().and_then(|name| self.number(known, name, || format!("overlays.{n}.{field}")))
         };
         let (zone, kind) = (number(zones, &said.zone, "zone"), number(kinds, &said.kind, "kind"));
         let node = said.node.as_deref().map(server_id);
-        Remark { on: On { node, zone, kind }, weight: said.weight, drain: said.drain }
+        NodeOverride { selector: NodeSelector { node, zone, kind }, weight: said.weight, drain: said.drain }
     }
 }
 
@@ -120,7 +120,8 @@
         rules.push(lookup.rule((&classes, &tenants), n, route, pool));
     }
     let remarks = operator.overlays.iter().enumerate();
-    let remarks: Vec<Remark> = remarks.map(|(n, said)| lookup.remark((&zones, &kinds), n, said)).collect();
+    let remarks: Vec<NodeOverride> =
+        remarks.map(|(n, said)| lookup.remark((&zones, &kinds), n, said)).collect();
     turn_off(&mut settings, &operator.features);
     let Lookup { mut faults, left_out, .. } = lookup;
     if left_out > 0 {
@@ -130,7 +131,7 @@
     if !faults.is_empty() {
         return Err(faults);
     }
-    let table = Table::new(&rules).map_err(|faults| {
+    let table = RoutingTable::new(&rules).map_err(|faults| {
         let told = faults.into_iter().map(|(n, fault)| {
             let key = format!("routes.{n}");
             Fault { place: resolved.origin(&key).to_string(), key, why: format!("{fault:?}") }
@@ -190,7 +191,7 @@
         assert_eq!(table.pool(Some(&1), None, b"k/7"), None);
         let entry =
             |name: &str, zone| Entry { server: server_id(name), zone, weight: 1.0, ..Entry::default() };
-        let laid = |name: &str, zone| plan.routing.overlay.laid(&entry(name, zone));
+        let laid = |name: &str, zone| plan.routing.overlay.apply(&entry(name, zone));
         assert_eq!((laid("n2", 1).weight, laid("n1", 0).state), (0.5, State::Draining));
         assert_eq!(laid("n2", 0), entry("n2", 0));
     }
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -15,7 +15,7 @@
 use aniseyoke_control::Version;
 use aniseyoke_core::{Plan, Tally};
 use aniseyoke_decision::api::Entry;
-use aniseyoke_routes::review::{review, Harm, Side};
+use aniseyoke_routes::review::{review, Breakage, Configuration};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -93,9 +93,9 @@
 fn read(below: &Below, now: &Plan, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
     let told = |faults: Vec<Fault>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let (resolved, plan) = below.with(Some(&version)).map_err(told)?;
-    let side = |plan| -> Side<'_> {
+    let side = |plan| -> Configuration<'_> {
         let Plan { settings, routing, .. }: &Plan = plan;
-        Side { settings, routing }
+        Configuration { settings, routing }
     };
     let harm = review(side(now), side(&plan), nodes);
     if !harm.is_empty() {
@@ -109,14 +109,14 @@
 }
 
 /// What a service and those on call are told of harm.
-fn words(harm: &Harm, names: &Names, pools: &[&str]) -> String {
+fn words(harm: &Breakage, names: &Names, pools: &[&str]) -> String {
     match harm {
-        Harm::NoNode { class, pool, had } => {
+        Breakage::NoNode { class, pool, nodes_before: had } => {
             let routed = pool.and_then(|p| pools.get(p)).map(|name| format!(" routed to pool {name}"));
             let (class, routed) = (&names.classes[*class], routed.unwrap_or_default());
             format!("no node that takes work would be left for class {class}{routed}, which has {had}")
         }
-        Harm::NoShare { tenant, was } => {
+        Breakage::NoQuota { tenant, quota_before: was } => {
             format!("the share of tenant {} would be nothing, and is {was}", names.tenants[*tenant])
         }
     }
--- a/crates/routes/src/overlay.rs
+++ b/crates/routes/src/overlay.rs
@@ -1,20 +1,20 @@
-//! What operators say of nodes on top of what discovery says. The first remark that fits a node counts.
+//! What operators change of nodes on top of the endpoint list. The first override that matches a node applies.
 //!
-//! A remark may make a node smaller or larger and may take it out of service; it can't move one to another zone, cell or
-//! kind. Danger: nodes of a zone or cell drop repeats of keyed requests between them, and one that only seems to be of
-//! their number would run such a request twice.
+//! An override may make a node smaller or larger and may take it out of service; it can't move it to another zone, cell
+//! or kind. Danger: the nodes of a zone or cell deduplicate requests with idempotency keys among themselves. A node that only
+//! seems to belong to them would run such a request a second time.
 
 use aniseyoke_decision::api::{Entry, ServerId, State};
 use rustc_hash::FxHashMap;
 
-/// Remarks on zones and kinds are walked for each entry of the list: there are at most so many.
-pub const REMARKS_MOST: usize = 256;
-/// Remarks on single nodes: at most so many.
-pub const NODES_MOST: usize = 4096;
+/// Overrides for zones and kinds are all looked at for each entry of the list: at most so many.
+pub const MAX_GENERAL_OVERRIDES: usize = 256;
+/// Overrides for single nodes: at most so many.
+pub const MAX_NODE_OVERRIDES: usize = 4096;
 
-/// Which nodes a remark is on: those that fit every part that is given.
+/// Which nodes an override applies to: those that match every part that is given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct On {
+pub struct NodeSelector {
     /// One node.
     pub node: Option<ServerId>,
     /// The nodes of a zone.
@@ -23,127 +23,77 @@
     pub kind: Option<u32>,
 }
 
-impl On {
-    fn fits(&self, e: &Entry) -> bool {
-        self.node.is_none_or(|n| n == e.server)
-            && self.zone.is_none_or(|z| z == e.zone)
-            && self.kind.is_none_or(|k| k == e.kind)
+impl NodeSelector {
+    fn matches(&self, entry: &Entry) -> bool {
+        self.node.is_none_or(|node| node == entry.server)
+            && self.zone.is_none_or(|zone| zone == entry.zone)
+            && self.kind.is_none_or(|kind| kind == entry.kind)
     }
 }
 
-/// What is said of some nodes.
+/// What is changed of some nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Remark {
-    /// Of which.
-    pub on: On,
-    /// Their size, as a multiple of the one that the list gives.
+pub struct NodeOverride {
+    /// Which nodes.
+    pub selector: NodeSelector,
+    /// Their weight, as a multiple of the one in the list.
     pub weight: f64,
-    /// They finish what they have, and get nothing new.
+    /// They finish the requests that they have and get no new ones.
     pub drain: bool,
 }
 
-/// Remarks in their order, ready to be laid over entries of the list.
+/// Overrides in their order, indexed so that entries of the list are matched fast.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overlay {
-    remarks: Vec<Remark>,
-    /// The first remark that names a node.
-    nodes: FxHashMap<ServerId, usize>,
-    /// Those that name none.
-    wide: Vec<usize>,
+    overrides: Vec<NodeOverride>,
+    /// The index of the first override that selects one node by its id alone.
+    by_node: FxHashMap<ServerId, usize>,
+    /// The indexes of all others.
+    general: Vec<usize>,
 }
 
 impl Overlay {
-    /// Remarks, the first that fits first. What is beyond [`REMARKS_MOST`] and [`NODES_MOST`] is the caller's to refuse.
-    pub fn new(remarks: Vec<Remark>) -> Self {
-        let (mut nodes, mut wide) = (FxHashMap::default(), Vec::new());
-        for (n, remark) in remarks.iter().enumerate() {
-            match remark.on {
-                On { node: Some(node), zone: None, kind: None } => _ = nodes.entry(node).or_insert(n),
-                _ => wide.push(n),
+    /// An overlay of overrides, the first match first. To refuse more than [`MAX_GENERAL_OVERRIDES`] and
+    /// [`MAX_NODE_OVERRIDES`] is up to the caller.
+    pub fn new(overrides: Vec<NodeOverride>) -> Self {
+        let (mut by_node, mut general) = (FxHashMap::default(), Vec::new());
+        for (index, node_override) in overrides.iter().enumerate() {
+            match node_override.selector {
+                NodeSelector { node: Some(node), zone: None, kind: None } => {
+                    by_node.entry(node).or_insert(index);
+                }
+                _ => general.push(index),
             }
         }
-        Overlay { remarks, nodes, wide }
+        Overlay { overrides, by_node, general }
     }
 
-    /// Whether nothing is said.
+    /// Whether nothing is changed.
     pub fn is_empty(&self) -> bool {
-        self.remarks.is_empty()
+        self.overrides.is_empty()
     }
 
-    /// The remark that counts for an entry.
-    fn remark(&self, e: &Entry) -> Option<&Remark> {
-        let named = self.nodes.get(&e.server).copied();
+    /// The override that applies to an entry.
+    fn find(&self, entry: &Entry) -> Option<&NodeOverride> {
+        let named = self.by_node.get(&entry.server).copied();
         let before = named.unwrap_or(usize::MAX);
-        let wide = self.wide.iter().copied().take_while(|n| *n < before);
-        let first = wide.filter(|n| self.remarks[*n].on.fits(e)).min().or(named)?;
-        self.remarks.get(first)
+        let mut general = self.general.iter().copied().take_while(|index| *index < before);
+        let first = general.find(|index| self.overrides[*index].selector.matches(entry)).or(named)?;
+        self.overrides.get(first)
     }
 
     /// An entry of the list as operators want it.
-    pub fn laid(&self, entry: &Entry) -> Entry {
-        let mut laid = entry.clone();
-        if let Some(remark) = self.remark(entry) {
-            laid.weight *= remark.weight;
-            if remark.drain && laid.state == State::Ready {
-                laid.state = State::Draining;
+    pub fn apply(&self, entry: &Entry) -> Entry {
+        let mut changed = entry.clone();
+        if let Some(node_override) = self.find(entry) {
+            changed.weight *= node_override.weight;
+            if node_override.drain && changed.state == State::Ready {
+                changed.state = State::Draining;
             }
         }
-        laid
+        changed
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn entry(server: u64, zone: u32, kind: u32) -> Entry {
-        Entry { server, zone, kind, weight: 2.0, ..Entry::default() }
-    }
-
-    fn remark(on: On, weight: f64, drain: bool) -> Remark {
-        Remark { on, weight, drain }
-    }
-
-    #[test]
-    fn the_first_remark_that_fits_counts_and_the_rest_of_the_entry_stays() {
-        let overlay = Overlay::new(vec![
-            remark(On { node: Some(1), ..On::default() }, 0.5, false),
-            remark(On { zone: Some(0), ..On::default() }, 1.0, true),
-            remark(On { node: Some(2), ..On::default() }, 3.0, false),
-        ]);
-        assert_eq!(overlay.laid(&entry(1, 0, 0)), Entry { weight: 1.0, ..entry(1, 0, 0) });
-        assert_eq!(overlay.laid(&entry(2, 0, 0)), Entry { state: State::Draining, ..entry(2, 0, 0) });
-        assert_eq!(overlay.laid(&entry(2, 1, 0)), Entry { weight: 6.0, ..entry(2, 1, 0) });
-        assert_eq!(overlay.laid(&entry(3, 1, 0)), entry(3, 1, 0));
-        assert_eq!(Overlay::default().laid(&entry(1, 0, 0)), entry(1, 0, 0));
-    }
-
-    #[test]
-    fn what_the_list_says_is_gone_does_not_come_back() {
-        let overlay = Overlay::new(vec![remark(On::default(), 1.0, true)]);
-        let gone = Entry { state: State::Gone, ..entry(1, 0, 0) };
-        assert_eq!(overlay.laid(&gone).state, State::Gone);
-    }
-
-    fn some_on() -> impl Strategy<Value = On> {
-        let small = || prop::option::of(0u32..3);
-        (prop::option::of(0u64..4), small(), small()).prop_map(|(node, zone, kind)| On { node, zone, kind })
-    }
-
-    proptest! {
-        #[test]
-        fn a_look_finds_what_a_walk_in_order_finds(
-            ons in prop::collection::vec(some_on(), 0..12),
-            asked in prop::collection::vec((0u64..5, 0u32..4, 0u32..4), 1..20),
-        ) {
-            let remarks: Vec<Remark> =
-                ons.iter().enumerate().map(|(n, on)| remark(*on, 1.0 + n as f64, n % 2 == 0)).collect();
-            let overlay = Overlay::new(remarks.clone());
-            for (server, zone, kind) in asked {
-                let e = entry(server, zone, kind);
-                prop_assert_eq!(overlay.remark(&e), remarks.iter().find(|r| r.on.fits(&e)));
-            }
-        }
-    }
-}
+mod tests;
