--- /dev/null
+++ b/crates/logging/src/layer.rs
@@ -0,0 +1,65 @@
+//! Takes the events of the program, limits their rate, and queues a line for each.
+
+use crate::format::{format, EventFields, Format};
+use crate::rate_limit::{Admission, RateLimit, RateLimiter};
+use std::io::Write as _;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Instant;
+use tracing::callsite::Identifier;
+use tracing::{Event, Metadata, Subscriber};
+use tracing_appender::non_blocking::NonBlocking;
+use tracing_subscriber::layer::{Context, Layer};
+
+/// Writes lines in one format, limited for each call site.
+pub struct LineWriter {
+    format: Format,
+    start: Instant,
+    limiter: Mutex<RateLimiter<Identifier>>,
+    queue: NonBlocking,
+}
+
+/// A [`LineWriter`] as a layer of a subscriber.
+pub struct LineLayer(pub Arc<LineWriter>);
+
+impl<S: Subscriber> Layer<S> for LineLayer {
+    fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
+        let admission = self.0.limiter().admit(self.0.now(), event.metadata().callsite());
+        if let Admission::Written { suppressed } = admission {
+            let mut fields = EventFields::default();
+            event.record(&mut fields);
+            self.0.write(event.metadata(), fields, suppressed);
+        }
+    }
+}
+
+impl LineWriter {
+    /// A writer that puts its lines into a queue.
+    pub fn new(format: Format, rate_limit: RateLimit, queue: NonBlocking) -> Self {
+        LineWriter { format, start: Instant::now(), limiter: Mutex::new(RateLimiter::new(rate_limit)), queue }
+    }
+
+    fn now(&self) -> u64 {
+        self.start.elapsed().as_nanos() as u64
+    }
+
+    fn limiter(&self) -> MutexGuard<'_, RateLimiter<Identifier>> {
+        self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Writes how many lines of each call site were suppressed and not reported yet.
+    pub fn report_suppressed(&self) {
+        let suppressed = self.limiter().take_suppressed();
+        for (call_site, count) in suppressed {
+            let metadata = call_site.0.metadata();
+            let place = format!("{}:{}", metadata.target(), metadata.line().unwrap_or(0));
+            let fields = EventFields::message(format!("{count} lines from {place} were left out"));
+            self.write(metadata, fields, 0);
+        }
+    }
+
+    fn write(&self, metadata: &Metadata<'_>, fields: EventFields, suppressed: u64) {
+        let line = format(self.format, metadata, fields, suppressed);
+        // A full queue drops it, and counts.
+        let _ = self.queue.clone().write_all(line.as_bytes());
+    }
+}
--- /dev/null
+++ b/crates/logging/src/levels.rs
@@ -0,0 +1,51 @@
+//! Which lines are written: a level for all, and levels for parts of the program.
+
+use tracing::level_filters::LevelFilter;
+use tracing_subscriber::filter::Targets;
+
+/// The least severe level that is written, for the whole program and for parts of it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Levels {
+    /// For all that is not named.
+    pub all: Level,
+    /// By the beginning of a target's name.
+    pub targets: Vec<(String, Level)>,
+}
+
+/// The severity of a line.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Level {
+    /// Nothing is written.
+    Off,
+    /// What failed.
+    Error,
+    /// What may fail next.
+    Warn,
+    /// What changed.
+    #[default]
+    Info,
+    /// What happened.
+    Debug,
+    /// Everything.
+    Trace,
+}
+
+impl From<Level> for LevelFilter {
+    fn from(level: Level) -> Self {
+        match level {
+            Level::Off => LevelFilter::OFF,
+            Level::Error => LevelFilter::ERROR,
+            Level::Warn => LevelFilter::WARN,
+            Level::Info => LevelFilter::INFO,
+            Level::Debug => LevelFilter::DEBUG,
+            Level::Trace => LevelFilter::TRACE,
+        }
+    }
+}
+
+impl From<&Levels> for Targets {
+    fn from(levels: &Levels) -> Self {
+        let targets = levels.targets.iter().map(|(name, level)| (name.clone(), LevelFilter::from(*level)));
+        Targets::new().with_default(LevelFilter::from(levels.all)).with_targets(targets)
+    }
+}
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -3,10 +3,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Hands on what is written to it.
-struct Wire(Sender<String>);
+/// Passes on what is written to it.
+struct Output(Sender<String>);
 
-impl Write for Wire {
+impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.send(String::from_utf8_lossy(bytes).into_owned());
         Ok(bytes.len())
@@ -19,20 +19,20 @@
 
 fn options(format: Format, burst: u32, all: Level) -> Options {
     let levels = Levels { all, targets: vec![("loud".into(), Level::Trace)] };
-    Options { format, rate: Rate { burst, per_second: 1 }, levels }
+    Options { format, rate_limit: RateLimit { burst, per_second: 1 }, levels }
 }
 
-fn with(options: &Options, body: impl FnOnce(&Handle)) -> Vec<String> {
-    let (wire, came): (_, Receiver<String>) = channel();
-    let (subscriber, handle) = log(options, Wire(wire));
+fn lines_of(options: &Options, body: impl FnOnce(&LogHandle)) -> Vec<String> {
+    let (output, written): (_, Receiver<String>) = channel();
+    let (subscriber, handle) = build(options, Output(output));
     tracing::subscriber::with_default(subscriber, || body(&handle));
     drop(handle);
-    came.into_iter().collect::<String>().lines().map(str::to_owned).collect()
+    written.into_iter().collect::<String>().lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn a_bare_line_is_the_text_behind_the_name() {
-    let lines = with(&options(Format::Plain, 9, Level::Info), |_| {
+fn a_plain_line_is_the_message_after_the_name() {
+    let lines = lines_of(&options(Format::Plain, 9, Level::Info), |_| {
         tracing::info!("listening on {}", "127.0.0.1:80");
         tracing::warn!(node = "a", tries = 3, "slow");
         tracing::debug!("not written");
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_json_line_can_be_read_whatever_was_put_in_it() {
-    let lines = with(&options(Format::Json, 9, Level::Info), |_| {
+    let lines = lines_of(&options(Format::Json, 9, Level::Info), |_| {
         tracing::info!(name = "a \"quoted\"\nthing", level = "forged", "of {}", "two\nlines");
         tracing::info!("{}", "x".repeat(1 << 20));
     });
@@ -53,16 +53,16 @@
         (Some("info"), Some("of two\nlines"))
     );
     assert!(read(0)["time"].as_str().is_some_and(|t| t.ends_with('Z')));
-    assert!(lines[1].len() <= LINE_MOST && read(1)["message"].as_str().is_some());
+    assert!(lines[1].len() <= MAX_LINE_BYTES && read(1)["message"].as_str().is_some());
 }
 
 #[test]
 fn a_line_that_repeats_is_written_for_a_while_and_then_counted() {
-    let lines = with(&options(Format::Plain, 3, Level::Info), |handle| {
+    let lines = lines_of(&options(Format::Plain, 3, Level::Info), |handle| {
         (0..50).for_each(|n| tracing::info!("again {n}"));
         tracing::info!("another");
-        handle.tell_left_out();
-        handle.tell_left_out();
+        handle.report_suppressed();
+        handle.report_suppressed();
     });
     assert_eq!(lines.len(), 5, "{lines:?}");
     assert_eq!(lines[2], "aniseyoke: again 2");
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn levels_change_while_it_runs_and_go_by_target() {
-    let lines = with(&options(Format::Plain, 9, Level::Warn), |handle| {
+fn levels_can_change_while_the_log_runs_and_depend_on_the_target() {
+    let lines = lines_of(&options(Format::Plain, 9, Level::Warn), |handle| {
         tracing::info!("one");
         tracing::trace!(target: "loud::part", "two");
         handle.set_levels(&Levels { all: Level::Debug, targets: vec![("loud".into(), Level::Off)] });
@@ -83,16 +83,16 @@
 }
 
 #[test]
-fn text_from_elsewhere_is_one_line() {
+fn text_of_others_stays_on_one_line() {
     let lines =
-        with(&options(Format::Plain, 9, Level::Info), |_| tracing::info!("{}", "a\r\naniseyoke: forged"));
+        lines_of(&options(Format::Plain, 9, Level::Info), |_| tracing::info!("{}", "a\r\naniseyoke: forged"));
     assert_eq!(lines, ["aniseyoke: a  aniseyoke: forged"]);
 }
 
-/// Takes nothing until it is let.
-struct Stuck(std::sync::Arc<Mutex<()>>);
+/// Blocks until the lock is released.
+struct Blocked(std::sync::Arc<Mutex<()>>);
 
-impl Write for Stuck {
+impl Write for Blocked {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         drop(self.0.lock());
         Ok(bytes.len())
@@ -105,13 +105,13 @@
 
 /// Danger: standard error may be a pipe that nobody reads.
 #[test]
-fn an_output_that_takes_nothing_holds_nobody_up_and_what_is_dropped_is_counted() {
+fn an_output_that_blocks_delays_nobody_and_dropped_lines_are_counted() {
     let gate = std::sync::Arc::new(Mutex::new(()));
     let held = gate.lock().expect("free");
-    let (subscriber, handle) = log(&options(Format::Plain, 100_000, Level::Info), Stuck(gate.clone()));
+    let (subscriber, handle) = build(&options(Format::Plain, 100_000, Level::Info), Blocked(gate.clone()));
     let start = std::time::Instant::now();
     tracing::subscriber::with_default(subscriber, || (0..20_000).for_each(|n| tracing::info!("line {n}")));
     assert!(start.elapsed() < Duration::from_secs(5), "it did not wait");
-    assert!(handle.dropped() >= 20_000 - QUEUE_LINES - 10, "{} dropped", handle.dropped());
+    assert!(handle.dropped() >= 20_000 - MAX_QUEUED_LINES - 10, "{} dropped", handle.dropped());
     drop(held);
 }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -56,7 +56,7 @@
             Format::Plain => aniseyoke_logging::Format::Plain,
             Format::Json => aniseyoke_logging::Format::Json,
         },
-        rate: aniseyoke_logging::Rate { burst: log.burst, per_second: log.per_second },
+        rate_limit: aniseyoke_logging::RateLimit { burst: log.burst, per_second: log.per_second },
         levels: log_levels(log),
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -9,7 +9,7 @@
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::Fault;
 use aniseyoke_control::Version;
-use aniseyoke_logging::Handle;
+use aniseyoke_logging::LogHandle;
 use aniseyoke_pace::FleetPosition;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -46,7 +46,8 @@
     // Danger: until it is handled this signal ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(|e| one(format!("SIGHUP: {e}")))?;
     let resolved = operator::read(file.as_deref()).map_err(|faults| told(&faults))?;
-    let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log)).map_err(one)?;
+    let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log))
+        .map_err(|e| one(e.to_string()))?;
     wall::start().map_err(one)?;
     let platform = Config::from_env().map_err(one)?;
     let source = file.as_deref().map(operator::source).transpose().map_err(|fault| told(&[fault]))?;
@@ -100,7 +101,7 @@
             tokio::task::spawn_local(serving.run(ordered));
             subscription.start(control, at, last).map_err(no_thread)
         }),
-        each_second: Box::new(move || each_second.tell_left_out()),
+        each_second: Box::new(move || each_second.report_suppressed()),
         reread: Box::new(move || reread(&platform.platform, &rereads.borrow(), file.as_deref(), &again)),
     };
     front::run(config, beyond, stop, hangup).await.map_err(one)
@@ -118,7 +119,7 @@
 
 /// Takes over what may change while the proxy runs, and names what waits for a restart. Danger: a file with a slip in
 /// it must not take a proxy down that serves.
-fn reread(platform: &Config, in_force: &InForce, file: Option<&Path>, log: &Handle) {
+fn reread(platform: &Config, in_force: &InForce, file: Option<&Path>, log: &LogHandle) {
     let source = file.map(operator::source).transpose().map_err(|fault| vec![fault]);
     let now = source.and_then(|file| {
         let below = Below { platform: platform.clone(), file };
--- a/crates/proxy/src/versions/serving.rs
+++ b/crates/proxy/src/versions/serving.rs
@@ -4,7 +4,7 @@
 use crate::Engine;
 use aniseyoke_core::Plan;
 use aniseyoke_decision::api::Entry;
-use aniseyoke_logging::{Handle, Levels};
+use aniseyoke_logging::{Levels, LogHandle};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     /// What is in force.
     pub in_force: Rc<RefCell<InForce>>,
     /// The log.
-    pub log: Rc<Handle>,
+    pub log: Rc<LogHandle>,
     /// What a call for the version is told.
     pub about: Rc<RefCell<serde_json::Value>>,
 }
