--- a/crates/config/src/check/tests.rs
+++ b/crates/config/src/check/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-fn faults(text: &str) -> Vec<String> {
-    check(text, "f.toml", true).1.faults.iter().map(ToString::to_string).collect()
+fn errors(text: &str) -> Vec<String> {
+    check_text(text, "f.toml", true).1.errors.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn a_sound_text_has_no_fault() {
+fn a_valid_text_has_no_errors() {
     let text = "[log]\nlevel = \"debug\"\n[limits.queue]\ninterval = \"50ms\"\n[pools.a]\nzones = [\"x\"]";
-    assert_eq!(faults(text), Vec::<String>::new());
+    assert_eq!(errors(text), Vec::<String>::new());
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_their_places() {
+fn all_errors_are_reported_at_once_with_their_locations() {
     let text = "[log]\nlevl = \"info\"\nburst = 0\nformat = \"xml\"\n[limits.queue]\ninterval = 5\ntarget = \"5\"\n[nothing]\n";
-    let told = faults(text);
+    let reported = errors(text);
     let wanted = [
         "f.toml:2:1: log.levl: there is no such key; did you mean \"level\"?",
         "f.toml:3:9: log.burst: 0 lies outside of 1 to 100000",
@@ -22,36 +22,36 @@
         "f.toml:7:10: limits.queue.target: \"5\" is no time with a unit",
         "f.toml:8:2: nothing: there is no such key; there is control, features, limits, list, log, opening, overlays, pools, routes, tenants",
     ];
-    assert_eq!(told.len(), wanted.len(), "{told:#?}");
+    assert_eq!(reported.len(), wanted.len(), "{reported:#?}");
     for want in wanted {
-        assert!(told.iter().any(|t| t.starts_with(want)), "{want} is not in {told:#?}");
+        assert!(reported.iter().any(|t| t.starts_with(want)), "{want} is not in {reported:#?}");
     }
 }
 
 #[test]
-fn a_cycle_for_lists_that_comes_too_late_is_refused_with_the_reason() {
-    let told = faults("[list]\nevery = \"4s\"\n");
+fn a_poll_interval_that_is_too_long_is_refused_with_the_reason() {
+    let reported = errors("[list]\nevery = \"4s\"\n");
     let why = "a change of the list counts as told 6 s after the list service could be reached";
-    assert_eq!(told, [format!("f.toml:2:9: list.every: 4s lies outside of 100ms to 3s 600ms: {why}")]);
-    assert_eq!(faults("[list]\nevery = \"3600ms\"\n"), Vec::<String>::new());
+    assert_eq!(reported, [format!("f.toml:2:9: list.every: 4s lies outside of 100ms to 3s 600ms: {why}")]);
+    assert_eq!(errors("[list]\nevery = \"3600ms\"\n"), Vec::<String>::new());
 }
 
 #[test]
-fn a_text_that_is_no_toml_is_told_with_every_line_at_fault() {
-    let told = faults("a = \nb = 1\nc = [1,\n");
-    assert!(told.iter().any(|t| t.starts_with("f.toml:1:")), "{told:?}");
-    assert!(told.len() >= 2, "{told:?}");
+fn a_text_that_is_no_toml_is_reported_with_every_wrong_line() {
+    let reported = errors("a = \nb = 1\nc = [1,\n");
+    assert!(reported.iter().any(|t| t.starts_with("f.toml:1:")), "{reported:?}");
+    assert!(reported.len() >= 2, "{reported:?}");
 }
 
 #[test]
-fn the_faults_of_a_text_without_sense_are_bounded() {
+fn the_errors_of_a_meaningless_text_are_bounded() {
     let text: String = (0..10_000).map(|n| format!("k{n} = 1\n")).collect();
-    assert_eq!(check(&text, "f", true).1.faults.len(), FAULTS_MOST);
+    assert_eq!(check_text(&text, "f", true).1.errors.len(), MAX_ERRORS);
 }
 
 #[test]
-fn a_number_of_any_size_or_form_is_no_panic() {
+fn no_size_or_form_of_a_number_causes_a_panic() {
     for number in ["99999999999999999999", "0x7fffffffffffffff", "-1", "1e400", "nan", "inf", "1_000"] {
-        faults(&format!("[log]\nburst = {number}\n[tenants.a]\nshare = {number}\n"));
+        errors(&format!("[log]\nburst = {number}\n[tenants.a]\nshare = {number}\n"));
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! What an operator may set beyond what the platform tells a proxy.
+//! What an operator may configure beyond what the platform tells a proxy.
 //!
-//! The [`model`] is the only list of keys: its types carry meaning, default, range, unit, and whether a change takes a
-//! restart. From it come the JSON Schema ([`schema`]), the check of every layer against it with the place of each
-//! fault ([`check`]), explanations ([`explain`]) and differences ([`diff`]). [`layers`] puts defaults, file,
-//! environment and what a control service says on top of each other.
+//! The [`model`] is the only list of keys: its types have meaning, default, range, unit, and whether a change takes a
+//! restart. The JSON Schema ([`schema`]), the check of every layer against it with the location of each error ([`check`]),
+//! explanations ([`explain`]) and differences ([`diff`]) all follow from it. [`layers`] puts defaults, file, environment
+//! and what a control service says on top of each other.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod check;
 pub mod diff;
@@ -15,6 +15,6 @@
 mod node;
 pub mod schema;
 
-pub use check::Fault;
-pub use layers::{resolve, Origin, Resolved, Source};
+pub use check::ConfigError;
+pub use layers::{resolve, Layer, Origin, Resolved};
 pub use model::Operator;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,8 +1,9 @@
 //! Every key of the operator's file. A doc comment here is what `config explain` prints.
 
-mod faults;
+mod contradictions;
 mod start;
 
+pub use contradictions::Contradiction;
 pub use start::{List, Opening};
 
 use aniseyoke_core::limits::Rules;
--- a/crates/proxy/src/cli/configuration.rs
+++ b/crates/proxy/src/cli/configuration.rs
@@ -3,7 +3,7 @@
 use super::{lines, Shape};
 use crate::operator::{read, source};
 use aniseyoke_config::layers::Resolved;
-use aniseyoke_config::{diff, explain, resolve, schema, Fault};
+use aniseyoke_config::{diff, explain, resolve, schema, ConfigError};
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
@@ -48,11 +48,11 @@
             let resolved = read(file.as_deref()).map_err(lines)?;
             show(&resolved, *shape).map_err(|e| vec![e.to_string()])
         }
-        Command::Explain { key } => explain::explain(key).map_err(|why| vec![why]),
+        Command::Explain { key } => explain::explain(key).map_err(|e| vec![e.to_string()]),
         Command::Diff { before, after } => {
             let (before, after) = (alone(before), alone(after));
             let faults = [&before, &after].into_iter().filter_map(|r| r.as_ref().err()).flatten().cloned();
-            let faults: Vec<Fault> = faults.collect();
+            let faults: Vec<ConfigError> = faults.collect();
             match (before, after) {
                 (Ok(before), Ok(after)) => {
                     let changes = diff::diff(&before.operator, &after.operator);
@@ -68,7 +68,7 @@
 }
 
 /// What a file says without any environment.
-fn alone(file: &Path) -> Result<Resolved, Vec<Fault>> {
+fn alone(file: &Path) -> Result<Resolved, Vec<ConfigError>> {
     resolve([source(file).map_err(|fault| vec![fault])?])
 }
 
--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -4,7 +4,7 @@
 mod ctl;
 
 use crate::operator;
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -92,7 +92,7 @@
     }
 }
 
-fn lines(faults: Vec<Fault>) -> Vec<String> {
+fn lines(faults: Vec<ConfigError>) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's file: where it is found, how the log is set by it, and what of it waits for a restart.
 
-use aniseyoke_config::layers::{environment, resolve, Resolved, Source};
+use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Format, Level, Log, Operator};
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use std::path::{Path, PathBuf};
 
 /// The variable that names the file.
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// All faults of all layers.
-pub fn read(file: Option<&Path>) -> Result<Resolved, Vec<Fault>> {
+pub fn read(file: Option<&Path>) -> Result<Resolved, Vec<ConfigError>> {
     let mut layers = Vec::new();
     if let Some(file) = file {
         layers.push(source(file).map_err(|fault| vec![fault])?);
@@ -31,17 +31,17 @@
 ///
 /// # Errors
 /// If it can't be read.
-pub fn source(file: &Path) -> Result<Source, Fault> {
+pub fn source(file: &Path) -> Result<Layer, ConfigError> {
     /// A larger file is no configuration, in bytes.
     const MOST: u64 = 16 << 20;
     let place = file.display().to_string();
-    let fault = |why: String| Fault { place: place.clone(), key: String::new(), why };
+    let fault = |why: String| ConfigError { location: place.clone(), key: String::new(), reason: why };
     let length = std::fs::metadata(file).map_err(|e| fault(e.to_string()))?.len();
     if length > MOST {
         return Err(fault(format!("{length} bytes are more than {MOST}")));
     }
     let text = std::fs::read_to_string(file).map_err(|e| fault(e.to_string()))?;
-    Ok(Source::File(place, text))
+    Ok(Layer::File(place, text))
 }
 
 /// The file that the environment names, if it names one.
@@ -89,7 +89,7 @@
     fn the_file_that_ships_shows_the_defaults_and_turns_nothing_on() {
         let shipped = include_str!("../../../deploy/operator.toml");
         let read = |text: &str| {
-            let layers = [Source::File("operator.toml".into(), text.to_owned())];
+            let layers = [Layer::File("operator.toml".into(), text.to_owned())];
             resolve(layers).expect("sound").operator
         };
         assert_eq!(read(shipped), Operator::default());
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, Names};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Features, Overlay as Said, Pool as Part, Route};
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use aniseyoke_core::Plan;
 use aniseyoke_decision::api::{server_id, Pool, Settings};
 use aniseyoke_routes::overlay::{NodeOverride, NodeSelector, Overlay};
@@ -17,7 +17,7 @@
 /// Looks names up, and gathers those that the platform does not know.
 struct Lookup<'a> {
     resolved: &'a Resolved,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
     left_out: usize,
 }
 
@@ -42,7 +42,11 @@
             let key = key();
             let listed = if known.names.is_empty() { "none".into() } else { known.names.join(", ") };
             let why = format!("the platform names no {} {name:?}; it names {listed}", known.what);
-            self.faults.push(Fault { place: self.resolved.origin(&key).to_string(), key, why });
+            self.faults.push(ConfigError {
+                location: self.resolved.origin(&key).to_string(),
+                key,
+                reason: why,
+            });
         } else if found.is_none() {
             self.left_out += 1;
         }
@@ -96,7 +100,7 @@
 ///
 /// # Errors
 /// All that names a tenant, class, zone or kind that the platform does not, with the place that says so.
-pub fn plan(resolved: &Resolved, platform: &Config) -> Result<Plan, Vec<Fault>> {
+pub fn plan(resolved: &Resolved, platform: &Config) -> Result<Plan, Vec<ConfigError>> {
     let operator = &resolved.operator;
     let mut settings = platform.settings.clone();
     let Names { classes, tenants, zones, kinds } = &platform.names;
@@ -126,7 +130,7 @@
     let Lookup { mut faults, left_out, .. } = lookup;
     if left_out > 0 {
         let why = format!("{left_out} more names that the platform does not know");
-        faults.push(Fault { place: "all layers".into(), key: String::new(), why });
+        faults.push(ConfigError { location: "all layers".into(), key: String::new(), reason: why });
     }
     if !faults.is_empty() {
         return Err(faults);
@@ -134,7 +138,7 @@
     let table = RoutingTable::new(&rules).map_err(|faults| {
         let told = faults.into_iter().map(|(n, fault)| {
             let key = format!("routes.{n}");
-            Fault { place: resolved.origin(&key).to_string(), key, why: format!("{fault:?}") }
+            ConfigError { location: resolved.origin(&key).to_string(), key, reason: format!("{fault:?}") }
         });
         told.collect::<Vec<_>>()
     })?;
@@ -145,7 +149,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use aniseyoke_config::layers::{resolve, Source};
+    use aniseyoke_config::layers::{resolve, Layer};
     use aniseyoke_decision::api::{Entry, State};
 
     const PLATFORM: &str = r#"{
@@ -160,9 +164,9 @@
         }
     }"#;
 
-    fn planned(text: &str) -> Result<Plan, Vec<Fault>> {
+    fn planned(text: &str) -> Result<Plan, Vec<ConfigError>> {
         let platform = Config::parse(PLATFORM, |_| None).expect("sound");
-        let resolved = resolve([Source::File("f.toml".into(), text.into())]).expect("sound by itself");
+        let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
         plan(&resolved, &platform)
     }
 
@@ -202,7 +206,7 @@
             "\"caps\": {\"attempts_cap\": 4, \"cancelling\": true, \"second_copies\": false}, \"localities\"";
         let platform = Config::parse(&PLATFORM.replace("\"localities\"", caps), |_| None).expect("sound");
         let caps = |text: &str| {
-            let resolved = resolve([Source::File("f.toml".into(), text.into())]).expect("sound by itself");
+            let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
             let s = plan(&resolved, &platform).expect("sound").settings;
             (s.max_attempts, s.cancel, s.second_copies)
         };
@@ -226,8 +230,8 @@
             "overlays.0.kind",
         ];
         assert_eq!(keys, wanted);
-        assert!(faults.iter().all(|f| f.place.starts_with("f.toml:")), "{faults:?}");
-        assert!(faults[0].why.contains("it names a"), "{}", faults[0]);
+        assert!(faults.iter().all(|f| f.location.starts_with("f.toml:")), "{faults:?}");
+        assert!(faults[0].reason.contains("it names a"), "{}", faults[0]);
     }
 
     /// Danger: one slip in a name that ten thousand routes use would fill the log, and every answer to the service.
@@ -238,6 +242,6 @@
             .collect();
         let faults = planned(&format!("[pools.p]\nzones = [\"east\"]\n{routes}")).expect_err("many");
         assert_eq!(faults.len(), 101);
-        assert!(faults[100].why.starts_with("400 more"), "{}", faults[100]);
+        assert!(faults[100].reason.starts_with("400 more"), "{}", faults[100]);
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::versions::{last_good, reserve, Below, InForce, Serving, Subscription};
 use crate::{front, operator, wall};
 use aniseyoke_config::layers::Resolved;
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use aniseyoke_control::Version;
 use aniseyoke_logging::LogHandle;
 use aniseyoke_pace::FleetPosition;
@@ -37,7 +37,7 @@
     }
 }
 
-fn told(faults: &[Fault]) -> Vec<String> {
+fn told(faults: &[ConfigError]) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
--- a/crates/proxy/src/versions/below.rs
+++ b/crates/proxy/src/versions/below.rs
@@ -5,9 +5,9 @@
 use crate::operator;
 use crate::plan::plan;
 use crate::wall::unix_ms;
-use aniseyoke_config::layers::{environment, resolve, Resolved, Source};
+use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Control, Operator};
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
 use aniseyoke_control::Version;
 use aniseyoke_core::Plan;
@@ -18,7 +18,7 @@
     /// The platform's settings without anything laid over them.
     pub platform: Config,
     /// The operator's file, as it was read at the start.
-    pub file: Option<Source>,
+    pub file: Option<Layer>,
 }
 
 impl Below {
@@ -26,11 +26,11 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, Plan), Vec<Fault>> {
-        let mut layers: Vec<Source> = self.file.clone().into_iter().collect();
+    pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, Plan), Vec<ConfigError>> {
+        let mut layers: Vec<Layer> = self.file.clone().into_iter().collect();
         layers.extend(environment(operator::variables()));
         if let Some(version) = version {
-            layers.push(Source::Service(version.stamp.number, version.body.value()));
+            layers.push(Layer::Service(version.stamp.number, version.body.value()));
         }
         let resolved = resolve(layers)?;
         let plan = plan(&resolved, &self.platform)?;
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -8,7 +8,7 @@
 use crate::operator::log_levels;
 use crate::wall::{unix, unix_ms};
 use aniseyoke_config::model::Control;
-use aniseyoke_config::Fault;
+use aniseyoke_config::ConfigError;
 use aniseyoke_control::client::{follow, Host};
 use aniseyoke_control::follower::{Follower, Identity, Times};
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
@@ -91,7 +91,7 @@
 
 /// Reads a version and judges it against what runs.
 fn read(below: &Below, now: &Plan, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
-    let told = |faults: Vec<Fault>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let told = |faults: Vec<ConfigError>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let (resolved, plan) = below.with(Some(&version)).map_err(told)?;
     let side = |plan| -> Configuration<'_> {
         let Plan { settings, routing, .. }: &Plan = plan;
