--- a/crates/lab/src/keeper/mod.rs
+++ b/crates/lab/src/keeper/mod.rs
@@ -5,7 +5,7 @@
 
 pub use server::Server;
 
-use aniseyoke_memcached::{Extras, Head, Opcode, Status};
+use aniseyoke_memcached::{Extras, Header, Opcode, Status};
 use bytes::Bytes;
 use lru::LruCache;
 use std::num::NonZeroUsize;
@@ -97,17 +97,17 @@
     }
 
     /// Does what a request asks. `now` is Unix time in seconds. Operations about the connection are the caller's.
-    pub fn act(&mut self, now: u64, head: &Head, value: Bytes) -> Said {
+    pub fn act(&mut self, now: u64, head: &Header, value: Bytes) -> Said {
         let Some(opcode) = head.operation() else { return Said::words(Status::Unknown) };
         if value.len() > self.value_most {
             return Said::words(Status::TooLarge);
         }
-        match (opcode.loud(), head.extras) {
+        match (opcode.without_quiet(), head.extras) {
             (Opcode::Get | Opcode::GetK, _) => self.read(now, head, opcode, None),
-            (Opcode::Gat | Opcode::GatK, Extras::Expires(expires)) => {
+            (Opcode::Gat | Opcode::GatK, Extras::Expiration(expires)) => {
                 self.read(now, head, opcode, Some(Self::until(now, expires)))
             }
-            (Opcode::Touch, Extras::Expires(expires)) => {
+            (Opcode::Touch, Extras::Expiration(expires)) => {
                 let until = Self::until(now, expires);
                 match self.get(now, &head.key) {
                     Some(item) => {
@@ -122,10 +122,10 @@
             (Opcode::Set | Opcode::Add | Opcode::Replace, Extras::Store { flags, expires }) => self.store(
                 now,
                 head,
-                opcode.loud(),
+                opcode.without_quiet(),
                 Item { value, flags, until: Self::until(now, expires), cas: 0 },
             ),
-            (Opcode::Append | Opcode::Prepend, _) => self.extend(now, head, opcode.loud(), &value),
+            (Opcode::Append | Opcode::Prepend, _) => self.extend(now, head, opcode.without_quiet(), &value),
             (Opcode::Delete, _) => match self.get(now, &head.key).map(|i| i.cas) {
                 None => Said::words(Status::NotFound),
                 Some(cas) if head.cas != 0 && head.cas != cas => Said::words(Status::Exists),
@@ -135,8 +135,8 @@
                     Said::done(0)
                 }
             },
-            (Opcode::Increment | Opcode::Decrement, Extras::Count { delta, initial, expires }) => {
-                self.count(now, head, opcode.loud(), (delta, initial, expires))
+            (Opcode::Increment | Opcode::Decrement, Extras::Counter { delta, initial, expires }) => {
+                self.count(now, head, opcode.without_quiet(), (delta, initial, expires))
             }
             (Opcode::Flush, _) => {
                 self.items.clear();
@@ -149,8 +149,8 @@
         }
     }
 
-    fn read(&mut self, now: u64, head: &Head, opcode: Opcode, touched: Option<Option<u64>>) -> Said {
-        let key = if opcode.answers_with_key() { head.key.clone() } else { Bytes::new() };
+    fn read(&mut self, now: u64, head: &Header, opcode: Opcode, touched: Option<Option<u64>>) -> Said {
+        let key = if opcode.returns_key() { head.key.clone() } else { Bytes::new() };
         let Some(item) = self.get(now, &head.key) else {
             return Said { key, ..Said::words(Status::NotFound) };
         };
@@ -166,7 +166,7 @@
         }
     }
 
-    fn store(&mut self, now: u64, head: &Head, opcode: Opcode, item: Item) -> Said {
+    fn store(&mut self, now: u64, head: &Header, opcode: Opcode, item: Item) -> Said {
         match (self.get(now, &head.key).map(|i| i.cas), opcode) {
             (Some(_), Opcode::Add) => Said::words(Status::Exists),
             (None, Opcode::Replace) => Said::words(Status::NotFound),
@@ -176,7 +176,7 @@
         }
     }
 
-    fn extend(&mut self, now: u64, head: &Head, opcode: Opcode, more: &[u8]) -> Said {
+    fn extend(&mut self, now: u64, head: &Header, opcode: Opcode, more: &[u8]) -> Said {
         let Some(item) = self.get(now, &head.key).cloned() else { return Said::words(Status::NotStored) };
         if head.cas != 0 && head.cas != item.cas {
             return Said::words(Status::Exists);
@@ -191,7 +191,7 @@
     fn count(
         &mut self,
         now: u64,
-        head: &Head,
+        head: &Header,
         opcode: Opcode,
         (delta, initial, expires): (u64, u64, u32),
     ) -> Said {
@@ -229,11 +229,11 @@
         Keeper::new(NonZeroUsize::new(100).expect("not 0"), 50)
     }
 
-    fn head(opcode: Opcode, key: &'static str, extras: Extras) -> Head {
-        Head { key: Bytes::from_static(key.as_bytes()), extras, ..Head::request(opcode) }
+    fn head(opcode: Opcode, key: &'static str, extras: Extras) -> Header {
+        Header { key: Bytes::from_static(key.as_bytes()), extras, ..Header::request(opcode) }
     }
 
-    fn store(opcode: Opcode, key: &'static str, expires: u32) -> Head {
+    fn store(opcode: Opcode, key: &'static str, expires: u32) -> Header {
         head(opcode, key, Extras::Store { flags: 7, expires })
     }
 
@@ -252,12 +252,12 @@
             (first.status, k.act(NOW, &store(Opcode::Add, "k", 0), one()).status),
             (Status::Ok, Status::Exists)
         );
-        let bound = Head { cas: first.cas + 9, ..store(Opcode::Set, "k", 0) };
+        let bound = Header { cas: first.cas + 9, ..store(Opcode::Set, "k", 0) };
         assert_eq!(k.act(NOW, &bound, one()).status, Status::Exists);
         assert_eq!(value(&mut k, NOW + 9, "k"), Some("1".into()));
         assert_eq!(value(&mut k, NOW + 10, "k"), None);
         assert_eq!(
-            k.act(NOW, &Head { cas: 5, ..store(Opcode::Set, "k", 0) }, one()).status,
+            k.act(NOW, &Header { cas: 5, ..store(Opcode::Set, "k", 0) }, one()).status,
             Status::NotFound
         );
         let moment = (NOW + 5) as u32;
@@ -273,7 +273,8 @@
     #[test]
     fn counters_wrap_upwards_stop_at_nothing_and_begin_where_they_are_told() {
         let mut k = keeper();
-        let count = |opcode, delta, expires| head(opcode, "n", Extras::Count { delta, initial: 5, expires });
+        let count =
+            |opcode, delta, expires| head(opcode, "n", Extras::Counter { delta, initial: 5, expires });
         let read = |said: Said| (said.status, said.value.to_vec());
         let is = |n: u64| (Status::Ok, n.to_be_bytes().to_vec());
         let must = count(Opcode::Increment, 1, u32::MAX);
@@ -298,10 +299,10 @@
         k.act(NOW, &add(Opcode::PrependQ), Bytes::from_static(b"a"));
         assert_eq!(value(&mut k, NOW, "k"), Some("abc".into()));
         assert_eq!(
-            k.act(NOW, &head(Opcode::Touch, "k", Extras::Expires(100)), Bytes::new()).status,
+            k.act(NOW, &head(Opcode::Touch, "k", Extras::Expiration(100)), Bytes::new()).status,
             Status::Ok
         );
-        let said = k.act(NOW + 50, &head(Opcode::GatK, "k", Extras::Expires(1)), Bytes::new());
+        let said = k.act(NOW + 50, &head(Opcode::GatK, "k", Extras::Expiration(1)), Bytes::new());
         assert_eq!((said.extras, &said.key[..], &said.value[..]), (Extras::Flags(7), &b"k"[..], &b"abc"[..]));
         assert_eq!(value(&mut k, NOW + 51, "k"), None);
         assert_eq!(
--- a/crates/lab/src/keeper/server.rs
+++ b/crates/lab/src/keeper/server.rs
@@ -1,8 +1,10 @@
 //! A keeper on a socket: a memcached server for the binary protocol, as far as clients see one.
 
 use super::{Keeper, Said};
-use aniseyoke_memcached::decode::Bad;
-use aniseyoke_memcached::{encode, meaning, sasl, Decoder, Fault, Head, Limits, Opcode, Part, Side, Status};
+use aniseyoke_memcached::decode::InvalidRequest;
+use aniseyoke_memcached::{
+    encode, sasl, semantics, Decoder, Direction, Header, Limits, Opcode, Part, ProtocolError, Status,
+};
 use bytes::{Bytes, BytesMut};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,11 +37,12 @@
 }
 
 impl Session {
-    fn answer(&mut self, to: &Head, said: &Said) {
+    fn answer(&mut self, to: &Header, said: &Said) {
         let Said { status, extras, key, value, cas } = said;
-        let head = Head { extras: *extras, key: key.clone(), cas: *cas, ..Head::answer_to(to, *status) };
+        let head =
+            Header { extras: *extras, key: key.clone(), cas: *cas, ..Header::response_to(to, *status) };
         // Keys come from packets and values are bounded, so that the format has room for them.
-        let _ = encode::packet(Side::Answer, &head, value, &mut self.out);
+        let _ = encode::packet(Direction::Response, &head, value, &mut self.out);
     }
 }
 
@@ -72,14 +75,14 @@
 
     async fn connected(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut decoder = Decoder::new(Side::Request, self.limits);
+        let mut decoder = Decoder::new(Direction::Request, self.limits);
         let mut session = Session { user: None, out: Vec::new(), over: false };
         let (mut came, mut value) = (BytesMut::with_capacity(READ), BytesMut::new());
-        let mut request: Option<(Head, Option<Bad>)> = None;
+        let mut request: Option<(Header, Option<InvalidRequest>)> = None;
         while !session.over {
             match decoder.next(&mut came) {
-                Ok(Some(Part::Head(head))) => request = Some((head, None)),
-                Ok(Some(Part::Bad(head, bad))) => request = Some((head, Some(bad))),
+                Ok(Some(Part::Header(head))) => request = Some((head, None)),
+                Ok(Some(Part::Invalid(head, bad))) => request = Some((head, Some(bad))),
                 Ok(Some(Part::Value(part))) => value.extend_from_slice(&part),
                 Ok(Some(Part::End)) => {
                     if let Some((head, bad)) = request.take() {
@@ -108,10 +111,10 @@
         stream.shutdown().await
     }
 
-    fn act(&self, session: &mut Session, head: &Head, bad: Option<Bad>, value: Bytes) {
+    fn act(&self, session: &mut Session, head: &Header, bad: Option<InvalidRequest>, value: Bytes) {
         let (opcode, status) = match (head.operation(), bad) {
             (Some(opcode), None) => (opcode, None),
-            (_, Some(Bad::Unknown)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
+            (_, Some(InvalidRequest::UnknownOpcode)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
             (Some(opcode), Some(_)) => (opcode, Some(Status::Invalid)),
         };
         let free = matches!(opcode, Opcode::SaslList | Opcode::SaslAuth | Opcode::SaslStep | Opcode::Version);
@@ -121,11 +124,11 @@
         }
         match opcode {
             Opcode::SaslList => {
-                let value = Bytes::from_static(sasl::PLAIN);
+                let value = Bytes::from_static(sasl::PLAIN_MECHANISM);
                 session.answer(head, &Said { value, ..Said::done(0) });
             }
             Opcode::SaslAuth | Opcode::SaslStep => {
-                let shown = sasl::plain(&value).filter(|_| &head.key[..] == sasl::PLAIN);
+                let shown = sasl::parse_plain(&value).filter(|_| &head.key[..] == sasl::PLAIN_MECHANISM);
                 let user = shown.filter(|p| self.users.get(p.user).is_some_and(|right| right == p.password));
                 session.user = user.map(|p| p.user.to_owned());
                 let right = session.user.is_some() || self.users.is_empty();
@@ -135,16 +138,16 @@
             Opcode::Stat => self.stat(session, head),
             _ => {
                 let said = self.keeper.borrow_mut().act(unix(), head, value);
-                if meaning::answered(opcode, said.status) {
+                if semantics::has_response(opcode, said.status) {
                     session.answer(head, &said);
                 }
-                session.over = opcode.loud() == Opcode::Quit;
+                session.over = opcode.without_quiet() == Opcode::Quit;
             }
         }
     }
 
     /// A packet for each figure, and one without a key behind them.
-    fn stat(&self, session: &mut Session, head: &Head) {
+    fn stat(&self, session: &mut Session, head: &Header) {
         let figures = [("pid", std::process::id().to_string()), ("cmd_ran", self.ran().to_string())];
         for (name, figure) in figures {
             let (key, value) = (Bytes::from_static(name.as_bytes()), Bytes::from(figure));
@@ -155,15 +158,17 @@
 }
 
 /// The last word on a connection from which nothing more can be read.
-fn parting(session: &mut Session, fault: Fault) {
+fn parting(session: &mut Session, fault: ProtocolError) {
     match fault {
-        Fault::Text => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
-        Fault::Large { opaque, opcode, .. } => {
-            let head = Head { opcode, opaque, ..Head::request(Opcode::Noop) };
+        ProtocolError::TextProtocol => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
+        ProtocolError::ValueTooLarge { opaque, opcode, .. } => {
+            let head = Header { opcode, opaque, ..Header::request(Opcode::Noop) };
             session.answer(&head, &Said::words(Status::TooLarge));
         }
-        Fault::Lengths { .. } => session.answer(&Head::request(Opcode::Noop), &Said::words(Status::Invalid)),
-        Fault::Magic(_) | Fault::Answer => {}
+        ProtocolError::InconsistentLengths { .. } => {
+            session.answer(&Header::request(Opcode::Noop), &Said::words(Status::Invalid))
+        }
+        ProtocolError::UnknownMagic(_) | ProtocolError::InvalidResponse => {}
     }
 }
 
--- a/crates/memcached/benches/codec.rs
+++ b/crates/memcached/benches/codec.rs
@@ -1,6 +1,6 @@
 //! How fast packets are taken apart and put together.
 
-use aniseyoke_memcached::{encode, Decoder, Extras, Head, Limits, Opcode, Part, Side};
+use aniseyoke_memcached::{encode, Decoder, Direction, Extras, Header, Limits, Opcode, Part};
 use bytes::{Bytes, BytesMut};
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 use std::hint::black_box;
@@ -8,8 +8,8 @@
 /// Packets in one go, as a pipeline brings them.
 const PACKETS: u64 = 64;
 
-fn request(opcode: Opcode, extras: Extras) -> Head {
-    Head { extras, key: Bytes::from_static(b"parcel/7f3a9c21e0b4d655"), ..Head::request(opcode) }
+fn request(opcode: Opcode, extras: Extras) -> Header {
+    Header { extras, key: Bytes::from_static(b"parcel/7f3a9c21e0b4d655"), ..Header::request(opcode) }
 }
 
 fn codec(c: &mut Criterion) {
@@ -21,17 +21,17 @@
         let value = vec![b'v'; length];
         let mut bytes = BytesMut::new();
         for _ in 0..PACKETS {
-            encode::packet(Side::Request, &head, &value, &mut bytes).expect("fits");
+            encode::packet(Direction::Request, &head, &value, &mut bytes).expect("fits");
         }
         let mut group = c.benchmark_group(name);
         group.throughput(Throughput::Elements(PACKETS));
         group.bench_function("decode", |b| {
             b.iter_batched(
                 || bytes.clone(),
-                |mut came| {
-                    let mut decoder = Decoder::new(Side::Request, Limits::default());
+                |mut buffer| {
+                    let mut decoder = Decoder::new(Direction::Request, Limits::default());
                     let mut ends = 0;
-                    while let Some(part) = decoder.next(&mut came).expect("sound") {
+                    while let Some(part) = decoder.next(&mut buffer).expect("sound") {
                         ends += u64::from(matches!(black_box(part), Part::End));
                     }
                     assert_eq!(ends, PACKETS);
@@ -44,7 +44,7 @@
             b.iter(|| {
                 out.clear();
                 for _ in 0..PACKETS {
-                    encode::packet(Side::Request, black_box(&head), &value, &mut out).expect("fits");
+                    encode::packet(Direction::Request, black_box(&head), &value, &mut out).expect("fits");
                 }
             });
         });
--- a/crates/memcached/src/mapping.rs
+++ b/crates/memcached/src/mapping.rs
@@ -1,121 +1,115 @@
-//! What an operation is to the core, by the operators' rules: its class, its tenant, whether it writes, and whether its
-//! client marks it as a repeat. The first rule that fits counts; what fits none is not carried out.
+//! Finds by the operators' rules what a memcached request is to the core: its class, its tenant, whether it writes, and
+//! whether its client marks it as a retry. The first rule that matches applies; a request that matches none is not
+//! carried out.
 //!
-//! A class says whether a request may run again, and so does an operation. Rules by which a class would carry what it
-//! may not are refused as a whole, with every pair at fault, before anything is asked by them.
+//! A class says whether its requests are idempotent, and an operation may contradict that. Rules that put an operation into a
+//! class that must not have it are refused as a whole, with every such pair, before any request is mapped.
 
-use crate::meaning::{may_carry, repeat, Repeat};
-use crate::{Head, Opcode};
+use crate::semantics::{class_allows, repeat_effect, RepeatEffect};
+use crate::{Header, Opcode};
 use aniseyoke_decision::api::Effect;
 use std::collections::HashMap;
-use std::fmt;
 use strum::VariantArray;
 
-/// The highest bit of the vbucket, by which rules may let clients mark repeats: the protocol has no mark of its own, and
-/// servers without buckets leave this field alone.
-pub const REPEAT_BIT: u16 = 1 << 15;
+/// The highest bit of the vbucket, by which rules may let clients mark retries: the protocol has no mark of its own, and
+/// servers without vbuckets ignore this field.
+pub const RETRY_BIT: u16 = 1 << 15;
 
-/// Which operations are of a class.
+/// Which operations are in a class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rule {
-    /// Loud forms; a quiet form goes with its loud one. None named: all that keys are asked for by.
+pub struct ClassRule {
+    /// Operations that are not quiet; a quiet one is treated like its counterpart. None named: all that have a key.
     pub operations: Vec<Opcode>,
     /// What the key begins with.
     pub prefix: Vec<u8>,
-    /// The class, as the settings number them.
+    /// The class, by its index in the settings.
     pub class: usize,
 }
 
-/// Whose requests they are.
+/// Which tenant a request belongs to.
 #[derive(Clone, Debug, Default)]
-pub struct Tenants {
-    /// Tenants by the user that a client has shown to be.
+pub struct TenantRules {
+    /// Tenants by the user that a client has authenticated as.
     pub users: HashMap<String, usize>,
-    /// Tenants by what a key begins with, for clients that show nothing; the longest that fits counts.
+    /// Tenants by what a key begins with, for clients that did not authenticate; the longest match applies.
     pub prefixes: Vec<(Vec<u8>, usize)>,
 }
 
-/// A rule by which a class would carry what it may not.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+/// A rule that puts an operation into a class that must not have it.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MappingError {
     /// The settings do not have the class.
-    Class {
+    #[error("rule {rule}: there is no class {class}")]
+    UnknownClass {
         /// The rule, from 0.
         rule: usize,
         /// The class.
         class: usize,
     },
-    /// An operation that is answered by the connection itself, or never carried out.
-    Operation {
+    /// An operation that the connection itself responds to, or that is never carried out.
+    #[error("rule {rule}: {operation:?} is not asked of nodes")]
+    NotForNodes {
         /// The rule, from 0.
         rule: usize,
         /// The operation.
         operation: Opcode,
     },
-    /// The class may be repeated at will, the operation may not.
-    Repeat {
+    /// The class is idempotent, the operation is not.
+    #[error("rule {rule}: {operation:?} {}, and its class may be repeated at will", harm(.effect))]
+    NotIdempotent {
         /// The rule, from 0.
         rule: usize,
         /// The operation.
         operation: Opcode,
-        /// What a second run would do.
-        harm: Repeat,
+        /// What a second execution would do.
+        effect: RepeatEffect,
     },
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Class { rule, class } => write!(f, "rule {rule}: there is no class {class}"),
-            Fault::Operation { rule, operation } => {
-                write!(f, "rule {rule}: {operation:?} is not asked of nodes")
-            }
-            Fault::Repeat { rule, operation, harm } => {
-                let harm = match harm {
-                    Repeat::Doubles => "would be done twice",
-                    _ => "would be answered wrongly when it runs twice",
-                };
-                write!(f, "rule {rule}: {operation:?} {harm}, and its class may be repeated at will")
-            }
+fn harm(effect: &RepeatEffect) -> &'static str {
+    match effect {
+        RepeatEffect::AppliedTwice => "would be done twice",
+        RepeatEffect::Harmless | RepeatEffect::MisleadingResponse => {
+            "would be answered wrongly when it runs twice"
         }
     }
 }
 
-impl std::error::Error for Fault {}
-
-/// What an operation is to the core.
+/// What a request is to the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Meant {
-    /// The class, as the settings number them.
+pub struct MappedRequest {
+    /// The class, by its index in the settings.
     pub class: usize,
-    /// The tenant, as the settings number them.
+    /// The tenant, by its index in the settings.
     pub tenant: Option<usize>,
     /// It changes a value.
     pub write: bool,
-    /// Its client marked it as a repeat.
+    /// Its client marked it as a retry.
     pub retry: bool,
 }
 
-/// Why an operation is not carried out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unmeant {
-    /// No rule fits.
+/// Why a request is not carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Unmapped {
+    /// No rule matches.
+    #[error("no rule matches")]
     NoClass,
-    /// It is bound to a version, which its class, that may be repeated at will, must not carry.
-    Bound,
+    /// It is bound to a version of the value, so that it is not idempotent, and its class is.
+    #[error("it is bound to a version, and its class may be repeated at will")]
+    BoundToVersion,
 }
 
-/// All rules, found sound.
+/// All rules, checked.
 #[derive(Clone, Debug)]
-pub struct Mapping {
-    rules: Vec<Rule>,
-    tenants: Tenants,
+pub struct RequestMapping {
+    rules: Vec<ClassRule>,
+    tenants: TenantRules,
     effects: Vec<Effect>,
-    repeat_bit: bool,
+    retry_bit: bool,
 }
 
-/// Whether an operation is asked of nodes.
-fn asked(operation: Opcode) -> bool {
+/// Whether an operation is carried out by nodes.
+fn is_for_nodes(operation: Opcode) -> bool {
     use Opcode::*;
     matches!(
         operation,
@@ -134,200 +128,95 @@
     )
 }
 
-/// Whether it changes a value. A touch moves the time at which it ends, which all copies have to hear of.
-pub fn writes(operation: Opcode) -> bool {
-    asked(operation.loud()) && !matches!(operation.loud(), Opcode::Get | Opcode::GetK)
+/// Whether an operation changes a value. A touch changes the time at which it expires, which all replicas have to hear of.
+pub fn is_write(operation: Opcode) -> bool {
+    let operation = operation.without_quiet();
+    is_for_nodes(operation) && !matches!(operation, Opcode::Get | Opcode::GetK)
+}
+
+impl ClassRule {
+    /// Whether the rule is about an operation, whatever its key.
+    fn includes(&self, operation: Opcode) -> bool {
+        self.operations.is_empty() || self.operations.contains(&operation)
+    }
+
+    /// Adds what is wrong with the rule, which has this index.
+    fn check(&self, rule: usize, effects: &[Effect], errors: &mut Vec<MappingError>) {
+        let Some(class_effect) = effects.get(self.class) else {
+            errors.push(MappingError::UnknownClass { rule, class: self.class });
+            return;
+        };
+        for operation in self.operations.iter().copied() {
+            if operation.is_quiet() || !is_for_nodes(operation) {
+                errors.push(MappingError::NotForNodes { rule, operation });
+            }
+        }
+        let all = Opcode::VARIANTS.iter().copied().filter(|operation| is_for_nodes(*operation));
+        for operation in all.filter(|operation| self.includes(*operation)) {
+            let effect = repeat_effect(operation, 0);
+            if !class_allows(*class_effect, effect) {
+                errors.push(MappingError::NotIdempotent { rule, operation, effect });
+            }
+        }
+    }
 }
 
-impl Mapping {
-    /// Rules over classes with these effects. `repeat_bit`: [`REPEAT_BIT`] marks repeats.
+impl RequestMapping {
+    /// Rules over classes with these effects. `retry_bit`: [`RETRY_BIT`] marks retries.
     ///
     /// # Errors
-    /// Every rule and operation at fault.
+    /// Every rule and operation that is wrong.
     pub fn new(
-        rules: Vec<Rule>,
-        tenants: Tenants,
+        rules: Vec<ClassRule>,
+        tenants: TenantRules,
         effects: &[Effect],
-        repeat_bit: bool,
-    ) -> Result<Self, Vec<Fault>> {
-        let mut faults = Vec::new();
-        for (n, rule) in rules.iter().enumerate() {
-            let Some(effect) = effects.get(rule.class) else {
-                faults.push(Fault::Class { rule: n, class: rule.class });
-                continue;
-            };
-            for operation in rule.operations.iter().copied() {
-                if operation.quiet() || !asked(operation) {
-                    faults.push(Fault::Operation { rule: n, operation });
-                }
-            }
-            let all = Opcode::VARIANTS.iter().copied().filter(|o| asked(*o));
-            for operation in all.filter(|o| rule.operations.is_empty() || rule.operations.contains(o)) {
-                let harm = repeat(operation, 0);
-                if !may_carry(*effect, harm) {
-                    faults.push(Fault::Repeat { rule: n, operation, harm });
-                }
-            }
+        retry_bit: bool,
+    ) -> Result<Self, Vec<MappingError>> {
+        let mut errors = Vec::new();
+        for (index, rule) in rules.iter().enumerate() {
+            rule.check(index, effects, &mut errors);
         }
-        if faults.is_empty() {
-            Ok(Mapping { rules, tenants, effects: effects.to_vec(), repeat_bit })
+        if errors.is_empty() {
+            Ok(RequestMapping { rules, tenants, effects: effects.to_vec(), retry_bit })
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    /// What an operation is to the core; `user`: whom the client has shown to be.
+    /// What a request is to the core; `user`: whom the client has authenticated as.
     ///
     /// # Errors
-    /// Why it is not carried out: it has not run, and nothing was sent for it.
-    pub fn meant(&self, head: &Head, user: Option<&str>) -> Result<Meant, Unmeant> {
-        let operation = head.operation().map(Opcode::loud).filter(|o| asked(*o)).ok_or(Unmeant::NoClass)?;
-        let fits = |rule: &&Rule| {
-            (rule.operations.is_empty() || rule.operations.contains(&operation))
-                && head.key.starts_with(&rule.prefix)
-        };
-        let class = self.rules.iter().find(fits).ok_or(Unmeant::NoClass)?.class;
-        // Danger: a class that is repeated at will runs what is bound to a version a second time, and tells a client
-        // that its own first run was somebody else's.
-        let effect = self.effects.get(class).copied().unwrap_or(Effect::Unsafe);
-        if !may_carry(effect, repeat(operation, head.cas)) {
-            return Err(Unmeant::Bound);
+    /// Why it is not carried out: it was not executed, and nothing was sent for it.
+    pub fn map(&self, header: &Header, user: Option<&str>) -> Result<MappedRequest, Unmapped> {
+        let operation = header.operation().map(Opcode::without_quiet);
+        let operation = operation.filter(|operation| is_for_nodes(*operation)).ok_or(Unmapped::NoClass)?;
+        let matches = |rule: &&ClassRule| rule.includes(operation) && header.key.starts_with(&rule.prefix);
+        let class = self.rules.iter().find(matches).ok_or(Unmapped::NoClass)?.class;
+        // Danger: an idempotent class would execute a request that is bound to a version a second time, and tell its client
+        // that its own first attempt was somebody else's change.
+        let class_effect = self.effects.get(class).copied().unwrap_or(Effect::Unsafe);
+        if !class_allows(class_effect, repeat_effect(operation, header.cas)) {
+            return Err(Unmapped::BoundToVersion);
         }
-        Ok(Meant {
+        Ok(MappedRequest {
             class,
-            tenant: self.tenants.of(&head.key, user),
-            write: writes(operation),
-            retry: self.repeat_bit && head.field & REPEAT_BIT != 0,
+            tenant: self.tenants.tenant(&header.key, user),
+            write: is_write(operation),
+            retry: self.retry_bit && header.vbucket_or_status & RETRY_BIT != 0,
         })
     }
 }
 
-impl Tenants {
-    /// Whose request it is. A client that has shown who it is does not become another by its keys.
-    fn of(&self, key: &[u8], user: Option<&str>) -> Option<usize> {
+impl TenantRules {
+    /// The tenant of a request. A client that has authenticated does not become another tenant by its keys.
+    fn tenant(&self, key: &[u8], user: Option<&str>) -> Option<usize> {
         if let Some(user) = user {
             return self.users.get(user).copied();
         }
-        let fitting = self.prefixes.iter().filter(|(prefix, _)| key.starts_with(prefix));
-        fitting.max_by_key(|(prefix, _)| prefix.len()).map(|(_, tenant)| *tenant)
+        let matching = self.prefixes.iter().filter(|(prefix, _)| key.starts_with(prefix));
+        matching.max_by_key(|(prefix, _)| prefix.len()).map(|(_, tenant)| *tenant)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use bytes::Bytes;
-
-    const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Unsafe, Effect::Keyed];
-
-    fn rule(operations: &[Opcode], prefix: &str, class: usize) -> Rule {
-        Rule { operations: operations.to_vec(), prefix: prefix.into(), class }
-    }
-
-    /// Lookups are safe, settlements never run twice, and counters are keyed.
-    fn mapping(repeat_bit: bool) -> Mapping {
-        let rules = vec![
-            rule(&[Opcode::Set, Opcode::Add, Opcode::Delete], "cod/", 1),
-            rule(&[Opcode::Increment, Opcode::Decrement, Opcode::Append], "", 2),
-            rule(&[Opcode::Get, Opcode::GetK, Opcode::Touch, Opcode::Set], "", 0),
-        ];
-        let tenants = Tenants {
-            users: HashMap::from([("acme".to_owned(), 0)]),
-            prefixes: vec![(b"cod/".to_vec(), 1), (b"cod/seo/".to_vec(), 2)],
-        };
-        Mapping::new(rules, tenants, &EFFECTS, repeat_bit).expect("sound")
-    }
-
-    fn head(operation: Opcode, key: &'static str) -> Head {
-        Head { key: Bytes::from_static(key.as_bytes()), ..Head::request(operation) }
-    }
-
-    #[test]
-    fn the_first_rule_that_fits_counts_and_a_quiet_form_goes_with_its_loud_one() {
-        let m = mapping(false);
-        let class = |operation, key| m.meant(&head(operation, key), None).map(|meant| meant.class);
-        assert_eq!(class(Opcode::SetQ, "cod/7"), Ok(1));
-        assert_eq!(class(Opcode::Set, "way/7"), Ok(0));
-        assert_eq!(class(Opcode::GetKQ, "cod/7"), Ok(0));
-        assert_eq!(class(Opcode::Increment, "cod/7"), Ok(2));
-        for (operation, key) in
-            [(Opcode::Add, "way/7"), (Opcode::Prepend, "cod/7"), (Opcode::Noop, ""), (Opcode::Flush, "")]
-        {
-            assert_eq!(class(operation, key), Err(Unmeant::NoClass), "{operation:?}");
-        }
-    }
-
-    #[test]
-    fn only_reads_that_change_nothing_are_no_writes() {
-        let m = mapping(false);
-        let write = |operation| m.meant(&head(operation, "cod/7"), None).expect("a class").write;
-        assert!(!write(Opcode::Get) && !write(Opcode::GetKQ));
-        assert!(write(Opcode::Set) && write(Opcode::Touch) && write(Opcode::Decrement));
-    }
-
-    #[test]
-    fn who_has_shown_who_it_is_does_not_become_another_by_its_keys() {
-        let m = mapping(false);
-        let tenant = |key, user| m.meant(&head(Opcode::Get, key), user).expect("a class").tenant;
-        assert_eq!(tenant("cod/seo/1", Some("acme")), Some(0));
-        assert_eq!(tenant("cod/seo/1", Some("nobody")), None);
-        assert_eq!(tenant("cod/seo/1", None), Some(2), "the longest prefix");
-        assert_eq!((tenant("cod/1", None), tenant("way/1", None)), (Some(1), None));
-    }
-
-    #[test]
-    fn repeats_are_marked_by_a_bit_only_where_the_rules_say_so() {
-        let marked = Head { field: REPEAT_BIT | 7, ..head(Opcode::Get, "way/7") };
-        assert!(mapping(true).meant(&marked, None).expect("a class").retry);
-        assert!(!mapping(false).meant(&marked, None).expect("a class").retry);
-        assert!(!mapping(true).meant(&head(Opcode::Get, "way/7"), None).expect("a class").retry);
-    }
-
-    /// Danger: a counter in a class that is repeated at will counts twice after one lost answer.
-    #[test]
-    fn rules_by_which_a_class_would_carry_what_it_may_not_are_refused_with_every_pair() {
-        let rules =
-            vec![rule(&[], "", 0), rule(&[Opcode::GetQ, Opcode::Noop], "", 1), rule(&[Opcode::Get], "", 9)];
-        let faults = Mapping::new(rules, Tenants::default(), &EFFECTS, false).expect_err("unsound");
-        let repeats = faults.iter().filter(|f| matches!(f, Fault::Repeat { rule: 0, .. })).count();
-        assert_eq!(repeats, 6, "add, delete, both counters, append, prepend: {faults:?}");
-        for fault in [
-            Fault::Operation { rule: 1, operation: Opcode::GetQ },
-            Fault::Operation { rule: 1, operation: Opcode::Noop },
-            Fault::Class { rule: 2, class: 9 },
-        ] {
-            assert!(faults.contains(&fault), "{fault}");
-        }
-        assert!(faults.iter().all(|f| f.to_string().starts_with("rule ")));
-    }
-
-    /// Danger: bound to a version, a store that ran once answers `exists` the second time.
-    #[test]
-    fn what_is_bound_to_a_version_is_not_carried_by_a_class_that_is_repeated_at_will() {
-        let m = mapping(false);
-        let bound = |key| m.meant(&Head { cas: 5, ..head(Opcode::Set, key) }, None).map(|meant| meant.class);
-        assert_eq!(bound("way/7"), Err(Unmeant::Bound));
-        assert_eq!(bound("cod/7"), Ok(1));
-    }
-
-    /// Whatever the rules, no operation comes to a class that may not carry it.
-    #[test]
-    fn nothing_is_meant_that_its_class_may_not_carry() {
-        use proptest::prelude::*;
-        let any = (proptest::collection::vec((any::<u16>(), 0usize..4), 0..6), 0u8..0x26, 0u64..3);
-        proptest!(|((rules, opcode, cas) in any)| {
-            let rules = rules.iter().map(|(bits, class)| {
-                let all = Opcode::VARIANTS.iter().copied().filter(|o| asked(*o)).enumerate();
-                let operations = all.filter(|(n, _)| bits >> n & 1 == 1).map(|(_, o)| o).collect();
-                Rule { operations, prefix: Vec::new(), class: *class }
-            }).collect();
-            if let Ok(m) = Mapping::new(rules, Tenants::default(), &EFFECTS, true) {
-                let head = Head { opcode, cas, ..head(Opcode::Get, "k") };
-                if let Ok(meant) = m.meant(&head, None) {
-                    let operation = head.operation().expect("meant");
-                    prop_assert!(may_carry(EFFECTS[meant.class], repeat(operation, cas)));
-                }
-            }
-        });
-    }
-}
+mod tests;
--- a/crates/memcached/src/opcode.rs
+++ b/crates/memcached/src/opcode.rs
@@ -1,4 +1,4 @@
-//! Operations and their quiet forms.
+//! Operations, and what their requests consist of.
 
 use strum::{FromRepr, VariantArray};
 
@@ -45,31 +45,31 @@
     GatKQ = 0x24,
 }
 
-/// Whether a part of a packet is there.
+/// Whether a part of a packet has to be there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It has to be.
-    Must,
-    /// It may be.
-    May,
-    /// It must not be.
-    Never,
+    /// It has to be there.
+    Required,
+    /// It may be there.
+    Optional,
+    /// It must not be there.
+    Forbidden,
 }
 
 impl Presence {
-    /// Whether a part of this length is as it should be.
-    pub fn fits(self, length: usize) -> bool {
+    /// Whether the part may have this length.
+    pub fn allows(self, length: usize) -> bool {
         match self {
-            Presence::Must => length > 0,
-            Presence::May => true,
-            Presence::Never => length == 0,
+            Presence::Required => length > 0,
+            Presence::Optional => true,
+            Presence::Forbidden => length == 0,
         }
     }
 }
 
 impl Opcode {
-    /// The operation that it is a quiet form of, or itself.
-    pub fn loud(self) -> Self {
+    /// The counterpart of a quiet operation, which is always answered; any other operation itself.
+    pub fn without_quiet(self) -> Self {
         match self {
             Opcode::GetQ => Opcode::Get,
             Opcode::GetKQ => Opcode::GetK,
@@ -85,47 +85,49 @@
             Opcode::PrependQ => Opcode::Prepend,
             Opcode::GatQ => Opcode::Gat,
             Opcode::GatKQ => Opcode::GatK,
-            loud => loud,
+            other => other,
         }
     }
 
-    /// Whether only the uncommon outcome is answered.
-    pub fn quiet(self) -> bool {
-        self.loud() != self
+    /// Whether only an unexpected outcome gets a response.
+    pub fn is_quiet(self) -> bool {
+        self.without_quiet() != self
     }
 
-    /// Whether it asks for a value: its quiet form leaves misses unanswered, every other quiet form leaves successes.
-    pub fn retrieves(self) -> bool {
-        matches!(self.loud(), Opcode::Get | Opcode::GetK | Opcode::Gat | Opcode::GatK)
+    /// Whether it reads a value: its quiet form gets no response to a miss, other quiet forms get none to a success.
+    pub fn is_retrieval(self) -> bool {
+        matches!(self.without_quiet(), Opcode::Get | Opcode::GetK | Opcode::Gat | Opcode::GatK)
     }
 
-    /// Whether the answer bears the key.
-    pub fn answers_with_key(self) -> bool {
-        matches!(self.loud(), Opcode::GetK | Opcode::GatK)
+    /// Whether the response has the key.
+    pub fn returns_key(self) -> bool {
+        matches!(self.without_quiet(), Opcode::GetK | Opcode::GatK)
     }
 
     /// Whether a request of this kind has a key.
     pub fn key(self) -> Presence {
-        match self.loud() {
-            Opcode::Quit | Opcode::Flush | Opcode::Noop | Opcode::Version => Presence::Never,
-            Opcode::Verbosity | Opcode::SaslList => Presence::Never,
-            Opcode::Stat => Presence::May,
-            _ => Presence::Must,
+        match self.without_quiet() {
+            Opcode::Quit | Opcode::Flush | Opcode::Noop | Opcode::Version => Presence::Forbidden,
+            Opcode::Verbosity | Opcode::SaslList => Presence::Forbidden,
+            Opcode::Stat => Presence::Optional,
+            _ => Presence::Required,
         }
     }
 
     /// Whether a request of this kind has a value.
     pub fn value(self) -> Presence {
-        match self.loud() {
-            Opcode::Set | Opcode::Add | Opcode::Replace | Opcode::Append | Opcode::Prepend => Presence::May,
-            Opcode::SaslAuth | Opcode::SaslStep => Presence::May,
-            _ => Presence::Never,
+        match self.without_quiet() {
+            Opcode::Set | Opcode::Add | Opcode::Replace | Opcode::Append | Opcode::Prepend => {
+                Presence::Optional
+            }
+            Opcode::SaslAuth | Opcode::SaslStep => Presence::Optional,
+            _ => Presence::Forbidden,
         }
     }
 
     /// The lengths that the extras of a request of this kind may have, in bytes.
     pub fn extras(self) -> &'static [usize] {
-        match self.loud() {
+        match self.without_quiet() {
             Opcode::Set | Opcode::Add | Opcode::Replace => &[8],
             Opcode::Increment | Opcode::Decrement => &[20],
             Opcode::Touch | Opcode::Gat | Opcode::GatK | Opcode::Verbosity => &[4],
@@ -136,30 +138,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_number_is_found_again_and_others_are_none() {
-        for byte in 0..=u8::MAX {
-            assert_eq!(
-                Opcode::from_repr(byte).map(|o| o as u8),
-                Opcode::VARIANTS.iter().map(|o| *o as u8).find(|b| *b == byte)
-            );
-        }
-    }
-
-    #[test]
-    fn a_quiet_form_has_the_shape_of_its_loud_one() {
-        let quiet: Vec<Opcode> = Opcode::VARIANTS.iter().copied().filter(|o| o.quiet()).collect();
-        assert_eq!(quiet.len(), 14);
-        for opcode in quiet {
-            let loud = opcode.loud();
-            assert_eq!(
-                (opcode.key(), opcode.value(), opcode.extras()),
-                (loud.key(), loud.value(), loud.extras())
-            );
-            assert!(!loud.quiet());
-        }
-    }
-}
+mod tests;
--- a/crates/memcached/src/session.rs
+++ b/crates/memcached/src/session.rs
@@ -1,376 +1,285 @@
-//! A server's side of one connection, without I/O or clock: bytes and times go in, requests and answers come out.
+//! The server's side of one connection, without I/O or clock: bytes and times go in, requests and responses come out.
 //!
-//! Whoever drives it reads while [`Session::wants`] says so, does what each [`Step`] says, gives answers back by their
-//! place, and writes what [`Session::write`] hands out. Answers keep the order of requests, however they come in.
+//! The driver reads while [`Session::wants_input`] says so, carries out each [`Event`], passes the responses back under the
+//! number of their request, and writes what [`Session::next_output`] returns. Responses are written in the order of the
+//! requests, whatever order they come in.
 
-use crate::decode::Bad;
-use crate::order::{Bounds, Order, Place};
-use crate::{encode, meaning, sasl, Decoder, Extras, Fault, Head, Limits, Opcode, Part, Side, Status};
-use bytes::{Bytes, BytesMut};
-
-/// Nanoseconds from any fixed point.
-pub type Nanos = u64;
-
-const SECOND: Nanos = 1_000_000_000;
-/// The longest value of an authentication that is gathered, in bytes.
-const LOGIN_MOST: usize = 1024;
-
-/// What a connection may do.
-#[derive(Clone, Copy, Debug)]
-pub struct Rules {
-    /// The longest key and value.
-    pub limits: Limits,
-    /// What may be open and what may wait.
-    pub bounds: Bounds,
-    /// Nothing but showing who it is, before a client has.
-    pub login: bool,
-    /// A packet that has begun comes whole within this time, but for its value.
-    pub head_within: Nanos,
-    /// Something more of a value comes within this time.
-    pub value_within: Nanos,
-    /// A connection on which nothing is open ends after so long.
-    pub idle_most: Nanos,
-}
-
-impl Default for Rules {
-    fn default() -> Self {
-        Rules {
-            limits: Limits::default(),
-            bounds: Bounds { requests: 1024, bytes: 1 << 20 },
-            login: false,
-            head_within: 3 * SECOND,
-            value_within: 10 * SECOND,
-            idle_most: 60 * SECOND,
-        }
-    }
-}
-
-/// What is to be done next.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// A request for the core. Its value, if it has one, follows in parts, and then its end.
-    Ask {
-        /// Where its answer goes.
-        place: Place,
-        /// What is asked. The key is a copy of its own.
-        head: Head,
-    },
-    /// A part of the value of a request.
-    Value(Place, Bytes),
-    /// A request has come whole.
-    Whole(Place),
-    /// A client shows who it is: see to it, then call [`Session::shown`].
-    Login {
-        /// Where its answer goes.
-        place: Place,
-        /// What is asked.
-        head: Head,
-        /// Of the PLAIN mechanism; [`sasl::plain`] reads it.
-        value: Bytes,
-    },
-}
-
-/// An answer of the core.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply<B> {
-    /// What became of the request.
-    pub status: Status,
-    /// Flags of a value.
-    pub extras: Extras,
-    /// The version of a value.
-    pub cas: u64,
-    /// The value: its length in bytes, and where it comes from. None: the words of the status.
-    pub value: Option<(usize, B)>,
-    /// Bytes of it that are held in memory while it waits.
-    pub held: usize,
-}
+mod types;
 
-impl<B> Reply<B> {
-    /// An answer without a value.
-    pub fn plain(status: Status) -> Self {
-        Reply { status, extras: Extras::None, cas: 0, value: None, held: 0 }
-    }
-}
+pub use types::{Event, Nanos, Output, Response, Rules, Timeout};
 
-/// Bytes to be written, and a value to be written behind them.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Out<B> {
-    /// Of the head, or a whole packet.
-    pub bytes: Bytes,
-    /// The value that follows.
-    pub value: Option<B>,
-}
+use crate::decode::InvalidRequest;
+use crate::response_queue::{RequestNumber, ResponseQueue};
+use crate::{encode, sasl, semantics, Decoder, Direction, Header, Opcode, Part, ProtocolError, Status};
+use bytes::{Bytes, BytesMut};
 
-/// Why a connection is to be ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Overdue {
-    /// A head or a value stopped halfway.
-    Halfway,
-    /// Nothing was asked for long.
-    Idle,
-}
+/// The longest value of an authentication request that is collected, in bytes.
+const MAX_CREDENTIALS_BYTES: usize = 1024;
 
-/// What the packet that comes is for.
-enum Coming {
+/// What the packet that arrives is for.
+enum Incoming {
+    /// There is none.
     Nothing,
-    Asked(Place),
-    Login(Place, Head, BytesMut),
-    /// It has its answer; the rest of it is passed over.
+    /// The driver's request.
+    Request(RequestNumber),
+    /// An authentication, and its value so far.
+    Authentication(RequestNumber, Header, BytesMut),
+    /// It has its response; the rest of it is ignored.
     Answered,
 }
 
-/// A server's side of one connection.
+/// The server's side of one connection.
 pub struct Session<B> {
     rules: Rules,
     decoder: Decoder,
-    order: Order<Out<B>>,
-    coming: Coming,
-    shown: bool,
-    /// No more requests are read: the client is done, or said what can't be read, or this side drains.
+    responses: ResponseQueue<Output<B>>,
+    incoming: Incoming,
+    authenticated: bool,
+    /// No more requests are read: the client has finished, or sent what can't be read, or the server shuts down.
     closing: bool,
-    /// When something last came of a packet that is not whole, if one is not.
-    halfway: Option<Nanos>,
-    /// When it was last busy.
-    busy_at: Nanos,
+    /// When something last arrived of a packet that is not complete, if there is one.
+    incomplete_since: Option<Nanos>,
+    last_active: Nanos,
 }
 
 impl<B> Session<B> {
-    /// A connection that has just come.
+    /// A connection that has just been accepted.
     pub fn new(now: Nanos, rules: Rules) -> Self {
         Session {
-            decoder: Decoder::new(Side::Request, rules.limits),
-            order: Order::new(rules.bounds),
-            coming: Coming::Nothing,
-            shown: !rules.login,
+            decoder: Decoder::new(Direction::Request, rules.limits),
+            responses: ResponseQueue::new(rules.queue),
+            incoming: Incoming::Nothing,
+            authenticated: !rules.require_authentication,
             closing: false,
-            halfway: None,
-            busy_at: now,
+            incomplete_since: None,
+            last_active: now,
             rules,
         }
     }
 
-    /// Whether more is to be read. Danger: to read on without room keeps what a client sends faster than it is answered.
-    pub fn wants(&self) -> bool {
-        self.decoder.within() || !self.closing && self.order.has_room()
+    /// Whether more is to be read. Danger: to read on without capacity buffers what a client sends faster than it is answered.
+    pub fn wants_input(&self) -> bool {
+        self.decoder.in_packet() || !self.closing && self.responses.has_capacity()
     }
 
-    /// Requests that lack their answer or whose answer waits.
-    pub fn open(&self) -> usize {
-        self.order.len()
+    /// Requests without a response, or whose response waits.
+    pub fn in_flight(&self) -> usize {
+        self.responses.len()
     }
 
-    /// Whether all is done and the connection is to be closed, once all that was handed out is written.
-    pub fn over(&self) -> bool {
-        self.closing && self.order.is_empty() && matches!(self.coming, Coming::Nothing)
+    /// Whether all is done and the connection is to be closed, once all output is written.
+    pub fn is_finished(&self) -> bool {
+        self.closing && self.responses.is_empty() && matches!(self.incoming, Incoming::Nothing)
     }
 
-    /// No more requests are read: this side drains. What has begun to come is read to its end and answered.
+    /// Starts a graceful shutdown: no more requests are read. What has begun to arrive is read to its end and answered.
     pub fn drain(&mut self) {
         self.closing = true;
     }
 
-    /// The client sends no more. What came whole is answered; what did not is returned, and has not run.
-    pub fn ended(&mut self) -> Option<Place> {
+    /// The client has ended its sending. Requests that are complete are answered; one that is not is returned, and was not
+    /// executed.
+    pub fn input_ended(&mut self) -> Option<RequestNumber> {
         self.closing = true;
-        self.halfway = None;
-        match std::mem::replace(&mut self.coming, Coming::Nothing) {
-            Coming::Asked(place) => {
-                self.order.silence(place);
-                Some(place)
+        self.incomplete_since = None;
+        match std::mem::replace(&mut self.incoming, Incoming::Nothing) {
+            Incoming::Request(request) => {
+                self.responses.suppress(request);
+                Some(request)
             }
-            Coming::Login(place, ..) => {
-                self.order.silence(place);
+            Incoming::Authentication(request, ..) => {
+                self.responses.suppress(request);
                 None
             }
-            Coming::Nothing | Coming::Answered => None,
+            Incoming::Nothing | Incoming::Answered => None,
         }
     }
 
-    /// Whether it is to be ended for what it does not do.
-    pub fn overdue(&self, now: Nanos) -> Option<Overdue> {
-        let within = if self.decoder.within() { self.rules.value_within } else { self.rules.head_within };
-        if self.halfway.is_some_and(|since| now.saturating_sub(since) > within) {
-            return Some(Overdue::Halfway);
+    /// Whether the connection is to be closed because its client is too slow or idle.
+    pub fn timed_out(&self, now: Nanos) -> Option<Timeout> {
+        let limit =
+            if self.decoder.in_packet() { self.rules.value_timeout } else { self.rules.header_timeout };
+        if self.incomplete_since.is_some_and(|since| now.saturating_sub(since) > limit) {
+            return Some(Timeout::Incomplete);
         }
-        let idle = self.order.is_empty() && now.saturating_sub(self.busy_at) > self.rules.idle_most;
-        idle.then_some(Overdue::Idle)
+        let idle = now.saturating_sub(self.last_active) > self.rules.idle_timeout;
+        (self.responses.is_empty() && idle).then_some(Timeout::Idle)
     }
 
-    /// What is to be done next about what has come; none: more has to come, or room has to be made first.
-    pub fn read(&mut self, now: Nanos, came: &mut BytesMut) -> Option<Step> {
+    /// What is to be done next with the bytes that have arrived; none: more has to arrive, or responses have to be written first.
+    pub fn next_event(&mut self, now: Nanos, buffer: &mut BytesMut) -> Option<Event> {
         loop {
-            if !self.decoder.within() && (self.closing || !self.order.has_room()) {
-                // Nobody is late here but this side.
-                self.halfway = None;
+            if !self.decoder.in_packet() && (self.closing || !self.responses.has_capacity()) {
+                // The client is not late: the server is.
+                self.incomplete_since = None;
                 return None;
             }
-            match self.decoder.next(came) {
+            match self.decoder.next(buffer) {
                 Ok(Some(part)) => {
-                    self.busy_at = now;
-                    // Danger: a clock that begins anew with each byte would let a head take for ever.
-                    self.halfway = self.decoder.within().then_some(now);
-                    if let Some(step) = self.part(part) {
-                        return Some(step);
+                    self.last_active = now;
+                    // Danger: a timeout that began anew with each byte would let a header take forever.
+                    self.incomplete_since = self.decoder.in_packet().then_some(now);
+                    if let Some(event) = self.handle_part(part) {
+                        return Some(event);
                     }
                 }
                 Ok(None) => {
-                    let begun = self.decoder.within() || !came.is_empty();
-                    self.halfway = if begun { self.halfway.or(Some(now)) } else { None };
+                    let incomplete = self.decoder.in_packet() || !buffer.is_empty();
+                    self.incomplete_since =
+                        if incomplete { self.incomplete_since.or(Some(now)) } else { None };
                     return None;
                 }
-                Err(fault) => {
-                    self.parting(fault);
-                    self.halfway = None;
+                Err(error) => {
+                    self.end_with(error);
+                    self.incomplete_since = None;
                     return None;
                 }
             }
         }
     }
 
-    fn part(&mut self, part: Part) -> Option<Step> {
+    fn handle_part(&mut self, part: Part) -> Option<Event> {
         match part {
-            Part::Head(head) => self.head(head),
-            Part::Bad(head, bad) => {
-                let status = if bad == Bad::Unknown { Status::Unknown } else { Status::Invalid };
-                self.here(&head, Reply::plain(status));
+            Part::Header(header) => self.handle_header(header),
+            Part::Invalid(header, invalid) => {
+                let unknown = invalid == InvalidRequest::UnknownOpcode;
+                self.respond_now(&header, if unknown { Status::Unknown } else { Status::Invalid });
                 None
             }
-            Part::Value(value) => match &mut self.coming {
-                Coming::Asked(place) => Some(Step::Value(*place, value)),
-                Coming::Login(_, _, all) => {
-                    let room = LOGIN_MOST.saturating_sub(all.len()).min(value.len());
-                    all.extend_from_slice(&value[..room]);
+            Part::Value(value) => match &mut self.incoming {
+                Incoming::Request(request) => Some(Event::Value(*request, value)),
+                Incoming::Authentication(_, _, collected) => {
+                    let room = MAX_CREDENTIALS_BYTES.saturating_sub(collected.len()).min(value.len());
+                    collected.extend_from_slice(&value[..room]);
                     None
                 }
-                Coming::Nothing | Coming::Answered => None,
+                Incoming::Nothing | Incoming::Answered => None,
             },
-            Part::End => match std::mem::replace(&mut self.coming, Coming::Nothing) {
-                Coming::Asked(place) => Some(Step::Whole(place)),
-                Coming::Login(place, head, value) => Some(Step::Login { place, head, value: value.freeze() }),
-                Coming::Nothing | Coming::Answered => None,
+            Part::End => match std::mem::replace(&mut self.incoming, Incoming::Nothing) {
+                Incoming::Request(request) => Some(Event::RequestComplete(request)),
+                Incoming::Authentication(request, header, value) => {
+                    Some(Event::Authenticate { request, header, value: value.freeze() })
+                }
+                Incoming::Nothing | Incoming::Answered => None,
             },
         }
     }
 
-    fn head(&mut self, head: Head) -> Option<Step> {
+    fn handle_header(&mut self, header: Header) -> Option<Event> {
         // The decoder lets no other through.
-        let opcode = head.operation()?;
-        match opcode.loud() {
-            Opcode::Noop => self.here(&head, Reply::plain(Status::Ok)),
-            Opcode::Version => self.words(&head, Bytes::from_static(env!("CARGO_PKG_VERSION").as_bytes())),
-            Opcode::SaslList => self.words(&head, Bytes::from_static(sasl::PLAIN)),
+        let opcode = header.operation()?;
+        match opcode.without_quiet() {
+            Opcode::Noop => self.respond_now(&header, Status::Ok),
+            Opcode::Version => self.respond_with_text(&header, env!("CARGO_PKG_VERSION").as_bytes()),
+            Opcode::SaslList => self.respond_with_text(&header, sasl::PLAIN_MECHANISM),
             Opcode::Quit => {
-                self.here(&head, Reply::plain(Status::Ok));
+                self.respond_now(&header, Status::Ok);
                 self.closing = true;
             }
-            Opcode::SaslAuth if &head.key[..] == sasl::PLAIN => {
-                let place = self.order.open();
-                self.coming = Coming::Login(place, head, BytesMut::new());
+            Opcode::SaslAuth if &header.key[..] == sasl::PLAIN_MECHANISM => {
+                let request = self.responses.push_request();
+                self.incoming = Incoming::Authentication(request, header, BytesMut::new());
             }
-            Opcode::SaslAuth | Opcode::SaslStep => self.here(&head, Reply::plain(Status::AuthError)),
-            _ if !self.shown => self.here(&head, Reply::plain(Status::AuthError)),
-            // A stream of figures, of which there are none, ends with a packet without a key.
-            Opcode::Stat => self.words(&head, Bytes::new()),
-            // One client's word must not empty what all share.
-            Opcode::Flush | Opcode::Verbosity => self.here(&head, Reply::plain(Status::NotSupported)),
+            Opcode::SaslAuth | Opcode::SaslStep => self.respond_now(&header, Status::AuthError),
+            _ if !self.authenticated => self.respond_now(&header, Status::AuthError),
+            // A list of statistics, of which there are none, ends with a packet without a key.
+            Opcode::Stat => self.respond_with_text(&header, b""),
+            // One client must not be able to empty what all share.
+            Opcode::Flush | Opcode::Verbosity => self.respond_now(&header, Status::NotSupported),
             _ => {
-                let place = self.order.open();
-                self.coming = Coming::Asked(place);
-                // Danger: a slice would keep the whole block that it was read into for as long as the request is open.
-                let key = Bytes::copy_from_slice(&head.key);
-                return Some(Step::Ask { place, head: Head { key, ..head } });
+                let request = self.responses.push_request();
+                self.incoming = Incoming::Request(request);
+                // Danger: a slice would keep the whole block alive that it was read into, for as long as the request is in flight.
+                let key = Bytes::copy_from_slice(&header.key);
+                return Some(Event::Request { request, header: Header { key, ..header } });
             }
         }
         None
     }
 
-    /// Answers here; what still comes of the request is passed over.
-    fn here(&mut self, head: &Head, reply: Reply<B>) {
-        let place = self.order.open();
-        self.answer(place, head, reply);
-        self.coming = Coming::Answered;
+    /// Responds without the driver; what still arrives of the request is ignored.
+    fn respond_now(&mut self, header: &Header, status: Status) {
+        let request = self.responses.push_request();
+        self.respond(request, header, Response::of_status(status));
+        self.incoming = Incoming::Answered;
     }
 
-    /// Answers here with a text.
-    fn words(&mut self, head: &Head, text: Bytes) {
-        let place = self.order.open();
-        let bytes = packet(&Head::answer_to(head, Status::Ok), &text);
-        self.order.answer(place, Out { bytes, value: None }, text.len());
-        self.coming = Coming::Answered;
+    /// Responds without the driver, with a text.
+    fn respond_with_text(&mut self, header: &Header, text: &[u8]) {
+        let request = self.responses.push_request();
+        let bytes = packet(&Header::response_to(header, Status::Ok), text);
+        self.responses.respond(request, Output { bytes, value: None }, text.len());
+        self.incoming = Incoming::Answered;
     }
 
-    /// Whether a client is who it says. `head` is that of the step.
-    pub fn shown(&mut self, place: Place, head: &Head, right: bool) {
-        self.shown |= right;
-        let status = if right { Status::Ok } else { Status::AuthError };
-        self.answer(place, head, Reply::plain(status));
+    /// The driver has checked credentials. `header` is that of the event.
+    pub fn credentials_checked(&mut self, request: RequestNumber, header: &Header, valid: bool) {
+        self.authenticated |= valid;
+        let status = if valid { Status::Ok } else { Status::AuthError };
+        self.respond(request, header, Response::of_status(status));
     }
 
-    /// The answer to a request has come. `head` is that of the step. False if it had one before.
-    pub fn answer(&mut self, place: Place, head: &Head, reply: Reply<B>) -> bool {
-        let opcode = head.operation().unwrap_or(Opcode::Noop);
-        if !meaning::answered(opcode, reply.status) {
-            return self.order.silence(place);
+    /// Takes the response to a request. `header` is that of the event. Returns false if there was a response before.
+    pub fn respond(&mut self, request: RequestNumber, header: &Header, response: Response<B>) -> bool {
+        let opcode = header.operation().unwrap_or(Opcode::Noop);
+        if !semantics::has_response(opcode, response.status) {
+            return self.responses.suppress(request);
         }
-        let found = reply.status == Status::Ok;
-        let key = if found && opcode.answers_with_key() { head.key.clone() } else { Bytes::new() };
-        let Reply { status, extras, cas, value, held } = reply;
-        let answer = Head { extras, cas, key, ..Head::answer_to(head, status) };
-        let out = match value {
-            Some((length, value)) => {
-                let mut bytes = BytesMut::new();
-                let answer = Head { value: length, ..answer };
-                if encode::head(Side::Answer, &answer, &mut bytes).is_err() {
-                    return self.order.answer(
-                        place,
-                        Out { bytes: packet(&Head::answer_to(head, Status::Internal), b""), value: None },
-                        0,
-                    );
-                }
-                Out { bytes: bytes.freeze(), value: Some(value) }
-            }
-            None => Out { bytes: packet(&answer, status.text().as_bytes()), value: None },
+        let with_key = response.status == Status::Ok && opcode.returns_key();
+        let key = if with_key { header.key.clone() } else { Bytes::new() };
+        let Response { status, extras, cas, value, buffered } = response;
+        let response = Header { extras, cas, key, ..Header::response_to(header, status) };
+        let Some((length, value)) = value else {
+            let bytes = packet(&response, status.text().as_bytes());
+            return self.responses.respond(request, Output { bytes, value: None }, buffered);
         };
-        self.order.answer(place, out, held)
+        let mut bytes = BytesMut::new();
+        let response = Header { value: length, ..response };
+        if encode::header(Direction::Response, &response, &mut bytes).is_err() {
+            let bytes = packet(&Header::response_to(header, Status::Internal), b"");
+            return self.responses.respond(request, Output { bytes, value: None }, 0);
+        }
+        let output = Output { bytes: bytes.freeze(), value: Some(value) };
+        self.responses.respond(request, output, buffered)
     }
 
     /// What is to be written next.
-    pub fn write(&mut self, now: Nanos) -> Option<Out<B>> {
-        let out = self.order.release();
-        if out.is_some() {
-            self.busy_at = now;
+    pub fn next_output(&mut self, now: Nanos) -> Option<Output<B>> {
+        let output = self.responses.pop_ready();
+        if output.is_some() {
+            self.last_active = now;
         }
-        out
+        output
     }
 
-    /// The last word on a connection from which nothing more can be read, behind the answers to what came before.
-    fn parting(&mut self, fault: Fault) {
+    /// The last response on a connection from which nothing more can be read, behind the responses to what came before.
+    fn end_with(&mut self, error: ProtocolError) {
         if std::mem::replace(&mut self.closing, true) {
             return;
         }
-        self.coming = Coming::Nothing;
-        let noop = Head::request(Opcode::Noop);
-        let bytes = match fault {
-            Fault::Text => Bytes::from(format!("ERROR {fault}\r\n")),
-            Fault::Large { opaque, opcode, .. } => {
-                let head = Head { opcode, opaque, ..noop };
-                packet(&Head::answer_to(&head, Status::TooLarge), Status::TooLarge.text().as_bytes())
-            }
-            Fault::Lengths { .. } => {
-                packet(&Head::answer_to(&noop, Status::Invalid), Status::Invalid.text().as_bytes())
+        self.incoming = Incoming::Nothing;
+        let noop = Header::request(Opcode::Noop);
+        let with_status = |header: &Header, status: Status| {
+            packet(&Header::response_to(header, status), status.text().as_bytes())
+        };
+        let bytes = match error {
+            ProtocolError::TextProtocol => Bytes::from(format!("ERROR {error}\r\n")),
+            ProtocolError::ValueTooLarge { opaque, opcode, .. } => {
+                with_status(&Header { opcode, opaque, ..noop }, Status::TooLarge)
             }
-            Fault::Magic(_) | Fault::Answer => return,
+            ProtocolError::InconsistentLengths { .. } => with_status(&noop, Status::Invalid),
+            ProtocolError::UnknownMagic(_) | ProtocolError::InvalidResponse => return,
         };
-        let place = self.order.open();
-        self.order.answer(place, Out { bytes, value: None }, 0);
+        let request = self.responses.push_request();
+        self.responses.respond(request, Output { bytes, value: None }, 0);
     }
 }
 
-/// A whole answer.
-fn packet(head: &Head, value: &[u8]) -> Bytes {
+/// A complete response.
+fn packet(header: &Header, value: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
-    // Keys come from packets and words are short, so that the format has room for them.
-    let _ = encode::packet(Side::Answer, head, value, &mut bytes);
+    // Keys come from packets and texts are short, so that the format has room for them.
+    let _ = encode::packet(Direction::Response, header, value, &mut bytes);
     bytes.freeze()
 }
 
--- a/crates/memcached/src/session/tests.rs
+++ b/crates/memcached/src/session/tests.rs
@@ -1,218 +1,229 @@
-//! A session whose other ends are the test.
+//! A session whose client and driver are the test.
 
+use super::types::SECOND;
 use super::*;
+use crate::response_queue::QueueLimits;
+use crate::Extras;
 use proptest::prelude::*;
 
-type Plain = Session<&'static str>;
+type TestSession = Session<&'static str>;
 
-fn session() -> Plain {
+fn session() -> TestSession {
     Session::new(0, Rules::default())
 }
 
-fn request(opcode: Opcode, key: &str, opaque: u32, value: &[u8]) -> Vec<u8> {
+fn packet_of(opcode: Opcode, key: &str, opaque: u32, value: &[u8]) -> Vec<u8> {
     let extras = match opcode.extras() {
         [8] => Extras::Store { flags: 0, expires: 0 },
-        [20] => Extras::Count { delta: 1, initial: 0, expires: 0 },
+        [20] => Extras::Counter { delta: 1, initial: 0, expires: 0 },
         _ => Extras::None,
     };
-    let head = Head { extras, opaque, key: Bytes::copy_from_slice(key.as_bytes()), ..Head::request(opcode) };
+    let head =
+        Header { extras, opaque, key: Bytes::copy_from_slice(key.as_bytes()), ..Header::request(opcode) };
     let mut bytes = Vec::new();
-    encode::packet(Side::Request, &head, value, &mut bytes).expect("fits");
+    encode::packet(Direction::Request, &head, value, &mut bytes).expect("fits");
     bytes
 }
 
-/// All that is to be done about some bytes.
-fn steps(session: &mut Plain, bytes: &[u8]) -> Vec<Step> {
-    let mut came = BytesMut::from(bytes);
-    std::iter::from_fn(|| session.read(1, &mut came)).collect()
+/// All events that follow from some bytes.
+fn events(session: &mut TestSession, bytes: &[u8]) -> Vec<Event> {
+    let mut buffer = BytesMut::from(bytes);
+    std::iter::from_fn(|| session.next_event(1, &mut buffer)).collect()
 }
 
-/// Those that are for the core, as the place and head of each.
-fn asked(steps: Vec<Step>) -> Vec<(Place, Head)> {
+/// The requests among events.
+fn asked(steps: Vec<Event>) -> Vec<(RequestNumber, Header)> {
     let ask = |step| match step {
-        Step::Ask { place, head } => Some((place, head)),
+        Event::Request { request, header } => Some((request, header)),
         _ => None,
     };
     steps.into_iter().filter_map(ask).collect()
 }
 
-/// All that is written now, as the client's mark, the status, and the value behind it.
-fn written(session: &mut Plain) -> Vec<(u32, u16, Option<&'static str>)> {
+/// All output, as the identifier of the request, the status, and the value that follows.
+fn written(session: &mut TestSession) -> Vec<(u32, u16, Option<&'static str>)> {
     let number = |bytes: &[u8]| bytes.iter().fold(0u32, |n, b| n << 8 | u32::from(*b));
-    let out = std::iter::from_fn(|| session.write(2));
+    let out = std::iter::from_fn(|| session.next_output(2));
     out.map(|o| (number(&o.bytes[12..16]), number(&o.bytes[6..8]) as u16, o.value)).collect()
 }
 
-fn found(value: &'static str) -> Reply<&'static str> {
-    Reply {
+fn found(value: &'static str) -> Response<&'static str> {
+    Response {
         value: Some((value.len(), value)),
-        held: value.len(),
+        buffered: value.len(),
         extras: Extras::Flags(0),
-        ..Reply::plain(Status::Ok)
+        ..Response::of_status(Status::Ok)
     }
 }
 
 /// The client learns of what failed quietly before it, at the latest at the NOOP, and of nothing that went well.
 #[test]
-fn a_quiet_set_that_fails_is_told_before_the_answer_to_the_noop_behind_it() {
+fn a_quiet_set_that_fails_is_answered_before_the_noop_behind_it() {
     let mut s = session();
     let bytes = [
-        request(Opcode::SetQ, "a", 1, b"x"),
-        request(Opcode::SetQ, "b", 2, b"y"),
-        request(Opcode::GetQ, "c", 3, b""),
-        request(Opcode::Noop, "", 4, b""),
+        packet_of(Opcode::SetQ, "a", 1, b"x"),
+        packet_of(Opcode::SetQ, "b", 2, b"y"),
+        packet_of(Opcode::GetQ, "c", 3, b""),
+        packet_of(Opcode::Noop, "", 4, b""),
     ];
-    let asks = asked(steps(&mut s, &bytes.concat()));
+    let asks = asked(events(&mut s, &bytes.concat()));
     assert_eq!(asks.len(), 3);
     assert_eq!(written(&mut s), [], "the noop waits for all before it");
-    s.answer(asks[2].0, &asks[2].1, Reply::plain(Status::NotFound));
-    s.answer(asks[1].0, &asks[1].1, Reply::plain(Status::Internal));
+    s.respond(asks[2].0, &asks[2].1, Response::of_status(Status::NotFound));
+    s.respond(asks[1].0, &asks[1].1, Response::of_status(Status::Internal));
     assert_eq!(written(&mut s), []);
-    s.answer(asks[0].0, &asks[0].1, Reply::plain(Status::Ok));
+    s.respond(asks[0].0, &asks[0].1, Response::of_status(Status::Ok));
     assert_eq!(written(&mut s), [(2, 0x84, None), (4, 0, None)]);
-    assert_eq!(s.open(), 0);
+    assert_eq!(s.in_flight(), 0);
 }
 
 #[test]
-fn values_come_in_parts_and_a_mark_may_be_used_twice() {
+fn values_arrive_in_parts_and_an_opaque_may_be_used_twice() {
     let mut s = session();
-    let bytes = [request(Opcode::Set, "k", 9, b"value"), request(Opcode::GetK, "k", 9, b"")].concat();
+    let bytes = [packet_of(Opcode::Set, "k", 9, b"value"), packet_of(Opcode::GetK, "k", 9, b"")].concat();
     let (front, back) = bytes.split_at(35);
-    let mut came = BytesMut::from(front);
-    let Some(Step::Ask { place: first, head: set }) = s.read(1, &mut came) else { panic!("asked") };
-    assert_eq!(s.read(1, &mut came), Some(Step::Value(first, Bytes::from_static(b"va"))));
-    assert_eq!((s.read(1, &mut came), s.wants()), (None, true));
-    came.extend_from_slice(back);
-    assert_eq!(s.read(1, &mut came), Some(Step::Value(first, Bytes::from_static(b"lue"))));
-    assert_eq!(s.read(1, &mut came), Some(Step::Whole(first)));
-    let Some(Step::Ask { place: second, head: get }) = s.read(1, &mut came) else { panic!("asked") };
+    let mut buffer = BytesMut::from(front);
+    let Some(Event::Request { request: first, header: set }) = s.next_event(1, &mut buffer) else {
+        panic!("asked")
+    };
+    assert_eq!(s.next_event(1, &mut buffer), Some(Event::Value(first, Bytes::from_static(b"va"))));
+    assert_eq!((s.next_event(1, &mut buffer), s.wants_input()), (None, true));
+    buffer.extend_from_slice(back);
+    assert_eq!(s.next_event(1, &mut buffer), Some(Event::Value(first, Bytes::from_static(b"lue"))));
+    assert_eq!(s.next_event(1, &mut buffer), Some(Event::RequestComplete(first)));
+    let Some(Event::Request { request: second, header: get }) = s.next_event(1, &mut buffer) else {
+        panic!("asked")
+    };
     assert!(first != second && (set.opaque, get.opaque) == (9, 9));
-    assert!(s.answer(second, &get, found("value")));
-    assert!(s.answer(first, &set, Reply::plain(Status::Ok)));
-    assert!(!s.answer(first, &set, Reply::plain(Status::Ok)), "it had its answer");
-    let out = [s.write(2), s.write(2)].map(|o| o.expect("two"));
+    assert!(s.respond(second, &get, found("value")));
+    assert!(s.respond(first, &set, Response::of_status(Status::Ok)));
+    assert!(!s.respond(first, &set, Response::of_status(Status::Ok)), "it had its answer");
+    let out = [s.next_output(2), s.next_output(2)].map(|o| o.expect("two"));
     assert_eq!((out[0].value, out[1].value), (None, Some("value")));
     assert!(out[1].bytes.ends_with(b"k"), "the key stands in the answer to a getk");
 }
 
 /// Danger: a thousand requests behind a slow one would each wait for it, or be kept without end.
 #[test]
-fn no_more_is_read_than_may_be_open_and_reading_goes_on_when_there_is_room() {
-    let rules = Rules { bounds: Bounds { requests: 10, bytes: 100 }, ..Rules::default() };
-    let mut s: Plain = Session::new(0, rules);
-    let bytes: Vec<u8> = (0..30).flat_map(|n| request(Opcode::Get, "k", n, b"")).collect();
-    let mut came = BytesMut::from(&bytes[..]);
-    let first: Vec<_> = std::iter::from_fn(|| s.read(1, &mut came)).collect();
+fn no_more_is_read_than_may_be_in_flight_and_reading_continues_with_capacity() {
+    let rules = Rules { queue: QueueLimits { requests: 10, bytes: 100 }, ..Rules::default() };
+    let mut s: TestSession = Session::new(0, rules);
+    let bytes: Vec<u8> = (0..30).flat_map(|n| packet_of(Opcode::Get, "k", n, b"")).collect();
+    let mut buffer = BytesMut::from(&bytes[..]);
+    let first: Vec<_> = std::iter::from_fn(|| s.next_event(1, &mut buffer)).collect();
     let asks = asked(first);
-    assert_eq!((asks.len(), s.wants(), s.overdue(u64::MAX / 2)), (10, false, None));
-    for (place, head) in &asks[1..] {
-        s.answer(*place, head, found("v"));
+    assert_eq!((asks.len(), s.wants_input(), s.timed_out(u64::MAX / 2)), (10, false, None));
+    for (request, header) in &asks[1..] {
+        s.respond(*request, header, found("v"));
     }
-    assert!(written(&mut s).is_empty() && s.read(1, &mut came).is_none());
-    s.answer(asks[0].0, &asks[0].1, found("v"));
+    assert!(written(&mut s).is_empty() && s.next_event(1, &mut buffer).is_none());
+    s.respond(asks[0].0, &asks[0].1, found("v"));
     assert_eq!(written(&mut s).len(), 10);
-    let more = asked(std::iter::from_fn(|| s.read(1, &mut came)).collect());
+    let more = asked(std::iter::from_fn(|| s.next_event(1, &mut buffer)).collect());
     assert_eq!(more.len(), 10);
 }
 
 #[test]
-fn what_dribbles_or_asks_nothing_is_overdue() {
+fn slow_and_idle_connections_time_out() {
     let mut s = session();
-    let bytes = request(Opcode::Set, "key", 1, b"value");
-    let mut came = BytesMut::new();
+    let bytes = packet_of(Opcode::Set, "key", 1, b"value");
+    let mut buffer = BytesMut::new();
     // A byte each second: the head is never whole in time.
     for (second, byte) in bytes.iter().take(4).enumerate() {
-        came.extend_from_slice(&[*byte]);
-        assert_eq!(s.read(second as u64 * SECOND, &mut came), None);
+        buffer.extend_from_slice(&[*byte]);
+        assert_eq!(s.next_event(second as u64 * SECOND, &mut buffer), None);
     }
-    assert_eq!((s.overdue(3 * SECOND), s.overdue(4 * SECOND)), (None, Some(Overdue::Halfway)));
-    came.extend_from_slice(&bytes[4..bytes.len() - 1]);
-    assert!(matches!(s.read(4 * SECOND, &mut came), Some(Step::Ask { .. })));
-    assert!(matches!(s.read(4 * SECOND, &mut came), Some(Step::Value(..))));
-    assert_eq!(s.read(5 * SECOND, &mut came), None);
-    assert_eq!((s.overdue(14 * SECOND), s.overdue(15 * SECOND)), (None, Some(Overdue::Halfway)));
+    assert_eq!((s.timed_out(3 * SECOND), s.timed_out(4 * SECOND)), (None, Some(Timeout::Incomplete)));
+    buffer.extend_from_slice(&bytes[4..bytes.len() - 1]);
+    assert!(matches!(s.next_event(4 * SECOND, &mut buffer), Some(Event::Request { .. })));
+    assert!(matches!(s.next_event(4 * SECOND, &mut buffer), Some(Event::Value(..))));
+    assert_eq!(s.next_event(5 * SECOND, &mut buffer), None);
+    assert_eq!((s.timed_out(14 * SECOND), s.timed_out(15 * SECOND)), (None, Some(Timeout::Incomplete)));
     let idle = session();
-    assert_eq!((idle.overdue(60 * SECOND), idle.overdue(61 * SECOND)), (None, Some(Overdue::Idle)));
+    assert_eq!((idle.timed_out(60 * SECOND), idle.timed_out(61 * SECOND)), (None, Some(Timeout::Idle)));
 }
 
 #[test]
-fn who_must_show_who_they_are_gets_nothing_before() {
-    let mut s: Plain = Session::new(0, Rules { login: true, ..Rules::default() });
-    let login = request(Opcode::SaslAuth, "PLAIN", 3, b"\0acme\0secret");
+fn a_client_that_must_authenticate_gets_nothing_before() {
+    let mut s: TestSession = Session::new(0, Rules { require_authentication: true, ..Rules::default() });
+    let login = packet_of(Opcode::SaslAuth, "PLAIN", 3, b"\0acme\0secret");
     let bytes =
-        [request(Opcode::Set, "k", 1, b"x"), request(Opcode::SaslAuth, "CRAM-MD5", 2, b""), login].concat();
-    let all = steps(&mut s, &bytes);
-    let [Step::Login { place, head, value }] = &all[..] else { panic!("{all:?}") };
-    assert_eq!(sasl::plain(value).map(|p| p.user), Some("acme"));
-    s.shown(*place, head, false);
+        [packet_of(Opcode::Set, "k", 1, b"x"), packet_of(Opcode::SaslAuth, "CRAM-MD5", 2, b""), login]
+            .concat();
+    let all = events(&mut s, &bytes);
+    let [Event::Authenticate { request, header, value }] = &all[..] else { panic!("{all:?}") };
+    assert_eq!(sasl::parse_plain(value).map(|p| p.user), Some("acme"));
+    s.credentials_checked(*request, header, false);
     assert_eq!(written(&mut s), [(1, 0x20, None), (2, 0x20, None), (3, 0x20, None)]);
-    let all = steps(&mut s, &request(Opcode::SaslAuth, "PLAIN", 4, b"\0acme\0secret"));
-    let [Step::Login { place, head, .. }] = &all[..] else { panic!("{all:?}") };
-    s.shown(*place, head, true);
-    assert_eq!(asked(steps(&mut s, &request(Opcode::Get, "k", 5, b""))).len(), 1);
+    let all = events(&mut s, &packet_of(Opcode::SaslAuth, "PLAIN", 4, b"\0acme\0secret"));
+    let [Event::Authenticate { request, header, .. }] = &all[..] else { panic!("{all:?}") };
+    s.credentials_checked(*request, header, true);
+    assert_eq!(asked(events(&mut s, &packet_of(Opcode::Get, "k", 5, b""))).len(), 1);
 }
 
 #[test]
-fn the_connection_ends_behind_the_answers_to_what_came_before() {
+fn the_connection_ends_after_the_responses_to_earlier_requests() {
     let cases = [
-        (request(Opcode::Quit, "", 8, b""), Some((8, 0))),
-        (request(Opcode::QuitQ, "", 8, b""), None),
+        (packet_of(Opcode::Quit, "", 8, b""), Some((8, 0))),
+        (packet_of(Opcode::QuitQ, "", 8, b""), None),
         (
-            [&request(Opcode::Set, "k", 8, b"")[..8], &[0xff; 4], &[0, 0, 0, 8], &[0; 8]].concat(),
+            [&packet_of(Opcode::Set, "k", 8, b"")[..8], &[0xff; 4], &[0, 0, 0, 8], &[0; 8]].concat(),
             Some((8, 3)),
         ),
-        ([&request(Opcode::Set, "kk", 8, b"")[..8], &[0, 0, 0, 1], &[0; 12]].concat(), Some((0, 4))),
+        ([&packet_of(Opcode::Set, "kk", 8, b"")[..8], &[0, 0, 0, 1], &[0; 12]].concat(), Some((0, 4))),
         (vec![0x02], None),
     ];
     for (bytes, last) in cases {
         let mut s = session();
-        let asks = asked(steps(&mut s, &[request(Opcode::Get, "k", 7, b""), bytes.clone()].concat()));
-        assert!(!s.over() && !s.wants(), "{bytes:?}");
-        s.answer(asks[0].0, &asks[0].1, found("v"));
+        let asks = asked(events(&mut s, &[packet_of(Opcode::Get, "k", 7, b""), bytes.clone()].concat()));
+        assert!(!s.is_finished() && !s.wants_input(), "{bytes:?}");
+        s.respond(asks[0].0, &asks[0].1, found("v"));
         let out: Vec<_> = written(&mut s).into_iter().map(|(mark, status, _)| (mark, status)).collect();
         assert_eq!(out, [Some((7, 0)), last].into_iter().flatten().collect::<Vec<_>>(), "{bytes:?}");
-        assert!(s.over());
+        assert!(s.is_finished());
     }
     let mut s = session();
-    assert!(steps(&mut s, b"get k\r\n").is_empty());
-    assert!(s.write(1).is_some_and(|out| out.bytes.starts_with(b"ERROR ") && out.bytes.ends_with(b"\r\n")));
-    assert!(s.over());
+    assert!(events(&mut s, b"get k\r\n").is_empty());
+    assert!(s
+        .next_output(1)
+        .is_some_and(|out| out.bytes.starts_with(b"ERROR ") && out.bytes.ends_with(b"\r\n")));
+    assert!(s.is_finished());
 }
 
-/// Danger: a value that breaks off must not be stored as far as it came.
+/// Danger: a value that breaks off must not be stored as far as it buffer.
 #[test]
-fn a_client_that_stops_halfway_has_its_whole_requests_answered_and_the_rest_undone() {
+fn complete_requests_of_a_client_that_stops_are_answered_and_an_incomplete_one_is_cancelled() {
     let mut s = session();
-    let half = &request(Opcode::Set, "b", 2, b"value")[..36];
-    let all = steps(&mut s, &[&request(Opcode::Get, "a", 1, b"")[..], half].concat());
+    let half = &packet_of(Opcode::Set, "b", 2, b"value")[..36];
+    let all = events(&mut s, &[&packet_of(Opcode::Get, "a", 1, b"")[..], half].concat());
     let asks = asked(all);
-    assert_eq!(s.ended(), Some(asks[1].0), "it is to be called off");
-    assert!(!s.over());
-    s.answer(asks[0].0, &asks[0].1, found("v"));
-    assert!(!s.answer(asks[1].0, &asks[1].1, Reply::plain(Status::Ok)));
-    assert_eq!((written(&mut s).len(), s.over()), (1, true));
+    assert_eq!(s.input_ended(), Some(asks[1].0), "it is to be called off");
+    assert!(!s.is_finished());
+    s.respond(asks[0].0, &asks[0].1, found("v"));
+    assert!(!s.respond(asks[1].0, &asks[1].1, Response::of_status(Status::Ok)));
+    assert_eq!((written(&mut s).len(), s.is_finished()), (1, true));
 }
 
 #[test]
-fn a_drain_reads_what_has_begun_and_nothing_more() {
+fn a_drain_reads_the_request_that_has_begun_and_no_other() {
     let mut s = session();
-    let bytes = [request(Opcode::Set, "a", 1, b"value"), request(Opcode::Get, "b", 2, b"")].concat();
-    let mut came = BytesMut::from(&bytes[..34]);
-    let begun = asked(std::iter::from_fn(|| s.read(1, &mut came)).collect());
+    let bytes = [packet_of(Opcode::Set, "a", 1, b"value"), packet_of(Opcode::Get, "b", 2, b"")].concat();
+    let mut buffer = BytesMut::from(&bytes[..34]);
+    let begun = asked(std::iter::from_fn(|| s.next_event(1, &mut buffer)).collect());
     s.drain();
-    came.extend_from_slice(&bytes[34..]);
-    let rest: Vec<Step> = std::iter::from_fn(|| s.read(1, &mut came)).collect();
-    assert!(matches!(rest[..], [Step::Value(..), Step::Whole(_)]), "{rest:?}");
-    s.answer(begun[0].0, &begun[0].1, Reply::plain(Status::Ok));
-    assert_eq!((written(&mut s), s.over()), (vec![(1, 0, None)], true));
+    buffer.extend_from_slice(&bytes[34..]);
+    let rest: Vec<Event> = std::iter::from_fn(|| s.next_event(1, &mut buffer)).collect();
+    assert!(matches!(rest[..], [Event::Value(..), Event::RequestComplete(_)]), "{rest:?}");
+    s.respond(begun[0].0, &begun[0].1, Response::of_status(Status::Ok));
+    assert_eq!((written(&mut s), s.is_finished()), (vec![(1, 0, None)], true));
 }
 
 #[test]
-fn what_is_answered_here_asks_the_core_nothing() {
+fn requests_that_the_session_answers_do_not_reach_the_core() {
     let mut s = session();
     let here = [Opcode::Noop, Opcode::Version, Opcode::Stat, Opcode::Flush, Opcode::SaslList];
-    let bytes: Vec<u8> = here.iter().zip(1..).flat_map(|(o, mark)| request(*o, "", mark, b"")).collect();
-    assert!(steps(&mut s, &bytes).is_empty());
+    let bytes: Vec<u8> = here.iter().zip(1..).flat_map(|(o, mark)| packet_of(*o, "", mark, b"")).collect();
+    assert!(events(&mut s, &bytes).is_empty());
     let out: Vec<_> = written(&mut s).into_iter().map(|(mark, status, _)| (mark, status)).collect();
     assert_eq!(out, [(1, 0), (2, 0), (3, 0), (4, 0x83), (5, 0)]);
 }
@@ -221,7 +232,7 @@
     /// Whatever is asked, in whatever order answers come: each loud request has one answer, in order, and no quiet one
     /// that went as expected has any.
     #[test]
-    fn each_request_has_its_answer_once_and_in_order(
+    fn each_request_has_one_response_in_order(
         wanted in prop::collection::vec((0usize..4, any::<bool>(), any::<prop::sample::Index>()), 1..40),
     ) {
         let kinds = [Opcode::Get, Opcode::GetQ, Opcode::Set, Opcode::SetQ];
@@ -229,39 +240,39 @@
         let mut open = Vec::new();
         let mut expected = Vec::new();
         for (mark, (kind, well, _)) in wanted.iter().enumerate() {
-            let value: &[u8] = if kinds[*kind].retrieves() { b"" } else { b"v" };
-            let asks = asked(steps(&mut s, &request(kinds[*kind], "k", mark as u32, value)));
-            let status = match (*well, kinds[*kind].retrieves()) {
+            let value: &[u8] = if kinds[*kind].is_retrieval() { b"" } else { b"v" };
+            let asks = asked(events(&mut s, &packet_of(kinds[*kind], "k", mark as u32, value)));
+            let status = match (*well, kinds[*kind].is_retrieval()) {
                 (true, _) => Status::Ok,
                 (false, true) => Status::NotFound,
                 (false, false) => Status::Temporary,
             };
-            if meaning::answered(kinds[*kind], status) {
+            if semantics::has_response(kinds[*kind], status) {
                 expected.push((mark as u32, status as u16, None));
             }
             open.push((asks[0].clone(), status));
         }
         let mut got = Vec::new();
         for (_, _, which) in &wanted {
-            let ((place, head), status) = open.remove(which.index(open.len()));
-            prop_assert!(s.answer(place, &head, Reply::plain(status)));
+            let ((request, header), status) = open.remove(which.index(open.len()));
+            prop_assert!(s.respond(request, &header, Response::of_status(status)));
             got.extend(written(&mut s));
         }
         prop_assert_eq!(got, expected);
-        prop_assert_eq!(s.open(), 0);
+        prop_assert_eq!(s.in_flight(), 0);
     }
 
     #[test]
-    fn noise_is_no_panic_and_leaves_bounded_state(bytes in prop::collection::vec(any::<u8>(), 0..300), magic in any::<bool>()) {
+    fn random_bytes_cause_no_panic_and_leave_bounded_state(bytes in prop::collection::vec(any::<u8>(), 0..300), magic in any::<bool>()) {
         let mut s = session();
         let mut bytes = bytes;
         if let (true, Some(first)) = (magic, bytes.first_mut()) {
             *first = 0x80;
         }
         for part in bytes.chunks(7) {
-            steps(&mut s, part);
+            events(&mut s, part);
         }
-        s.ended();
-        prop_assert!(s.open() <= bytes.len() / 24 + 1);
+        s.input_ended();
+        prop_assert!(s.in_flight() <= bytes.len() / 24 + 1);
     }
 }
--- a/crates/memcached/src/status.rs
+++ b/crates/memcached/src/status.rs
@@ -1,4 +1,4 @@
-//! What an answer says became of its request.
+//! The status of a response: what became of its request.
 
 use strum::{FromRepr, VariantArray};
 
@@ -16,15 +16,15 @@
     TooLarge = 0x0003,
     /// The request contradicts itself.
     Invalid = 0x0004,
-    /// A condition for storing did not hold.
+    /// A condition for storing the value is not met.
     NotStored = 0x0005,
-    /// The value is no number.
+    /// The value is not a number.
     NotNumber = 0x0006,
     /// The key belongs to another server.
     WrongBucket = 0x0007,
-    /// The connection has not shown who it is, or not rightly.
+    /// The client has not authenticated, or its credentials are wrong.
     AuthError = 0x0020,
-    /// More steps are needed to show who it is.
+    /// The authentication needs more steps.
     AuthContinue = 0x0021,
     /// There is no such operation.
     Unknown = 0x0081,
@@ -41,7 +41,7 @@
 }
 
 impl Status {
-    /// The text that servers put into the value of an answer with it.
+    /// The text that servers put into the value of a response with this status.
     pub fn text(self) -> &'static str {
         match self {
             Status::Ok => "",
@@ -65,14 +65,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_number_is_found_again_and_others_are_none() {
-        for number in 0..=u16::MAX {
-            let known = Status::VARIANTS.iter().copied().find(|s| *s as u16 == number);
-            assert_eq!(Status::from_repr(number), known);
-        }
-    }
-}
+mod tests;
--- a/crates/memcached/tests/codec.rs
+++ b/crates/memcached/tests/codec.rs
@@ -2,8 +2,10 @@
 
 mod noise;
 
-use aniseyoke_memcached::decode::Bad;
-use aniseyoke_memcached::{encode, opcode, Decoder, Extras, Fault, Head, Limits, Opcode, Part, Side, Status};
+use aniseyoke_memcached::decode::InvalidRequest;
+use aniseyoke_memcached::{
+    encode, opcode, Decoder, Direction, Extras, Header, Limits, Opcode, Part, ProtocolError, Status,
+};
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use strum::VariantArray;
@@ -16,11 +18,11 @@
         .collect()
 }
 
-/// All parts of what came, with values put together again; and what the rest is.
-fn parts(decoder: &mut Decoder, bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, Fault> {
-    let mut came = BytesMut::from(bytes);
+/// All parts of what buffer, with values put together again; and what the rest is.
+fn parts(decoder: &mut Decoder, bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, ProtocolError> {
+    let mut buffer = BytesMut::from(bytes);
     let mut whole: Vec<(Part, Vec<u8>)> = Vec::new();
-    while let Some(part) = decoder.next(&mut came)? {
+    while let Some(part) = decoder.next(&mut buffer)? {
         match part {
             Part::Value(value) => whole.last_mut().expect("behind a head").1.extend_from_slice(&value),
             Part::End => {}
@@ -30,8 +32,8 @@
     Ok(whole)
 }
 
-fn requests(bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, Fault> {
-    parts(&mut Decoder::new(Side::Request, Limits::default()), bytes)
+fn requests(bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, ProtocolError> {
+    parts(&mut Decoder::new(Direction::Request, Limits::default()), bytes)
 }
 
 /// A request by hand: an addition of the value "World" under the key "Hello", with flags 0xdeadbeef, gone in an hour.
@@ -39,35 +41,35 @@
     "80 02 0005 08 00 0000 00000012 00000000 0000000000000000 deadbeef 00000e10 48656c6c6f 576f726c64";
 
 #[test]
-fn a_request_is_read_and_written_as_the_protocol_s_page_shows_it() {
+fn a_request_is_decoded_and_encoded_as_in_the_specification() {
     let read = requests(&hex(ADD)).expect("sound");
-    let [(Part::Head(head), value)] = &read[..] else { panic!("{read:?}") };
+    let [(Part::Header(head), value)] = &read[..] else { panic!("{read:?}") };
     let extras = Extras::Store { flags: 0xdead_beef, expires: 3600 };
     let key = Bytes::from_static(b"Hello");
-    assert_eq!(*head, Head { extras, key, value: 5, ..Head::request(Opcode::Add) });
+    assert_eq!(*head, Header { extras, key, value: 5, ..Header::request(Opcode::Add) });
     assert_eq!(value, b"World");
     let mut written = Vec::new();
-    encode::packet(Side::Request, head, b"World", &mut written).expect("fits");
+    encode::packet(Direction::Request, head, b"World", &mut written).expect("fits");
     assert_eq!(written, hex(ADD));
 }
 
 #[test]
-fn an_answer_is_read_and_written_as_the_protocol_s_page_shows_it() {
+fn a_response_is_decoded_and_encoded_as_in_the_specification() {
     // Found, with key: flags 0xdeadbeef, version 1.
     let found =
         hex("81 00 0005 04 00 0000 0000000e 00000000 0000000000000001 deadbeef 48656c6c6f 576f726c64");
     // Not found, with the words.
     let missing = hex("81 00 0000 00 00 0001 00000009 0badcafe 0000000000000000 4e6f7420666f756e64");
-    let mut decoder = Decoder::new(Side::Answer, Limits::default());
+    let mut decoder = Decoder::new(Direction::Response, Limits::default());
     let read = parts(&mut decoder, &[found.clone(), missing.clone()].concat()).expect("sound");
-    let [(Part::Head(first), value), (Part::Head(second), words)] = &read[..] else { panic!("{read:?}") };
+    let [(Part::Header(first), value), (Part::Header(second), words)] = &read[..] else { panic!("{read:?}") };
     assert_eq!((first.status(), first.cas, first.extras), (Some(Status::Ok), 1, Extras::Flags(0xdead_beef)));
     assert_eq!((&first.key[..], &value[..]), (&b"Hello"[..], &b"World"[..]));
     assert_eq!((second.status(), second.opaque), (Some(Status::NotFound), 0x0bad_cafe));
     assert_eq!(words, Status::NotFound.text().as_bytes());
     let mut written = Vec::new();
-    encode::packet(Side::Answer, first, value, &mut written).expect("fits");
-    encode::packet(Side::Answer, second, words, &mut written).expect("fits");
+    encode::packet(Direction::Response, first, value, &mut written).expect("fits");
+    encode::packet(Direction::Response, second, words, &mut written).expect("fits");
     assert_eq!(written, [found, missing].concat());
 }
 
@@ -83,14 +85,14 @@
 
 /// Danger: a length that is believed before it is checked is four gigabytes of memory, or a slice past the end.
 #[test]
-fn lengths_that_contradict_each_other_or_are_too_large_end_the_connection_at_the_head() {
-    let lengths = Fault::Lengths { key: 5, extras: 8, body: 12 };
+fn inconsistent_or_excessive_lengths_end_the_connection_at_the_header() {
+    let lengths = ProtocolError::InconsistentLengths { key: 5, extras: 8, body: 12 };
     assert_eq!(requests(&fixed(1, 5, 8, 12)), Err(lengths));
     assert_eq!(
         requests(&fixed(1, 5, 8, u32::MAX)),
-        Err(Fault::Large { value: u32::MAX as usize - 13, opaque: 7, opcode: 1 })
+        Err(ProtocolError::ValueTooLarge { value: u32::MAX as usize - 13, opaque: 7, opcode: 1 })
     );
-    let mut decoder = Decoder::new(Side::Request, Limits::default());
+    let mut decoder = Decoder::new(Direction::Request, Limits::default());
     assert_eq!(parts(&mut decoder, &fixed(1, 5, 8, 12)), Err(lengths));
     assert_eq!(parts(&mut decoder, &hex(ADD)), Err(lengths), "and it stays so");
 }
@@ -98,56 +100,70 @@
 #[test]
 fn a_client_of_the_text_protocol_is_recognised_by_its_first_byte() {
     for text in ["get k\r\n", "s", "\r\n"] {
-        assert_eq!(requests(text.as_bytes()), Err(Fault::Text), "{text:?}");
+        assert_eq!(requests(text.as_bytes()), Err(ProtocolError::TextProtocol), "{text:?}");
     }
-    assert_eq!(requests(&[0x81]), Err(Fault::Magic(0x81)), "an answer is no request");
-    assert!(Fault::Text.to_string().contains("binary"));
+    assert_eq!(requests(&[0x81]), Err(ProtocolError::UnknownMagic(0x81)), "an answer is no request");
+    assert!(ProtocolError::TextProtocol.to_string().contains("binary"));
 }
 
 #[test]
-fn a_request_that_can_t_be_carried_out_is_passed_over_and_the_next_is_read() {
+fn an_invalid_request_is_skipped_and_the_next_is_read() {
     let body = |head: Vec<u8>, length: usize| [head, vec![b'x'; length]].concat();
     let cases = [
-        (body(fixed(0x77, 3, 1, 9), 9), Bad::Unknown),
-        (body(fixed(0x00, 0, 0, 0), 0), Bad::Shape("there is no key")),
-        (body(fixed(0x0a, 1, 0, 1), 1), Bad::Shape("the operation has no key")),
-        (body(fixed(0x00, 1, 0, 4), 4), Bad::Shape("the operation has no value")),
-        (body(fixed(0x01, 1, 4, 9), 9), Bad::Shape("extras of this length are not of the operation")),
-        (body(fixed(0x00, 251, 0, 251), 251), Bad::LongKey),
-        (body(fixed(0x00, u16::MAX, 0, 65535), 65535), Bad::LongKey),
+        (body(fixed(0x77, 3, 1, 9), 9), InvalidRequest::UnknownOpcode),
+        (body(fixed(0x00, 0, 0, 0), 0), InvalidRequest::Malformed("there is no key")),
+        (body(fixed(0x0a, 1, 0, 1), 1), InvalidRequest::Malformed("the operation has no key")),
+        (body(fixed(0x00, 1, 0, 4), 4), InvalidRequest::Malformed("the operation has no value")),
+        (
+            body(fixed(0x01, 1, 4, 9), 9),
+            InvalidRequest::Malformed("extras of this length are not of the operation"),
+        ),
+        (body(fixed(0x00, 251, 0, 251), 251), InvalidRequest::KeyTooLong),
+        (body(fixed(0x00, u16::MAX, 0, 65535), 65535), InvalidRequest::KeyTooLong),
     ];
     for (bytes, wanted) in cases {
         let read = requests(&[bytes, hex(ADD)].concat()).expect("the connection can be read on");
-        let [(Part::Bad(head, bad), _), (Part::Head(next), value)] = &read[..] else { panic!("{read:?}") };
+        let [(Part::Invalid(head, bad), _), (Part::Header(next), value)] = &read[..] else {
+            panic!("{read:?}")
+        };
         assert_eq!((*bad, head.opaque), (wanted, 7));
         assert_eq!((next.operation(), &value[..]), (Some(Opcode::Add), &b"World"[..]));
     }
 }
 
 #[test]
-fn a_key_too_long_for_the_format_is_not_written() {
+fn a_key_too_long_for_the_format_is_not_encoded() {
     let key = Bytes::from(vec![b'k'; 65_536]);
     let mut out = Vec::new();
-    assert!(encode::head(Side::Request, &Head { key, ..Head::request(Opcode::Get) }, &mut out).is_err());
+    assert!(encode::header(Direction::Request, &Header { key, ..Header::request(Opcode::Get) }, &mut out)
+        .is_err());
     assert!(out.is_empty());
 }
 
-fn some_request() -> impl Strategy<Value = (Head, Vec<u8>)> {
+fn some_request() -> impl Strategy<Value = (Header, Vec<u8>)> {
     let numbers = (any::<u64>(), any::<u64>(), any::<u32>(), any::<u32>());
     let texts = (prop::collection::vec(any::<u8>(), 1..=250), prop::collection::vec(any::<u8>(), 0..600));
     (prop::sample::select(Opcode::VARIANTS.to_vec()), numbers, any::<u16>(), texts).prop_map(
-        |(opcode, (a, b, c, opaque), field, (key, value))| {
-            let extras = match (opcode.loud(), opcode.extras().last()) {
+        |(opcode, (a, b, c, opaque), vbucket_or_status, (key, value))| {
+            let extras = match (opcode.without_quiet(), opcode.extras().last()) {
                 (Opcode::Verbosity, _) => Extras::Verbosity(c),
-                (_, Some(4)) => Extras::Expires(c),
+                (_, Some(4)) => Extras::Expiration(c),
                 (_, Some(8)) => Extras::Store { flags: c, expires: opaque },
-                (_, Some(20)) => Extras::Count { delta: a, initial: b, expires: c },
+                (_, Some(20)) => Extras::Counter { delta: a, initial: b, expires: c },
                 _ => Extras::None,
             };
-            let key = if opcode.key() == opcode::Presence::Never { Vec::new() } else { key };
-            let value = if opcode.value() == opcode::Presence::Never { Vec::new() } else { value };
+            let key = if opcode.key() == opcode::Presence::Forbidden { Vec::new() } else { key };
+            let value = if opcode.value() == opcode::Presence::Forbidden { Vec::new() } else { value };
             let (length, key) = (value.len(), key.into());
-            let head = Head { opcode: opcode as u8, field, opaque, cas: b, extras, key, value: length };
+            let head = Header {
+                opcode: opcode as u8,
+                vbucket_or_status,
+                opaque,
+                cas: b,
+                extras,
+                key,
+                value: length,
+            };
             (head, value)
         },
     )
@@ -155,42 +171,42 @@
 
 proptest! {
     #[test]
-    fn what_was_written_is_read_again_however_it_is_cut(
+    fn encoded_packets_are_decoded_however_the_bytes_are_split(
         packets in prop::collection::vec(some_request(), 1..6),
         cuts in prop::collection::vec(1usize..200, 1..40),
     ) {
         let mut bytes = Vec::new();
         for (head, value) in &packets {
-            encode::packet(Side::Request, head, value, &mut bytes).expect("fits");
+            encode::packet(Direction::Request, head, value, &mut bytes).expect("fits");
         }
-        let mut decoder = Decoder::new(Side::Request, Limits::default());
-        let (mut came, mut read, mut ends) = (BytesMut::new(), Vec::<(Head, Vec<u8>)>::new(), 0);
+        let mut decoder = Decoder::new(Direction::Request, Limits::default());
+        let (mut buffer, mut read, mut ends) = (BytesMut::new(), Vec::<(Header, Vec<u8>)>::new(), 0);
         let (mut rest, mut cuts) = (&bytes[..], cuts.into_iter().cycle());
         while !rest.is_empty() {
             let (now, later) = rest.split_at(cuts.next().expect("endless").min(rest.len()));
             rest = later;
-            came.extend_from_slice(now);
-            while let Some(part) = decoder.next(&mut came).expect("sound") {
+            buffer.extend_from_slice(now);
+            while let Some(part) = decoder.next(&mut buffer).expect("sound") {
                 match part {
-                    Part::Head(head) => read.push((head, Vec::new())),
+                    Part::Header(head) => read.push((head, Vec::new())),
                     Part::Value(value) => {
                         prop_assert!(!value.is_empty());
                         read.last_mut().expect("behind a head").1.extend_from_slice(&value);
                     }
                     Part::End => ends += 1,
-                    Part::Bad(_, bad) => prop_assert!(false, "{bad:?}"),
+                    Part::Invalid(_, bad) => prop_assert!(false, "{bad:?}"),
                 }
             }
             // Danger: what is kept back until more comes must not grow with what a head announces.
-            prop_assert!(came.len() < 24 + 20 + 250);
+            prop_assert!(buffer.len() < 24 + 20 + 250);
         }
         prop_assert_eq!(ends, packets.len());
-        prop_assert!(!decoder.within() && came.is_empty());
+        prop_assert!(!decoder.in_packet() && buffer.is_empty());
         prop_assert_eq!(read, packets);
     }
 
     #[test]
-    fn noise_is_read_or_turned_away_and_never_a_panic(
+    fn random_bytes_are_decoded_or_rejected_without_a_panic(
         mut bytes in prop::collection::vec(any::<u8>(), 0..400),
         first in prop::sample::select(vec![0x80u8, 0x81, b'g']),
     ) {
@@ -202,14 +218,14 @@
 
     /// Noise rarely has lengths that fit; packets with a few bytes changed do.
     #[test]
-    fn packets_with_bytes_changed_are_read_or_turned_away_and_never_a_panic(
+    fn corrupted_packets_are_decoded_or_rejected_without_a_panic(
         packets in prop::collection::vec(some_request(), 1..4),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
         cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = Vec::new();
         for (head, value) in &packets {
-            encode::packet(Side::Request, head, value, &mut bytes).expect("fits");
+            encode::packet(Direction::Request, head, value, &mut bytes).expect("fits");
         }
         for (at, byte) in changes {
             let at = at.index(bytes.len());
--- a/crates/memcached/tests/noise/mod.rs
+++ b/crates/memcached/tests/noise/mod.rs
@@ -1,6 +1,6 @@
 //! What holds for any bytes whatever, shared by the property tests and the fuzz target.
 
-use aniseyoke_memcached::{encode, Decoder, Fault, Head, Limits, Part, Side};
+use aniseyoke_memcached::{encode, Decoder, Direction, Header, Limits, Part, ProtocolError};
 use bytes::BytesMut;
 
 /// Values up to this length are taken, in bytes.
@@ -9,21 +9,21 @@
 /// A packet as it was read: its head, or why it was passed over, and its value.
 #[derive(Debug, PartialEq)]
 enum Read {
-    Packet(Head, Vec<u8>, bool),
-    Bad(Head, aniseyoke_memcached::decode::Bad, bool),
+    Packet(Header, Vec<u8>, bool),
+    InvalidRequest(Header, aniseyoke_memcached::decode::InvalidRequest, bool),
 }
 
 /// Reads bytes that come `step` at a time.
-fn read(side: Side, bytes: &[u8], step: usize) -> (Vec<Read>, Option<Fault>) {
+fn read(side: Direction, bytes: &[u8], step: usize) -> (Vec<Read>, Option<ProtocolError>) {
     let mut decoder = Decoder::new(side, Limits { value: VALUE, ..Limits::default() });
-    let (mut came, mut packets) = (BytesMut::new(), Vec::new());
+    let (mut buffer, mut packets) = (BytesMut::new(), Vec::new());
     for part in bytes.chunks(step.max(1)) {
-        came.extend_from_slice(part);
+        buffer.extend_from_slice(part);
         loop {
-            match decoder.next(&mut came) {
+            match decoder.next(&mut buffer) {
                 Ok(None) => break,
-                Ok(Some(Part::Head(head))) => packets.push(Read::Packet(head, Vec::new(), false)),
-                Ok(Some(Part::Bad(head, bad))) => packets.push(Read::Bad(head, bad, false)),
+                Ok(Some(Part::Header(head))) => packets.push(Read::Packet(head, Vec::new(), false)),
+                Ok(Some(Part::Invalid(head, bad))) => packets.push(Read::InvalidRequest(head, bad, false)),
                 Ok(Some(Part::Value(value))) => match packets.last_mut() {
                     Some(Read::Packet(_, all, false)) => all.extend_from_slice(&value),
                     other => panic!("a value behind {other:?}"),
@@ -33,34 +33,34 @@
                         assert_eq!(head.value, value.len());
                         *ended = true;
                     }
-                    Some(Read::Bad(_, _, ended @ false)) => *ended = true,
+                    Some(Read::InvalidRequest(_, _, ended @ false)) => *ended = true,
                     other => panic!("an end behind {other:?}"),
                 },
                 Err(fault) => return (packets, Some(fault)),
             }
         }
-        assert!(came.len() < 24 + 20 + 250, "more is kept back than a head needs");
+        assert!(buffer.len() < 24 + 20 + 250, "more is kept back than a head needs");
     }
     (packets, None)
 }
 
 /// Whether bytes come at once or one by one, the same is read; and what was read is written as it stood.
 pub fn holds(bytes: &[u8]) {
-    for side in [Side::Request, Side::Answer] {
+    for side in [Direction::Request, Direction::Response] {
         let (at_once, one_by_one) = (read(side, bytes, bytes.len()), read(side, bytes, 1));
         assert_eq!(at_once, one_by_one);
-        if side == Side::Request {
+        if side == Direction::Request {
             written_again(bytes, &at_once.0);
         }
     }
 }
 
-/// Packets from the front, as long as they could be read, are the bytes that they came from.
+/// Packets from the front, as long as they could be read, are the bytes that they buffer from.
 fn written_again(bytes: &[u8], packets: &[Read]) {
     let mut written = Vec::new();
     for packet in packets {
         let Read::Packet(head, value, true) = packet else { break };
-        encode::packet(Side::Request, head, value, &mut written).expect("it was read");
+        encode::packet(Direction::Request, head, value, &mut written).expect("it was read");
     }
     assert_eq!(&bytes[..written.len()], written);
 }
