--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,5 @@
-//! Every key of the operator's file. A doc comment here is what `config explain` prints.
+//! Every key of the operator's file. The doc comment of a field is what `config explain` prints, and the names of the types
+//! are in the JSON Schema.
 
 mod contradictions;
 mod start;
@@ -13,13 +14,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All that an operator may set. A part that is left out is off.
+/// All that an operator may configure. A part that is not named is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
     /// What is written to the log, and how.
     pub log: Log,
-    /// What may be out at nodes, and who waits for room there; off where it is not named.
+    /// Limits of requests in flight at nodes, and queues of requests that wait for capacity; off where it is not named.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub limits: Option<Rules>,
@@ -28,23 +29,23 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub control: Option<Control>,
-    /// How the list service is asked, and whether its list is kept over restarts; off where it is not named.
+    /// How the discovery service is polled, and whether its endpoint list is stored over restarts; off where it is not named.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.5", "x-apply" = "restart"))]
     pub list: Option<List>,
-    /// Connections that all proxies together open to one machine; not limited where it is not named.
+    /// Rates of new connections from all proxies together to one machine; not limited where it is not named.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.5", "x-apply" = "restart"))]
     pub opening: Option<Opening>,
     /// Tenants by the name that the platform gives them.
     pub tenants: BTreeMap<String, Tenant>,
-    /// Named parts of the fleet, which routes point to.
+    /// Named groups of nodes, which routes refer to.
     pub pools: BTreeMap<String, Pool>,
-    /// Which requests go to which pool; the first that fits counts, and what fits none may go to any node.
+    /// Which requests go to which pool; the first match applies, and a request that matches none may go to any node.
     pub routes: Vec<Route>,
-    /// What is said of nodes on top of the list; the first that fits a node counts.
+    /// Changes to nodes on top of the endpoint list; the first match applies.
     pub overlays: Vec<Overlay>,
-    /// What may be turned off.
+    /// Features that may be turned off.
     pub features: Features,
 }
 
@@ -52,19 +53,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The form of a line: bare text, or a JSON object.
+    /// The format of a line: plain text, or a JSON object.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub format: Format,
-    /// The least weight of a line that is written.
+    /// The least severe level of a line that is written.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "reload"))]
     pub level: Level,
     /// The same for a part of the program, by its name, such as `discovery` or `handover`.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "reload"))]
     pub targets: BTreeMap<String, Level>,
-    /// So many lines of one kind are written at once; of more, `per_second`, and a count of what was left out.
+    /// So many lines of one call site are written at once; after that, `per_second`, and a count of those that were suppressed.
     #[schemars(range(min = 1, max = 100_000), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "lines"))]
     pub burst: u32,
-    /// Lines of one kind that are written each second once the burst is used up.
+    /// Lines of one call site that are written each second once the burst is used up.
     #[schemars(range(min = 1, max = 10_000), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "lines a second"))]
     pub per_second: u32,
 }
@@ -87,16 +88,16 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub instance: Option<String>,
-    /// What operators call this proxy by in rollouts.
+    /// Labels by which rollouts select this proxy.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub labels: BTreeMap<String, String>,
-    /// A folder that keeps the last good version over restarts; without it a restart waits for a service.
+    /// A folder that stores the last good version over restarts; without it a restart waits for a service.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub dir: Option<PathBuf>,
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
@@ -106,7 +107,7 @@
     Json,
 }
 
-/// The weight of a log line.
+/// The severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
@@ -128,13 +129,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenant {
-    /// Requests a second over all proxies that count as its share, in place of what the platform says.
+    /// Its quota, in requests a second over all proxies, in place of the platform's.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 0.0, max = 1e9), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "requests a second"))]
     pub share: Option<f64>,
 }
 
-/// A part of the fleet: the nodes that fit every list that is given. At least one list is.
+/// A group of nodes: those that match every list that is given. At least one list is given.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pool {
@@ -146,7 +147,7 @@
     pub kinds: Vec<String>,
 }
 
-/// Where some requests go. Each condition that is given must fit; at least one is given.
+/// Where some requests go. Each condition that is given has to match; at least one is given.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Route {
@@ -167,12 +168,12 @@
     pub pool: String,
 }
 
-/// What is said of some nodes on top of the list. Each of node, zone and kind that is given must fit; at least one is
-/// given.
+/// A change to some nodes on top of the endpoint list. Each of node, zone and kind that is given has to match; at least one
+/// is given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overlay {
-    /// The id of one node, as the list has it.
+    /// The id of one node, as in the endpoint list.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub node: Option<String>,
@@ -184,10 +185,10 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub kind: Option<String>,
-    /// Their size, as a multiple of the one in the list.
+    /// Their weight, as a multiple of the one in the endpoint list.
     #[schemars(range(min = 0.01, max = 100.0), extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub weight: f64,
-    /// They finish what they have and get nothing new.
+    /// They finish the requests that they have and get no new ones.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub drain: bool,
 }
@@ -198,17 +199,17 @@
     }
 }
 
-/// What may be turned off; what the platform itself does not allow stays off.
+/// Features that may be turned off; what the platform itself does not allow stays off.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Features {
-    /// Requests may be tried again at another node.
+    /// Failed requests may be retried at another node.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub retries: bool,
-    /// A second attempt may be out beside a slow one.
+    /// A hedged request may be sent beside a slow attempt.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub second_copies: bool,
-    /// Attempts for a request that is over are called off.
+    /// Attempts for a request that has ended are cancelled.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub cancelling: bool,
 }
--- a/crates/memcached/benches/codec.rs
+++ b/crates/memcached/benches/codec.rs
@@ -14,14 +14,14 @@
 
 fn codec(c: &mut Criterion) {
     for (name, length) in [("get", 0usize), ("set 100 B", 100), ("set 16 KiB", 16 << 10)] {
-        let head = match length {
+        let header = match length {
             0 => request(Opcode::Get, Extras::None),
             _ => request(Opcode::Set, Extras::Store { flags: 0, expires: 0 }),
         };
         let value = vec![b'v'; length];
         let mut bytes = BytesMut::new();
         for _ in 0..PACKETS {
-            encode::packet(Direction::Request, &head, &value, &mut bytes).expect("fits");
+            encode::packet(Direction::Request, &header, &value, &mut bytes).expect("fits");
         }
         let mut group = c.benchmark_group(name);
         group.throughput(Throughput::Elements(PACKETS));
@@ -44,7 +44,7 @@
             b.iter(|| {
                 out.clear();
                 for _ in 0..PACKETS {
-                    encode::packet(Direction::Request, black_box(&head), &value, &mut out).expect("fits");
+                    encode::packet(Direction::Request, black_box(&header), &value, &mut out).expect("fits");
                 }
             });
         });
--- a/crates/memcached/src/mapping/tests.rs
+++ b/crates/memcached/src/mapping/tests.rs
@@ -21,14 +21,14 @@
     RequestMapping::new(rules, tenants, &EFFECTS, retry_bit).expect("sound")
 }
 
-fn head(operation: Opcode, key: &'static str) -> Header {
+fn header(operation: Opcode, key: &'static str) -> Header {
     Header { key: Bytes::from_static(key.as_bytes()), ..Header::request(operation) }
 }
 
 #[test]
 fn the_first_rule_that_matches_applies_and_a_quiet_operation_is_treated_like_its_counterpart() {
     let m = mapping(false);
-    let class = |operation, key| m.map(&head(operation, key), None).map(|mapped| mapped.class);
+    let class = |operation, key| m.map(&header(operation, key), None).map(|mapped| mapped.class);
     assert_eq!(class(Opcode::SetQ, "cod/7"), Ok(1));
     assert_eq!(class(Opcode::Set, "way/7"), Ok(0));
     assert_eq!(class(Opcode::GetKQ, "cod/7"), Ok(0));
@@ -43,7 +43,7 @@
 #[test]
 fn only_retrievals_that_change_nothing_are_not_writes() {
     let m = mapping(false);
-    let write = |operation| m.map(&head(operation, "cod/7"), None).expect("a class").write;
+    let write = |operation| m.map(&header(operation, "cod/7"), None).expect("a class").write;
     assert!(!write(Opcode::Get) && !write(Opcode::GetKQ));
     assert!(write(Opcode::Set) && write(Opcode::Touch) && write(Opcode::Decrement));
 }
@@ -51,7 +51,7 @@
 #[test]
 fn a_client_that_has_authenticated_does_not_become_another_tenant_by_its_keys() {
     let m = mapping(false);
-    let tenant = |key, user| m.map(&head(Opcode::Get, key), user).expect("a class").tenant;
+    let tenant = |key, user| m.map(&header(Opcode::Get, key), user).expect("a class").tenant;
     assert_eq!(tenant("cod/seo/1", Some("acme")), Some(0));
     assert_eq!(tenant("cod/seo/1", Some("nobody")), None);
     assert_eq!(tenant("cod/seo/1", None), Some(2), "the longest prefix");
@@ -60,10 +60,10 @@
 
 #[test]
 fn retries_are_marked_by_a_bit_only_where_the_rules_say_so() {
-    let marked = Header { vbucket_or_status: RETRY_BIT | 7, ..head(Opcode::Get, "way/7") };
+    let marked = Header { vbucket_or_status: RETRY_BIT | 7, ..header(Opcode::Get, "way/7") };
     assert!(mapping(true).map(&marked, None).expect("a class").retry);
     assert!(!mapping(false).map(&marked, None).expect("a class").retry);
-    assert!(!mapping(true).map(&head(Opcode::Get, "way/7"), None).expect("a class").retry);
+    assert!(!mapping(true).map(&header(Opcode::Get, "way/7"), None).expect("a class").retry);
 }
 
 /// Danger: a counter in an idempotent class counts twice after one lost response.
@@ -88,7 +88,7 @@
 #[test]
 fn a_request_bound_to_a_version_is_not_mapped_to_an_idempotent_class() {
     let m = mapping(false);
-    let bound = |key| m.map(&Header { cas: 5, ..head(Opcode::Set, key) }, None).map(|mapped| mapped.class);
+    let bound = |key| m.map(&Header { cas: 5, ..header(Opcode::Set, key) }, None).map(|mapped| mapped.class);
     assert_eq!(bound("way/7"), Err(Unmapped::BoundToVersion));
     assert_eq!(bound("cod/7"), Ok(1));
 }
@@ -105,9 +105,9 @@
             ClassRule { operations, prefix: Vec::new(), class: *class }
         }).collect();
         if let Ok(m) = RequestMapping::new(rules, TenantRules::default(), &EFFECTS, true) {
-            let head = Header { opcode, cas, ..head(Opcode::Get, "k") };
-            if let Ok(mapped) = m.map(&head, None) {
-                let operation = head.operation().expect("mapped");
+            let header = Header { opcode, cas, ..header(Opcode::Get, "k") };
+            if let Ok(mapped) = m.map(&header, None) {
+                let operation = header.operation().expect("mapped");
                 prop_assert!(class_allows(EFFECTS[mapped.class], repeat_effect(operation, cas)));
             }
         }
--- a/crates/memcached/src/sasl/tests.rs
+++ b/crates/memcached/src/sasl/tests.rs
@@ -5,8 +5,8 @@
     assert_eq!(parse_plain(b"\0acme\0secret"), Some(PlainCredentials { user: "acme", password: "secret" }));
     assert_eq!(parse_plain(b"acme\0acme\0"), Some(PlainCredentials { user: "acme", password: "" }));
     let long = [b"\0".to_vec(), vec![b'a'; 256], b"\0p".to_vec()].concat();
-    for bad in [&b""[..], b"\0", b"\0\0p", b"other\0acme\0p", b"\0acme\0p\0", b"\0ac\xffme\0p", &long] {
-        assert_eq!(parse_plain(bad), None, "{bad:?}");
+    for invalid in [&b""[..], b"\0", b"\0\0p", b"other\0acme\0p", b"\0acme\0p\0", b"\0ac\xffme\0p", &long] {
+        assert_eq!(parse_plain(invalid), None, "{invalid:?}");
     }
 }
 
--- a/crates/memcached/src/session/tests.rs
+++ b/crates/memcached/src/session/tests.rs
@@ -18,10 +18,10 @@
         [20] => Extras::Counter { delta: 1, initial: 0, expires: 0 },
         _ => Extras::None,
     };
-    let head =
+    let header =
         Header { extras, opaque, key: Bytes::copy_from_slice(key.as_bytes()), ..Header::request(opcode) };
     let mut bytes = Vec::new();
-    encode::packet(Direction::Request, &head, value, &mut bytes).expect("fits");
+    encode::packet(Direction::Request, &header, value, &mut bytes).expect("fits");
     bytes
 }
 
@@ -128,7 +128,7 @@
     let mut s = session();
     let bytes = packet_of(Opcode::Set, "key", 1, b"value");
     let mut buffer = BytesMut::new();
-    // A byte each second: the head is never whole in time.
+    // A byte each second: the header is never whole in time.
     for (second, byte) in bytes.iter().take(4).enumerate() {
         buffer.extend_from_slice(&[*byte]);
         assert_eq!(s.next_event(second as u64 * SECOND, &mut buffer), None);
--- a/crates/memcached/tests/codec.rs
+++ b/crates/memcached/tests/codec.rs
@@ -24,7 +24,7 @@
     let mut whole: Vec<(Part, Vec<u8>)> = Vec::new();
     while let Some(part) = decoder.next(&mut buffer)? {
         match part {
-            Part::Value(value) => whole.last_mut().expect("behind a head").1.extend_from_slice(&value),
+            Part::Value(value) => whole.last_mut().expect("behind a header").1.extend_from_slice(&value),
             Part::End => {}
             begin => whole.push((begin, Vec::new())),
         }
@@ -43,13 +43,13 @@
 #[test]
 fn a_request_is_decoded_and_encoded_as_in_the_specification() {
     let read = requests(&hex(ADD)).expect("sound");
-    let [(Part::Header(head), value)] = &read[..] else { panic!("{read:?}") };
+    let [(Part::Header(header), value)] = &read[..] else { panic!("{read:?}") };
     let extras = Extras::Store { flags: 0xdead_beef, expires: 3600 };
     let key = Bytes::from_static(b"Hello");
-    assert_eq!(*head, Header { extras, key, value: 5, ..Header::request(Opcode::Add) });
+    assert_eq!(*header, Header { extras, key, value: 5, ..Header::request(Opcode::Add) });
     assert_eq!(value, b"World");
     let mut written = Vec::new();
-    encode::packet(Direction::Request, head, b"World", &mut written).expect("fits");
+    encode::packet(Direction::Request, header, b"World", &mut written).expect("fits");
     assert_eq!(written, hex(ADD));
 }
 
@@ -108,7 +108,7 @@
 
 #[test]
 fn an_invalid_request_is_skipped_and_the_next_is_read() {
-    let body = |head: Vec<u8>, length: usize| [head, vec![b'x'; length]].concat();
+    let body = |header: Vec<u8>, length: usize| [header, vec![b'x'; length]].concat();
     let cases = [
         (body(fixed(0x77, 3, 1, 9), 9), InvalidRequest::UnknownOpcode),
         (body(fixed(0x00, 0, 0, 0), 0), InvalidRequest::Malformed("there is no key")),
@@ -123,10 +123,10 @@
     ];
     for (bytes, wanted) in cases {
         let read = requests(&[bytes, hex(ADD)].concat()).expect("the connection can be read on");
-        let [(Part::Invalid(head, bad), _), (Part::Header(next), value)] = &read[..] else {
+        let [(Part::Invalid(header, invalid), _), (Part::Header(next), value)] = &read[..] else {
             panic!("{read:?}")
         };
-        assert_eq!((*bad, head.opaque), (wanted, 7));
+        assert_eq!((*invalid, header.opaque), (wanted, 7));
         assert_eq!((next.operation(), &value[..]), (Some(Opcode::Add), &b"World"[..]));
     }
 }
@@ -155,7 +155,7 @@
             let key = if opcode.key() == opcode::Presence::Forbidden { Vec::new() } else { key };
             let value = if opcode.value() == opcode::Presence::Forbidden { Vec::new() } else { value };
             let (length, key) = (value.len(), key.into());
-            let head = Header {
+            let header = Header {
                 opcode: opcode as u8,
                 vbucket_or_status,
                 opaque,
@@ -164,7 +164,7 @@
                 key,
                 value: length,
             };
-            (head, value)
+            (header, value)
         },
     )
 }
@@ -176,8 +176,8 @@
         cuts in prop::collection::vec(1usize..200, 1..40),
     ) {
         let mut bytes = Vec::new();
-        for (head, value) in &packets {
-            encode::packet(Direction::Request, head, value, &mut bytes).expect("fits");
+        for (header, value) in &packets {
+            encode::packet(Direction::Request, header, value, &mut bytes).expect("fits");
         }
         let mut decoder = Decoder::new(Direction::Request, Limits::default());
         let (mut buffer, mut read, mut ends) = (BytesMut::new(), Vec::<(Header, Vec<u8>)>::new(), 0);
@@ -188,16 +188,16 @@
             buffer.extend_from_slice(now);
             while let Some(part) = decoder.next(&mut buffer).expect("sound") {
                 match part {
-                    Part::Header(head) => read.push((head, Vec::new())),
+                    Part::Header(header) => read.push((header, Vec::new())),
                     Part::Value(value) => {
                         prop_assert!(!value.is_empty());
-                        read.last_mut().expect("behind a head").1.extend_from_slice(&value);
+                        read.last_mut().expect("behind a header").1.extend_from_slice(&value);
                     }
                     Part::End => ends += 1,
-                    Part::Invalid(_, bad) => prop_assert!(false, "{bad:?}"),
+                    Part::Invalid(_, invalid) => prop_assert!(false, "{invalid:?}"),
                 }
             }
-            // Danger: what is kept back until more comes must not grow with what a head announces.
+            // Danger: what is kept back until more comes must not grow with what a header announces.
             prop_assert!(buffer.len() < 24 + 20 + 250);
         }
         prop_assert_eq!(ends, packets.len());
@@ -224,8 +224,8 @@
         cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = Vec::new();
-        for (head, value) in &packets {
-            encode::packet(Direction::Request, head, value, &mut bytes).expect("fits");
+        for (header, value) in &packets {
+            encode::packet(Direction::Request, header, value, &mut bytes).expect("fits");
         }
         for (at, byte) in changes {
             let at = at.index(bytes.len());
--- a/crates/memcached/tests/noise/mod.rs
+++ b/crates/memcached/tests/noise/mod.rs
@@ -6,7 +6,7 @@
 /// Values up to this length are taken, in bytes.
 const VALUE: usize = 1000;
 
-/// A packet as it was read: its head, or why it was passed over, and its value.
+/// A packet as it was read: its header, or why it was passed over, and its value.
 #[derive(Debug, PartialEq)]
 enum Read {
     Packet(Header, Vec<u8>, bool),
@@ -22,15 +22,17 @@
         loop {
             match decoder.next(&mut buffer) {
                 Ok(None) => break,
-                Ok(Some(Part::Header(head))) => packets.push(Read::Packet(head, Vec::new(), false)),
-                Ok(Some(Part::Invalid(head, bad))) => packets.push(Read::InvalidRequest(head, bad, false)),
+                Ok(Some(Part::Header(header))) => packets.push(Read::Packet(header, Vec::new(), false)),
+                Ok(Some(Part::Invalid(header, invalid))) => {
+                    packets.push(Read::InvalidRequest(header, invalid, false));
+                }
                 Ok(Some(Part::Value(value))) => match packets.last_mut() {
                     Some(Read::Packet(_, all, false)) => all.extend_from_slice(&value),
                     other => panic!("a value behind {other:?}"),
                 },
                 Ok(Some(Part::End)) => match packets.last_mut() {
-                    Some(Read::Packet(head, value, ended @ false)) => {
-                        assert_eq!(head.value, value.len());
+                    Some(Read::Packet(header, value, ended @ false)) => {
+                        assert_eq!(header.value, value.len());
                         *ended = true;
                     }
                     Some(Read::InvalidRequest(_, _, ended @ false)) => *ended = true,
@@ -39,7 +41,7 @@
                 Err(fault) => return (packets, Some(fault)),
             }
         }
-        assert!(buffer.len() < 24 + 20 + 250, "more is kept back than a head needs");
+        assert!(buffer.len() < 24 + 20 + 250, "more is kept back than a header needs");
     }
     (packets, None)
 }
@@ -59,8 +61,8 @@
 fn written_again(bytes: &[u8], packets: &[Read]) {
     let mut written = Vec::new();
     for packet in packets {
-        let Read::Packet(head, value, true) = packet else { break };
-        encode::packet(Direction::Request, head, value, &mut written).expect("it was read");
+        let Read::Packet(header, value, true) = packet else { break };
+        encode::packet(Direction::Request, header, value, &mut written).expect("it was read");
     }
     assert_eq!(&bytes[..written.len()], written);
 }
