--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -4,11 +4,11 @@
 //! its last TAU outcomes; the first candidate with TAU hits in a row wins the bucket and keeps it.
 //!
 //! A request passes these parts, each the one owner of its state: `admission` (is it taken), `buckets`
-//! (candidates, windows, pins), `health` and `speed` (who may not be asked now, who bears what), `choice`
-//! (who is asked), `attempts` (is it lawful, and for how long); then, by its outcomes, these again, `origin`
-//! (the limit on fetches), and another attempt or the final answer. Each exception to the ordinary path names
-//! the danger that it guards against. What decides nothing stands beside: `roster.rs`, `follow.rs`,
-//! `numbers.rs`.
+//! (candidates, windows, pins), `health` and `speed` (who may not be asked now, who bears what),
+//! `slow_start` (what a server that is warming up may be sent), `choice` (who is asked), `attempts` (is it
+//! lawful, and for how long); then, by its outcomes, these again, `origin` (the limit on fetches), and
+//! another attempt or the final answer. Each exception to the ordinary path names the danger that it guards
+//! against. What decides nothing stands beside: `roster.rs`, `follow.rs`, `numbers.rs`.
 
 mod admission;
 mod attempts;
@@ -16,6 +16,7 @@
 mod choice;
 mod health;
 mod origin;
+pub(crate) mod slow_start;
 mod speed;
 mod traffic;
 
@@ -40,6 +41,7 @@
     origin: origin::Origin,
     admission: admission::Admission,
     speeds: speed::Speeds,
+    work: slow_start::WorkByClass,
     open: FxHashMap<RequestId, Open>,
 }
 
@@ -57,6 +59,7 @@
             origin: origin::Origin::new(settings.clone()),
             admission: admission::Admission::new(settings.clone()),
             speeds: speed::Speeds::default(),
+            work: slow_start::WorkByClass::new(settings.classes.len()),
             open: FxHashMap::default(),
             settings,
         }
--- a/crates/decision/src/logic/attempts.rs
+++ b/crates/decision/src/logic/attempts.rs
@@ -120,14 +120,16 @@
 
     fn send(&mut self, now: Nanos, id: RequestId, i: u32, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        // The cold budget is spent here, last of all, by whatever is sent.
+        // Permits of slow start are spent here, last of all, by whatever is sent.
+        let class = open.class;
         let (lawful, fetch, out) = (self.lawful(now, open, self.roster.at(i)), open.fetch, open.out());
-        if !(lawful && self.cold_allows(now, i, true)) {
+        if !(lawful && self.slow_start_admits(now, i)) {
             if !out {
                 self.give_up(now, id, actions);
             }
             return;
         }
+        self.slow_start_spend(now, i, class);
         let proof = self.proof(now);
         let to_origin = self.roster.is_origin(self.roster.at(i));
         if to_origin || fetch {
@@ -195,12 +197,16 @@
             _ if fetch => End::Other,
             _ => End::Late,
         };
+        let (own_answer, class) = (o.status == Status::Ok && o.hit != Some(false) && !to_origin, open.class);
         let told = !open.write && !matches!(o.status, Status::Cancelled | Status::Moot);
         if let Some(b) = open.bucket.filter(|_| told) {
             // Without a note an answer no slower than usual passes for a hit.
             let hit = o.hit.unwrap_or((o.elapsed as f64) < most);
             self.buckets.learn(b, o.server, o.status == Status::Ok, hit);
         }
+        if own_answer {
+            self.work.learn(class, o.elapsed);
+        }
         if o.last {
             self.finished(now, &o, actions);
         } else {
--- a/crates/decision/src/logic/choice.rs
+++ b/crates/decision/src/logic/choice.rs
@@ -50,7 +50,7 @@
             }
             order.sort_by_key(|i| !open_at(i));
         }
-        order.retain(|&i| self.cold_allows(now, i, false));
+        order.retain(|&i| self.slow_start_admits(now, i));
         let roomy = |i: &&u32| {
             let s = self.roster.at(**i);
             // Danger: what a slow server has no room for waits there behind its head; its keys' other
--- a/crates/decision/src/logic/health.rs
+++ b/crates/decision/src/logic/health.rs
@@ -1,4 +1,4 @@
-//! Who fails more than servers do on the whole, and what a cold one may be sent.
+//! Who fails more than servers do on the whole.
 
 use super::*;
 
@@ -13,8 +13,6 @@
 /// How long a server is left alone at first, and at most.
 const LEFT: Nanos = 2 * SECOND;
 const LEFT_MOST: Nanos = 16 * SECOND;
-/// The part of the fall rule's budget that proxies use; the rest is for bursts and uneven proxies.
-const COLD_BUDGET: f64 = 0.7;
 
 /// What is known of failures on the whole.
 #[derive(Default)]
@@ -115,23 +113,4 @@
             self.traffic.served(now, class, o.elapsed);
         }
     }
-
-    /// Takes a send to a cold server from this proxy's part of what it can bear. Danger: a burst of hot keys
-    /// soon after a start pushes it over for good.
-    pub(super) fn cold_allows(&mut self, now: Nanos, i: u32, take: bool) -> bool {
-        let s = self.roster.at(i);
-        let warmth = self.roster.warmth(now, s);
-        if warmth >= 1.0 || !self.roster.ranks(s) {
-            return true;
-        }
-        let part = 1.0 / s.inverse_weight / self.roster.total_weight.max(1e-9);
-        let bears = COLD_BUDGET * self.settings.fall_multiple * warmth * part;
-        let rate = bears * self.traffic.rate(now).min(self.traffic.served_rate());
-        // Danger: when keys move, what is saved is spent beside a span's income: both make up the budget.
-        let saved = (1.0 / COLD_BUDGET - 1.0) * rate * seconds(0, self.settings.fall);
-        let s = &mut self.roster.servers[i as usize];
-        let allowed = s.sends.earn(now, rate, saved.max(1.0)) >= 1.0;
-        s.sends.left -= f64::from(u8::from(allowed && take));
-        allowed
-    }
 }
--- a/crates/decision/src/logic/traffic.rs
+++ b/crates/decision/src/logic/traffic.rs
@@ -60,6 +60,12 @@
         self.count.sum / (MEMORY_S * (1.0 - (-up.max(0.5) / MEMORY_S).exp()))
     }
 
+    /// The same without the request that came last. Danger: where a proxy gets few, counting the one that
+    /// asks makes its part of the whole look several times as large, at all proxies together.
+    pub fn rate_before(&self, now: Nanos) -> f64 {
+        self.rate(now) * ((self.count.sum - 1.0) / self.count.sum.max(1.0)).max(0.0)
+    }
+
     /// What is served a second, lately, and one more.
     pub fn served_rate(&self) -> f64 {
         self.served.sum / SERVED_S + 1.0
--- a/crates/decision/src/roster.rs
+++ b/crates/decision/src/roster.rs
@@ -2,7 +2,8 @@
 //! is decided in `logic`.
 
 use crate::api::*;
-use crate::numbers::{mix, unit, Chance, Purse};
+use crate::logic::slow_start::Permits;
+use crate::numbers::{mix, unit, Chance};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::sync::Arc;
 
@@ -15,8 +16,8 @@
     pub evidence: f64,
     pub suspect_until: Nanos,
     pub backoff: Nanos,
-    /// Sends that it may still be given while it is cold.
-    pub sends: Purse,
+    /// What it may be sent while it is warming up.
+    pub permits: Permits,
     /// When an attempt there last ended on an open connection; 0: no connection was to be had since.
     pub reached_at: Nanos,
     /// What may be out there at once, where that is limited.
@@ -60,6 +61,8 @@
     pub inflight: f64,
     /// What a machine of a kind bears against the mean, beyond what the list says of its size.
     speeds: FxHashMap<u32, f64>,
+    /// When the first list came.
+    began: Option<Nanos>,
 }
 
 impl Roster {
@@ -77,6 +80,7 @@
             live: 0.0,
             inflight: 0.0,
             speeds: FxHashMap::default(),
+            began: None,
         }
     }
 
@@ -108,6 +112,9 @@
         actions: &mut Vec<Action>,
     ) -> f64 {
         let (mut out, mut changed) = (0.0, false);
+        let began = *self.began.get_or_insert(now);
+        // What this process's predecessor has sent within the span of slow start is not known.
+        let knows_sent = now >= began.saturating_add(self.settings.fall);
         if !matches!(kind, ListKind::Delta | ListKind::Overlay) {
             let named: FxHashSet<ServerId> = entries.iter().map(|e| e.server).collect();
             let mut gone: Vec<ServerId> = self.by_id.keys().filter(|s| !named.contains(s)).copied().collect();
@@ -121,7 +128,7 @@
             if entry.state == State::Gone {
                 out += self.remove(server);
             } else {
-                self.upsert(now, entry, chance);
+                self.upsert(now, entry, knows_sent, chance);
                 self.let_go(server, actions);
             }
         }
@@ -142,19 +149,20 @@
         out * f64::from(u8::from(self.is_origin(self.at(i))))
     }
 
-    fn upsert(&mut self, now: Nanos, entry: Entry, chance: &mut Chance) {
+    fn upsert(&mut self, now: Nanos, entry: Entry, knows_sent: bool, chance: &mut Chance) {
         if let Some(s) = self.get_mut(entry.server) {
             if s.entry.started != entry.started {
                 // A changed start means a new process: no cache, no history of failures.
                 (s.evidence, s.suspect_until, s.backoff) = (0.0, 0, 0);
-                s.sends = Purse { left: unit(mix(chance.0 ^ entry.started)), at: now };
+                s.permits = Permits::starting_with(unit(mix(chance.0 ^ entry.started)), now);
             }
             s.entry = entry;
             return;
         }
-        let (server, sends) = (entry.server, Purse { left: chance.draw(), at: now });
+        let permits = Permits::starting_with(f64::from(u8::from(knows_sent)) + chance.draw(), now);
+        let server = entry.server;
         let banned = self.banned.contains(&server);
-        let fresh = Server { entry, inverse_weight: 1.0, sends, banned, ..Server::default() };
+        let fresh = Server { entry, inverse_weight: 1.0, permits, banned, ..Server::default() };
         let i = self.free.pop().unwrap_or(self.servers.len() as u32);
         if i as usize == self.servers.len() {
             self.servers.push(Server::default());
@@ -201,7 +209,8 @@
         let changed = if out { self.banned.insert(server) } else { self.banned.remove(&server) };
         if let Some(s) = self.get_mut(server).filter(|_| changed) {
             (s.evidence, s.suspect_until, s.backoff) = (0.0, 0, 0);
-            (s.banned, s.back_at, s.sends.at) = (out, if out { 0 } else { now }, now);
+            (s.banned, s.back_at) = (out, if out { 0 } else { now });
+            s.permits.pause_until(now);
             self.weigh();
             actions.extend(out.then_some(Action::Close(server)));
         }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -4,6 +4,8 @@
 use aniseyoke_decision::api::*;
 use aniseyoke_decision::Balancer;
 
+pub mod fleet;
+
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
 
