--- a/crates/faults-preload/src/sockets.rs
+++ b/crates/faults-preload/src/sockets.rs
@@ -14,6 +14,13 @@
     fd
 }
 
+/// Whether a connection waits to be taken: rules about taking are about those that do.
+fn waits(fd: c_int) -> bool {
+    let mut asked = libc::pollfd { fd, events: libc::POLLIN, revents: 0 };
+    // SAFETY: one entry is handed over, and told so.
+    unsafe { libc::poll(&raw mut asked, 1, 0) > 0 }
+}
+
 interpose! {
     fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int as next {
         // SAFETY: the arguments are handed on as they came; so in each function below.
@@ -27,10 +34,16 @@
     }
 
     fn accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int as next {
+        if !waits(fd) {
+            return unsafe { next(fd, address, length, flags) };
+        }
         guarded(Call::Accept, Subject::Descriptor(fd), |v| taken(v, unsafe { next(fd, address, length, flags) }))
     }
 
     fn accept(fd: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int as next {
+        if !waits(fd) {
+            return unsafe { next(fd, address, length) };
+        }
         guarded(Call::Accept, Subject::Descriptor(fd), |v| taken(v, unsafe { next(fd, address, length) }))
     }
 
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -10,7 +10,7 @@
 pub enum Call {
     Socket,
     Connect,
-    /// `accept4`, and `accept`.
+    /// `accept4`, and `accept`, where a connection waits to be taken.
     Accept,
     Recv,
     Recvfrom,
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -16,6 +16,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
+use tokio::task::yield_now;
 use tokio::time::Instant;
 
 /// A connection that has asked nothing for so long since it came, whatever part of a head it sent, is closed. An
@@ -42,8 +43,6 @@
     pub since: Cell<Instant>,
     pub close: Notify,
     pub closing: Cell<bool>,
-    /// Closing does not wait until an answer has been taken.
-    pub dropped: Cell<bool>,
 }
 
 impl Client {
@@ -57,7 +56,6 @@
             since: Cell::new(came),
             close: Notify::new(),
             closing: Cell::new(false),
-            dropped: Cell::new(false),
         })
     }
 
@@ -77,38 +75,83 @@
         self.close.notify_one();
     }
 
+    /// Whether it has taken nothing of an answer for so long that it is not to have the rest.
+    fn untaken(&self, now: Instant) -> bool {
+        if self.busy.get() {
+            return self.socket.stuck(TAKE_MORE_WITHIN);
+        }
+        self.socket.stalled() && now.saturating_duration_since(self.since.get()) > TAKE_WITHIN
+    }
+
+    /// Whether a part of a request has been read behind those that have had their answer.
+    fn begun(&self) -> bool {
+        self.seen.head_since.get().is_some()
+    }
+
+    /// What is to be done now that the connection is to end. Danger: this was decided some time ago, and a request may
+    /// have come since; once it has been read it is owed an answer.
+    fn ending(&self, looked: bool) -> Ending {
+        if self.untaken(Instant::now()) {
+            return Ending::Now;
+        }
+        if self.busy.get() || self.socket.stalled() {
+            return if self.begun() { Ending::AfterTheNext } else { Ending::AfterAnswer };
+        }
+        if !looked && !self.socket.silent() {
+            return Ending::Look;
+        }
+        if self.begun() {
+            Ending::Refuse
+        } else {
+            Ending::Now
+        }
+    }
+
     /// Danger: silence, a head that does not end and an answer that is not read would each hold a descriptor for
     /// good.
     pub fn look(&self, now: Instant, drain: &Drain) {
+        if self.untaken(now) {
+            return self.end();
+        }
         if self.busy.get() {
-            if self.socket.stuck(TAKE_MORE_WITHIN) {
-                self.dropped.set(true);
-                self.end();
-            }
             return;
         }
         let over = |from: Instant, most: Duration| now.saturating_duration_since(from) > most;
         let asked = self.seen.heads.get() > 0;
         let overdue = if asked {
             self.seen.head_since.get().is_some_and(|since| over(since, COME_WITHIN))
-                || self.socket.stalled() && over(self.since.get(), TAKE_WITHIN)
         } else {
             over(self.came, ASK_WITHIN)
         };
         // A process that is to end waits for a head that still comes, but not for one that has stopped.
         let stopped = drain.on() && !self.answered() && over(self.quiet_since(), ASK_SOON);
-        if overdue || stopped {
-            self.dropped.set(true);
-            self.end();
-        } else if (over(self.since.get(), IDLE_MOST) || drain.ends(self.since.get(), now))
-            && self.seen.head_since.get().is_none()
-            && self.socket.silent()
-        {
+        let idle = (over(self.since.get(), IDLE_MOST) || drain.ends(self.since.get(), now))
+            && !self.begun()
+            && self.socket.silent();
+        if overdue || stopped || idle {
             self.end();
         }
     }
 }
 
+/// How a connection that is to end does so.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Ending {
+    /// At once: nothing is owed on it.
+    Now,
+    /// With the answer that is due.
+    AfterAnswer,
+    /// With the answer to the request that has been read in part behind the one that has its answer due.
+    AfterTheNext,
+    /// Something has come that the runtime has not looked at.
+    Look,
+    /// With the refusal of a request that was read in part.
+    Refuse,
+}
+
+/// What a request gets of which the rest is not waited for.
+const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+
 /// A client's connection that has a request open.
 struct Busy(Rc<Client>);
 
@@ -136,7 +179,9 @@
                     };
                     // In a crowd a connection is worth more to the next client than to the one that has its answer.
                     let leaves = client.seen.heads.get() == 1 && server.packed();
-                    if leaves || server.drain.on() || client.closing.get() || client.seen.last.get() {
+                    let ends = leaves || server.drain.on() || client.closing.get();
+                    // Danger: a request read behind this one would go without its answer.
+                    if ends && !client.begun() || client.seen.last.get() {
                         closing(&mut response);
                     }
                     if response.body().relayed() {
@@ -154,17 +199,28 @@
                 .max_buf_size(BUFFER_MOST)
                 .serve_connection(TokioIo::new(gate), service);
             let mut connection = std::pin::pin!(connection);
+            let mut looked = false;
             loop {
                 // What has come in is read before the connection is asked to end.
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => break,
                     () = client.close.notified() => {
-                        // Danger: hyper waits without end for the rest of a head. Nothing is owed for one.
-                        if client.dropped.get() || !client.busy.get() && !client.socket.stalled() {
-                            break;
+                        // Danger: hyper waits without end for the rest of a head.
+                        match client.ending(looked) {
+                            Ending::Now => break,
+                            Ending::AfterAnswer => connection.as_mut().graceful_shutdown(),
+                            Ending::AfterTheNext => looked = false,
+                            Ending::Look => {
+                                looked = true;
+                                client.close.notify_one();
+                                yield_now().await;
+                            }
+                            Ending::Refuse => {
+                                client.socket.tell(REFUSAL);
+                                break;
+                            }
                         }
-                        connection.as_mut().graceful_shutdown();
                     }
                 }
             }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -201,6 +201,11 @@
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
+    /// Sends what stands alone, where nothing else is being sent. Who can't take it goes without.
+    pub fn tell(&self, text: &[u8]) {
+        let _ = uninterrupted(|| self.stream.try_write(text));
+    }
+
     /// Ends both directions now, whoever still holds the stream.
     pub fn close(&self) {
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
--- /dev/null
+++ b/crates/proxy/tests/closes.rs
@@ -0,0 +1,306 @@
+//! A request that comes just as the proxy ends its connection: what has been read gets its final answer, whatever else goes
+//! on. On Linux a connection that is closed with bytes unread is reset, and one of which all was read ends plainly: that
+//! tells a request that was lost from one that its client may send again.
+
+mod rig;
+
+use aniseyoke_faults::{arm, Armed, Call, Effect, Plan, Rule};
+use rig::*;
+use serde_json::json;
+use std::io::{ErrorKind, Read, Write};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+use tempfile::TempDir;
+
+/// What became of a request that was sent on an open connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Fate {
+    Answered(u16),
+    /// The connection was closed with the request, or a part of it, unread.
+    Unread,
+    /// The request was read, and the connection closed without an answer.
+    Lost,
+}
+
+/// Whether neither an end nor bytes have come yet.
+fn open(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).expect("not blocking");
+    let peeked = stream.peek(&mut [0]);
+    stream.set_nonblocking(false).expect("blocking");
+    peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+}
+
+/// Sends a request; whether it was in the proxy's hands before the connection was closed, if it was.
+fn sent(stream: &mut TcpStream, request: &str) -> bool {
+    open(stream) && stream.write_all(request.as_bytes()).is_ok() && open(stream)
+}
+
+fn fate(stream: &mut TcpStream) -> Fate {
+    stream.set_read_timeout(Some(LONG)).expect("time-out");
+    let mut came = Vec::new();
+    let mut part = [0; 4096];
+    loop {
+        let text = String::from_utf8_lossy(&came);
+        if text.contains("\r\n\r\n") {
+            return Fate::Answered(text.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status"));
+        }
+        match stream.read(&mut part) {
+            Ok(0) => return Fate::Lost,
+            Ok(n) => came.extend_from_slice(&part[..n]),
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => return Fate::Unread,
+            Err(e) => panic!("neither an answer nor an end: {e}"),
+        }
+    }
+}
+
+/// A proxy that faults may be forced on, in front of one node and an origin.
+struct Faulty {
+    rig: Rig,
+    armed: Armed,
+    _folder: TempDir,
+}
+
+fn faulty(sockets: u64) -> Faulty {
+    let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
+    let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
+    let mut config = config(discovery.addr, &servers);
+    config["limits"]["sockets"] = json!(sockets);
+    config["settings"]["customers"][0]["quota_rps"] = json!(1e6);
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut armed = None;
+    let proxy = Proxy::with(&config, |command| {
+        armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
+    });
+    Faulty { rig: Rig { proxy, cache, origin, discovery }, armed: armed.expect("armed"), _folder: folder }
+}
+
+/// Danger: connections that are overdue are ended by the hundred, and before the last of them is, requests come on them. Each
+/// wait for events is held up, so that the end of all takes many of them.
+#[test]
+fn a_request_that_comes_as_silent_connections_are_ended_is_not_read_and_lost() {
+    const SILENT: usize = 400;
+    let f = faulty(2048);
+    let mut clients: Vec<TcpStream> =
+        (0..SILENT).map(|_| TcpStream::connect(f.rig.proxy.addr).expect("connected")).collect();
+    let slow = Rule::new("slow", &[Call::EpollWait], Effect::DelayBefore(20_000));
+    f.armed.change(&Plan::new(1, &[slow])).expect("a plan");
+    until("the first is ended", || !clients.iter().all(open));
+    let late: Vec<bool> =
+        clients.iter_mut().map(|client| sent(client, &get("read", "X-Time-Left: 1.5\r\n"))).collect();
+    f.armed.change(&Plan::default()).expect("a plan");
+    let in_time = clients.iter_mut().zip(late).filter(|(_, late)| *late);
+    let fates: Vec<Fate> = in_time.map(|(client, _)| fate(client)).collect();
+    let lost = fates.iter().filter(|fate| **fate == Fate::Lost).count();
+    println!("{lost} lost of {} sent as {SILENT} are ended", fates.len());
+    assert!(fates.len() > 20, "only {} came in time", fates.len());
+    assert_eq!(lost, 0, "of {}", fates.len());
+}
+
+/// A head that has been read in part is given up when the process is to end; who sent it is told so.
+#[test]
+fn a_head_that_stops_in_a_process_that_ends_is_refused_and_not_just_closed() {
+    let mut r = rig();
+    let mut client = TcpStream::connect(r.proxy.addr).expect("connected");
+    let request = get("read", "");
+    client.write_all(&request.as_bytes()[..30]).expect("written");
+    r.proxy.signal("-TERM");
+    r.proxy.logged("draining");
+    assert_eq!(fate(&mut client), Fate::Answered(503));
+}
+
+/// The same where a head takes too long.
+#[test]
+fn a_head_that_takes_too_long_is_refused_and_not_just_closed() {
+    let r = rig();
+    let mut fresh = TcpStream::connect(r.proxy.addr).expect("connected");
+    let mut used = r.proxy.client();
+    used.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(used.answer().status(), 200);
+    let mut used = used.0.into_inner();
+    for client in [&mut fresh, &mut used] {
+        client.write_all(b"GET /read/1 HTTP/1.1\r\nHo").expect("written");
+    }
+    assert_eq!([fate(&mut fresh), fate(&mut used)], [Fate::Answered(503); 2]);
+}
+
+/// The same where places run out: half a request is worth a refusal.
+#[test]
+fn heads_that_make_room_for_others_are_refused_and_not_just_closed() {
+    let f = faulty(128);
+    let mut halves: Vec<TcpStream> = (0..200)
+        .map(|_| {
+            let mut half = TcpStream::connect(f.rig.proxy.addr).expect("connected");
+            half.write_all(b"GET /read/1 HTTP/1.1\r\nHo").expect("written");
+            half
+        })
+        .collect();
+    let fates: Vec<Fate> = halves.iter_mut().map(fate).collect();
+    let lost = fates.iter().filter(|fate| **fate == Fate::Lost).count();
+    println!("{lost} lost of {} half heads", fates.len());
+    assert_eq!(lost, 0, "of {}", fates.len());
+    assert!(fates.contains(&Fate::Answered(503)));
+}
+
+/// Danger: a request that was read with the one before it would end with that one's connection.
+#[test]
+fn what_was_read_behind_a_request_is_answered_by_a_process_that_ends() {
+    let mut r = rig();
+    let mut client = r.proxy.client();
+    client.write(&(get("read", "") + &get("read", "") + &get("read", "")));
+    let mut node = r.cache.take();
+    node.request();
+    r.proxy.signal("-TERM");
+    r.proxy.logged("draining");
+    for body in ["one", "two", "three"] {
+        node.reply("200 OK", "X-Lookup: hit\r\n", body);
+        let answer = client.answer();
+        assert_eq!(answer.body, body.as_bytes());
+        if body == "three" {
+            assert_eq!((answer.header("connection"), client.read()), (Some("close"), None));
+        } else {
+            node.request();
+        }
+    }
+}
+
+/// Danger: what was accepted and waits for a place went with the loop that accepts once the process was told to stop.
+#[test]
+fn a_connection_that_waits_for_a_place_is_not_closed_when_the_process_is_told_to_stop() {
+    const SOCKETS: usize = 64;
+    let mut f = faulty(SOCKETS as u64);
+    // All places are taken by requests that wait for the node.
+    let mut busy = Vec::new();
+    let mut nodes = Vec::new();
+    loop {
+        let mut client = f.rig.proxy.client();
+        client.ask("order", "");
+        match f.rig.cache.taken.recv_timeout(Duration::from_millis(500)) {
+            Ok(stream) => {
+                let mut node = Peer::new(stream);
+                node.request();
+                nodes.push(node);
+                busy.push(client);
+            }
+            // This one waits.
+            Err(_) => {
+                busy.push(client);
+                break;
+            }
+        }
+        assert!(busy.len() < SOCKETS, "places do not run out");
+    }
+    f.rig.proxy.signal("-TERM");
+    f.rig.proxy.logged("draining");
+    for node in &mut nodes {
+        node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "v");
+    }
+    let mut last = busy.pop().expect("one that waited");
+    for client in &mut busy {
+        assert_eq!(client.answer().status(), 200);
+    }
+    let mut node = f.rig.cache.take();
+    node.request();
+    node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "v");
+    assert_eq!(last.read().map(|answer| answer.status()), Some(200));
+}
+
+/// How nodes fail all requests that they get.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Nodes {
+    Hang,
+    Reset,
+    /// A head that nobody can read, then the same again.
+    Spoilt,
+    /// An answer that ends before its length.
+    Cut,
+}
+
+fn fail_all(taken: std::sync::mpsc::Receiver<TcpStream>, how: Nodes) {
+    for mut stream in taken {
+        std::thread::spawn(move || {
+            let mut part = [0; 4096];
+            while stream.read(&mut part).is_ok_and(|n| n > 0) {
+                let answer: &[u8] = match how {
+                    Nodes::Hang => continue,
+                    Nodes::Reset => {
+                        // Closed with something unread, it is reset.
+                        let socket = socket2::SockRef::from(&stream);
+                        let _ = socket.set_linger(Some(Duration::ZERO));
+                        return;
+                    }
+                    Nodes::Spoilt => b"HTTP/9.9 what\r\nContent-Length: -1\r\n\r\n\xff\xff",
+                    Nodes::Cut => b"HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: 500\r\n\r\nhalf",
+                };
+                let _ = stream.write_all(answer);
+                if how == Nodes::Cut {
+                    return;
+                }
+            }
+        });
+    }
+}
+
+/// Sends what no client in its right mind sends, again and again, and counts nothing.
+fn rage(addr: std::net::SocketAddr, until: Instant) -> std::thread::JoinHandle<()> {
+    std::thread::spawn(move || {
+        let noise: [&[u8]; 6] = [
+            b"\x00\xff\xfe noise\r\n\r\n",
+            b"GET /read/1 HTTP/1.1\r\nHo",
+            b"PUT /read/1 HTTP/1.1\r\nContent-Length: -5\r\n\r\n",
+            b"PUT /set/1 HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\nGET /nothing HTTP/1.1\r\n",
+            b"",
+        ];
+        let mut held = std::collections::VecDeque::new();
+        for number in 0.. {
+            if Instant::now() > until {
+                return;
+            }
+            let Ok(mut stream) = TcpStream::connect(addr) else { continue };
+            let _ = stream.write_all(noise[number % noise.len()]);
+            held.push_back(stream);
+            if held.len() > 40 {
+                held.pop_front();
+            }
+        }
+    })
+}
+
+/// Trouble at servers or with other clients frees no request of its final answer: each usual client has one, and in time.
+#[test]
+fn failing_nodes_and_raging_clients_cost_no_request_its_answer() {
+    const CLIENTS: usize = 60;
+    for how in [Nodes::Hang, Nodes::Reset, Nodes::Spoilt, Nodes::Cut] {
+        let f = faulty(512);
+        let Rig { proxy, cache, origin, discovery: _discovery } = f.rig;
+        for server in [cache, origin] {
+            std::thread::spawn(move || fail_all(server.taken, how));
+        }
+        let until = Instant::now() + Duration::from_secs(3);
+        let raging: Vec<_> = (0..2).map(|_| rage(proxy.addr, until)).collect();
+        let addr = proxy.addr;
+        let clients: Vec<_> = (0..CLIENTS)
+            .map(|number| {
+                std::thread::spawn(move || {
+                    std::thread::sleep(Duration::from_millis(20 * number as u64));
+                    let class = ["read", "order"][number % 2];
+                    let mut again = 0;
+                    loop {
+                        let mut stream = TcpStream::connect(addr).expect("connected");
+                        let asked = sent(&mut stream, &get(class, "X-Time-Left: 1.5\r\n"));
+                        match fate(&mut stream) {
+                            // Closed before or with the request unread: clients send it again.
+                            Fate::Unread if again < 50 => again += 1,
+                            Fate::Lost if !asked && again < 50 => again += 1,
+                            fate => return fate,
+                        }
+                    }
+                })
+            })
+            .collect();
+        let fates: Vec<Fate> = clients.into_iter().map(|client| client.join().expect("a fate")).collect();
+        raging.into_iter().for_each(|client| client.join().expect("ended"));
+        println!("{how:?}: {fates:?}");
+        assert!(fates.iter().all(|fate| matches!(fate, Fate::Answered(_))), "{how:?}: {fates:?}");
+    }
+}
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -3,13 +3,14 @@
 
 mod rig;
 
+use aniseyoke_control::hosted::Hosted;
 use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
 use rig::*;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
 /// Clients, each on connections of its own; so many ask at the same time.
@@ -291,6 +292,103 @@
     });
 }
 
+/// A connection that is aborted before it is taken costs itself, and none behind it.
+#[test]
+fn an_aborted_connection_costs_no_other_its_answer() {
+    let played = Played::new(Then::Keep, |_| {
+        let aborted = Rule::new("aborted", &[Call::Accept], Effect::FailAfter(errno::ECONNABORTED));
+        Plan::new(11, &[aborted.about(About::Sockets).often(Often::OneIn(50))])
+    });
+    let outcomes = played.outcomes();
+    let aborted = played.armed.forced("aborted");
+    println!("{outcomes:?}, aborted: {aborted}");
+    let ended = outcomes.get(&Outcome::Unanswered).copied().unwrap_or(0);
+    // The first request on a kept connection is the only one that ends with it: it is asked anew after that.
+    assert!(aborted > 0 && ended == aborted, "{outcomes:?}, aborted: {aborted}");
+    assert_eq!(outcomes.get(&Outcome::Answered(200)), Some(&(CLIENTS * (1 + ON_ONE) - ended)));
+}
+
+/// Danger: a wait for each connection that broke before it was taken holds up all behind it.
+#[test]
+fn nothing_is_waited_for_behind_broken_connections() {
+    const BROKEN: u64 = 300;
+    let numbers = [errno::ECONNABORTED, errno::EPROTO, errno::EINTR];
+    let played = Played::new(Then::Keep, |_| {
+        let broken = |n| Rule::new("broken", &[Call::Accept], Effect::Fail(n)).often(Often::First(BROKEN));
+        Plan::new(12, &numbers.map(broken))
+    });
+    let asked = Instant::now();
+    assert_eq!(ask_once(played.proxy.addr), Outcome::Answered(200));
+    let took = asked.elapsed();
+    println!("answered after {took:?} behind {}", played.armed.forced("broken"));
+    assert_eq!(played.armed.forced("broken"), numbers.len() * BROKEN as usize);
+    assert!(took < Duration::from_secs(2), "{took:?}");
+}
+
+/// A process out of descriptors ends idle connections of clients for the one that waits.
+#[test]
+fn a_lack_of_descriptors_ends_idle_clients() {
+    const IDLE: usize = 20;
+    let played = Played::new(Then::Keep, |_| Plan::default());
+    let mut idle: Vec<TcpStream> = (0..IDLE).map(|_| connected(played.proxy.addr)).collect();
+    for stream in &mut idle {
+        stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").expect("written");
+        assert_eq!(answer(stream, &mut Vec::new()), Outcome::Answered(200));
+    }
+    let short = Rule::new("short", &[Call::Accept], Effect::Fail(errno::EMFILE)).often(Often::First(5));
+    played.armed.change(&Plan::new(13, &[short])).expect("a plan");
+    assert_eq!(ask_once(played.proxy.addr), Outcome::Answered(200));
+    assert_eq!(played.armed.forced("short"), 5);
+    let ended = idle.iter().filter(|stream| {
+        stream.set_nonblocking(true).expect("not blocking");
+        stream.peek(&mut [0]).is_ok_and(|n| n == 0)
+    });
+    let ended = ended.count();
+    assert!((1..=5).contains(&ended), "{ended} ended");
+}
+
+/// A process whose operators' door and control service are read and written with a third of the calls interrupted.
+#[test]
+fn operators_and_control_services_are_heard_over_interruptions() {
+    const CALLS: usize = 60;
+    const VERSIONS: usize = 5;
+    let service = Hosted::start(1).expect("started");
+    let (node, discovery, folder) = (node(Then::Keep), Server::new(), tempfile::tempdir().expect("a folder"));
+    let file = folder.path().join("operator.toml");
+    let text = format!("[control]\nservices = [\"{}\"]\ninstance = \"p0\"\n", service.addr);
+    std::fs::write(&file, text).expect("written");
+    let mut config = config(discovery.addr, &[member("c1", node, "std", "ready")]);
+    config["mgmt"] = json!("127.0.0.1:0");
+    let mut armed = None;
+    let mut proxy = Proxy::with(&config, |command| {
+        command.env("ANISEYOKE_FILE", &file);
+        armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
+    });
+    let (door, armed) = (proxy.door(), armed.expect("armed"));
+    let row = || service.rows().into_iter().next();
+    until("it follows", || row().is_some());
+    let mut rules = interrupted(3);
+    rules.push(
+        Rule::new("opened", &[Call::Connect], Effect::DelayBefore(0))
+            .about(About::PeerPort(service.addr.port())),
+    );
+    armed.change(&Plan::new(14, &rules)).expect("a plan");
+    for number in 0..VERSIONS {
+        let body = json!({ "log": { "burst": 10 + number } });
+        let stamp = service.publish(body, Default::default()).expect("published").0;
+        until("it runs", || row().is_some_and(|row| row.running == Some(stamp)));
+    }
+    let answered = (0..CALLS).filter(|_| {
+        let (mut stream, mut came) = (connected(door), Vec::new());
+        let sent = stream.write_all(b"GET /api/version HTTP/1.1\r\nHost: a\r\n\r\n").is_ok();
+        sent && answer(&mut stream, &mut came) == Outcome::Answered(200)
+    });
+    let answered = answered.count();
+    let opened = armed.forced("opened");
+    println!("{answered} of {CALLS} calls answered, {opened} new connections to the service");
+    assert_eq!((answered, opened), (CALLS, 0));
+}
+
 /// A shortage of this machine's own says nothing of a node, and passes.
 #[test]
 fn connections_to_nodes_are_made_over_local_shortages() {
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -545,6 +545,8 @@
     assert_eq!(bad[2].answer().status(), 200);
     bad[3].write("PUT /order/1 HTTP/1.1\r\nX-Correlation-Id: 1\r\nContent-Length: 9\r\n\r\nhalf");
     assert_eq!(bad[3].answer().status(), 408);
+    // What was read of a request is refused; where nothing was, nothing is owed.
+    assert_eq!((bad[1].answer().status(), bad[2].answer().status()), (503, 503));
     bad.iter_mut().for_each(|client| assert_eq!(client.read(), None));
     good.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(good.answer().status(), 200);
@@ -771,7 +773,7 @@
         assert_eq!(proxy.health(), 200);
         slow.write("x");
     }
-    assert_eq!(stopped[0].read(), None);
+    assert_eq!((stopped[0].answer().status(), stopped[0].read()), (503, None));
     slow.write("\r\n\r\n");
     assert_eq!(slow.answer().status(), 200);
 }
