--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -43,6 +43,8 @@
     pub since: Cell<Instant>,
     pub close: Notify,
     pub closing: Cell<bool>,
+    /// What came since it was to end has been looked at.
+    looked: Cell<bool>,
 }
 
 impl Client {
@@ -56,6 +58,7 @@
             since: Cell::new(came),
             close: Notify::new(),
             closing: Cell::new(false),
+            looked: Cell::new(false),
         })
     }
 
@@ -90,21 +93,23 @@
 
     /// What is to be done now that the connection is to end. Danger: this was decided some time ago, and a request may
     /// have come since; once it has been read it is owed an answer.
-    fn ending(&self, looked: bool) -> Ending {
+    fn ending(&self) -> Ending {
         if self.untaken(Instant::now()) {
             return Ending::Now;
         }
         if self.busy.get() || self.socket.stalled() {
+            self.looked.set(false);
             return if self.begun() { Ending::AfterTheNext } else { Ending::AfterAnswer };
         }
-        if !looked && !self.socket.silent() {
+        if !self.looked.get() && !self.socket.silent() {
+            self.looked.set(true);
+            self.close.notify_one();
             return Ending::Look;
         }
         if self.begun() {
-            Ending::Refuse
-        } else {
-            Ending::Now
+            self.socket.tell(REFUSAL);
         }
+        Ending::Now
     }
 
     /// Danger: silence, a head that does not end and an answer that is not read would each hold a descriptor for
@@ -143,10 +148,8 @@
     AfterAnswer,
     /// With the answer to the request that has been read in part behind the one that has its answer due.
     AfterTheNext,
-    /// Something has come that the runtime has not looked at.
+    /// It is asked again once the runtime has looked at what has come.
     Look,
-    /// With the refusal of a request that was read in part.
-    Refuse,
 }
 
 /// What a request gets of which the rest is not waited for.
@@ -199,7 +202,6 @@
                 .max_buf_size(BUFFER_MOST)
                 .serve_connection(TokioIo::new(gate), service);
             let mut connection = std::pin::pin!(connection);
-            let mut looked = false;
             loop {
                 // What has come in is read before the connection is asked to end.
                 tokio::select! {
@@ -207,19 +209,11 @@
                     _ = connection.as_mut() => break,
                     () = client.close.notified() => {
                         // Danger: hyper waits without end for the rest of a head.
-                        match client.ending(looked) {
+                        match client.ending() {
                             Ending::Now => break,
                             Ending::AfterAnswer => connection.as_mut().graceful_shutdown(),
-                            Ending::AfterTheNext => looked = false,
-                            Ending::Look => {
-                                looked = true;
-                                client.close.notify_one();
-                                yield_now().await;
-                            }
-                            Ending::Refuse => {
-                                client.socket.tell(REFUSAL);
-                                break;
-                            }
+                            Ending::AfterTheNext => {}
+                            Ending::Look => yield_now().await,
                         }
                     }
                 }
