--- a/crates/lab/src/audit/evidence.rs
+++ b/crates/lab-audit/src/evidence.rs
@@ -1,7 +1,7 @@
 //! What was seen on the sockets: by clients on one side, by nodes and discovery on the other. Never the proxy's word.
 
-use crate::clock::{Clock, Nanos};
-use crate::world::Standing;
+use aniseyoke_lab_day::clock::{Clock, Nanos};
+use aniseyoke_lab_world::Standing;
 use std::cell::RefCell;
 use std::sync::mpsc::SyncSender;
 
@@ -136,7 +136,7 @@
         /// The proxy.
         proxy: usize,
         /// When it is back, on the same clock.
-        until: crate::clock::Nanos,
+        until: aniseyoke_lab_day::clock::Nanos,
     },
     /// A proxy ended that should not have.
     Crashed {
--- a/crates/lab/src/audit/mod.rs
+++ b/crates/lab-audit/src/lib.rs
@@ -7,8 +7,8 @@
 pub use evidence::{Evidence, Recorder, Seen};
 pub use rules::{Judge, Rule};
 
-use crate::clock::{nanos, Nanos, SECOND};
-use crate::day::Day;
+use aniseyoke_lab_day::clock::{nanos, Nanos, SECOND};
+use aniseyoke_lab_day::Day;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
--- a/crates/lab/src/audit/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -1,9 +1,9 @@
 //! The rules, each as a judgement over what was seen of one request, or of the site.
 
 use super::{Evidence, Seen, Violation};
-use crate::clock::{nanos, Nanos, MS, SECOND};
-use crate::day::{Day, Effect};
-use crate::world::Standing;
+use aniseyoke_lab_day::clock::{nanos, Nanos, MS, SECOND};
+use aniseyoke_lab_day::{Day, Effect};
+use aniseyoke_lab_world::Standing;
 use serde::Serialize;
 use std::collections::HashMap;
 
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab-capacity/src/lib.rs
@@ -6,15 +6,16 @@
 
 mod page;
 mod rows;
+pub mod slopes;
 #[cfg(test)]
 mod tests;
 
 pub use page::fill;
 pub use rows::{Factor, Kind, Row, Term, Worked};
 
-use crate::slopes::{self, Slope};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
+use slopes::{json_files, Slope};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -72,29 +73,6 @@
     toml::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-/// Reads all JSON files of a folder, in the order of their names; none where there is no such folder.
-///
-/// # Errors
-/// Names the file that can't be read or does not fit.
-pub(crate) fn json_files<T: DeserializeOwned>(folder: &Path) -> Result<Vec<T>, String> {
-    if !folder.exists() {
-        return Ok(Vec::new());
-    }
-    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
-    let entries = std::fs::read_dir(folder).map_err(|e| named(&e))?;
-    let mut files = Vec::new();
-    for entry in entries {
-        files.push(entry.map_err(|e| named(&e))?.path());
-    }
-    files.retain(|file| file.extension().is_some_and(|e| e == "json"));
-    files.sort();
-    let read = |file: std::path::PathBuf| {
-        let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))
-    };
-    files.into_iter().map(read).collect()
-}
-
 impl Inputs {
     /// Reads them from the folder that holds the page. Fits are done again from their points.
     ///
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab-capacity/src/slopes/control.rs
@@ -1,11 +1,11 @@
 //! A real control service behind emulated proxies: what each of them, and each message, costs it.
 
 use super::{Family, Quantity, Setup};
-use crate::trial::{tie, Usage};
 use aniseyoke_control::frame::{encode, FromOperator, FromProxy, ToOperator, FRAME_MOST, HEAD, PROTOCOL};
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::service::call;
 use aniseyoke_control::Stamp;
+use aniseyoke_lab_process::{tie, Usage};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
--- a/crates/lab/src/slopes/list.rs
+++ b/crates/lab-capacity/src/slopes/list.rs
@@ -1,8 +1,8 @@
 //! A list service that holds as many nodes as it is asked to, answers watches, and changes at a rate; and the nodes, which
 //! take connections and say nothing.
 
-use crate::day::Member;
-use crate::site::wire::Wire;
+use aniseyoke_lab_day::Member;
+use aniseyoke_lab_site::wire::Wire;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -126,7 +126,7 @@
         let (mut wire, mut version) = (Wire::new(stream), self.version.subscribe());
         while let Some(asked) = wire.request().await? {
             wire.body(asked.framing, |_| {}).await?;
-            let parameter = |name| crate::site::parameter(&asked.path, name);
+            let parameter = |name| aniseyoke_lab_site::parameter(&asked.path, name);
             let from = parameter("from");
             if let (Some(from), Some(hold)) = (from, parameter("hold_ms")) {
                 tokio::select! {
--- a/crates/lab/src/slopes/lists.rs
+++ b/crates/lab-capacity/src/slopes/lists.rs
@@ -1,8 +1,8 @@
 //! Calls at a list service, in simulated time: the day `join`, in which six in ten nodes are replaced within seconds.
 
 use super::{Family, Quantity, Setup};
-use crate::day::Day;
-use crate::sim::{Options, Service, Sim};
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_sim::{Options, Service, Sim};
 use std::time::Duration;
 
 /// Before what is reported the load runs for so long.
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab-capacity/src/slopes/mod.rs
@@ -15,6 +15,7 @@
 
 pub use fit::{Fit, Predicted};
 
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
@@ -260,12 +261,35 @@
     std::fs::write(&file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))
 }
 
+/// Reads all JSON files of a folder, in the order of their names; none where there is no such folder.
+///
+/// # Errors
+/// Names the file that can't be read or does not fit.
+pub fn json_files<T: DeserializeOwned>(folder: &Path) -> Result<Vec<T>, String> {
+    if !folder.exists() {
+        return Ok(Vec::new());
+    }
+    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
+    let entries = std::fs::read_dir(folder).map_err(|e| named(&e))?;
+    let mut files = Vec::new();
+    for entry in entries {
+        files.push(entry.map_err(|e| named(&e))?.path());
+    }
+    files.retain(|file| file.extension().is_some_and(|e| e == "json"));
+    files.sort();
+    let read = |file: std::path::PathBuf| {
+        let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))
+    };
+    files.into_iter().map(read).collect()
+}
+
 /// Reads all slopes of a folder, in the order of their names.
 ///
 /// # Errors
 /// Names the file that can't be read or is no slope.
 pub fn read(folder: &Path) -> Result<Vec<Slope>, String> {
-    let mut slopes: Vec<Slope> = crate::capacity::json_files(folder)?;
+    let mut slopes: Vec<Slope> = json_files(folder)?;
     slopes.sort_by(|a, b| a.name.cmp(&b.name));
     Ok(slopes)
 }
--- a/crates/lab/src/slopes/proxy.rs
+++ b/crates/lab-capacity/src/slopes/proxy.rs
@@ -3,12 +3,12 @@
 use super::list::List;
 use super::relay::{self, Counted};
 use super::{Family, Quantity, Setup};
-use crate::day::{proxy_config, Day};
-use crate::fleet::body;
-use crate::trial::{Program, Running, Subject, Usage};
 use aniseyoke_control::hosted::Hosted;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
+use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_process::{Program, Running, Subject, Usage};
+use aniseyoke_lab_scale::versions::body;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
--- a/crates/lab/src/slopes/requests.rs
+++ b/crates/lab-capacity/src/slopes/requests.rs
@@ -1,8 +1,9 @@
 //! What requests cost a real proxy: against their rate, and against the length of their answers.
 
 use super::{Family, Quantity, Setup};
-use crate::day::Day;
-use crate::trial::{self, Options, Program};
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_process::Program;
+use aniseyoke_lab_trial::Options;
 use std::time::Duration;
 
 /// For so long requests come.
@@ -81,7 +82,7 @@
     day.length = LENGTH_OF_LOAD;
     day.site.proxy.memory_mb = MEMORY_MB;
     differs(&mut day);
-    let report = trial::run(&day, &Program::new(setup.proxy.clone()), &Options::default())?;
+    let report = aniseyoke_lab_trial::run(&day, &Program::new(setup.proxy.clone()), &Options::default())?;
     if let Some(why) = report.void {
         return Err(format!("the trial is void: {why}"));
     }
--- a/crates/lab/src/day/mod.rs
+++ b/crates/lab-day/src/lib.rs
@@ -3,6 +3,8 @@
 
 mod builtin;
 mod check;
+pub mod clock;
+pub mod plan_file;
 mod settings;
 #[cfg(test)]
 mod tests;
--- a/crates/lab/src/day/tests.rs
+++ b/crates/lab-day/src/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const QUIET: &str = include_str!("../../days/quiet.toml");
+const QUIET: &str = include_str!("../days/quiet.toml");
 
 fn faults(text: &str) -> Vec<String> {
     Day::parse("my.toml", text).expect_err("refused").faults
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab-load/src/client.rs
@@ -2,11 +2,11 @@
 
 use super::plan::{self, Arrival, Manner};
 use super::tally::{Outcome, Tally};
-use crate::audit::{Recorder, Seen};
-use crate::clock::{nanos, Clock, Nanos, MS};
-use crate::day::{Class, Day};
-use crate::site::wire::{Pace, Wire};
-use crate::site::Front;
+use aniseyoke_lab_audit::{Recorder, Seen};
+use aniseyoke_lab_day::clock::{nanos, Clock, Nanos, MS};
+use aniseyoke_lab_day::{Class, Day};
+use aniseyoke_lab_site::wire::{Pace, Wire};
+use aniseyoke_lab_site::Front;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -108,7 +108,8 @@
                 break;
             }
             // The client does not know whether what must not run twice has run: it asks somebody instead.
-            let unsafe_to_repeat = class.effect == crate::day::Effect::Unsafe && outcome != Outcome::Refused;
+            let unsafe_to_repeat =
+                class.effect == aniseyoke_lab_day::Effect::Unsafe && outcome != Outcome::Refused;
             if unsafe_to_repeat && outcome != Outcome::Unreachable {
                 break;
             }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab-load/src/lib.rs
@@ -2,15 +2,17 @@
 
 mod client;
 mod plan;
+mod summary;
 mod tally;
 
 pub use plan::{again, patience, Arrival, Manner, Plan, LEAVES_AFTER};
+pub use summary::{outcome_lines, Line, Percentiles};
 pub use tally::{Outcome, Row, Tally, OUTCOMES};
 
-use crate::audit::Recorder;
-use crate::clock::{nanos, Clock, Nanos, SECOND};
-use crate::day::Day;
-use crate::site::Front;
+use aniseyoke_lab_audit::Recorder;
+use aniseyoke_lab_day::clock::{nanos, Clock, Nanos, SECOND};
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_site::Front;
 use client::Clients;
 use std::io;
 use std::rc::Rc;
--- a/crates/lab/tests/clients.rs
+++ b/crates/lab-memcached-server/tests/clients.rs
@@ -1,6 +1,6 @@
 //! A client library of others against the keeper: what it writes is read, and what is answered it understands.
 
-use aniseyoke_lab::keeper::{Keeper, Server};
+use aniseyoke_lab_memcached_server::{Keeper, Server};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/lab/src/trial/subject.rs
+++ b/crates/lab-process/src/subject.rs
@@ -112,7 +112,7 @@
 
 /// Has the child be killed when the thread that starts it ends.
 #[allow(unsafe_code)]
-pub(crate) fn tie(command: &mut Command) {
+pub fn tie(command: &mut Command) {
     use std::os::unix::process::CommandExt;
     let pdeathsig = || nix::sys::prctl::set_pdeathsig(Signal::SIGKILL).map_err(std::io::Error::from);
     // SAFETY: audited. The closure runs in the child between fork and exec and makes one system call, prctl, which
--- a/crates/lab/src/rig/mesh.rs
+++ b/crates/lab-rig/src/mesh.rs
@@ -3,7 +3,7 @@
 
 use super::board::{Board, Party};
 use super::relay::{self, Counts, Link, Relay};
-use crate::clock::mix;
+use aniseyoke_lab_day::clock::mix;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/lab/src/rig/plan.rs
+++ b/crates/lab-rig/src/plan.rs
@@ -2,13 +2,13 @@
 //! Read whole, checked with places (`file:line:col`), and made into one schedule that follows from the seed alone.
 
 use super::board::{Active, Fault, Group};
-use crate::clock::mix;
-use crate::site::toll::Bears;
+use aniseyoke_lab_day::clock::mix;
+use aniseyoke_lab_day::plan_file::{place, PlanError};
+use aniseyoke_lab_world::connection_load::Bears;
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use serde::Deserialize;
-use std::fmt;
 use std::time::Duration;
 use toml::Spanned;
 
@@ -205,30 +205,6 @@
     pub steps: Vec<(Duration, Do)>,
 }
 
-/// What is wrong with an experiment's file: each fault with its place.
-#[derive(Debug)]
-pub struct PlanError {
-    /// `file:line:col: reason`, one for each fault.
-    pub faults: Vec<String>,
-}
-
-impl fmt::Display for PlanError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.faults.join("\n"))
-    }
-}
-
-impl std::error::Error for PlanError {}
-
-/// Line and column, from 1, of a byte of a text.
-pub(crate) fn place(text: &str, at: usize) -> (usize, usize) {
-    let at = (0..=at.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
-    let before = text.get(..at).unwrap_or_default();
-    let line = before.matches('\n').count() + 1;
-    let col = before.rsplit('\n').next().map_or(0, |l| l.chars().count()) + 1;
-    (line, col)
-}
-
 impl Plan {
     /// Reads an experiment from its text; `file` is named in errors.
     ///
@@ -383,65 +359,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const PLAN: &str = r#"
-day = "quiet"
-proxies = 6
-
-[[link]]
-at = "2s"
-for = "3s"
-spread = "1s"
-fault = "partition"
-a = ["proxy:0-1"]
-b = ["discovery", "nodes"]
-
-[[process]]
-at = "4s"
-spread = "2s"
-action = "kill"
-pick = 2
-for = "1s"
-state = "cleared"
-"#;
-
-    #[test]
-    fn one_seed_makes_one_schedule_and_another_seed_another() {
-        let plan = Plan::parse("p.toml", PLAN).unwrap();
-        assert_eq!(plan.schedule(3), plan.schedule(3));
-        assert_ne!(plan.schedule(3), plan.schedule(4));
-        let steps = plan.schedule(3).steps;
-        let kills = steps.iter().filter(|(_, d)| matches!(d, Do::Signal(_, Action::Kill))).count();
-        let starts = steps.iter().filter(|(_, d)| matches!(d, Do::Start(_, State::Cleared))).count();
-        assert_eq!((kills, starts, steps.len()), (2, 2, 6));
-        assert!(steps.windows(2).all(|w| w[0].0 <= w[1].0));
-    }
-
-    #[test]
-    fn faults_of_a_file_are_told_all_at_once_with_their_places() {
-        let bad =
-            PLAN.replace("proxy:0-1", "proxy:0-9").replace("fault = \"partition\"", "fault = \"delay\"");
-        let faults = Plan::parse("p.toml", &bad).unwrap_err().faults;
-        assert_eq!(faults.len(), 2, "{faults:?}");
-        assert!(faults[0].starts_with("p.toml:5:1: `proxy:0-9`: there are 6 proxies"), "{faults:?}");
-        assert!(faults[1].contains("a delay needs"), "{faults:?}");
-        let unknown = Plan::parse("p.toml", &PLAN.replace("spread = \"2s\"", "sprad = \"2s\"")).unwrap_err();
-        assert!(unknown.faults[0].starts_with("p.toml:15:1: unknown field `sprad`"), "{unknown}");
-        let word = Plan::parse("p.toml", &PLAN.replace("\"kill\"", "\"maim\"")).unwrap_err();
-        assert!(word.faults[0].starts_with("p.toml:16:10: unknown variant `maim`"), "{word}");
-        let none = Plan::parse("p.toml", &PLAN.replace("proxies = 6", "proxies = 0")).unwrap_err();
-        assert!(none.faults[0].starts_with("p.toml:3:11: proxies = 0"), "{none}");
-        let long = Plan::parse("p.toml", &format!("length = \"90m\"\n{PLAN}")).unwrap_err();
-        assert!(long.faults.iter().any(|f| f.starts_with("p.toml: length: ")), "{long}");
-    }
-
-    #[test]
-    fn places_are_found_in_any_text() {
-        assert_eq!(place("a\nbé c", 5), (2, 3));
-        // Within a character, or past the end: the place of what comes before.
-        assert_eq!(place("é", 1), (1, 1));
-        assert_eq!(place("ab", 99), (1, 3));
-    }
-}
+mod tests;
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -5,13 +5,13 @@
 use super::plan::{Action, Do, Plan, Schedule};
 use super::procs::Procs;
 use super::ready::{Readiness, Watch};
-use crate::audit::{self, Evidence, Recorder, Seen, Verdict};
-use crate::clock::{Clock, MS};
-use crate::day::{proxy_config, Day};
-use crate::load::{Load, OUTCOMES};
-use crate::site::toll::Met;
-use crate::site::{self, Front, Health, Site};
-use crate::trial::{health, raise_descriptors, Line, Log, Program, Report};
+use aniseyoke_lab_audit::{Evidence, Recorder, Seen, Verdict};
+use aniseyoke_lab_day::clock::{Clock, MS};
+use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_load::{outcome_lines, Line, Load, OUTCOMES};
+use aniseyoke_lab_process::{health, raise_descriptors, Log, Program};
+use aniseyoke_lab_site::{Front, Health, Site};
+use aniseyoke_lab_world::connection_load::Met;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -96,16 +96,16 @@
 ) -> Result<Outcome, String> {
     raise_descriptors();
     let clock = Clock::start();
-    let (out, auditor) = audit::start(day);
+    let (out, auditor) = aniseyoke_lab_audit::start(day);
     let (site_out, load_out, own_out) = (out.clone(), out.clone(), out);
     let board = Board::default();
     let mesh = Mesh::start(board.clone(), seed).map_err(|e| format!("relays: {e}"))?;
     let routed = mesh.clone();
-    let route: site::Mesh = Arc::new(move |proxy, addr, kind| {
+    let route: aniseyoke_lab_site::Mesh = Arc::new(move |proxy, addr, kind| {
         routed.route(proxy, addr, if kind == "ledger" { Party::Ledger } else { Party::Node(addr) })
     });
     let recorder = move || Recorder::new(clock, site_out);
-    let rigging = site::Rigging {
+    let rigging = aniseyoke_lab_site::Rigging {
         mesh: Some(route),
         asks_most: plan.list.asks_per_second,
         retry_after_s: plan.list.retry_after.as_secs_f64(),
@@ -230,7 +230,7 @@
     log.flush();
     drop(note);
     let verdict = auditor.join().map_err(|_| "the auditor broke".to_owned())?;
-    let (all, _, _) = Report::counted(&tally);
+    let (all, _, _) = outcome_lines(&tally);
     let name = |n: usize| format!("{:?}", OUTCOMES[n]).to_lowercase();
     let seconds = (tally.outcomes.iter())
         .map(|counts| {
--- a/crates/lab/src/rig/procs.rs
+++ b/crates/lab-rig/src/procs.rs
@@ -2,7 +2,7 @@
 //! and started again as the schedule says. Every child is ended by its id.
 
 use super::plan::{Action, State};
-use crate::trial::{Program, Running, Subject};
+use aniseyoke_lab_process::{Program, Running, Subject};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::Value;
--- a/crates/lab/src/rig/ready.rs
+++ b/crates/lab-rig/src/ready.rs
@@ -1,8 +1,8 @@
 //! How long proxies that were started again take until they are ready: healthy at their listener. They are looked at from
 //! a thread of its own, since the rig's stands still while it starts a process.
 
-use crate::site::Health;
-use crate::trial::health;
+use aniseyoke_lab_process::health;
+use aniseyoke_lab_site::Health;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab-rig/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay on one link: takes the connections of one party for another and carries their bytes, as the board says.
 
 use super::board::{Effect, Faults, Party};
-use crate::clock::mix;
+use aniseyoke_lab_day::clock::mix;
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 use std::io;
--- a/crates/lab/src/scale/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -4,7 +4,7 @@
 use super::lists::ask;
 use super::member::{live, Shared, Spec, Traffic, PART};
 use super::tally::Tally;
-use crate::clock::{mix, part};
+use aniseyoke_lab_day::clock::{mix, part};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io::{BufRead, Write};
--- a/crates/lab/src/scale/layout.rs
+++ b/crates/lab-scale/src/layout.rs
@@ -1,7 +1,7 @@
 //! Who stands at which site, zone and region, and how far regions are. No I/O, no clock.
 
 use super::plan::{Do, Plan, Role};
-use crate::clock::{mix, part};
+use aniseyoke_lab_day::clock::{mix, part};
 use std::time::Duration;
 
 /// Where something stands.
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab-scale/src/lib.rs
@@ -24,6 +24,7 @@
 pub mod publish;
 pub mod report;
 pub mod tally;
+pub mod versions;
 
 /// The machine's monotonic clock, in nanoseconds: the same in every process of a run.
 pub fn now() -> u64 {
--- a/crates/lab/src/scale/lists.rs
+++ b/crates/lab-scale/src/lists.rs
@@ -2,7 +2,7 @@
 
 use super::member::{Shared, Traffic};
 use super::now;
-use crate::clock::SECOND;
+use aniseyoke_lab_day::clock::SECOND;
 use aniseyoke_pace::polls::Rules;
 use aniseyoke_pace::{Place, Polls};
 use std::io;
--- a/crates/lab/src/scale/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -4,11 +4,11 @@
 use super::now;
 use super::plan::Role;
 use super::tally::Tally;
-use crate::clock::mix;
 use aniseyoke_control::follower::{Action, Identity, Times};
 use aniseyoke_control::frame::{decode, encode, FromProxy, FromService, PROTOCOL};
 use aniseyoke_control::Follower;
 use aniseyoke_fanout::{Member, Progress, Told};
+use aniseyoke_lab_day::clock::mix;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab-scale/src/plan.rs
@@ -1,7 +1,7 @@
 //! An experiment of the scale run as one TOML file, checked whole with places (`file:line:col`), and its schedule.
 
-use crate::clock::mix;
-use crate::rig::plan::{place, PlanError};
+use aniseyoke_lab_day::clock::mix;
+use aniseyoke_lab_day::plan_file::{place, PlanError};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -11,12 +11,12 @@
 use super::publish::{self, Log, Made};
 use super::tally::Tally;
 use super::{need, now};
-use crate::audit::Recorder;
-use crate::clock::Clock;
-use crate::day::Day;
-use crate::fleet;
-use crate::site::Site;
-use crate::trial::Usage;
+use crate::versions;
+use aniseyoke_lab_audit::Recorder;
+use aniseyoke_lab_day::clock::Clock;
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_process::Usage;
+use aniseyoke_lab_site::Site;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -241,7 +241,7 @@
     }
 
     fn body(&self, day: &Day, change: u64) -> serde_json::Value {
-        fleet::body(day, self.plan.changes.routes.max(ROUTES_LEAST), change)
+        versions::body(day, self.plan.changes.routes.max(ROUTES_LEAST), change)
     }
 
     fn sorts(&self) -> Vec<(&'static str, Vec<usize>)> {
--- a/crates/lab/src/scale/procs.rs
+++ b/crates/lab-scale/src/procs.rs
@@ -2,7 +2,7 @@
 //! rig, and is ended by its id.
 
 use super::now;
-use crate::trial::{tie, Usage};
+use aniseyoke_lab_process::{tie, Usage};
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::SocketAddr;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -1,15 +1,16 @@
 //! Real proxies behind one control service: how long a version takes from publishing to in force at all of them, how
 //! long the swap holds each one's serving thread up, and what a client of one of them sees of it.
 
-use crate::audit::Recorder;
-use crate::clock::Clock;
-use crate::day::{proxy_config, Day};
-use crate::site::Site;
-use crate::trial::{Percentiles, Program, Running, Subject, Usage};
 use aniseyoke_control::hosted::Hosted;
 use aniseyoke_control::publisher::Row;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
+use aniseyoke_lab_audit::Recorder;
+use aniseyoke_lab_day::clock::Clock;
+use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_load::Percentiles;
+use aniseyoke_lab_process::{Program, Running, Subject, Usage};
+use aniseyoke_lab_site::Site;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -77,7 +78,7 @@
 }
 
 /// A version with so many routes, one of which is another in each.
-pub(crate) fn body(day: &Day, routes: u64, changed: u64) -> Value {
+pub fn body(day: &Day, routes: u64, changed: u64) -> Value {
     let kinds: Vec<&str> = day.site.cache.kinds.iter().map(|k| k.name.as_str()).collect();
     let pool = |n| if n == changed % routes.max(1) { "b" } else { "a" };
     let route = |n| json!({ "prefix": format!("device-{n:06}/"), "pool": pool(n) });
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab-scale/src/versions/tests.rs
@@ -11,7 +11,7 @@
 /// The whole way, at a small size.
 #[test]
 fn a_small_fleet_takes_versions_and_every_figure_is_there() {
-    let proxy = crate::trial::find_proxy(None).expect("the proxy");
+    let proxy = aniseyoke_lab_process::find_proxy(None).expect("the proxy");
     let size = Size { proxies: 3, versions: 2, routes: 50 };
     let measured = measure(size, &proxy).expect("measured");
     assert_eq!(measured.versions.len(), 3);
--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab-sim/src/client.rs
@@ -1,8 +1,8 @@
 //! A client's request: its tries, and what it does after each.
 
 use super::*;
-use crate::day::Effect as May;
-use crate::load::{again, patience, Arrival, Manner, Outcome, LEAVES_AFTER};
+use aniseyoke_lab_day::Effect as May;
+use aniseyoke_lab_load::{again, patience, Arrival, Manner, Outcome, LEAVES_AFTER};
 
 /// A request of a client that has not ended.
 pub struct Asking {
--- a/crates/lab/src/sim/count.rs
+++ b/crates/lab-sim/src/count.rs
@@ -1,9 +1,9 @@
 //! What is counted of a day: how each try ended and why, where attempts ended and how, second by second.
 
 use super::{Happening, Ramped};
-use crate::day::Day;
-use crate::load::{Outcome, Tally};
-use crate::site::toll::Met;
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_load::{Outcome, Tally};
+use aniseyoke_lab_world::connection_load::Met;
 use serde::Serialize;
 
 /// How a try ended, as its proxy saw it.
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab-sim/src/host.rs
@@ -2,12 +2,12 @@
 
 use super::lists::Caller;
 use super::Options;
-use crate::clock::mix;
-use crate::clock::{Nanos, MS, SECOND};
-use crate::day::{module_settings, Day};
 use aniseyoke_core::margin;
 use aniseyoke_decision::api::{Action, Entry, Event, ListKind, RequestId, ServerId, State, Status};
 use aniseyoke_decision::Balancer;
+use aniseyoke_lab_day::clock::mix;
+use aniseyoke_lab_day::clock::{Nanos, MS, SECOND};
+use aniseyoke_lab_day::{module_settings, Day};
 use aniseyoke_pace::{Opens, Place};
 use rustc_hash::FxHashMap;
 
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -19,11 +19,11 @@
 pub use lists::Service;
 pub use ramp::{Fullest, Ramped};
 
-use crate::clock::{mix, nanos, part, Nanos, MS, SECOND};
-use crate::day::Day;
-use crate::load::Plan;
-use crate::site::toll::{Bears, Toll};
-use crate::world::{Catalogue, Effect, Ticket, World};
+use aniseyoke_lab_day::clock::{mix, nanos, part, Nanos, MS, SECOND};
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_load::Plan;
+use aniseyoke_lab_world::connection_load::{Bears, Toll};
+use aniseyoke_lab_world::{Catalogue, Effect, Ticket, World};
 use client::Asking;
 use host::Host;
 use queue::Queue;
@@ -233,7 +233,7 @@
 
     /// What the day asks for that is not played here, by the names of its file.
     pub fn left_out(day: &Day) -> Vec<&'static str> {
-        use crate::day::TroubleKind::{DiscoveryDown, Pieces, ProxyRoll};
+        use aniseyoke_lab_day::TroubleKind::{DiscoveryDown, Pieces, ProxyRoll};
         let trouble = |kind| day.troubles.iter().any(|t| t.kind == kind);
         let rude = &day.load.rude;
         let all = [
--- a/crates/lab/src/sim/queue.rs
+++ b/crates/lab-sim/src/queue.rs
@@ -1,7 +1,7 @@
 //! What will happen, in the order of its time; what is due at once happens in the order in which it was put in.
 
 use super::Happening;
-use crate::clock::Nanos;
+use aniseyoke_lab_day::clock::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/lab/src/sim/ramp.rs
+++ b/crates/lab-sim/src/ramp.rs
@@ -1,7 +1,7 @@
 //! What cold nodes are sent by all proxies together, against what the settings allow them while they warm.
 
-use crate::clock::{nanos, Nanos};
-use crate::day::Day;
+use aniseyoke_lab_day::clock::{nanos, Nanos};
+use aniseyoke_lab_day::Day;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -88,7 +88,7 @@
         node.got.push_back(now);
         let (got, allowed) = (node.got.len() as u64, allowed / self.work);
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-        let age_ms = now.saturating_sub(born) / crate::clock::MS;
+        let age_ms = now.saturating_sub(born) / aniseyoke_lab_day::clock::MS;
         let span = Fullest { member, age_ms, got, allowed, bound };
         let found = &mut self.found;
         if span.ratio() > found.fullest.ratio() {
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab-sim/src/run.rs
@@ -3,11 +3,11 @@
 use super::count::Cause;
 use super::host::{Attempt, Host, Pending};
 use super::*;
-use crate::load::Outcome as Fate;
-use crate::world::{Ask, Line, Manner, Process, Reply, Standing};
 use aniseyoke_decision::api::{
     server_id, Action, Entry, Event, ListKind, Nanos as Time, Outcome, Request, ServerId, State, Status,
 };
+use aniseyoke_lab_load::Outcome as Fate;
+use aniseyoke_lab_world::{Ask, Line, Manner, Process, Reply, Standing};
 
 /// The module's clock begins here, since a start at 0 means long ago to it.
 const EPOCH: Time = 1_000 * SECOND;
@@ -498,7 +498,7 @@
     fn writer(&self, ticket: Ticket) -> Option<u64> {
         let out = self.out.get(&ticket)?;
         let pending = self.hosts[out.proxy as usize].pending.get(&out.request)?;
-        let unsafe_class = self.day.load.classes[pending.class].effect == crate::day::Effect::Unsafe;
+        let unsafe_class = self.day.load.classes[pending.class].effect == aniseyoke_lab_day::Effect::Unsafe;
         unsafe_class.then(|| self.asking[pending.client as usize].arrival.number)
     }
 }
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -1,8 +1,8 @@
 use super::count::Cause;
 use super::ramp::{mean_work, Ramp};
 use super::*;
-use crate::day::{Trouble, TroubleKind};
-use crate::load::Outcome;
+use aniseyoke_lab_day::{Trouble, TroubleKind};
+use aniseyoke_lab_load::Outcome;
 
 const WARM: Duration = Duration::from_secs(8);
 
--- a/crates/lab/src/site/discovery.rs
+++ b/crates/lab-site/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use super::hall::Hall;
 use super::wire::Wire;
-use crate::world::{Line, Roster};
+use aniseyoke_lab_world::{Line, Roster};
 use serde_json::{json, Value};
 use std::io;
 use std::rc::Rc;
--- a/crates/lab/src/site/hall.rs
+++ b/crates/lab-site/src/hall.rs
@@ -1,11 +1,11 @@
 //! What the tasks of a site share, on its one thread: the model, who waits for what, and the clock that drives it.
 
 use super::node;
-use crate::audit::{Recorder, Seen};
-use crate::clock::{Clock, Nanos};
-use crate::day::{Day, Member};
-use crate::site::door::Door;
-use crate::world::{Ask, Catalogue, Effect, Line, Manner, Process, Reply, Standing, Ticket, World};
+use crate::door::Door;
+use aniseyoke_lab_audit::{Recorder, Seen};
+use aniseyoke_lab_day::clock::{Clock, Nanos};
+use aniseyoke_lab_day::{Day, Member};
+use aniseyoke_lab_world::{Ask, Catalogue, Effect, Line, Manner, Process, Reply, Standing, Ticket, World};
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
     pub list_asks: RefCell<Vec<u64>>,
     pub list_refused: RefCell<Vec<u64>>,
     /// What members were met with.
-    pub toll: RefCell<super::toll::Toll>,
+    pub toll: RefCell<aniseyoke_lab_world::connection_load::Toll>,
     /// How late the model's events were played, in microseconds.
     pub lateness: RefCell<Histogram<u64>>,
     /// Fetches and writes that reached the ledger.
@@ -100,7 +100,7 @@
             listed,
             discovery: watch::Sender::new(true),
             orders,
-            toll: RefCell::new(super::toll::Toll::new(rigging.bears)),
+            toll: RefCell::new(aniseyoke_lab_world::connection_load::Toll::new(rigging.bears)),
             rigging,
             list_asks: RefCell::default(),
             list_refused: RefCell::default(),
@@ -149,7 +149,7 @@
 
     /// Counts a call at the list service; false if it is past what the service takes this second.
     pub fn list_ask(&self) -> bool {
-        let second = (self.clock.now() / crate::clock::SECOND) as usize;
+        let second = (self.clock.now() / aniseyoke_lab_day::clock::SECOND) as usize;
         let count = |counts: &RefCell<Vec<u64>>| {
             let mut counts = counts.borrow_mut();
             if second < LIST_SECONDS_MOST {
--- a/crates/lab/src/site/mod.rs
+++ b/crates/lab-site/src/lib.rs
@@ -5,15 +5,14 @@
 mod front;
 mod hall;
 mod node;
-pub mod toll;
 pub mod wire;
 
-pub(crate) use discovery::parameter;
+pub use discovery::parameter;
 pub use front::{Front, Health};
 
-use crate::audit::Recorder;
-use crate::clock::Clock;
-use crate::day::Day;
+use aniseyoke_lab_audit::Recorder;
+use aniseyoke_lab_day::clock::Clock;
+use aniseyoke_lab_day::Day;
 use hall::Hall;
 use hdrhistogram::Histogram;
 use serde_json::Value;
@@ -37,7 +36,7 @@
     /// What that `Retry-After` says, in seconds.
     pub retry_after_s: f64,
     /// What cache nodes take of connections.
-    pub bears: toll::Bears,
+    pub bears: aniseyoke_lab_world::connection_load::Bears,
 }
 
 /// Restarts that may wait to be carried out.
@@ -58,7 +57,7 @@
     /// Of those, refused for being past what it takes a second.
     pub list_refused: Vec<u64>,
     /// What cache nodes and the ledger were met with.
-    pub met: [toll::Met; 2],
+    pub met: [aniseyoke_lab_world::connection_load::Met; 2],
 }
 
 /// A site that stands, on a thread of its own.
--- a/crates/lab/src/site/node.rs
+++ b/crates/lab-site/src/node.rs
@@ -3,8 +3,8 @@
 use super::door::Door;
 use super::hall::{Hall, Post, Pulse};
 use super::wire::{Asked, Wire};
-use crate::audit::Seen;
-use crate::world::{Ask, Manner, Process, Reply, Ticket};
+use aniseyoke_lab_audit::Seen;
+use aniseyoke_lab_world::{Ask, Manner, Process, Reply, Ticket};
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
--- a/crates/lab/src/trial/mod.rs
+++ b/crates/lab-trial/src/lib.rs
@@ -1,26 +1,21 @@
 //! One day from start to end: the site opens, the proxies start, the load runs, proxies are restarted as the day says,
 //! everything is looked at, and all of it ends.
 
-pub(crate) mod proxies;
+mod proxies;
 mod recovery;
 mod report;
-mod subject;
 mod sweep;
-mod usage;
 
-pub use proxies::health;
 pub use recovery::Recovery;
-pub use report::{Line, Percentiles, Report};
-pub(crate) use subject::tie;
-pub use subject::{find_control, find_file, find_proxy, Log, Program, Running, Subject};
+pub use report::Report;
 pub use sweep::{plot, sweep, Curve, Point};
-pub use usage::Usage;
 
-use crate::audit::{self, Evidence, Recorder, Seen};
-use crate::clock::{Clock, MS};
-use crate::day::{proxy_config, Day};
-use crate::load::Load;
-use crate::site::{Counts, Front, Site};
+use aniseyoke_lab_audit::{Evidence, Recorder, Seen};
+use aniseyoke_lab_day::clock::{Clock, MS};
+use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_load::{outcome_lines, Load, Percentiles};
+use aniseyoke_lab_process::{raise_descriptors, Subject};
+use aniseyoke_lab_site::{Counts, Front, Site};
 use proxies::Proxies;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -54,16 +49,6 @@
     runtime.block_on(play(day, subject, options))
 }
 
-/// Takes as many descriptors as the system lets a process have: clients and nodes of a day may need thousands.
-pub fn raise_descriptors() {
-    use nix::sys::resource::{getrlimit, setrlimit, Resource};
-    if let Ok((soft, hard)) = getrlimit(Resource::RLIMIT_NOFILE) {
-        if soft < hard && setrlimit(Resource::RLIMIT_NOFILE, hard, hard).is_err() {
-            tracing::warn!("{soft} descriptors are all that this process may have");
-        }
-    }
-}
-
 async fn play(day: &Day, subject: &dyn Subject, options: &Options<'_>) -> Result<Report, String> {
     if day.site.proxy.count > PROXIES_MOST {
         let count = day.site.proxy.count;
@@ -73,7 +58,7 @@
     }
     raise_descriptors();
     let clock = Clock::start();
-    let (out, auditor) = audit::start(day);
+    let (out, auditor) = aniseyoke_lab_audit::start(day);
     let (site_out, load_out, own_out) = (out.clone(), out.clone(), out);
     let mut site =
         Site::open(day, clock, move || Recorder::new(clock, site_out)).map_err(|e| format!("site: {e}"))?;
@@ -123,7 +108,7 @@
     let counts = site.close();
     drop(own_out);
     let verdict = auditor.join().map_err(|_| "the auditor broke".to_owned())?;
-    let (all, classes, tenants) = Report::counted(&tally);
+    let (all, classes, tenants) = outcome_lines(&tally);
     let Counts { lateness, ledger_asks, hits, misses, .. } = counts;
     let cpu: f64 = usage.iter().map(|u| u.cpu_s).sum();
     let requests = all.requests.max(1) as f64;
--- a/crates/lab/src/trial/proxies.rs
+++ b/crates/lab-trial/src/proxies.rs
@@ -1,21 +1,16 @@
 //! The proxies of a trial: started, looked at, restarted as the day says, and ended.
 
-use super::subject::{Running, Subject};
-use super::usage::Usage;
-use crate::day::Day;
-use crate::site::wire::Wire;
-use crate::site::{Front, Health};
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_process::{health, Running, Subject, Usage};
+use aniseyoke_lab_site::{Front, Health};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 /// A proxy is well within this time of its start.
 const WELL_WITHIN: Duration = Duration::from_secs(15);
-/// A look at health takes no longer.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(500);
 /// A process that was told to end is given so long beyond the longest time of any class.
 const ENDS_BEYOND: Duration = Duration::from_millis(700);
 /// It starts again so long after its end.
@@ -61,20 +56,6 @@
     }
 }
 
-/// Whether the proxy at `addr` says that it is well, within half a second.
-pub async fn health(addr: SocketAddr) -> Health {
-    let look = async {
-        let mut wire = Wire::new(TcpStream::connect(addr).await?);
-        wire.write(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await?;
-        wire.answer().await
-    };
-    match timeout(ANSWERS_WITHIN, look).await {
-        Ok(Ok(Some(answer))) if answer.status == 200 => Health::Well,
-        Ok(Ok(Some(_))) => Health::Unwell,
-        _ => Health::Dead,
-    }
-}
-
 impl<'a> Proxies<'a> {
     /// Starts one for each configuration.
     pub fn start(
--- a/crates/lab/src/trial/recovery.rs
+++ b/crates/lab-trial/src/recovery.rs
@@ -1,6 +1,6 @@
 //! How long a site takes to answer well again once a trouble has ended.
 
-use crate::day::{Day, TroubleKind};
+use aniseyoke_lab_day::{Day, TroubleKind};
 use serde::Serialize;
 use std::fmt;
 
@@ -46,7 +46,7 @@
 pub fn recoveries(day: &Day, seconds: &[(f64, f64)]) -> Vec<Recovery> {
     // The last second is a part of one.
     let seconds = &seconds[..seconds.len().saturating_sub(1)];
-    let of = |t: &crate::day::Trouble| {
+    let of = |t: &aniseyoke_lab_day::Trouble| {
         let (start, end) = (t.at.as_secs_f64(), (t.at + t.length).as_secs_f64());
         let (first, last) = (start as usize, (end.ceil() as usize).min(seconds.len()));
         if first >= last {
@@ -62,23 +62,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn recovery_counts_from_the_end_of_a_trouble_to_two_good_seconds_together() {
-        let mut day = Day::open("ledger").expect("built in");
-        // From 6 s to 14 s, and from 10 s to 15 s.
-        let mut seconds = vec![(1.0, 1.0); 26];
-        seconds[8] = (0.3, 1.0);
-        seconds[14] = (0.5, 1.0);
-        seconds[16] = (0.5, 1.0);
-        let found = recoveries(&day, &seconds);
-        assert_eq!((found[0].lowest, found[0].after_s), (0.3, Some(3.0)));
-        assert_eq!((found[1].lowest, found[1].after_s), (0.5, Some(2.0)));
-        seconds[15..].fill((0.1, 1.0));
-        assert_eq!(recoveries(&day, &seconds)[0].after_s, None);
-        day.troubles.clear();
-        assert_eq!(recoveries(&day, &seconds), []);
-    }
-}
+mod tests;
--- a/crates/lab/src/trial/report.rs
+++ b/crates/lab-trial/src/report.rs
@@ -1,64 +1,12 @@
 //! What a trial has to report: as text for a reader, as JSON for a program.
 
 use super::recovery::Recovery;
-use super::usage::Usage;
-use crate::audit::Verdict;
-use crate::load::{Row, Tally, OUTCOMES};
-use hdrhistogram::Histogram;
+use aniseyoke_lab_audit::Verdict;
+use aniseyoke_lab_load::{Line, Percentiles};
+use aniseyoke_lab_process::Usage;
 use serde::Serialize;
-use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Latencies in milliseconds.
-#[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Percentiles {
-    /// The median.
-    pub p50_ms: f64,
-    /// 90% are below it.
-    pub p90_ms: f64,
-    /// 99% are below it.
-    pub p99_ms: f64,
-    /// The longest.
-    pub max_ms: f64,
-}
-
-impl From<&Histogram<u64>> for Percentiles {
-    /// From a histogram in microseconds.
-    fn from(h: &Histogram<u64>) -> Self {
-        let at = |q| h.value_at_quantile(q) as f64 / 1e3;
-        Percentiles { p50_ms: at(0.5), p90_ms: at(0.9), p99_ms: at(0.99), max_ms: h.max() as f64 / 1e3 }
-    }
-}
-
-/// One class, or one tenant, or all.
-#[derive(Clone, Debug, Serialize)]
-pub struct Line {
-    /// Its name.
-    pub name: String,
-    /// Requests in all.
-    pub requests: u64,
-    /// Requests by outcome; those that did not occur are left out.
-    pub outcomes: BTreeMap<String, u64>,
-    /// Worth answered within its aim over worth asked for.
-    pub goodput: f64,
-    /// Latency of what was served, from the time it was due.
-    pub served: Percentiles,
-}
-
-impl From<&Row> for Line {
-    fn from(row: &Row) -> Self {
-        let name = |n: usize| format!("{:?}", OUTCOMES[n]).to_lowercase();
-        let outcomes = row.outcomes.iter().enumerate().filter(|(_, c)| **c > 0).map(|(n, c)| (name(n), *c));
-        Line {
-            name: row.name.clone(),
-            requests: row.requests(),
-            outcomes: outcomes.collect(),
-            goodput: row.goodput(),
-            served: (&row.served).into(),
-        }
-    }
-}
-
 /// A trial's report.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
@@ -108,12 +56,6 @@
         self.void.is_none() && self.audit.clean() && self.crashes.is_empty()
     }
 
-    /// Fills in what the clients counted.
-    pub(crate) fn counted(tally: &Tally) -> (Line, Vec<Line>, Vec<Line>) {
-        let lines = |rows: &[Row]| rows.iter().map(Line::from).collect();
-        ((&tally.all).into(), lines(&tally.classes), lines(&tally.tenants))
-    }
-
     /// The report as text.
     pub fn text(&self) -> String {
         let mut t = String::new();
--- a/crates/lab/src/world/budget.rs
+++ b/crates/lab-world/src/budget.rs
@@ -1,6 +1,6 @@
 //! How much may be sent to a machine: the rule under which a cold node falls and the ledger stops.
 
-use crate::clock::Nanos;
+use aniseyoke_lab_day::clock::Nanos;
 use std::collections::VecDeque;
 
 /// The work that was sent within the last stretch of time, and how much of it misses at cold nodes caused.
@@ -68,26 +68,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_burst_can_spend_the_whole_window_at_once() {
-        let mut window = Window::new(1000);
-        window.book(0, 2999, false);
-        assert!(!window.over(3.0, 1.0));
-        window.book(1, 2, true);
-        assert!(window.over(3.0, 1.0));
-        window.book(1002, 0, false);
-        assert!(!window.over(3.0, 1.0), "what is older than the window does not count");
-        assert_eq!(window.cold_part(), 0.0);
-    }
-
-    #[test]
-    fn capacity_rises_evenly() {
-        assert_eq!(warmth(0, 10, 0.4), 0.4);
-        assert!((warmth(5, 10, 0.4) - 0.7).abs() < 1e-9);
-        assert_eq!(warmth(10, 10, 0.4), 1.0);
-        assert_eq!(warmth(0, 0, 0.4), 1.0);
-    }
-}
+mod tests;
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab-world/src/lib.rs
@@ -5,6 +5,7 @@
 //! [`World::next_due`] is reached; each appends [`Effect`]s.
 
 mod budget;
+pub mod connection_load;
 mod machine;
 mod memory;
 mod roster;
@@ -18,9 +19,9 @@
 pub use troubles::Stroke;
 pub use value::{work, Catalogue};
 
-use crate::clock::{mix, nanos, Nanos};
-use crate::day::Day;
 use aniseyoke_decision::api::Load;
+use aniseyoke_lab_day::clock::{mix, nanos, Nanos};
+use aniseyoke_lab_day::Day;
 use machine::{Admitted, Machine, Spec};
 use memory::Memory;
 use std::cmp::Reverse;
@@ -153,7 +154,7 @@
 /// What is remembered of misses and repeats: so many, the oldest forgotten first.
 const REMEMBERED_MOST: usize = 1 << 17;
 /// A miss waits so long for the ledger's answer that is stored where it missed.
-const MISS_KEPT: Nanos = 10 * crate::clock::SECOND;
+const MISS_KEPT: Nanos = 10 * aniseyoke_lab_day::clock::SECOND;
 /// A value is stored at the first so many nodes that missed.
 const STORED_AT: usize = 2;
 
--- a/crates/lab/src/world/serve.rs
+++ b/crates/lab-world/src/serve.rs
@@ -1,8 +1,8 @@
 //! What becomes of a request at a member: it runs, is known as a repeat, misses, is stored, is answered.
 
 use super::*;
-use crate::clock::part;
-use crate::day::TroubleKind;
+use aniseyoke_lab_day::clock::part;
+use aniseyoke_lab_day::TroubleKind;
 
 impl World {
     /// A write counts as run from here; of a repeat only the first does.
--- a/crates/lab/src/world/strike.rs
+++ b/crates/lab-world/src/strike.rs
@@ -1,7 +1,7 @@
 //! What happens to the members by themselves: processes end and return, nodes fall, troubles strike.
 
 use super::*;
-use crate::clock::part;
+use aniseyoke_lab_day::clock::part;
 
 impl World {
     pub(super) fn set_process(&mut self, member: usize, process: Process, out: &mut Vec<Effect>) {
--- a/crates/lab/src/world/tests.rs
+++ b/crates/lab-world/src/tests.rs
@@ -1,7 +1,7 @@
 //! The model driven by hand, in the time that the test tells.
 
 use super::*;
-use crate::clock::{MS, SECOND};
+use aniseyoke_lab_day::clock::{MS, SECOND};
 
 struct Driver {
     world: World,
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab-world/src/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles taken apart into single strokes, each at its time, drawn by the day's seed alone.
 
-use crate::clock::{mix, nanos, Nanos, MS, SECOND};
-use crate::day::{Day, Trouble, TroubleKind};
+use aniseyoke_lab_day::clock::{mix, nanos, Nanos, MS, SECOND};
+use aniseyoke_lab_day::{Day, Trouble, TroubleKind};
 
 /// One thing that happens to the site.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -8,13 +8,13 @@
 mod slopes;
 mod versions;
 
-use aniseyoke_lab::audit::Recorder;
-use aniseyoke_lab::clock::{Clock, MS};
-use aniseyoke_lab::day::{proxy_config, Day, BUILTIN};
-use aniseyoke_lab::floor;
-use aniseyoke_lab::load::Load;
-use aniseyoke_lab::site::{Front, Site};
-use aniseyoke_lab::trial::{self, find_file, find_proxy, Options, Percentiles, Program, Report, Subject};
+use aniseyoke_lab_audit::Recorder;
+use aniseyoke_lab_day::clock::{Clock, MS};
+use aniseyoke_lab_day::{proxy_config, Day, BUILTIN};
+use aniseyoke_lab_load::{Load, Percentiles};
+use aniseyoke_lab_process::{find_file, find_proxy, Program, Subject};
+use aniseyoke_lab_site::{Front, Site};
+use aniseyoke_lab_trial::{Options, Report};
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::net::SocketAddr;
@@ -191,7 +191,7 @@
 /// Does what the command line asks.
 pub fn run() -> ExitCode {
     let command = Cli::parse().command;
-    trial::raise_descriptors();
+    aniseyoke_lab_process::raise_descriptors();
     let done = match command {
         Command::Try(args) => try_day(&args),
         Command::Compare(args) => compare(&args),
@@ -243,7 +243,8 @@
     bar.set_style(style);
     bar.set_message(day.name.clone());
     let progress: Box<dyn Fn(f64)> = Box::new(|part| bar.set_position((part * 1000.0) as u64));
-    let report = trial::run(day, subject, &Options { stop: stop.clone(), progress: Some(progress) });
+    let report =
+        aniseyoke_lab_trial::run(day, subject, &Options { stop: stop.clone(), progress: Some(progress) });
     bar.finish_and_clear();
     report
 }
@@ -285,7 +286,7 @@
     let mut curves = Vec::new();
     for (name, subject) in builds {
         let options = Options { stop: stop.clone(), progress: None };
-        curves.push(trial::sweep(&name, &day, &subject, &args.times, &options)?);
+        curves.push(aniseyoke_lab_trial::sweep(&name, &day, &subject, &args.times, &options)?);
     }
     println!("day {}, {} requests a second at 1 time", day.name, day.load.rate);
     for curve in &curves {
@@ -303,7 +304,7 @@
         println!("peak {:.0} a second; {:.1}% of it held beyond", curve.peak(), curve.held() * 100.0);
     }
     if let Some(svg) = &args.svg {
-        trial::plot(&format!("Goodput against load, day {}", day.name), &curves, svg)?;
+        aniseyoke_lab_trial::plot(&format!("Goodput against load, day {}", day.name), &curves, svg)?;
     }
     keep(&curves, args.json.as_deref())?;
     Ok(curves.iter().all(|c| c.points.iter().all(|p| p.clean)))
@@ -435,11 +436,11 @@
         }
         DayCommand::Check { file } => {
             let day = Day::open(file).map_err(|e| e.to_string())?;
-            let arrivals = aniseyoke_lab::load::Plan::new(&day).count();
+            let arrivals = aniseyoke_lab_load::Plan::new(&day).count();
             println!("{file}: sound; {arrivals} arrivals, {} troubles", day.troubles.len());
         }
         DayCommand::Show { name } => {
-            let text = aniseyoke_lab::day::builtin(name).ok_or(format!("there is no built-in day {name}"))?;
+            let text = aniseyoke_lab_day::builtin(name).ok_or(format!("there is no built-in day {name}"))?;
             print!("{text}");
         }
     }
@@ -452,6 +453,6 @@
     let config = serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    tokio::task::LocalSet::new().block_on(&runtime, floor::serve(&config))?;
+    tokio::task::LocalSet::new().block_on(&runtime, crate::pass_through::serve(&config))?;
     Ok(true)
 }
--- a/crates/lab/src/cli/capacity.rs
+++ b/crates/lab/src/cli/capacity.rs
@@ -1,6 +1,6 @@
 //! The capacity page.
 
-use aniseyoke_lab::capacity::{differs, page};
+use aniseyoke_lab_capacity::{differs, page};
 use clap::Args;
 use std::path::PathBuf;
 
--- a/crates/lab/src/cli/chaos.rs
+++ b/crates/lab/src/cli/chaos.rs
@@ -1,9 +1,9 @@
 //! `chaos`: an experiment of the fault rig.
 
-use aniseyoke_lab::rig::plan::Plan;
-use aniseyoke_lab::rig::play::{self, day_of};
-use aniseyoke_lab::rig::report;
-use aniseyoke_lab::trial::{find_file, find_proxy, Program};
+use aniseyoke_lab_process::{find_file, find_proxy, Program};
+use aniseyoke_lab_rig::plan::Plan;
+use aniseyoke_lab_rig::play::{self, day_of};
+use aniseyoke_lab_rig::report;
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/lab/src/cli/keeper.rs
+++ b/crates/lab/src/cli/keeper.rs
@@ -1,7 +1,7 @@
 //! Serves as a memcached server, for client libraries of others.
 
 use super::until_interrupted;
-use aniseyoke_lab::keeper::{Keeper, Server};
+use aniseyoke_lab_memcached_server::{Keeper, Server};
 use clap::Args;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::num::NonZeroUsize;
--- a/crates/lab/src/cli/scale.rs
+++ b/crates/lab/src/cli/scale.rs
@@ -1,10 +1,10 @@
 //! Plays an experiment of the scale run.
 
 use super::until_interrupted;
-use aniseyoke_lab::scale::plan::Plan;
-use aniseyoke_lab::scale::play::{self, Programs};
-use aniseyoke_lab::scale::{host, report};
-use aniseyoke_lab::trial::{find_control, find_proxy};
+use aniseyoke_lab_process::{find_control, find_proxy};
+use aniseyoke_lab_scale::plan::Plan;
+use aniseyoke_lab_scale::play::{self, Programs};
+use aniseyoke_lab_scale::{host, report};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
             println!("{:8.3} s  {step:?}", at.as_secs_f64());
         }
         println!("{} purges, {} changes", schedule.purges.len(), schedule.changes.len());
-        for (who, need, why) in aniseyoke_lab::scale::need::needs(&plan, args.seed) {
+        for (who, need, why) in aniseyoke_lab_scale::need::needs(&plan, args.seed) {
             println!("{who}: {need} descriptors, {why}");
         }
         return Ok(true);
--- a/crates/lab/src/cli/sim.rs
+++ b/crates/lab/src/cli/sim.rs
@@ -1,7 +1,7 @@
 //! `sim`: a day in simulated time.
 
 use super::Which;
-use aniseyoke_lab::sim::{Counts, Options, Service, Sim};
+use aniseyoke_lab_sim::{Counts, Options, Service, Sim};
 use clap::Args;
 use rayon::prelude::*;
 use std::time::{Duration, Instant};
--- a/crates/lab/src/cli/slopes.rs
+++ b/crates/lab/src/cli/slopes.rs
@@ -1,7 +1,7 @@
 //! Measures slopes.
 
-use aniseyoke_lab::slopes::{called, keep, measure, Setup, Slope};
-use aniseyoke_lab::trial::{find_control, find_proxy};
+use aniseyoke_lab_capacity::slopes::{called, keep, measure, Setup, Slope};
+use aniseyoke_lab_process::{find_control, find_proxy};
 use clap::Args;
 use std::path::PathBuf;
 
--- a/crates/lab/src/cli/versions.rs
+++ b/crates/lab/src/cli/versions.rs
@@ -1,8 +1,9 @@
 //! Measures versions of the configuration at a fleet of real proxies.
 
 use super::keep;
-use aniseyoke_lab::fleet::{measure, Size};
-use aniseyoke_lab::trial::{find_proxy, Percentiles};
+use aniseyoke_lab_load::Percentiles;
+use aniseyoke_lab_process::find_proxy;
+use aniseyoke_lab_scale::versions::{measure, Size};
 use clap::Args;
 use std::path::PathBuf;
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,6 +2,7 @@
 #![forbid(unsafe_code)]
 
 mod cli;
+mod pass_through;
 
 use std::process::ExitCode;
 
--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -4,9 +4,9 @@
 #[path = "broken/proxy.rs"]
 mod proxy;
 
-use aniseyoke_lab::audit::Rule;
-use aniseyoke_lab::day::Day;
-use aniseyoke_lab::trial::{run, Options, Report};
+use aniseyoke_lab_audit::Rule;
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_trial::{run, Options, Report};
 use proxy::Fault;
 
 /// A short day of a small site.
--- a/crates/lab/tests/broken/proxy.rs
+++ b/crates/lab/tests/broken/proxy.rs
@@ -1,7 +1,7 @@
 //! A small proxy that keeps the rules, but for the one that it is told to break.
 
-use aniseyoke_lab::site::wire::{Answered, Asked, Wire};
-use aniseyoke_lab::trial::{Running, Subject};
+use aniseyoke_lab_process::{Running, Subject};
+use aniseyoke_lab_site::wire::{Answered, Asked, Wire};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! The capacity page says what slopes and runs say, and a page that does not is found out.
 
-use aniseyoke_lab::capacity::{differs, page};
+use aniseyoke_lab_capacity::{differs, page};
 use std::path::{Path, PathBuf};
 
 fn docs() -> PathBuf {
--- a/crates/lab/tests/cold.rs
+++ b/crates/lab/tests/cold.rs
@@ -2,9 +2,9 @@
 //! them killed and started again on kept and on spoilt lists, one standing still, one with a wrong clock. Together they
 //! never ask the list service more than once each in a cycle, and no rule is broken.
 
-use aniseyoke_lab::rig::plan::Plan;
-use aniseyoke_lab::rig::play::{self, day_of};
-use aniseyoke_lab::trial::{find_proxy, Program};
+use aniseyoke_lab_process::{find_proxy, Program};
+use aniseyoke_lab_rig::plan::Plan;
+use aniseyoke_lab_rig::play::{self, day_of};
 use std::sync::atomic::AtomicBool;
 
 const PROXIES: u64 = 8;
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,7 +1,8 @@
 //! The real proxy, as a child, through shortened days: no rule is broken, and the verdict is the same each time.
 
-use aniseyoke_lab::day::Day;
-use aniseyoke_lab::trial::{find_proxy, run, Options, Program, Report};
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_process::{find_proxy, Program};
+use aniseyoke_lab_trial::{run, Options, Report};
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard};
 
--- a/crates/lab/tests/rig.rs
+++ b/crates/lab/tests/rig.rs
@@ -1,9 +1,9 @@
 //! Real proxies through the fault rig: parted and killed while clients ask, no rule broken; and a rig that is killed
 //! outright takes its proxies along.
 
-use aniseyoke_lab::rig::plan::Plan;
-use aniseyoke_lab::rig::play::{self, day_of};
-use aniseyoke_lab::trial::{find_proxy, Program};
+use aniseyoke_lab_process::{find_proxy, Program};
+use aniseyoke_lab_rig::plan::Plan;
+use aniseyoke_lab_rig::play::{self, day_of};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::{Command, Stdio};
