--- a/crates/lab-audit/src/evidence.rs
+++ b/crates/lab-audit/src/evidence.rs
@@ -1,13 +1,13 @@
-//! What was seen on the sockets: by clients on one side, by nodes and discovery on the other. Never the proxy's word.
+//! What was observed on the sockets: by clients on one side, by nodes and discovery on the other, never by the proxy itself.
 
 use aniseyoke_lab_day::clock::{Clock, Nanos};
-use aniseyoke_lab_world::Standing;
+use aniseyoke_lab_world::EndpointState;
 use std::cell::RefCell;
 use std::sync::mpsc::SyncSender;
 
-/// Something that was seen.
+/// Something that was observed. Histories of requests in reports show these as they are named here.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A client has begun to send a request.
     Began {
         /// The request.
@@ -26,7 +26,7 @@
         /// Another request went over the connection before.
         reused: bool,
     },
-    /// A whole answer has come.
+    /// A whole response has come.
     Answered {
         /// The request.
         request: u64,
@@ -35,24 +35,24 @@
         /// A digest of its body.
         digest: u64,
     },
-    /// More came behind the answer than belongs to it.
+    /// More bytes came after the response than belong to it.
     Surplus {
         /// The request.
         request: u64,
     },
-    /// The proxy ended the connection without a whole answer.
+    /// The proxy ended the connection without a whole response.
     Broken {
         /// The request.
         request: u64,
-        /// A part of an answer had come.
+        /// Whether a part of a response had come.
         partial: bool,
     },
-    /// No answer came while the client waited.
+    /// No response came before the client gave up.
     GaveUp {
         /// The request.
         request: u64,
     },
-    /// The client left by itself.
+    /// The client disconnected by itself.
     Left {
         /// The request.
         request: u64,
@@ -73,14 +73,14 @@
         /// The attempt.
         attempt: u64,
     },
-    /// A write has begun to run.
+    /// A write has begun to execute.
     Ran {
         /// The request.
         request: u64,
         /// The attempt.
         attempt: u64,
     },
-    /// A member has made an answer, or has dropped the attempt.
+    /// A member has made a response, or has dropped the attempt.
     Made {
         /// The request.
         request: u64,
@@ -90,9 +90,9 @@
         status: u16,
         /// A digest of its body.
         digest: u64,
-        /// The member says that it never ran.
+        /// Whether the member says that it was never executed.
         never_ran: bool,
-        /// It is sent whole and sound.
+        /// Whether it is sent whole and valid.
         sound: bool,
     },
     /// A request arrived at a member with an id that can't be read, or with none.
@@ -105,80 +105,80 @@
         /// The member.
         member: usize,
         /// How it is listed.
-        standing: Standing,
+        standing: EndpointState,
     },
-    /// Discovery has written this to a proxy.
+    /// Discovery has notified a proxy of this.
     Told {
         /// The proxy.
         proxy: usize,
         /// The member.
         member: usize,
         /// How it is listed.
-        standing: Standing,
+        standing: EndpointState,
     },
-    /// A cold node fell.
+    /// A cold node went down by overload.
     Fell {
         /// The member.
         member: usize,
     },
-    /// The ledger stopped.
+    /// The origin went down by overload.
     Stopped {
-        /// The part of its load that misses at cold nodes caused.
+        /// The fraction of its load that misses at cold nodes caused.
         cold_part: f64,
     },
-    /// A proxy started, by its own process, and has been told nothing yet.
+    /// A proxy's process started; it has been notified of nothing yet.
     Started {
         /// The proxy.
         proxy: usize,
     },
-    /// The fault rig killed or paused a proxy; what was out there, or is sent there before `until`, may go unanswered.
+    /// The fault rig killed or paused a proxy; requests in flight there, or sent there before `until`, may go unanswered.
     Struck {
         /// The proxy.
         proxy: usize,
         /// When it is back, on the same clock.
-        until: aniseyoke_lab_day::clock::Nanos,
+        until: Nanos,
     },
-    /// A proxy ended that should not have.
+    /// A proxy crashed.
     Crashed {
         /// The proxy.
         proxy: usize,
     },
 }
 
-impl Seen {
+impl Observation {
     /// The request that it is about, if any.
     pub fn request(&self) -> Option<u64> {
         match *self {
-            Seen::Began { request, .. }
-            | Seen::Asked { request, .. }
-            | Seen::Answered { request, .. }
-            | Seen::Surplus { request }
-            | Seen::Broken { request, .. }
-            | Seen::GaveUp { request }
-            | Seen::Left { request }
-            | Seen::Reached { request, .. }
-            | Seen::Arrived { request, .. }
-            | Seen::Ran { request, .. }
-            | Seen::Made { request, .. } => Some(request),
+            Observation::Began { request, .. }
+            | Observation::Asked { request, .. }
+            | Observation::Answered { request, .. }
+            | Observation::Surplus { request }
+            | Observation::Broken { request, .. }
+            | Observation::GaveUp { request }
+            | Observation::Left { request }
+            | Observation::Reached { request, .. }
+            | Observation::Arrived { request, .. }
+            | Observation::Ran { request, .. }
+            | Observation::Made { request, .. } => Some(request),
             _ => None,
         }
     }
 }
 
-/// Something seen, and when.
+/// Something observed, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evidence {
-    /// When.
+    /// When it was observed.
     pub at: Nanos,
-    /// What.
-    pub seen: Seen,
+    /// What was observed.
+    pub observed: Observation,
 }
 
-/// Evidence goes to the auditor in batches of so many.
+/// Evidence is handed to the auditor in batches of this many.
 const BATCH: usize = 256;
 
-/// One thread's way to the auditor. A full channel holds the thread up, which its lateness then shows; evidence is
-/// never dropped.
+/// Records evidence of one thread for the auditor. A full channel blocks the thread, which its lateness then shows;
+/// evidence is never dropped.
 pub struct Recorder {
     clock: Clock,
     batch: RefCell<Vec<Evidence>>,
@@ -186,34 +186,34 @@
 }
 
 impl Recorder {
-    /// Writes to an auditor.
+    /// A recorder that hands evidence to an auditor.
     pub fn new(clock: Clock, out: SyncSender<Vec<Evidence>>) -> Self {
         Recorder { clock, batch: RefCell::default(), out: Some(out) }
     }
 
-    /// Writes nowhere.
-    pub fn nowhere(clock: Clock) -> Self {
+    /// A recorder that discards everything.
+    pub fn discarding(clock: Clock) -> Self {
         Recorder { clock, batch: RefCell::default(), out: None }
     }
 
-    /// Notes what is seen now.
-    pub fn note(&self, seen: Seen) {
-        self.note_at(self.clock.now(), seen);
+    /// Records an observation of now.
+    pub fn note(&self, observed: Observation) {
+        self.note_at(self.clock.now(), observed);
     }
 
-    /// Notes what was seen then.
-    pub fn note_at(&self, at: Nanos, seen: Seen) {
+    /// Records an earlier observation.
+    pub fn note_at(&self, at: Nanos, observed: Observation) {
         if self.out.is_none() {
             return;
         }
         let mut batch = self.batch.borrow_mut();
-        batch.push(Evidence { at, seen });
+        batch.push(Evidence { at, observed });
         if batch.len() >= BATCH {
             self.send(std::mem::take(&mut batch));
         }
     }
 
-    /// Hands over what has been noted.
+    /// Hands over what has been recorded.
     pub fn flush(&self) {
         let batch = self.batch.take();
         if !batch.is_empty() {
--- a/crates/lab-audit/src/lib.rs
+++ b/crates/lab-audit/src/lib.rs
@@ -1,10 +1,12 @@
-//! Holds what was seen against the rules. Each request is judged on its own some seconds after its end, and then
-//! forgotten; what concerns the whole site is judged as it is seen.
+//! The auditor: checks what was observed on the sockets against the rules. Each request is judged on its own some seconds
+//! after its end, and then forgotten; what concerns the whole site is judged as it is observed.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 mod evidence;
 mod rules;
 
-pub use evidence::{Evidence, Recorder, Seen};
+pub use evidence::{Evidence, Observation, Recorder};
 pub use rules::{Judge, Rule};
 
 use aniseyoke_lab_day::clock::{nanos, Nanos, SECOND};
@@ -15,58 +17,58 @@
 use std::thread::JoinHandle;
 
 /// Batches that may wait for the auditor.
-const WAITING_MOST: usize = 4096;
+const MAX_WAITING: usize = 4096;
 /// Violations that are kept with their history; the rest are counted.
-const KEPT_MOST: usize = 20;
-/// More than one in so many requests of clients that have left, sent on late, fail a day.
-const SENT_LATE_PART: u64 = 4;
-/// So many attempts of a day may begin late for clients that have left.
-const ATTEMPTS_LATE_MOST: u64 = 2;
-/// What is kept of one request's history.
-const HISTORY_MOST: usize = 64;
+const MAX_KEPT: usize = 20;
+/// A day fails if more than one in this many requests of disconnected clients is forwarded late.
+const FORWARDED_AFTER_ABORT_DIVISOR: u64 = 4;
+/// Attempts of a day that may begin late for disconnected clients.
+const MAX_ATTEMPTS_AFTER_ABORT: u64 = 2;
+/// Observations that are kept of one request.
+const MAX_HISTORY: usize = 64;
 
 /// A broken rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
     /// What happened.
     pub what: String,
-    /// Everything seen of the request, in order, one line each.
+    /// Everything observed of the request, in order, one line each.
     pub history: Vec<String>,
 }
 
-/// What the auditor found.
+/// The auditor's verdict on a day.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     /// Requests judged.
     pub requests: u64,
     /// Attempts that reached a member.
     pub attempts: u64,
-    /// Requests on a new connection that was closed before anything of them went on. No rule is broken by these.
-    pub closed_at_the_door: u64,
-    /// Requests whose clients left before they had an answer.
-    #[serde(default)]
+    /// Requests on a new connection that was closed before anything of them was forwarded. They break no rule.
+    #[serde(rename = "closed_at_the_door")]
+    pub closed_before_forwarding: u64,
+    /// Requests whose clients disconnected before their response.
     pub left: u64,
-    /// Those of them that were sent on later than 0.3 s after that. A day fails if they are more than a quarter.
-    #[serde(default)]
-    pub sent_for_nobody: u64,
+    /// Those of them that were forwarded later than 0.3 s after that. A day fails if they are more than a quarter.
+    #[serde(rename = "sent_for_nobody")]
+    pub forwarded_after_abort: u64,
     /// The first of them.
-    #[serde(default)]
-    pub sent_late: Option<Violation>,
-    /// Attempts that began later than 0.1 s after the client had left. Each from the third on breaks a rule.
-    #[serde(default)]
-    pub attempts_for_nobody: u64,
-    /// Requests that went unanswered at a proxy that the fault rig killed or paused meanwhile. No rule is broken by these.
-    #[serde(default)]
-    pub struck: u64,
-    /// Rules on running twice broken by requests that went unanswered at a proxy that the rig killed, and that their
-    /// clients asked again at another proxy. Counted apart, since proxies share nothing until takeover is built.
-    #[serde(default)]
-    pub struck_twice: BTreeMap<Rule, u64>,
-    /// Some of those, with what was seen of them.
-    #[serde(default)]
-    pub struck_violations: Vec<Violation>,
+    #[serde(rename = "sent_late")]
+    pub first_forwarded_after_abort: Option<Violation>,
+    /// Attempts that began later than 0.1 s after the client had disconnected. Each from the third on breaks a rule.
+    #[serde(rename = "attempts_for_nobody")]
+    pub attempts_after_abort: u64,
+    /// Requests that went unanswered at a proxy that the fault rig killed or paused meanwhile. They break no rule.
+    #[serde(rename = "struck")]
+    pub proxy_faulted: u64,
+    /// Rules on executing twice broken by requests that went unanswered at a proxy that the rig killed, and that their
+    /// clients retried at another proxy. Counted apart, since proxies share nothing until takeover is built.
+    #[serde(rename = "struck_twice")]
+    pub repeated_after_kill: BTreeMap<Rule, u64>,
+    /// Some of those, with what was observed of them.
+    #[serde(rename = "struck_violations")]
+    pub violations_after_kill: Vec<Violation>,
     /// Broken rules, counted.
     pub broken: BTreeMap<Rule, u64>,
     /// The first of them.
@@ -81,16 +83,16 @@
 
     fn add(&mut self, violation: Violation) {
         *self.broken.entry(violation.rule).or_default() += 1;
-        if self.violations.len() < KEPT_MOST {
+        if self.violations.len() < MAX_KEPT {
             self.violations.push(violation);
         }
     }
 }
 
-/// The auditor at work: takes evidence in, in any order within some seconds.
+/// An auditor at work. Evidence may come in any order within some seconds.
 pub struct Auditor {
     judge: Judge,
-    /// A request is judged so long after it was first seen: all about it is over by then.
+    /// A request is judged this long after it was first observed; all about it is over by then.
     horizon: Nanos,
     cases: HashMap<u64, Vec<Evidence>>,
     queue: VecDeque<(Nanos, u64)>,
@@ -101,9 +103,9 @@
 impl Auditor {
     /// An auditor for a day.
     pub fn new(day: &Day) -> Self {
-        let longest = day.load.classes.iter().map(|c| nanos(c.give_up)).max().unwrap_or(0);
-        // Slow clients take a while longer, and a repeat is looked for until its mark is forgotten.
-        let horizon = longest + nanos(day.site.ledger.repeats) + 4 * SECOND;
+        let longest = day.load.classes.iter().map(|c| nanos(c.deadline)).max().unwrap_or(0);
+        // Slow clients take a while longer, and repeats are looked for until the idempotency key is forgotten.
+        let horizon = longest + nanos(day.site.origin.dedup_window) + 4 * SECOND;
         Auditor {
             judge: Judge::new(day),
             horizon,
@@ -114,11 +116,11 @@
         }
     }
 
-    /// Takes something in.
+    /// Takes a piece of evidence in.
     pub fn take(&mut self, evidence: Evidence) {
         self.latest = self.latest.max(evidence.at);
-        let Some(request) = evidence.seen.request() else {
-            if let Some(violation) = self.judge.site(&evidence) {
+        let Some(request) = evidence.observed.request() else {
+            if let Some(violation) = self.judge.judge_site(&evidence) {
                 self.verdict.add(violation);
             }
             return;
@@ -128,7 +130,7 @@
             queue.push_back((evidence.at, request));
             Vec::with_capacity(8)
         });
-        if case.len() < HISTORY_MOST {
+        if case.len() < MAX_HISTORY {
             case.push(evidence);
         }
     }
@@ -145,39 +147,39 @@
         let Some(mut history) = self.cases.remove(&request) else { return };
         history.sort_by_key(|e| e.at);
         self.verdict.requests += 1;
-        let reached = |e: &&Evidence| matches!(e.seen, Seen::Reached { .. });
+        let reached = |e: &&Evidence| matches!(e.observed, Observation::Reached { .. });
         self.verdict.attempts += history.iter().filter(reached).count() as u64;
-        let found = self.judge.request(&history);
-        self.verdict.closed_at_the_door += u64::from(found.closed_at_the_door);
-        self.verdict.left += u64::from(found.left.is_some());
-        if found.left.is_some_and(|left| left.sent_on) {
-            self.verdict.sent_for_nobody += 1;
-            self.verdict.sent_late.get_or_insert_with(|| Violation {
+        let findings = self.judge.judge_request(&history);
+        self.verdict.closed_before_forwarding += u64::from(findings.closed_before_forwarding);
+        self.verdict.left += u64::from(findings.left.is_some());
+        if findings.left.is_some_and(|left| left.forwarded_late) {
+            self.verdict.forwarded_after_abort += 1;
+            self.verdict.first_forwarded_after_abort.get_or_insert_with(|| Violation {
                 rule: Rule::SentForNobody,
                 what: "sent on after its client had left".into(),
-                history: told(&history),
+                history: history_lines(&history),
             });
         }
-        for _ in 0..found.left.map_or(0, |left| left.attempts) {
-            self.verdict.attempts_for_nobody += 1;
-            if self.verdict.attempts_for_nobody > ATTEMPTS_LATE_MOST {
+        for _ in 0..findings.left.map_or(0, |left| left.attempts) {
+            self.verdict.attempts_after_abort += 1;
+            if self.verdict.attempts_after_abort > MAX_ATTEMPTS_AFTER_ABORT {
                 self.verdict.add(Violation {
                     rule: Rule::AttemptForNobody,
                     what: "an attempt began after its client had left".into(),
-                    history: told(&history),
+                    history: history_lines(&history),
                 });
             }
         }
-        self.verdict.struck += u64::from(found.struck);
-        for (rule, what) in found.struck_twice {
-            *self.verdict.struck_twice.entry(rule).or_default() += 1;
-            if self.verdict.struck_violations.len() < KEPT_MOST {
-                let history = told(&history);
-                self.verdict.struck_violations.push(Violation { rule, what, history });
+        self.verdict.proxy_faulted += u64::from(findings.proxy_faulted);
+        for (rule, what) in findings.repeated_after_kill {
+            *self.verdict.repeated_after_kill.entry(rule).or_default() += 1;
+            if self.verdict.violations_after_kill.len() < MAX_KEPT {
+                let history = history_lines(&history);
+                self.verdict.violations_after_kill.push(Violation { rule, what, history });
             }
         }
-        for (rule, what) in found.broken {
-            self.verdict.add(Violation { rule, what, history: told(&history) });
+        for (rule, what) in findings.broken {
+            self.verdict.add(Violation { rule, what, history: history_lines(&history) });
         }
     }
 
@@ -186,22 +188,22 @@
         while !self.queue.is_empty() {
             self.judge_next();
         }
-        if self.verdict.sent_for_nobody * SENT_LATE_PART > self.verdict.left {
-            let first = self.verdict.sent_late.clone();
+        if self.verdict.forwarded_after_abort * FORWARDED_AFTER_ABORT_DIVISOR > self.verdict.left {
+            let first = self.verdict.first_forwarded_after_abort.clone();
             first.into_iter().for_each(|violation| self.verdict.add(violation));
         }
         self.verdict
     }
 }
 
-/// What was seen of a request, a line each.
-fn told(history: &[Evidence]) -> Vec<String> {
-    history.iter().map(|e| format!("{:9.3} s  {:?}", e.at as f64 / 1e9, e.seen)).collect()
+/// What was observed of a request, a line each.
+fn history_lines(history: &[Evidence]) -> Vec<String> {
+    history.iter().map(|e| format!("{:9.3} s  {:?}", e.at as f64 / 1e9, e.observed)).collect()
 }
 
 /// Starts an auditor on a thread of its own; it ends, with its verdict, once every recorder is gone.
 pub fn start(day: &Day) -> (SyncSender<Vec<Evidence>>, JoinHandle<Verdict>) {
-    let (out, evidence): (_, Receiver<Vec<Evidence>>) = sync_channel(WAITING_MOST);
+    let (out, evidence): (_, Receiver<Vec<Evidence>>) = sync_channel(MAX_WAITING);
     let mut auditor = Auditor::new(day);
     let judge = move || {
         for batch in evidence {
--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -1,178 +1,185 @@
-//! The rules, each as a judgement over what was seen of one request, or of the site.
+//! The rules, each checked against everything that was observed of one request, or of the site.
 
-use super::{Evidence, Seen, Violation};
-use aniseyoke_lab_day::clock::{nanos, Nanos, MS, SECOND};
-use aniseyoke_lab_day::{Day, Effect};
-use aniseyoke_lab_world::Standing;
+use super::{Evidence, Observation, Violation};
+use aniseyoke_lab_day::clock::{nanos, Nanos, MILLISECOND, SECOND};
+use aniseyoke_lab_day::{Day, Idempotency};
+use aniseyoke_lab_world::EndpointState;
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// What must hold.
+/// A rule that a proxy must keep. The names are those of reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A request that was taken gets a final answer.
+    /// An accepted request gets a final response.
     Lost,
-    /// It gets it while its client waits.
+    /// It gets it before its client gives up.
     Unanswered,
-    /// It gets one, and nothing behind it.
+    /// It gets one response, and no bytes after it.
     AnsweredTwice,
-    /// What must not run twice is not sent again once it may have run.
+    /// A request that is not idempotent is not sent again once it may have been executed.
     RanTwice,
-    /// What carries a key is not sent again once its mark may be forgotten.
+    /// A request with an idempotency key is not sent again once the key may have been forgotten.
     KeyedTwice,
-    /// Nothing new goes to a node 2 s after it was told that it drains or is gone.
+    /// Nothing new goes to a node 2 s after the proxy was notified that it is draining or gone.
     Drain,
-    /// No cold node is pushed over.
+    /// No cold node goes down by overload.
     ColdFall,
-    /// Nor is the ledger by misses at cold nodes.
+    /// Nor does the origin by misses at cold nodes.
     LedgerStop,
-    /// Every answer is one that a node made for that request.
+    /// Every response is one that a node made for that request.
     ForeignAnswer,
     /// Every request at a node is one that a client sent.
     ForeignRequest,
-    /// What clients asked for that have left is not sent on later: a day fails if more than a quarter of it is.
+    /// Requests of clients that have disconnected are not forwarded later: a day fails if more than a quarter of them are.
     SentForNobody,
-    /// Nor does any attempt begin for them soon after that: from the third of a day on each is a break.
+    /// Nor does any attempt begin for them soon after that: each from the third of a day on breaks the rule.
     AttemptForNobody,
-    /// A proxy does not end by itself.
+    /// A proxy does not crash.
     Crash,
 }
 
-/// A proxy may go on sending to a node for so long after it was told that it drains or is gone.
+/// A proxy may go on sending to a node for this long after it was notified that the node is draining or gone.
 const DRAIN_GRACE: Nanos = 2 * SECOND;
-/// What is listed counts as told by then, whether a proxy asked or not.
-const TOLD_BY: Nanos = 6 * SECOND;
-/// All limits of time are so much longer on sockets.
-const SLACK: Nanos = 50 * MS;
-/// From so long after a client has left nothing is sent on for it.
-const LEFT_FOR: Nanos = 300 * MS;
-/// From so long after a client has left no attempt begins for it.
-const ATTEMPTS_END: Nanos = 100 * MS;
-/// The ledger's stop breaks the rule if misses at cold nodes caused more than this part of its load.
-const COLD_PART: f64 = 0.3;
+/// A change of the list counts as notified by then, whether the proxy polled or not.
+const NOTIFIED_WITHIN: Nanos = 6 * SECOND;
+/// Tolerance of all time limits on sockets.
+const SLACK: Nanos = 50 * MILLISECOND;
+/// From this long after its client has disconnected a request is no longer forwarded.
+const FORWARDING_ENDS_WITHIN: Nanos = 300 * MILLISECOND;
+/// From this long after its client has disconnected no attempt begins for a request.
+const ATTEMPTS_END_WITHIN: Nanos = 100 * MILLISECOND;
+/// An overload of the origin breaks the rule if misses at cold nodes caused more than this fraction of its load.
+const MAX_COLD_FRACTION: f64 = 0.3;
 
-/// What came of one request.
+/// What was found about one request.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct Findings {
     /// Broken rules, and how.
     pub broken: Vec<(Rule, String)>,
-    /// It was turned away with its connection before anything of it went on.
-    pub closed_at_the_door: bool,
-    /// Its client left before it had an answer; and what was done for it after that.
-    pub left: Option<AfterLeaving>,
-    /// It went unanswered at a proxy that the rig killed or paused meanwhile; that breaks no rule.
-    pub struck: bool,
-    /// Rules on running twice that it broke after the rig struck its proxy, when its client asked again elsewhere.
-    pub struck_twice: Vec<(Rule, String)>,
+    /// Its connection was closed before anything of it was forwarded.
+    pub closed_before_forwarding: bool,
+    /// What was done for it after its client had disconnected without a response; none if the client stayed.
+    pub left: Option<AfterAbort>,
+    /// It went unanswered at a proxy that the rig killed or paused meanwhile, which breaks no rule.
+    pub proxy_faulted: bool,
+    /// Rules on executing twice that it broke after the rig killed its proxy and its client retried elsewhere.
+    pub repeated_after_kill: Vec<(Rule, String)>,
 }
 
-impl Found {
-    fn breaks(&mut self, rule: Rule, what: impl Into<String>) {
+impl Findings {
+    fn add(&mut self, rule: Rule, what: impl Into<String>) {
         self.broken.push((rule, what.into()));
     }
 }
 
-/// What was done for a request after its client had left without an answer.
+/// What was done for a request after its client had disconnected without a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AfterLeaving {
-    /// It was sent on later than it may be.
-    pub sent_on: bool,
+pub struct AfterAbort {
+    /// It was forwarded later than it may be.
+    pub forwarded_late: bool,
     /// Attempts, first or further, that began later than they may.
     pub attempts: u64,
 }
 
-/// What was done for a request after its client had left; none: it stayed.
-fn after_leaving(history: &[Evidence]) -> Option<AfterLeaving> {
-    let left = history.iter().find(|e| matches!(e.seen, Seen::Left { .. }))?.at;
-    let reached = |most: Nanos| {
-        let late = move |e: &&Evidence| matches!(e.seen, Seen::Reached { .. }) && e.at > left + most + SLACK;
+/// What was done for a request after its client had disconnected; none if it stayed.
+fn after_abort(history: &[Evidence]) -> Option<AfterAbort> {
+    let left = history.iter().find(|e| matches!(e.observed, Observation::Left { .. }))?.at;
+    let reached = |limit: Nanos| {
+        let late = move |e: &&Evidence| {
+            matches!(e.observed, Observation::Reached { .. }) && e.at > left + limit + SLACK
+        };
         history.iter().filter(late).count() as u64
     };
-    Some(AfterLeaving { sent_on: reached(LEFT_FOR) > 0, attempts: reached(ATTEMPTS_END) })
+    Some(AfterAbort {
+        forwarded_late: reached(FORWARDING_ENDS_WITHIN) > 0,
+        attempts: reached(ATTEMPTS_END_WITHIN),
+    })
 }
 
-/// When a proxy was told what of a member; the times are of first mention, in order.
+/// The states of a member that a proxy was notified of, each with the time of its first mention, in order.
 #[derive(Default)]
-struct Told(Vec<(Nanos, Standing)>);
+struct Notifications(Vec<(Nanos, EndpointState)>);
 
-impl Told {
-    fn add(&mut self, at: Nanos, standing: Standing) {
-        if self.0.last().is_none_or(|(_, last)| *last != standing) {
-            self.0.push((at, standing));
+impl Notifications {
+    fn add(&mut self, at: Nanos, state: EndpointState) {
+        if self.0.last().is_none_or(|(_, last)| *last != state) {
+            self.0.push((at, state));
             self.0.sort_by_key(|(at, _)| *at);
         }
     }
 
-    /// Since when the proxy has known, without a break until `at`, that the member takes nothing new.
-    fn closed_since(&self, at: Nanos) -> Option<Nanos> {
+    /// Since when the proxy has known, without interruption until `at`, that the member takes nothing new.
+    fn unavailable_since(&self, at: Nanos) -> Option<Nanos> {
         let mut since = None;
-        for (told, standing) in self.0.iter().take_while(|(told, _)| *told <= at) {
-            since = match standing {
-                Standing::Ready => None,
-                _ => since.or(Some(*told)),
+        for (notified, state) in self.0.iter().take_while(|(notified, _)| *notified <= at) {
+            since = match state {
+                EndpointState::Ready => None,
+                _ => since.or(Some(*notified)),
             };
         }
         since
     }
 }
 
-/// Judges by a day's figures.
+/// Checks requests and site against the rules, by a day's figures.
 pub struct Judge {
-    effects: Vec<Effect>,
-    repeats: Nanos,
-    told: HashMap<(usize, usize), Told>,
-    listed: HashMap<usize, Told>,
-    /// When the rig struck each proxy, and until when.
-    struck: HashMap<usize, Vec<(Nanos, Nanos)>>,
+    idempotency: Vec<Idempotency>,
+    dedup_window: Nanos,
+    notified: HashMap<(usize, usize), Notifications>,
+    listed: HashMap<usize, Notifications>,
+    /// When the rig killed or paused each proxy, and until when.
+    proxy_faults: HashMap<usize, Vec<(Nanos, Nanos)>>,
 }
 
-/// So many strikes of the rig are remembered for each proxy.
-const STRIKES_MOST: usize = 4096;
+/// Faults of the rig that are remembered for each proxy.
+const MAX_PROXY_FAULTS: usize = 4096;
 
 impl Judge {
     /// A judge for a day.
     pub fn new(day: &Day) -> Self {
         Judge {
-            effects: day.load.classes.iter().map(|c| c.effect).collect(),
-            repeats: nanos(day.site.ledger.repeats),
-            told: HashMap::new(),
+            idempotency: day.load.classes.iter().map(|c| c.idempotency).collect(),
+            dedup_window: nanos(day.site.origin.dedup_window),
+            notified: HashMap::new(),
             listed: HashMap::new(),
-            struck: HashMap::new(),
+            proxy_faults: HashMap::new(),
         }
     }
 
-    /// Takes in what concerns the site as a whole.
-    pub fn site(&mut self, evidence: &Evidence) -> Option<Violation> {
+    /// Takes in an observation of the site as a whole; the violation that it is, if any.
+    pub fn judge_site(&mut self, evidence: &Evidence) -> Option<Violation> {
         let at = evidence.at;
-        let broken = match &evidence.seen {
-            Seen::Told { proxy, member, standing } => {
-                self.told.entry((*proxy, *member)).or_default().add(at, *standing);
+        let broken = match &evidence.observed {
+            Observation::Told { proxy, member, standing } => {
+                self.notified.entry((*proxy, *member)).or_default().add(at, *standing);
                 None
             }
-            Seen::Listed { member, standing } => {
-                self.listed.entry(*member).or_default().add(at + TOLD_BY, *standing);
+            Observation::Listed { member, standing } => {
+                self.listed.entry(*member).or_default().add(at + NOTIFIED_WITHIN, *standing);
                 None
             }
-            Seen::Started { proxy } => {
-                self.told.retain(|(p, _), _| p != proxy);
+            Observation::Started { proxy } => {
+                self.notified.retain(|(p, _), _| p != proxy);
                 None
             }
-            Seen::Struck { proxy, until } => {
-                let strikes = self.struck.entry(*proxy).or_default();
-                if strikes.len() < STRIKES_MOST {
-                    strikes.push((at, *until));
+            Observation::Struck { proxy, until } => {
+                let proxy_faults = self.proxy_faults.entry(*proxy).or_default();
+                if proxy_faults.len() < MAX_PROXY_FAULTS {
+                    proxy_faults.push((at, *until));
                 }
                 None
             }
-            Seen::Fell { member } => Some((Rule::ColdFall, format!("cold node {member} was pushed over"))),
-            Seen::Stopped { cold_part } if *cold_part > COLD_PART => {
+            Observation::Fell { member } => {
+                Some((Rule::ColdFall, format!("cold node {member} was pushed over")))
+            }
+            Observation::Stopped { cold_part } if *cold_part > MAX_COLD_FRACTION => {
                 let what =
                     format!("the ledger stopped; {:.0}% of its load came of cold nodes", cold_part * 100.0);
                 Some((Rule::LedgerStop, what))
             }
-            Seen::Crashed { proxy } => Some((Rule::Crash, format!("proxy {proxy} ended by itself"))),
-            Seen::Stray { member } => {
+            Observation::Crashed { proxy } => Some((Rule::Crash, format!("proxy {proxy} ended by itself"))),
+            Observation::Stray { member } => {
                 let what = format!("a request without a readable id arrived at member {member}");
                 Some((Rule::ForeignRequest, what))
             }
@@ -182,176 +189,178 @@
         Some(Violation {
             rule,
             what,
-            history: vec![format!("{:9.3} s  {:?}", at as f64 / 1e9, evidence.seen)],
+            history: vec![format!("{:9.3} s  {:?}", at as f64 / 1e9, evidence.observed)],
         })
     }
 
-    /// Judges one request by everything that was seen of it, in order of time.
-    pub fn request(&self, history: &[Evidence]) -> Found {
-        let mut found = Found::default();
-        let began = history.iter().find_map(|e| match e.seen {
-            Seen::Began { proxy, .. } => Some(proxy),
+    /// Judges one request by everything that was observed of it, in order of time.
+    pub fn judge_request(&self, history: &[Evidence]) -> Findings {
+        let mut findings = Findings::default();
+        let began = history.iter().find_map(|e| match e.observed {
+            Observation::Began { proxy, .. } => Some(proxy),
             _ => None,
         });
         let Some(proxy) = began else {
-            found.breaks(Rule::ForeignRequest, "no client sent a request with this id");
-            return found;
+            findings.add(Rule::ForeignRequest, "no client sent a request with this id");
+            return findings;
         };
-        self.final_answer(history, &mut found);
-        self.bytes(history, &mut found);
-        self.runs(history, &mut found);
-        self.drains(proxy, history, &mut found);
-        found.left = after_leaving(history);
-        if self.struck_at(proxy, history) {
-            let before = found.broken.len();
-            found.broken.retain(|(rule, _)| !matches!(rule, Rule::Lost | Rule::Unanswered));
-            found.struck = found.broken.len() < before;
+        self.check_final_response(history, &mut findings);
+        self.check_content(history, &mut findings);
+        self.check_executions(history, &mut findings);
+        self.check_drains(proxy, history, &mut findings);
+        findings.left = after_abort(history);
+        if self.proxy_faulted_during(proxy, history) {
+            let before = findings.broken.len();
+            findings.broken.retain(|(rule, _)| !matches!(rule, Rule::Lost | Rule::Unanswered));
+            findings.proxy_faulted = findings.broken.len() < before;
             // Sent again elsewhere after its proxy was killed: no proxy knows of another's work until takeover is
             // built (issue 27). Told apart, never dropped.
             let twice = |rule: &Rule| matches!(rule, Rule::RanTwice | Rule::KeyedTwice);
-            let (again, rest) = found.broken.drain(..).partition(|(rule, _)| twice(rule));
-            (found.struck_twice, found.broken) = (again, rest);
+            let (again, rest) = findings.broken.drain(..).partition(|(rule, _)| twice(rule));
+            (findings.repeated_after_kill, findings.broken) = (again, rest);
         }
-        found
+        findings
     }
 
-    /// Whether the rig struck the request's proxy while the request was out there and had no answer.
-    fn struck_at(&self, proxy: usize, history: &[Evidence]) -> bool {
-        let Some(strikes) = self.struck.get(&proxy) else { return false };
+    /// Whether the rig killed or paused the request's proxy while the request was in flight there.
+    fn proxy_faulted_during(&self, proxy: usize, history: &[Evidence]) -> bool {
+        let Some(proxy_faults) = self.proxy_faults.get(&proxy) else { return false };
         let began = history.first().map_or(0, |e| e.at);
-        let answered = history.iter().find(|e| matches!(e.seen, Seen::Answered { .. })).map(|e| e.at);
-        strikes.iter().any(|(from, until)| began <= *until && answered.is_none_or(|a| a > *from))
+        let answered =
+            history.iter().find(|e| matches!(e.observed, Observation::Answered { .. })).map(|e| e.at);
+        proxy_faults.iter().any(|(from, until)| began <= *until && answered.is_none_or(|a| a > *from))
     }
 
-    fn final_answer(&self, history: &[Evidence], found: &mut Found) {
-        let count = |is: fn(&Seen) -> bool| history.iter().filter(|e| is(&e.seen)).count();
-        let answers = count(|s| matches!(s, Seen::Answered { .. }));
-        let reached = count(|s| matches!(s, Seen::Reached { .. }));
+    fn check_final_response(&self, history: &[Evidence], findings: &mut Findings) {
+        let count = |is: fn(&Observation) -> bool| history.iter().filter(|e| is(&e.observed)).count();
+        let answers = count(|s| matches!(s, Observation::Answered { .. }));
+        let reached = count(|s| matches!(s, Observation::Reached { .. }));
         if answers > 1 {
-            found.breaks(Rule::AnsweredTwice, format!("{answers} answers"));
+            findings.add(Rule::AnsweredTwice, format!("{answers} answers"));
         }
-        if count(|s| matches!(s, Seen::Surplus { .. })) > 0 {
-            found.breaks(Rule::AnsweredTwice, "more came behind the answer than belongs to it");
+        if count(|s| matches!(s, Observation::Surplus { .. })) > 0 {
+            findings.add(Rule::AnsweredTwice, "more came behind the answer than belongs to it");
         }
-        let last_asked = history.iter().rev().find_map(|e| match e.seen {
-            Seen::Asked { reused, .. } => Some(reused),
+        let last_asked = history.iter().rev().find_map(|e| match e.observed {
+            Observation::Asked { reused, .. } => Some(reused),
             _ => None,
         });
         let Some(reused) = last_asked else { return };
-        if self.dropped_after_sending(history) {
-            found.breaks(Rule::Lost, "the connection was ended without an answer after an attempt was sent");
+        if self.dropped_after_forwarding(history) {
+            findings.add(Rule::Lost, "the connection was ended without an answer after an attempt was sent");
             return;
         }
-        if answers > 0 || count(|s| matches!(s, Seen::Left { .. })) > 0 {
+        if answers > 0 || count(|s| matches!(s, Observation::Left { .. })) > 0 {
             return;
         }
-        if count(|s| matches!(s, Seen::GaveUp { .. })) > 0 {
-            found.breaks(Rule::Unanswered, "no answer while its client waited");
+        if count(|s| matches!(s, Observation::GaveUp { .. })) > 0 {
+            findings.add(Rule::Unanswered, "no answer while its client waited");
             return;
         }
-        let broken = history.iter().rev().find_map(|e| match e.seen {
-            Seen::Broken { partial, .. } => Some(partial),
+        let broken = history.iter().rev().find_map(|e| match e.observed {
+            Observation::Broken { partial, .. } => Some(partial),
             _ => None,
         });
         // A node that breaks off takes the answer that is on its way with it, and the client can tell.
-        let unsound = history.iter().any(|e| matches!(e.seen, Seen::Made { sound: false, .. }));
+        let unsound = history.iter().any(|e| matches!(e.observed, Observation::Made { sound: false, .. }));
         match broken {
             Some(true) if unsound => {}
-            Some(true) => found.breaks(Rule::Lost, "the answer broke off though its node gave it whole"),
-            Some(false) if reached == 0 && !reused => found.closed_at_the_door = true,
-            Some(false) => found.breaks(Rule::Lost, "the connection was ended without an answer"),
+            Some(true) => findings.add(Rule::Lost, "the answer broke off though its node gave it whole"),
+            Some(false) if reached == 0 && !reused => findings.closed_before_forwarding = true,
+            Some(false) => findings.add(Rule::Lost, "the connection was ended without an answer"),
             // The trial ended first, and says so itself.
             None => {}
         }
     }
 
-    /// Whether a connection was ended without a byte of an answer after something had gone on for its request. The
-    /// client may have sent the request once more by then, so that it has an answer all the same.
-    fn dropped_after_sending(&self, history: &[Evidence]) -> bool {
+    /// Whether a connection was ended without a byte of a response after its request had been forwarded. The client may
+    /// have sent the request once more by then, so that it has a response all the same.
+    fn dropped_after_forwarding(&self, history: &[Evidence]) -> bool {
         let mut reached = false;
         history.iter().any(|e| {
-            reached |= matches!(e.seen, Seen::Reached { .. });
-            reached && matches!(e.seen, Seen::Broken { partial: false, .. })
+            reached |= matches!(e.observed, Observation::Reached { .. });
+            reached && matches!(e.observed, Observation::Broken { partial: false, .. })
         })
     }
 
-    fn bytes(&self, history: &[Evidence], found: &mut Found) {
+    fn check_content(&self, history: &[Evidence], findings: &mut Findings) {
         for e in history {
-            let Seen::Answered { status: 200, digest, .. } = e.seen else { continue };
+            let Observation::Answered { status: 200, digest, .. } = e.observed else { continue };
             let made = history.iter().any(
-                |m| matches!(m.seen, Seen::Made { status: 200, digest: d, sound: true, .. } if d == digest),
+                |m| matches!(m.observed, Observation::Made { status: 200, digest: d, sound: true, .. } if d == digest),
             );
             if !made {
-                found.breaks(Rule::ForeignAnswer, "served with something that no node made for it");
+                findings.add(Rule::ForeignAnswer, "served with something that no node made for it");
             }
         }
     }
 
-    fn runs(&self, history: &[Evidence], found: &mut Found) {
-        let class = history.iter().find_map(|e| match e.seen {
-            Seen::Asked { class, .. } => Some(class),
+    fn check_executions(&self, history: &[Evidence], findings: &mut Findings) {
+        let class = history.iter().find_map(|e| match e.observed {
+            Observation::Asked { class, .. } => Some(class),
             _ => None,
         });
-        let Some(effect) = class.and_then(|c| self.effects.get(c)) else { return };
+        let Some(idempotency) = class.and_then(|c| self.idempotency.get(c)) else { return };
         let arrived: Vec<(Nanos, u64)> = history
             .iter()
-            .filter_map(|e| match e.seen {
-                Seen::Arrived { attempt, .. } => Some((e.at, attempt)),
+            .filter_map(|e| match e.observed {
+                Observation::Arrived { attempt, .. } => Some((e.at, attempt)),
                 _ => None,
             })
             .collect();
         // Since when it is proven that an attempt never ran.
         let cleared = |attempt: u64| {
-            history.iter().find_map(|e| match e.seen {
-                Seen::Made { attempt: a, never_ran: true, .. } if a == attempt => Some(e.at),
+            history.iter().find_map(|e| match e.observed {
+                Observation::Made { attempt: a, never_ran: true, .. } if a == attempt => Some(e.at),
                 _ => None,
             })
         };
-        let ran = history.iter().filter(|e| matches!(e.seen, Seen::Ran { .. })).count();
-        match effect {
-            Effect::Safe => {}
-            Effect::Unsafe => {
+        let ran = history.iter().filter(|e| matches!(e.observed, Observation::Ran { .. })).count();
+        match idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NotIdempotent => {
                 for (n, (at, _)) in arrived.iter().enumerate() {
                     let open =
                         arrived[..n].iter().find(|(_, a)| cleared(*a).is_none_or(|cleared| cleared > *at));
                     if let Some((_, earlier)) = open {
                         let what = format!("sent again while attempt {earlier} may have run");
-                        found.breaks(Rule::RanTwice, what);
+                        findings.add(Rule::RanTwice, what);
                         return;
                     }
                 }
                 if ran > 1 {
-                    found.breaks(Rule::RanTwice, format!("it ran {ran} times"));
+                    findings.add(Rule::RanTwice, format!("it ran {ran} times"));
                 }
             }
-            Effect::Keyed => {
+            Idempotency::WithKey => {
                 let first = arrived.iter().find(|(_, a)| cleared(*a).is_none());
-                let late = first
-                    .and_then(|(from, _)| arrived.iter().find(|(at, _)| *at > from + self.repeats + SLACK));
+                let late = first.and_then(|(from, _)| {
+                    arrived.iter().find(|(at, _)| *at > from + self.dedup_window + SLACK)
+                });
                 if late.is_some() {
-                    found.breaks(Rule::KeyedTwice, "sent again after its mark may have been forgotten");
+                    findings.add(Rule::KeyedTwice, "sent again after its mark may have been forgotten");
                 } else if ran > 1 {
-                    found.breaks(Rule::KeyedTwice, format!("it ran {ran} times"));
+                    findings.add(Rule::KeyedTwice, format!("it ran {ran} times"));
                 }
             }
         }
     }
 
-    fn drains(&self, proxy: usize, history: &[Evidence], found: &mut Found) {
+    fn check_drains(&self, proxy: usize, history: &[Evidence], findings: &mut Findings) {
         for e in history {
-            let Seen::Reached { member, .. } = e.seen else { continue };
-            let told = self.told.get(&(proxy, member)).and_then(|t| t.closed_since(e.at));
-            // What is listed for long counts as told, unless the proxy has heard something newer.
-            let listed = self.listed.get(&member).and_then(|t| t.closed_since(e.at));
+            let Observation::Reached { member, .. } = e.observed else { continue };
+            let notified = self.notified.get(&(proxy, member)).and_then(|t| t.unavailable_since(e.at));
+            // What has been listed for long counts as notified, unless the proxy has got something newer.
+            let listed = self.listed.get(&member).and_then(|t| t.unavailable_since(e.at));
             let heard = |since: Nanos| {
-                let newer = |(at, _): &(Nanos, Standing)| at + TOLD_BY >= since && *at <= e.at;
-                self.told.get(&(proxy, member)).is_some_and(|t| t.0.iter().any(newer))
+                let newer = |(at, _): &(Nanos, EndpointState)| at + NOTIFIED_WITHIN >= since && *at <= e.at;
+                self.notified.get(&(proxy, member)).is_some_and(|t| t.0.iter().any(newer))
             };
             let listed = listed.filter(|since| !heard(*since));
-            let since = told.or(listed);
+            let since = notified.or(listed);
             if since.is_some_and(|since| e.at > since + DRAIN_GRACE + SLACK) {
                 let late = (e.at - since.unwrap_or(0)) as f64 / 1e9;
-                found.breaks(
+                findings.add(
                     Rule::Drain,
                     format!("sent to member {member} {late:.2} s after proxy {proxy} was told"),
                 );
--- a/crates/lab-capacity/src/lib.rs
+++ b/crates/lab-capacity/src/lib.rs
@@ -3,16 +3,21 @@
 //!
 //! A folder holds `CAPACITY.md`, and beside it `capacity/target.toml` (the target's figures by name),
 //! `capacity/rows.toml` (what is worked out, and how), `capacity/slopes/*.json` and `capacity/runs/*.json`.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
+mod error;
 mod page;
 mod rows;
 pub mod slopes;
 #[cfg(test)]
 mod tests;
 
+pub use error::{CapacityError, FitError, MeasureError, PageError, RowError};
 pub use page::fill;
 pub use rows::{Factor, Kind, Row, Term, Worked};
 
+use aniseyoke_lab_day::FileError;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use slopes::{json_files, Slope};
@@ -29,7 +34,7 @@
     pub value: f64,
     /// Its unit.
     pub unit: String,
-    /// What it may be at most, in the same unit, if anything is said.
+    /// Its limit in the same unit, if it has one.
     #[serde(default)]
     pub limit: Option<f64>,
 }
@@ -49,7 +54,7 @@
     pub figures: Vec<Figure>,
 }
 
-/// All that the page is worked out from.
+/// Everything that the page is worked out from.
 #[derive(Clone, Debug, Default)]
 pub struct Inputs {
     /// The target's figures.
@@ -68,9 +73,9 @@
     row: Vec<Row>,
 }
 
-fn toml_file<T: DeserializeOwned>(file: &Path) -> Result<T, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    toml::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))
+fn toml_file<T: DeserializeOwned>(file: &Path) -> Result<T, CapacityError> {
+    let text = std::fs::read_to_string(file).map_err(FileError::at(file))?;
+    toml::from_str(&text).map_err(|e| CapacityError::Toml { path: file.to_owned(), source: Box::new(e) })
 }
 
 impl Inputs {
@@ -78,12 +83,12 @@
     ///
     /// # Errors
     /// Names what can't be read, does not fit, or does not follow from its points.
-    pub fn read(docs: &Path) -> Result<Inputs, String> {
+    pub fn read(docs: &Path) -> Result<Inputs, CapacityError> {
         let folder = docs.join("capacity");
         let inputs = Inputs {
             target: toml_file(&folder.join("target.toml"))?,
             rows: toml_file::<Rows>(&folder.join("rows.toml"))?.row,
-            slopes: slopes::read(&folder.join("slopes"))?,
+            slopes: slopes::load(&folder.join("slopes"))?,
             runs: json_files(&folder.join("runs"))?,
         };
         inputs.slopes.iter().try_for_each(Slope::check)?;
@@ -94,10 +99,14 @@
     ///
     /// # Errors
     /// Names the row that can't be worked out.
-    pub fn tables(&self) -> Result<BTreeMap<String, String>, String> {
+    pub fn tables(&self) -> Result<BTreeMap<String, String>, CapacityError> {
         let mut tables: BTreeMap<String, String> = BTreeMap::new();
         for row in &self.rows {
-            let worked = row.work(self).map_err(|why| format!("{}, {}: {why}", row.table, row.figure))?;
+            let worked = row.work(self).map_err(|source| CapacityError::Row {
+                table: row.table.clone(),
+                figure: row.figure.clone(),
+                source,
+            })?;
             let table = tables.entry(row.table.clone()).or_insert_with(|| {
                 "| figure | at the target | limit | part of it | kind | from | carried by |\n|---|---|---|---|---|---|---|\n".into()
             });
@@ -107,7 +116,7 @@
             [("slopes", self.slopes_table()), ("runs", self.runs_table()), ("target", self.target_table())]
         {
             if tables.insert(name.into(), text).is_some() {
-                return Err(format!("rows may not fill the table {name}"));
+                return Err(CapacityError::ReservedTable(name));
             }
         }
         Ok(tables)
@@ -117,7 +126,7 @@
         let mut t = String::from("| name | value |\n|---|---|\n");
         for (name, value) in &self.target {
             // Writing to a string can't fail.
-            let _ = writeln!(t, "| `{name}` | {} |", short(*value));
+            let _ = writeln!(t, "| `{name}` | {} |", format_short(*value));
         }
         t
     }
@@ -135,13 +144,13 @@
                 s.quantity,
                 s.unit,
                 s.against,
-                short(s.fit.slope),
-                short(s.fit.slope_se),
-                short(s.fit.intercept),
-                short(s.held_out.x),
-                short(s.held_out.measured),
-                short(s.held_out.predicted),
-                short(s.held_out.predicted_se),
+                format_short(s.fit.slope),
+                format_short(s.fit.slope_se),
+                format_short(s.fit.intercept),
+                format_short(s.held_out.x),
+                format_short(s.held_out.measured),
+                format_short(s.held_out.predicted),
+                format_short(s.held_out.predicted_se),
                 if s.straight() { "holds" } else { "**bends**" },
                 if s.shared { "shared" } else { "alone" },
             );
@@ -153,15 +162,15 @@
         let mut t = String::from("| run | figure | measured | limit | part of it |\n|---|---|---|---|---|\n");
         for run in &self.runs {
             for f in &run.figures {
-                let limit = f.limit.map_or("-".into(), |l| format!("{} {}", short(l), f.unit));
-                let part = f.limit.map_or("-".into(), |l| percent(f.value, l));
+                let limit = f.limit.map_or("-".into(), |l| format!("{} {}", format_short(l), f.unit));
+                let part = f.limit.map_or("-".into(), |l| format_percent(f.value, l));
                 let Run { name, plan, seed, seconds, .. } = run;
                 let _ = writeln!(
                     t,
                     "| {name} (`{plan}`, seed {seed}, {} s) | {} | {} {} | {limit} | {part} |",
-                    short(*seconds),
+                    format_short(*seconds),
                     f.name,
-                    short(f.value),
+                    format_short(f.value),
                     f.unit
                 );
             }
@@ -174,7 +183,7 @@
 }
 
 /// A number with three significant digits, and commas where it is long.
-pub fn short(value: f64) -> String {
+pub fn format_short(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
@@ -201,32 +210,32 @@
 }
 
 /// The part of a limit that is used; none of a limit of 0.
-fn percent(value: f64, limit: f64) -> String {
+fn format_percent(value: f64, limit: f64) -> String {
     if limit == 0.0 {
         return "-".into();
     }
-    format!("{}%", short(100.0 * value / limit))
+    format!("{}%", format_short(100.0 * value / limit))
 }
 
-/// Works the page out; the text that it is to be.
+/// Works the page out: the text that it should have.
 ///
 /// # Errors
 /// As [`Inputs::read`], [`Inputs::tables`] and [`fill`].
-pub fn page(docs: &Path) -> Result<String, String> {
+pub fn page(docs: &Path) -> Result<String, CapacityError> {
     let file = docs.join("CAPACITY.md");
-    let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+    let text = std::fs::read_to_string(&file).map_err(FileError::at(&file))?;
     let tables = Inputs::read(docs)?.tables()?;
-    fill(&text, &tables).map_err(|why| format!("{}: {why}", file.display()))
+    fill(&text, &tables).map_err(|source| CapacityError::Page { path: file, source })
 }
 
 /// The first line in which the page says something else than slopes and runs, if there is one.
 ///
 /// # Errors
 /// As [`page`].
-pub fn differs(docs: &Path) -> Result<Option<String>, String> {
+pub fn differs(docs: &Path) -> Result<Option<String>, CapacityError> {
     let wanted = page(docs)?;
     let file = docs.join("CAPACITY.md");
-    let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+    let text = std::fs::read_to_string(&file).map_err(FileError::at(&file))?;
     if text == wanted {
         return Ok(None);
     }
--- a/crates/lab-capacity/src/page.rs
+++ b/crates/lab-capacity/src/page.rs
@@ -1,5 +1,6 @@
 //! Tables between markers in a text. No I/O.
 
+use super::PageError;
 use std::collections::{BTreeMap, BTreeSet};
 
 const BEGIN: &str = "<!-- table:";
@@ -10,25 +11,26 @@
 ///
 /// # Errors
 /// Names the line with a marker that is not closed or names no table, and a table that has no place.
-pub fn fill(text: &str, tables: &BTreeMap<String, String>) -> Result<String, String> {
+pub fn fill(text: &str, tables: &BTreeMap<String, String>) -> Result<String, PageError> {
     let (mut out, mut placed, mut open) = (String::new(), BTreeSet::new(), None);
     for (n, line) in text.lines().enumerate() {
         let n = n + 1;
         let begins = line.trim().strip_prefix(BEGIN).and_then(|rest| rest.strip_suffix(BEGIN_END));
         if let Some(name) = begins {
             if let Some(before) = open {
-                return Err(format!("line {n}: the table from line {before} is not closed"));
+                return Err(PageError::NotClosedBefore { line: n, open: before });
             }
-            let table = tables.get(name).ok_or_else(|| format!("line {n}: there is no table {name}"))?;
+            let table =
+                tables.get(name).ok_or_else(|| PageError::NoTable { line: n, name: name.to_owned() })?;
             if !placed.insert(name) {
-                return Err(format!("line {n}: the table {name} has two places"));
+                return Err(PageError::TwoPlaces { line: n, name: name.to_owned() });
             }
             open = Some(n);
             out.push_str(line);
             out.push('\n');
             out.push_str(table);
         } else if line.trim() == END {
-            open.take().ok_or_else(|| format!("line {n}: no table is open"))?;
+            open.take().ok_or(PageError::NotOpen(n))?;
             out.push_str(line);
             out.push('\n');
         } else if open.is_none() {
@@ -37,10 +39,10 @@
         }
     }
     if let Some(before) = open {
-        return Err(format!("line {before}: the table is not closed"));
+        return Err(PageError::NotClosed(before));
     }
     match tables.keys().find(|name| !placed.contains(name.as_str())) {
-        Some(name) => Err(format!("the table {name} has no place")),
+        Some(name) => Err(PageError::NoPlace(name.clone())),
         None => Ok(out),
     }
 }
--- a/crates/lab-capacity/src/rows.rs
+++ b/crates/lab-capacity/src/rows.rs
@@ -1,6 +1,6 @@
 //! What a row of the page is worked out from: terms over slopes, runs, the target's figures and numbers. No I/O.
 
-use super::{percent, short, Inputs};
+use super::{format_percent, format_short, Inputs, RowError};
 use serde::Deserialize;
 
 /// A number, or a figure of the target by its name; behind a `/` it divides.
@@ -23,7 +23,7 @@
     pub at: Option<Vec<Factor>>,
     /// The slope's rise times the product of these, without what it is at 0.
     pub each: Option<Vec<Factor>>,
-    /// The run that it was seen in.
+    /// The run that measured it.
     pub run: Option<String>,
     /// The run's figure.
     pub figure: Option<String>,
@@ -40,7 +40,7 @@
 pub struct Row {
     /// The table.
     pub table: String,
-    /// What is told.
+    /// What the figure is of.
     pub figure: String,
     /// Its unit.
     pub unit: String,
@@ -62,7 +62,7 @@
 /// How a figure is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Seen at just this size.
+    /// Measured at just this size.
     Measured,
     /// Worked out from what was measured at other sizes.
     Predicted,
@@ -81,9 +81,9 @@
     pub kind: Kind,
 }
 
-fn factor(factor: &Factor, inputs: &Inputs) -> Result<f64, String> {
+fn factor(factor: &Factor, inputs: &Inputs) -> Result<f64, RowError> {
     let named = |name: &str| {
-        inputs.target.get(name).copied().ok_or_else(|| format!("the target has no figure {name}"))
+        inputs.target.get(name).copied().ok_or_else(|| RowError::NoTargetFigure(name.to_owned()))
     };
     match factor {
         Factor::Number(number) => Ok(*number),
@@ -94,27 +94,27 @@
     }
 }
 
-fn product(factors: &[Factor], inputs: &Inputs) -> Result<f64, String> {
+fn product(factors: &[Factor], inputs: &Inputs) -> Result<f64, RowError> {
     factors.iter().try_fold(1.0, |all, one| Ok(all * factor(one, inputs)?))
 }
 
 impl Term {
-    fn work(&self, inputs: &Inputs) -> Result<Worked, String> {
+    fn work(&self, inputs: &Inputs) -> Result<Worked, RowError> {
         let times = product(&self.times, inputs)?;
-        // What was measured and then multiplied was not seen as such.
+        // What was measured and then multiplied was not measured as such.
         let kept = if self.times.is_empty() { Kind::Measured } else { Kind::Predicted };
         let found = match self {
             Term { slope: Some(name), at, each, run: None, figure: None, paper: None, .. } => {
                 let slope = inputs.slopes.iter().find(|s| s.name == *name);
-                let slope = slope.ok_or_else(|| format!("there is no slope {name}"))?;
+                let slope = slope.ok_or_else(|| RowError::NoSlope(name.clone()))?;
                 match (at, each) {
                     (Some(at), None) => {
                         let x = product(at, inputs)?;
                         match slope.measured(x) {
                             Some(value) => Worked { value, se: 0.0, kind: kept },
                             None => {
-                                let said = slope.at(x);
-                                Worked { value: said.value, se: said.se, kind: Kind::Predicted }
+                                let prediction = slope.predict(x);
+                                Worked { value: prediction.value, se: prediction.se, kind: Kind::Predicted }
                             }
                         }
                     }
@@ -123,7 +123,7 @@
                         let (value, se) = (slope.fit.slope * x, slope.fit.slope_se * x);
                         Worked { value, se, kind: Kind::Predicted }
                     }
-                    _ => return Err(format!("slope {name}: either `at` or `each`")),
+                    _ => return Err(RowError::AtOrEach(name.clone())),
                 }
             }
             Term {
@@ -135,16 +135,17 @@
                 paper: None,
                 ..
             } => {
-                let of = inputs.runs.iter().find(|r| r.name == *run);
-                let of = of.ok_or_else(|| format!("there is no run {run}"))?;
-                let seen = of.figures.iter().find(|f| f.name == *figure);
-                let seen = seen.ok_or_else(|| format!("run {run} has no figure {figure}"))?;
+                let found_run = inputs.runs.iter().find(|r| r.name == *run);
+                let found_run = found_run.ok_or_else(|| RowError::NoRun(run.clone()))?;
+                let seen = found_run.figures.iter().find(|f| f.name == *figure);
+                let seen =
+                    seen.ok_or_else(|| RowError::NoRunFigure { run: run.clone(), figure: figure.clone() })?;
                 Worked { value: seen.value, se: 0.0, kind: kept }
             }
             Term { slope: None, at: None, each: None, run: None, figure: None, paper: Some(_), .. } => {
                 Worked { value: 1.0, se: 0.0, kind: Kind::Paper }
             }
-            _ => return Err("a term is of a slope, of a run's figure, or paper".into()),
+            _ => return Err(RowError::MixedTerm),
         };
         Ok(Worked { value: found.value * times, se: found.se * times.abs(), kind: found.kind })
     }
@@ -163,9 +164,9 @@
     ///
     /// # Errors
     /// Says what is named that is not there.
-    pub fn work(&self, inputs: &Inputs) -> Result<Worked, String> {
+    pub fn work(&self, inputs: &Inputs) -> Result<Worked, RowError> {
         if self.terms.is_empty() {
-            return Err("it has no terms".into());
+            return Err(RowError::NoTerms);
         }
         self.limit.as_ref().map(|limit| product(limit, inputs)).transpose()?;
         let (mut value, mut variance, mut kind, mut errors) = (0.0, 0.0, Kind::Measured, 0);
@@ -177,7 +178,7 @@
             kind = kind.max(one.kind);
         }
         if self.terms.len() > 1 {
-            // A sum was not seen as such.
+            // A sum was not measured as such.
             kind = kind.max(Kind::Predicted);
         }
         // The error of a sum is not known where that of a part is not.
@@ -188,17 +189,17 @@
     /// Its line in the table.
     pub(super) fn line(&self, worked: &Worked, inputs: &Inputs) -> String {
         let Worked { value, se, kind } = worked;
-        let error = if *se > 0.0 { format!(" ± {}", short(*se)) } else { String::new() };
+        let error = if *se > 0.0 { format!(" ± {}", format_short(*se)) } else { String::new() };
         let limit = self.limit.as_ref().and_then(|limit| product(limit, inputs).ok());
-        let told = limit.map_or("-".into(), |limit| format!("{} {}", short(limit), self.unit));
-        let part = limit.map_or("-".into(), |limit| percent(*value, limit));
+        let limit_text = limit.map_or("-".into(), |limit| format!("{} {}", format_short(limit), self.unit));
+        let part = limit.map_or("-".into(), |limit| format_percent(*value, limit));
         let kind = format!("{kind:?}").to_lowercase();
         let mut from: Vec<String> = self.terms.iter().map(Term::source).collect();
         from.dedup();
         format!(
-            "| {} | {}{error} {} | {told} | {part} | {kind} | {} | {} |\n",
+            "| {} | {}{error} {} | {limit_text} | {part} | {kind} | {} | {} |\n",
             self.figure,
-            short(*value),
+            format_short(*value),
             self.unit,
             from.join(" + "),
             self.by
--- a/crates/lab-capacity/src/slopes/relay.rs
+++ b/crates/lab-capacity/src/slopes/byte_counter.rs
@@ -9,16 +9,16 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Read at a time, in bytes.
-const PART: usize = 16 << 10;
+const READ_SIZE: usize = 16 << 10;
 
 /// What went through so far, both ways together.
 #[derive(Default)]
-pub struct Counted {
+pub struct ByteCounter {
     bytes: AtomicU64,
     messages: AtomicU64,
 }
 
-impl Counted {
+impl ByteCounter {
     /// Bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
@@ -35,13 +35,13 @@
     }
 }
 
-/// Relays to `target` on the current thread, for as long as its runtime lives; tells where, and what is counted.
+/// Relays to `target` on the current thread, for as long as its runtime lives; returns the address, and the counts.
 ///
 /// # Errors
 /// If the system lacks ports or descriptors.
-pub async fn open(target: SocketAddr) -> io::Result<(SocketAddr, Arc<Counted>)> {
+pub async fn open(target: SocketAddr) -> io::Result<(SocketAddr, Arc<ByteCounter>)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-    let (addr, counted) = (listener.local_addr()?, Arc::<Counted>::default());
+    let (addr, counted) = (listener.local_addr()?, Arc::<ByteCounter>::default());
     let counts = counted.clone();
     tokio::task::spawn_local(async move {
         while let Ok((near, _)) = listener.accept().await {
@@ -63,8 +63,8 @@
     Ok((addr, counted))
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, counted: &Counted) {
-    let mut part = vec![0; PART];
+async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, counted: &ByteCounter) {
+    let mut part = vec![0; READ_SIZE];
     while let Ok(n) = from.read(&mut part).await {
         if n == 0 || to.write_all(&part[..n]).await.is_err() {
             return;
--- a/crates/lab-capacity/src/slopes/control.rs
+++ b/crates/lab-capacity/src/slopes/control.rs
@@ -1,50 +1,46 @@
 //! A real control service behind emulated proxies: what each of them, and each message, costs it.
 
+use super::emulated_proxy::EmulatedProxy;
 use super::{Family, Quantity, Setup};
-use aniseyoke_control::frame::{encode, FromOperator, FromProxy, ToOperator, FRAME_MOST, HEAD, PROTOCOL};
+use crate::MeasureError;
+use aniseyoke_control::frame::{FromOperator, ToOperator};
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::service::call;
-use aniseyoke_control::Stamp;
-use aniseyoke_lab_process::{tie, Usage};
+use aniseyoke_lab_process::{kill_with_parent, Usage};
 use serde_json::{json, Value};
-use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// What must happen happens within this time, or the measurement fails.
-const WITHIN: Duration = Duration::from_secs(60);
-/// For so long the service is looked at.
-const LOOKED_AT: Duration = Duration::from_secs(6);
-/// What was sent to the service is read by it within this time.
-const SETTLES: Duration = Duration::from_millis(500);
-/// An emulated proxy reports as often as a real one with clients.
-const REPORT: Duration = Duration::from_secs(1);
-/// More connections at once than a listener's queue takes would come again a second later.
-const AT_ONCE: usize = 50;
-const PAUSE: Duration = Duration::from_millis(5);
-/// Versions after the first where each one's cost is looked at.
+/// The measurement fails if something takes longer than this.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// The service is measured for this long.
+const MEASURED_FOR: Duration = Duration::from_secs(6);
+/// The service reads what was sent to it within this time.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Connections opened at once: more than a listener's queue holds would be retried a second later.
+const CONNECT_BATCH: usize = 50;
+/// The pause between batches of connections.
+const CONNECT_PAUSE: Duration = Duration::from_millis(5);
+/// Versions after the first where the cost of each is measured.
 const VERSIONS_EACH: u64 = 5;
 /// Routes of a version where proxies are the size.
 const ROUTES: u64 = 1000;
-/// Routes of a version, and proxies, where the rate is the size.
+/// Routes of a version where the rate is the size.
 const ROUTES_FEW: u64 = 10;
-const PROXIES: usize = 500;
-/// Proxies, and versions a second, where the distance is the size.
+/// Proxies where the rate is the size.
+const PROXIES_FIXED: usize = 500;
+/// Proxies where the distance is the size.
 const PROXIES_FAR: usize = 50;
+/// Versions a second where the distance is the size.
 const RATE_FAR: f64 = 8.0;
 /// Descriptors that are needed beside one for each proxy.
 const DESCRIPTORS: u64 = 200;
-/// The stamp of a frame that carries a version stands within its first bytes.
-const STAMP_WITHIN: usize = 160;
-const PART: usize = 16 << 10;
 
 /// Against proxies.
 pub const BY_PROXIES: Family = Family {
@@ -73,14 +69,14 @@
         },
     ],
     measure: |setup, proxies| {
-        let fleet = Fleet::open(setup, proxies as usize, Duration::ZERO)?;
+        let fleet = EmulatedFleet::open(setup, proxies as usize, Duration::ZERO)?;
         let cpu = fleet.cpu()?;
         fleet.publish(ROUTES, 0)?;
-        fleet.all_have(1)?;
-        std::thread::sleep(SETTLES);
+        fleet.wait_until_taken(1)?;
+        std::thread::sleep(SETTLE_TIME);
         let (whole, mut last) = (fleet.cpu()? - cpu, Duration::ZERO);
         let (cpu, bytes) = (fleet.cpu()?, fleet.bytes());
-        let (rest, mut paused) = (fleet.rest()?, Duration::ZERO);
+        let (rest, mut paused) = (fleet.idle_cpu()?, Duration::ZERO);
         let rest_cpu = fleet.cpu()? - cpu;
         let cpu = cpu + rest_cpu;
         let bytes_at_rest = fleet.bytes() - bytes;
@@ -88,8 +84,8 @@
         let begun = Instant::now();
         for n in 1..=VERSIONS_EACH {
             let at = fleet.publish(ROUTES, n)?;
-            last += fleet.all_have(n + 1)?.saturating_duration_since(at);
-            std::thread::sleep(SETTLES);
+            last += fleet.wait_until_taken(n + 1)?.saturating_duration_since(at);
+            std::thread::sleep(SETTLE_TIME);
             paused = begun.elapsed();
         }
         // What reports cost meanwhile is known from the rest.
@@ -112,10 +108,10 @@
         Quantity { name: "control.bytes.versions", quantity: "bytes sent to each proxy", unit: "B/s" },
     ],
     measure: |setup, rate| {
-        let fleet = Fleet::open(setup, PROXIES, Duration::ZERO)?;
+        let fleet = EmulatedFleet::open(setup, PROXIES_FIXED, Duration::ZERO)?;
         fleet.publish(ROUTES_FEW, 0)?;
-        fleet.all_have(1)?;
-        std::thread::sleep(SETTLES);
+        fleet.wait_until_taken(1)?;
+        std::thread::sleep(SETTLE_TIME);
         let (cpu, bytes) = fleet.stream(ROUTES_FEW, rate)?;
         Ok(vec![cpu, bytes])
     },
@@ -133,16 +129,16 @@
         unit: "B/s",
     }],
     measure: |setup, ms| {
-        let fleet = Fleet::open(setup, PROXIES_FAR, Duration::from_secs_f64(ms / 1000.0))?;
+        let fleet = EmulatedFleet::open(setup, PROXIES_FAR, Duration::from_secs_f64(ms / 1000.0))?;
         fleet.publish(ROUTES, 0)?;
-        fleet.all_have(1)?;
-        std::thread::sleep(SETTLES);
+        fleet.wait_until_taken(1)?;
+        std::thread::sleep(SETTLE_TIME);
         let (_, bytes) = fleet.stream(ROUTES, RATE_FAR)?;
         Ok(vec![bytes])
     },
 };
 
-fn body(routes: u64, changed: u64) -> Value {
+fn version_body(routes: u64, changed: u64) -> Value {
     let pool = |n| if n == changed % routes.max(1) { "b" } else { "a" };
     let routes: Vec<Value> =
         (0..routes).map(|n| json!({ "prefix": format!("device-{n:06}/"), "pool": pool(n) })).collect();
@@ -150,53 +146,54 @@
 }
 
 /// A control service as a process of its own.
-struct Service {
+struct ServiceProcess {
     child: Child,
     proxies: SocketAddr,
     operators: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
-impl Drop for Service {
+impl Drop for ServiceProcess {
     fn drop(&mut self) {
         // It may have ended already.
         let _ = (self.child.kill(), self.child.wait());
     }
 }
 
-impl Service {
-    fn start(setup: &Setup) -> Result<Service, String> {
-        let name = setup.control.display().to_string();
-        let folder = tempfile::tempdir().map_err(|e| format!("a folder: {e}"))?;
+impl ServiceProcess {
+    fn start(setup: &Setup) -> Result<ServiceProcess, MeasureError> {
+        let program = setup.control.display().to_string();
+        let folder = tempfile::tempdir().map_err(MeasureError::Folder)?;
         let mut command = Command::new(&setup.control);
         command.args(["serve", "--listen", "127.0.0.1:0", "--door", "127.0.0.1:0", "--dir"]);
         command.arg(folder.path()).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        tie(&mut command);
-        let mut child = command.spawn().map_err(|e| format!("{name}: {e}"))?;
-        let stderr = child.stderr.take().ok_or("no standard error")?;
-        let (tell, told) = channel();
+        kill_with_parent(&mut command);
+        let mut child =
+            command.spawn().map_err(|source| MeasureError::Spawn { program: program.clone(), source })?;
+        let stderr = child.stderr.take().ok_or(MeasureError::NoStandardError)?;
+        let (send_addr, addr_or_line) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let addr = line.rsplit(' ').next().and_then(|addr| addr.parse::<SocketAddr>().ok());
                 // Nobody waits any more once both are known.
-                let _ = tell.send(addr.ok_or(line));
+                let _ = send_addr.send(addr.ok_or(line));
             }
         });
         let mut addrs = Vec::new();
         while addrs.len() < 2 {
-            match told.recv_timeout(WITHIN) {
+            match addr_or_line.recv_timeout(TIMEOUT) {
                 Ok(Ok(addr)) => addrs.push(addr),
-                Ok(Err(line)) => return Err(format!("{name}: {line}")),
-                Err(_) => return Err(format!("{name} told no addresses")),
+                Ok(Err(line)) => return Err(MeasureError::UnexpectedLine { program, line }),
+                Err(_) => return Err(MeasureError::NoAddresses(program)),
             }
         }
-        Ok(Service { child, proxies: addrs[0], operators: addrs[1], _folder: folder })
+        Ok(ServiceProcess { child, proxies: addrs[0], operators: addrs[1], _folder: folder })
     }
 }
 
 /// A service and its proxies.
-struct Fleet {
-    service: Service,
+struct EmulatedFleet {
+    service: ServiceProcess,
     proxies: usize,
     bytes: Arc<AtomicU64>,
     taken: Receiver<(u64, Instant)>,
@@ -205,55 +202,59 @@
     _stop: tokio::sync::oneshot::Sender<()>,
 }
 
-impl Fleet {
-    fn open(setup: &Setup, proxies: usize, answers_after: Duration) -> Result<Fleet, String> {
-        let may = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
-        let (may, _) = may.map_err(|e| e.to_string())?;
+impl EmulatedFleet {
+    fn open(setup: &Setup, proxies: usize, reply_delay: Duration) -> Result<EmulatedFleet, MeasureError> {
+        let limit = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
+        let (available, _) = limit.map_err(MeasureError::Limit)?;
         let needed = proxies as u64 + DESCRIPTORS;
-        if may < needed {
-            return Err(format!(
-                "{proxies} proxies need {needed} descriptors, and {may} may be had (ulimit -n)"
-            ));
+        if available < needed {
+            return Err(MeasureError::TooFewDescriptors { proxies, needed, available });
         }
-        let runtime =
-            || tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string());
-        let (service, emulating, calls) = (Service::start(setup)?, runtime()?, runtime()?);
+        let runtime = || {
+            tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(MeasureError::Runtime)
+        };
+        let (service, emulating, calls) = (ServiceProcess::start(setup)?, runtime()?, runtime()?);
         let (addr, bytes) = (service.proxies, Arc::<AtomicU64>::default());
-        let (tell, taken) = channel();
-        let (said, connected) = channel();
+        let (send_taken, taken) = channel();
+        let (send_connected, connected) = channel();
         let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
-        let counted = bytes.clone();
+        let all_bytes = bytes.clone();
         std::thread::spawn(move || {
             LocalSet::new().block_on(&emulating, async move {
                 for n in 0..proxies {
-                    let (tell, said, counted) = (tell.clone(), said.clone(), counted.clone());
+                    let proxy = EmulatedProxy {
+                        index: n,
+                        service: addr,
+                        reply_delay,
+                        taken: send_taken.clone(),
+                        connected: send_connected.clone(),
+                        bytes: all_bytes.clone(),
+                    };
                     tokio::task::spawn_local(async move {
-                        if let Err(e) = emulate(n, addr, answers_after, &tell, &said, &counted).await {
+                        if let Err(e) = proxy.run().await {
                             tracing::debug!("emulated proxy {n}: {e}");
                         }
                     });
-                    if n % AT_ONCE == AT_ONCE - 1 {
-                        tokio::time::sleep(PAUSE).await;
+                    if n % CONNECT_BATCH == CONNECT_BATCH - 1 {
+                        tokio::time::sleep(CONNECT_PAUSE).await;
                     }
                 }
-                // Whoever held the fleet and let go of it wants it ended.
+                // Dropping the fleet ends it.
                 let _ = stopped.await;
             });
         });
         for have in 0..proxies {
-            connected
-                .recv_timeout(WITHIN)
-                .map_err(|_| format!("only {have} of {proxies} proxies reached the service"))?;
+            connected.recv_timeout(TIMEOUT).map_err(|_| MeasureError::NotConnected { have, proxies })?;
         }
-        std::thread::sleep(SETTLES);
-        Ok(Fleet { service, proxies, bytes, taken, calls, _stop: stop })
+        std::thread::sleep(SETTLE_TIME);
+        Ok(EmulatedFleet { service, proxies, bytes, taken, calls, _stop: stop })
     }
 
-    fn usage(&self) -> Result<Usage, String> {
-        Usage::look(self.service.child.id()).ok_or_else(|| "the control service has ended".to_owned())
+    fn usage(&self) -> Result<Usage, MeasureError> {
+        Usage::of_process(self.service.child.id()).ok_or(MeasureError::ServiceEnded)
     }
 
-    fn cpu(&self) -> Result<f64, String> {
+    fn cpu(&self) -> Result<f64, MeasureError> {
         Ok(self.usage()?.cpu_s)
     }
 
@@ -261,28 +262,30 @@
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Publishes; the moment is that before the call.
-    fn publish(&self, routes: u64, changed: u64) -> Result<Instant, String> {
-        let publish = FromOperator::Publish { body: body(routes, changed), plan: Plan::default() };
+    /// Publishes; returns the time before the call.
+    fn publish(&self, routes: u64, changed: u64) -> Result<Instant, MeasureError> {
+        let publish = FromOperator::Publish { body: version_body(routes, changed), plan: Plan::default() };
         let at = Instant::now();
-        match self.calls.block_on(call(self.service.operators, &publish))? {
+        let answer = self.calls.block_on(call(self.service.operators, &publish));
+        match answer.map_err(|why| MeasureError::Control(why.to_string()))? {
             ToOperator::Published { .. } => Ok(at),
-            ToOperator::No { why } => Err(why),
+            ToOperator::No { why } => Err(MeasureError::Control(why)),
             ToOperator::Status { .. } | ToOperator::Purging { .. } | ToOperator::Purges { .. } => {
-                Err("the service answered another call".into())
+                Err(MeasureError::UnexpectedAnswer)
             }
         }
     }
 
-    /// Waits until every proxy has taken a version; tells when the last one did.
-    fn all_have(&self, number: u64) -> Result<Instant, String> {
+    /// Waits until every proxy has taken a version; returns when the last one did.
+    fn wait_until_taken(&self, number: u64) -> Result<Instant, MeasureError> {
         let mut last = Instant::now();
         let mut have = 0;
         while have < self.proxies {
-            let (taken, at) = self
-                .taken
-                .recv_timeout(WITHIN)
-                .map_err(|_| format!("only {have} of {} proxies have version {number}", self.proxies))?;
+            let (taken, at) = self.taken.recv_timeout(TIMEOUT).map_err(|_| MeasureError::NotTaken {
+                have,
+                proxies: self.proxies,
+                number,
+            })?;
             if taken == number {
                 (have, last) = (have + 1, at);
             }
@@ -290,12 +293,12 @@
         Ok(last)
     }
 
-    /// Publishes so many versions a second, each with one route changed; tells the service's processor time a second, and
-    /// the bytes a second that each proxy was sent.
-    fn stream(&self, routes: u64, rate: f64) -> Result<(f64, f64), String> {
+    /// Publishes this many versions a second, each with one route changed; returns the service's processor time a second,
+    /// and the bytes a second that each proxy was sent.
+    fn stream(&self, routes: u64, rate: f64) -> Result<(f64, f64), MeasureError> {
         let (begun, cpu, bytes) = (Instant::now(), self.cpu()?, self.bytes());
         let mut n = 0u64;
-        while begun.elapsed() < LOOKED_AT {
+        while begun.elapsed() < MEASURED_FOR {
             n += 1;
             self.publish(routes, n)?;
             let due = begun + Duration::from_secs_f64(n as f64 / rate);
@@ -303,110 +306,16 @@
         }
         let seconds = begun.elapsed().as_secs_f64();
         let (cpu, bytes) = (self.cpu()? - cpu, self.bytes() - bytes);
-        super::held(n, seconds, rate)?;
+        super::check_rate(n, seconds, rate)?;
         // Danger: a service that lags behind would look cheap.
-        self.all_have(n + 1)?;
+        self.wait_until_taken(n + 1)?;
         Ok((cpu / seconds, bytes as f64 / seconds / self.proxies as f64))
     }
 
     /// Processor time a second while nothing is published.
-    fn rest(&self) -> Result<f64, String> {
+    fn idle_cpu(&self) -> Result<f64, MeasureError> {
         let (begun, cpu) = (Instant::now(), self.cpu()?);
-        std::thread::sleep(LOOKED_AT);
+        std::thread::sleep(MEASURED_FOR);
         Ok((self.cpu()? - cpu) / begun.elapsed().as_secs_f64())
     }
 }
-
-/// The number of the version that a frame carries, if it carries one.
-fn carried(head: &[u8]) -> Option<u64> {
-    let head = String::from_utf8_lossy(head);
-    if !head.starts_with("{\"type\":\"full\"") && !head.starts_with("{\"type\":\"delta\"") {
-        return None;
-    }
-    let (_, stamp) = head.split_once("\"stamp\":{")?;
-    let (_, number) = stamp.split_once("\"number\":")?;
-    number.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
-}
-
-/// The epoch in the same place.
-fn epoch(head: &[u8]) -> Option<u64> {
-    let head = String::from_utf8_lossy(head);
-    let (_, epoch) = head.split_once("\"stamp\":{\"epoch\":")?;
-    epoch.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
-}
-
-/// A proxy as the service sees it: it takes each version as soon as its last byte is there and reads none of it, since
-/// thousands of readers on one machine would be measured instead.
-async fn emulate(
-    n: usize,
-    addr: SocketAddr,
-    answers_after: Duration,
-    tell: &Sender<(u64, Instant)>,
-    said: &Sender<()>,
-    counted: &AtomicU64,
-) -> std::io::Result<()> {
-    let mut stream = TcpStream::connect(addr).await?;
-    stream.set_nodelay(true)?;
-    let bytes = |frame: FromProxy| encode(&frame).map_err(|e| std::io::Error::other(e.to_string()));
-    let hello = FromProxy::Hello {
-        protocol: PROTOCOL,
-        instance: format!("proxy-{n}"),
-        boot: 1,
-        labels: BTreeMap::new(),
-        frame_most: FRAME_MOST,
-        running: None,
-        purges: None,
-    };
-    stream.write_all(&bytes(hello)?).await?;
-    // Who opens the fleet may have given up.
-    let _ = said.send(());
-    let (mut reads, mut writes) = stream.into_split();
-    let (frames, mut came) = tokio::sync::mpsc::channel::<(tokio::time::Instant, Stamp)>(16);
-    let read = async move {
-        let mut part = vec![0; PART];
-        loop {
-            let mut head = [0; HEAD];
-            reads.read_exact(&mut head).await?;
-            let length = u32::from_be_bytes(head) as usize;
-            counted.fetch_add((HEAD + length) as u64, Ordering::Relaxed);
-            let (mut left, mut stamp) = (length, None);
-            while left > 0 {
-                let most = left.min(part.len());
-                let got = reads.read_exact(&mut part[..most]).await?;
-                if left == length {
-                    let first = &part[..got.min(STAMP_WITHIN)];
-                    stamp = epoch(first).zip(carried(first));
-                }
-                left -= got;
-            }
-            if let Some((epoch, number)) = stamp {
-                // The fleet is gone only when the measurement is over.
-                let _ = tell.send((number, Instant::now()));
-                let due = tokio::time::Instant::now() + answers_after;
-                let _ = frames.send((due, Stamp { epoch, number })).await;
-            }
-        }
-    };
-    let write = async move {
-        let mut running = None;
-        let mut reports = tokio::time::interval(REPORT);
-        loop {
-            let frame = tokio::select! {
-                Some((due, stamp)) = came.recv() => {
-                    tokio::time::sleep_until(due).await;
-                    running = Some(stamp);
-                    FromProxy::Taken { stamp }
-                }
-                _ = reports.tick() => match running {
-                    Some(stamp) => FromProxy::Report { stamp, served: 1000, refused: 1, failed: 0 },
-                    None => FromProxy::Alive,
-                },
-            };
-            writes.write_all(&bytes(frame)?).await?;
-        }
-    };
-    tokio::select! {
-        done = read => done,
-        done = write => done,
-    }
-}
--- /dev/null
+++ b/crates/lab-capacity/src/slopes/emulated_proxy.rs
@@ -0,0 +1,132 @@
+//! A proxy as the control service sees it: it takes each version as soon as its last byte has arrived and parses none of
+//! it, since thousands of parsers on one machine would be measured instead.
+
+use aniseyoke_control::frame::{encode, FromProxy, FRAME_MOST, HEAD, PROTOCOL};
+use aniseyoke_control::Stamp;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::Sender;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+/// It reports as often as a real proxy with clients.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The stamp of a frame that carries a version is within this many first bytes.
+const STAMP_WITHIN: usize = 160;
+const READ_SIZE: usize = 16 << 10;
+/// Versions that were received and not yet acknowledged.
+const MAX_UNACKNOWLEDGED: usize = 16;
+
+/// A version that was received, with the time at which it is acknowledged.
+type Received = (tokio::time::Instant, Stamp);
+
+/// An emulated proxy.
+pub struct EmulatedProxy {
+    /// Its number, of which its instance name is made.
+    pub index: usize,
+    /// Where the control service listens.
+    pub service: SocketAddr,
+    /// The time from a version's last byte to its acknowledgement.
+    pub reply_delay: Duration,
+    /// Gets the number of each version, with the time of its last byte.
+    pub taken: Sender<(u64, Instant)>,
+    /// Told once it has said hello.
+    pub connected: Sender<()>,
+    /// Counts what the service sends.
+    pub bytes: Arc<AtomicU64>,
+}
+
+fn encoded(frame: &FromProxy) -> io::Result<Vec<u8>> {
+    encode(frame).map_err(|e| io::Error::other(e.to_string()))
+}
+
+impl EmulatedProxy {
+    /// Runs until its connection ends.
+    pub async fn run(&self) -> io::Result<()> {
+        let mut stream = TcpStream::connect(self.service).await?;
+        stream.set_nodelay(true)?;
+        let hello = FromProxy::Hello {
+            protocol: PROTOCOL,
+            instance: format!("proxy-{}", self.index),
+            boot: 1,
+            labels: BTreeMap::new(),
+            frame_most: FRAME_MOST,
+            running: None,
+            purges: None,
+        };
+        stream.write_all(&encoded(&hello)?).await?;
+        // Whoever opens the fleet may have given up.
+        let _ = self.connected.send(());
+        let (read_half, write_half) = stream.into_split();
+        let (sender, receiver) = mpsc::channel(MAX_UNACKNOWLEDGED);
+        tokio::select! {
+            done = self.read(read_half, sender) => done,
+            done = write(write_half, receiver) => done,
+        }
+    }
+
+    /// Reads frames, and passes on the stamp of each that carries a version.
+    async fn read(&self, mut stream: OwnedReadHalf, received: mpsc::Sender<Received>) -> io::Result<()> {
+        let mut buffer = vec![0; READ_SIZE];
+        loop {
+            let mut head = [0; HEAD];
+            stream.read_exact(&mut head).await?;
+            let length = u32::from_be_bytes(head) as usize;
+            self.bytes.fetch_add((HEAD + length) as u64, Ordering::Relaxed);
+            let (mut left, mut stamp) = (length, None);
+            while left > 0 {
+                let wanted = left.min(buffer.len());
+                let got = stream.read_exact(&mut buffer[..wanted]).await?;
+                if left == length {
+                    stamp = version_stamp(&buffer[..got.min(STAMP_WITHIN)]);
+                }
+                left -= got;
+            }
+            if let Some(stamp) = stamp {
+                // The fleet is gone only when the measurement is over.
+                let _ = self.taken.send((stamp.number, Instant::now()));
+                let due = tokio::time::Instant::now() + self.reply_delay;
+                let _ = received.send((due, stamp)).await;
+            }
+        }
+    }
+}
+
+/// Acknowledges versions when they are due, and reports in between.
+async fn write(mut stream: OwnedWriteHalf, mut received: mpsc::Receiver<Received>) -> io::Result<()> {
+    let mut running = None;
+    let mut reports = tokio::time::interval(REPORT_INTERVAL);
+    loop {
+        let frame = tokio::select! {
+            Some((due, stamp)) = received.recv() => {
+                tokio::time::sleep_until(due).await;
+                running = Some(stamp);
+                FromProxy::Taken { stamp }
+            }
+            _ = reports.tick() => match running {
+                Some(stamp) => FromProxy::Report { stamp, served: 1000, refused: 1, failed: 0 },
+                None => FromProxy::Alive,
+            },
+        };
+        stream.write_all(&encoded(&frame)?).await?;
+    }
+}
+
+/// The stamp of the version that a frame carries, if it carries one, from the frame's first bytes.
+fn version_stamp(first_bytes: &[u8]) -> Option<Stamp> {
+    let text = String::from_utf8_lossy(first_bytes);
+    if !text.starts_with("{\"type\":\"full\"") && !text.starts_with("{\"type\":\"delta\"") {
+        return None;
+    }
+    let (_, stamp) = text.split_once("\"stamp\":{\"epoch\":")?;
+    let (epoch, rest) = stamp.split_once(',')?;
+    let (_, number) = rest.split_once("\"number\":")?;
+    let digits = |text: &str| text.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok();
+    Some(Stamp { epoch: digits(epoch)?, number: digits(number)? })
+}
--- a/crates/lab-capacity/src/slopes/fit.rs
+++ b/crates/lab-capacity/src/slopes/fit.rs
@@ -1,6 +1,7 @@
 //! Straight lines through measured points by least squares, with their errors, and the power of what is not straight. No
 //! I/O, no clock.
 
+use crate::FitError;
 use serde::{Deserialize, Serialize};
 
 /// A line through points.
@@ -47,16 +48,16 @@
     ///
     /// # Errors
     /// With fewer than three points, with all at one place, or with a value that is no number.
-    pub fn new(points: &[(f64, f64)]) -> Result<Fit, String> {
+    pub fn new(points: &[(f64, f64)]) -> Result<Fit, FitError> {
         if points.len() < 3 {
-            return Err(format!("{} points are too few for a line and its error", points.len()));
+            return Err(FitError::TooFewForALine(points.len()));
         }
         if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
-            return Err("a point is no number".into());
+            return Err(FitError::NotANumber);
         }
         let (mx, my, sxx, sxy) = moments(points);
         if sxx <= 0.0 {
-            return Err("all points are at one place".into());
+            return Err(FitError::OneSize);
         }
         let slope = sxy / sxx;
         let mut fit = Fit { intercept: my - slope * mx, slope, slope_se: 0.0, power: None };
@@ -70,7 +71,7 @@
     }
 
     /// What it says at `x`; `points` are those it was made from.
-    pub fn at(&self, points: &[(f64, f64)], x: f64) -> Predicted {
+    pub fn predict(&self, points: &[(f64, f64)], x: f64) -> Predicted {
         let (mx, _, sxx, _) = moments(points);
         let spread = 1.0 + 1.0 / points.len() as f64 + (x - mx).powi(2) / sxx;
         Predicted { value: self.intercept + self.slope * x, se: residual(points, self) * spread.sqrt() }
--- a/crates/lab-capacity/src/slopes/list.rs
+++ b/crates/lab-capacity/src/slopes/list_server.rs
@@ -1,8 +1,8 @@
-//! A list service that holds as many nodes as it is asked to, answers watches, and changes at a rate; and the nodes, which
-//! take connections and say nothing.
+//! A list service of as many nodes as wanted that answers watches and changes at a rate; and the nodes, which
+//! accept connections and stay silent.
 
 use aniseyoke_lab_day::Member;
-use aniseyoke_lab_site::wire::Wire;
+use aniseyoke_lab_site::http::HttpConnection;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -14,12 +14,12 @@
 use tokio::sync::watch;
 
 /// A watch waits no longer than this.
-const HOLD_MOST: Duration = Duration::from_secs(60);
-/// Changes that are remembered; who has an older version is told the whole list.
-const CHANGES_MOST: usize = 4096;
+const MAX_HOLD: Duration = Duration::from_secs(60);
+/// Changes that are remembered; a caller with an older version gets the whole list.
+const MAX_CHANGES: usize = 4096;
 
 /// The list.
-pub struct List {
+pub struct EndpointListServer {
     members: RefCell<Vec<Member>>,
     /// Which member each change was of; the first led to version `first + 1`.
     changes: RefCell<std::collections::VecDeque<usize>>,
@@ -27,12 +27,12 @@
     version: watch::Sender<u64>,
 }
 
-impl List {
+impl EndpointListServer {
     /// A list of nodes that take connections, of the kinds named in turn.
     ///
     /// # Errors
     /// If the system lacks ports or descriptors.
-    pub async fn open(nodes: usize, kinds: &[String]) -> io::Result<Rc<List>> {
+    pub async fn open(nodes: usize, kinds: &[String]) -> io::Result<Rc<EndpointListServer>> {
         let mut members = Vec::new();
         for n in 0..nodes {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
@@ -48,7 +48,7 @@
             });
         }
         let (version, _) = watch::channel(1);
-        Ok(Rc::new(List {
+        Ok(Rc::new(EndpointListServer {
             members: members.into(),
             changes: RefCell::default(),
             first: Cell::new(1),
@@ -75,7 +75,7 @@
         json!({"version": now, "full": known.is_none(), "servers": servers})
     }
 
-    /// The next change: node after node begins to drain and is ready again.
+    /// The next change: node after node starts to drain and is ready again.
     pub fn change(&self) {
         let mut members = self.members.borrow_mut();
         let step = self.version() as usize;
@@ -84,7 +84,7 @@
         member.state = if member.state == "ready" { "draining" } else { "ready" };
         let mut changes = self.changes.borrow_mut();
         changes.push_back(n);
-        if changes.len() > CHANGES_MOST {
+        if changes.len() > MAX_CHANGES {
             changes.pop_front();
             self.first.set(self.first.get() + 1);
         }
@@ -92,7 +92,7 @@
         self.version.send_modify(|version| *version += 1);
     }
 
-    /// Serves watches on the current thread, and changes so many times a second; tells where.
+    /// Serves watches on the current thread, and changes the list this many times a second; returns the address.
     ///
     /// # Errors
     /// If the system lacks ports.
@@ -102,10 +102,10 @@
         let serving = self.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let list = serving.clone();
+                let server = serving.clone();
                 tokio::task::spawn_local(async move {
                     // A caller that goes away is no concern of the list's.
-                    let _ = list.attend(stream).await;
+                    let _ = server.serve_connection(stream).await;
                 });
             }
         });
@@ -122,22 +122,22 @@
         Ok(addr)
     }
 
-    async fn attend(&self, stream: TcpStream) -> io::Result<()> {
-        let (mut wire, mut version) = (Wire::new(stream), self.version.subscribe());
-        while let Some(asked) = wire.request().await? {
-            wire.body(asked.framing, |_| {}).await?;
-            let parameter = |name| aniseyoke_lab_site::parameter(&asked.path, name);
+    async fn serve_connection(&self, stream: TcpStream) -> io::Result<()> {
+        let (mut http, mut version) = (HttpConnection::new(stream), self.version.subscribe());
+        while let Some(request) = http.read_request().await? {
+            http.read_body(request.framing, |_| {}).await?;
+            let parameter = |name| aniseyoke_lab_site::parameter(&request.path, name);
             let from = parameter("from");
             if let (Some(from), Some(hold)) = (from, parameter("hold_ms")) {
                 tokio::select! {
                     _ = version.wait_for(|version| *version != from) => {}
-                    () = tokio::time::sleep(Duration::from_millis(hold).min(HOLD_MOST)) => {}
-                    () = wire.ended() => return Ok(()),
+                    () = tokio::time::sleep(Duration::from_millis(hold).min(MAX_HOLD)) => {}
+                    () = http.closed() => return Ok(()),
                 }
             }
             let body = self.since(from).to_string();
             let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
-            wire.write(format!("{head}{}\r\n\r\n{body}", body.len()).as_bytes()).await?;
+            http.write(format!("{head}{}\r\n\r\n{body}", body.len()).as_bytes()).await?;
         }
         Ok(())
     }
--- a/crates/lab-capacity/src/slopes/mod.rs
+++ b/crates/lab-capacity/src/slopes/mod.rs
@@ -3,26 +3,29 @@
 //!
 //! A [`Family`] is one way to measure and yields a [`Slope`] for each quantity that it looks at.
 
+mod byte_counter;
 mod control;
+mod emulated_proxy;
 mod fit;
-mod list;
-mod lists;
+mod list_calls;
+mod list_server;
 mod proxy;
-mod relay;
 mod requests;
 #[cfg(test)]
 mod tests;
 
 pub use fit::{Fit, Predicted};
 
+use crate::{CapacityError, FitError, MeasureError};
+use aniseyoke_lab_day::FileError;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
 /// The fewest points of a fit; the one kept out comes beside them.
-const POINTS_LEAST: usize = 4;
+const MIN_POINTS: usize = 4;
 /// The largest size is at least so many times the smallest.
-const DECADE: f64 = 10.0;
+const MIN_SIZE_RATIO: f64 = 10.0;
 
 /// What a fit was tried on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -70,11 +73,16 @@
     /// # Errors
     /// With fewer than four points beside the largest, with less than a decade between the smallest and the largest, or
     /// as [`Fit::new`].
-    pub fn new(of: &Quantity, family: &Family, shared: bool, all: Vec<(f64, f64)>) -> Result<Slope, String> {
-        let named = |why: String| format!("{}: {why}", of.name);
-        let (points, held_out) = fitted(all).map_err(named)?;
+    pub fn new(
+        of: &Quantity,
+        family: &Family,
+        shared: bool,
+        all: Vec<(f64, f64)>,
+    ) -> Result<Slope, CapacityError> {
+        let named = |source: FitError| CapacityError::Fit { slope: of.name.into(), source };
+        let (points, held_out) = split_largest(all).map_err(named)?;
         let fit = Fit::new(&points).map_err(named)?;
-        let said = fit.at(&points, held_out.0);
+        let prediction = fit.predict(&points, held_out.0);
         Ok(Slope {
             name: of.name.into(),
             role: family.role.into(),
@@ -86,8 +94,8 @@
             held_out: HeldOut {
                 x: held_out.0,
                 measured: held_out.1,
-                predicted: said.value,
-                predicted_se: said.se,
+                predicted: prediction.value,
+                predicted_se: prediction.se,
             },
             points,
             fit,
@@ -95,8 +103,8 @@
     }
 
     /// What it says at a size.
-    pub fn at(&self, x: f64) -> Predicted {
-        self.fit.at(&self.points, x)
+    pub fn predict(&self, x: f64) -> Predicted {
+        self.fit.predict(&self.points, x)
     }
 
     /// What was measured at just this size, if anything was.
@@ -116,34 +124,36 @@
     ///
     /// # Errors
     /// As [`Slope::new`], and if anything differs.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), CapacityError> {
         let mut all = self.points.clone();
         all.push((self.held_out.x, self.held_out.measured));
-        let (points, held_out) = fitted(all).map_err(|why| format!("{}: {why}", self.name))?;
-        let fit = Fit::new(&points).map_err(|why| format!("{}: {why}", self.name))?;
-        let said = fit.at(&points, held_out.0);
+        let named = |source: FitError| CapacityError::Fit { slope: self.name.clone(), source };
+        let (points, held_out) = split_largest(all).map_err(named)?;
+        let fit = Fit::new(&points).map_err(named)?;
+        let prediction = fit.predict(&points, held_out.0);
         let near = |a: f64, b: f64| (a - b).abs() <= 1e-9 * (1.0 + a.abs().max(b.abs()));
         let same = near(fit.slope, self.fit.slope)
             && near(fit.intercept, self.fit.intercept)
             && near(fit.slope_se, self.fit.slope_se)
             && near(fit.power.unwrap_or(0.0), self.fit.power.unwrap_or(0.0))
-            && near(said.value, self.held_out.predicted)
-            && near(said.se, self.held_out.predicted_se);
-        same.then_some(()).ok_or_else(|| format!("{}: the fit does not follow from the points", self.name))
+            && near(prediction.value, self.held_out.predicted)
+            && near(prediction.se, self.held_out.predicted_se);
+        same.then_some(()).ok_or_else(|| CapacityError::FitDiffers(self.name.clone()))
     }
 }
 
-/// Splits points into those of the fit and the one at the largest size.
-type Fitted = (Vec<(f64, f64)>, (f64, f64));
+/// The points of a fit, and the one at the largest size.
+type SplitPoints = (Vec<(f64, f64)>, (f64, f64));
 
-fn fitted(mut all: Vec<(f64, f64)>) -> Result<Fitted, String> {
+/// Splits points into those of the fit and the one at the largest size.
+fn split_largest(mut all: Vec<(f64, f64)>) -> Result<SplitPoints, FitError> {
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let held_out = all.pop().ok_or("no points")?;
-    if all.len() < POINTS_LEAST {
-        return Err(format!("{} points beside the largest are too few ({POINTS_LEAST})", all.len()));
+    let held_out = all.pop().ok_or(FitError::NoPoints)?;
+    if all.len() < MIN_POINTS {
+        return Err(FitError::TooFew { count: all.len(), min: MIN_POINTS });
     }
-    if all[0].0 <= 0.0 || held_out.0 < all[0].0 * DECADE {
-        return Err(format!("{} to {} is less than a decade", all[0].0, held_out.0));
+    if all[0].0 <= 0.0 || held_out.0 < all[0].0 * MIN_SIZE_RATIO {
+        return Err(FitError::TooNarrow { from: all[0].0, to: held_out.0 });
     }
     Ok((all, held_out))
 }
@@ -172,17 +182,16 @@
     /// What is looked at, in the order in which `measure` gives the values.
     pub quantities: &'static [Quantity],
     /// Measures at one size.
-    pub measure: fn(&Setup, f64) -> Result<Vec<f64>, String>,
+    pub measure: fn(&Setup, f64) -> Result<Vec<f64>, MeasureError>,
 }
 
-/// The part of a rate that has to be reached for its figure to count.
-const RATE_HELD: f64 = 0.95;
+/// The fraction of a rate that has to be reached for its figure to count.
+const MIN_REACHED: f64 = 0.95;
 
-/// Whether so many in so many seconds are the rate that was wanted.
-fn held(n: u64, seconds: f64, rate: f64) -> Result<(), String> {
+/// Fails unless `n` in so many seconds reach the rate.
+fn check_rate(n: u64, seconds: f64, rate: f64) -> Result<(), MeasureError> {
     let reached = n as f64 / seconds;
-    let why = || format!("only {reached:.1} a second of {rate} could be published: the machine is too busy");
-    (reached >= rate * RATE_HELD).then_some(()).ok_or_else(why)
+    (reached >= rate * MIN_REACHED).then_some(()).ok_or(MeasureError::RateNotReached { reached, rate })
 }
 
 /// What a measurement needs.
@@ -208,8 +217,8 @@
         &requests::RATE,
         &requests::LENGTH,
         &requests::NODES,
-        &lists::PROXIES,
-        &lists::NODES,
+        &list_calls::PROXIES,
+        &list_calls::NODES,
     ]
 }
 
@@ -217,30 +226,34 @@
 ///
 /// # Errors
 /// If a name calls none.
-pub fn called(names: &[String]) -> Result<Vec<&'static Family>, String> {
+pub fn select(names: &[String]) -> Result<Vec<&'static Family>, CapacityError> {
     let calls = |f: &Family, name: &String| f.name == name || f.quantities.iter().any(|q| q.name == name);
     if let Some(unknown) = names.iter().find(|name| !families().iter().any(|f| calls(f, name))) {
-        let known: Vec<&str> = families().iter().map(|f| f.name).collect();
-        return Err(format!("there is no slope {unknown}; there are {}", known.join(", ")));
+        let known = families().iter().map(|f| f.name).collect();
+        return Err(CapacityError::UnknownSlope { name: unknown.clone(), known });
     }
     let wanted = |f: &&Family| names.is_empty() || names.iter().any(|name| calls(f, name));
     Ok(families().into_iter().filter(wanted).collect())
 }
 
-/// Measures a family at all its sizes; `told` hears of each.
+/// Measures a family at all its sizes; `progress` is called after each.
 ///
 /// # Errors
 /// If a size could not be measured, or its points make no slope.
 pub fn measure(
     family: &Family,
     setup: &Setup,
-    mut told: impl FnMut(f64, &[f64]),
-) -> Result<Vec<Slope>, String> {
+    mut progress: impl FnMut(f64, &[f64]),
+) -> Result<Vec<Slope>, CapacityError> {
     let mut rows = Vec::new();
     for x in family.at {
-        let values = (family.measure)(setup, *x)
-            .map_err(|e| format!("{} at {x} {}: {e}", family.name, family.against))?;
-        told(*x, &values);
+        let values = (family.measure)(setup, *x).map_err(|source| CapacityError::Measure {
+            family: family.name,
+            size: *x,
+            against: family.against,
+            source: Box::new(source),
+        })?;
+        progress(*x, &values);
         rows.push((*x, values));
     }
     let slope = |(n, of): (usize, &Quantity)| {
@@ -254,41 +267,41 @@
 ///
 /// # Errors
 /// If it can't be written.
-pub fn keep(slope: &Slope, folder: &Path) -> Result<(), String> {
+pub fn save(slope: &Slope, folder: &Path) -> Result<(), CapacityError> {
     let file = folder.join(format!("{}.json", slope.name));
-    let text = serde_json::to_string_pretty(slope).map_err(|e| e.to_string())?;
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    std::fs::write(&file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))
+    let text = serde_json::to_string_pretty(slope).map_err(CapacityError::Encode)?;
+    std::fs::create_dir_all(folder).map_err(FileError::at(folder))?;
+    std::fs::write(&file, text + "\n").map_err(FileError::at(&file))?;
+    Ok(())
 }
 
 /// Reads all JSON files of a folder, in the order of their names; none where there is no such folder.
 ///
 /// # Errors
 /// Names the file that can't be read or does not fit.
-pub fn json_files<T: DeserializeOwned>(folder: &Path) -> Result<Vec<T>, String> {
+pub fn json_files<T: DeserializeOwned>(folder: &Path) -> Result<Vec<T>, CapacityError> {
     if !folder.exists() {
         return Ok(Vec::new());
     }
-    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
-    let entries = std::fs::read_dir(folder).map_err(|e| named(&e))?;
+    let entries = std::fs::read_dir(folder).map_err(FileError::at(folder))?;
     let mut files = Vec::new();
     for entry in entries {
-        files.push(entry.map_err(|e| named(&e))?.path());
+        files.push(entry.map_err(FileError::at(folder))?.path());
     }
     files.retain(|file| file.extension().is_some_and(|e| e == "json"));
     files.sort();
-    let read = |file: std::path::PathBuf| {
-        let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))
+    let load = |file: PathBuf| {
+        let text = std::fs::read_to_string(&file).map_err(FileError::at(&file))?;
+        serde_json::from_str(&text).map_err(|source| CapacityError::Json { path: file, source })
     };
-    files.into_iter().map(read).collect()
+    files.into_iter().map(load).collect()
 }
 
 /// Reads all slopes of a folder, in the order of their names.
 ///
 /// # Errors
 /// Names the file that can't be read or is no slope.
-pub fn read(folder: &Path) -> Result<Vec<Slope>, String> {
+pub fn load(folder: &Path) -> Result<Vec<Slope>, CapacityError> {
     let mut slopes: Vec<Slope> = json_files(folder)?;
     slopes.sort_by(|a, b| a.name.cmp(&b.name));
     Ok(slopes)
--- a/crates/lab-capacity/src/slopes/proxy.rs
+++ b/crates/lab-capacity/src/slopes/proxy.rs
@@ -1,14 +1,15 @@
 //! A real proxy without clients: what the list of nodes and the versions of its configuration cost it.
 
-use super::list::List;
-use super::relay::{self, Counted};
+use super::byte_counter::{self, ByteCounter};
+use super::list_server::EndpointListServer;
 use super::{Family, Quantity, Setup};
+use crate::MeasureError;
 use aniseyoke_control::hosted::Hosted;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
-use aniseyoke_lab_day::{proxy_config, Day};
-use aniseyoke_lab_process::{Program, Running, Subject, Usage};
-use aniseyoke_lab_scale::versions::body;
+use aniseyoke_lab_day::{proxy_config, Day, FileError};
+use aniseyoke_lab_process::{Program, ProxyLauncher, RunningProxy, Usage};
+use aniseyoke_lab_scale::versions::version_body;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
@@ -18,17 +19,17 @@
 
 /// The memory that the proxy is told it may take, in MB: more than the target's, so that need is seen and not the limit.
 const MEMORY_MB: usize = 128;
-/// What must happen happens within this time, or the measurement fails.
-const WITHIN: Duration = Duration::from_secs(30);
-/// A proxy that has just started is left alone for so long.
-const SETTLES: Duration = Duration::from_secs(2);
-/// For so long it is looked at: whole cycles of its watch (2.5 s) and of its word that it is alive (5 s).
-const LOOKED_AT: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(2);
-/// Versions after the first where each one's cost is looked at.
+/// The measurement fails if something takes longer than this.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// A proxy that has just started is left alone for this long.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// It is measured for this long: whole cycles of its watch (2.5 s) and of its keep-alives (5 s).
+const MEASURED_FOR: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Versions after the first where the cost of each is measured.
 const VERSIONS_EACH: u64 = 5;
 /// Nodes listed where something else is the size: the target's.
-const NODES_MANY: usize = 880;
+const NODES_FIXED: usize = 880;
 /// Routes of a small version.
 const ROUTES_FEW: u64 = 10;
 
@@ -53,11 +54,11 @@
         quantity!("proxy.descriptors.nodes", "descriptors at rest", "1"),
     ],
     measure: |setup, nodes| {
-        let stand = Stand::open(setup, nodes as usize, 0.0)?;
-        stand.publish(ROUTES_FEW, 0)?;
-        std::thread::sleep(SETTLES);
-        let start = stand.usage()?.cpu_s;
-        let rest = stand.look(LOOKED_AT, || Ok(()))?;
+        let testbed = ProxyTestbed::open(setup, nodes as usize, 0.0)?;
+        testbed.publish(ROUTES_FEW, 0)?;
+        std::thread::sleep(SETTLE_TIME);
+        let start = testbed.usage()?.cpu_s;
+        let rest = testbed.measure(MEASURED_FOR, || Ok(()))?;
         Ok(vec![rest.cpu, rest.bytes, rest.messages, rest.memory_mb, start, rest.descriptors])
     },
 };
@@ -74,10 +75,10 @@
         quantity!("proxy.messages.changes", "messages at its sockets, both ways", "1/s"),
     ],
     measure: |setup, rate| {
-        let stand = Stand::open(setup, NODES_MANY, rate)?;
-        stand.publish(ROUTES_FEW, 0)?;
-        std::thread::sleep(SETTLES);
-        let rest = stand.look(LOOKED_AT, || Ok(()))?;
+        let testbed = ProxyTestbed::open(setup, NODES_FIXED, rate)?;
+        testbed.publish(ROUTES_FEW, 0)?;
+        std::thread::sleep(SETTLE_TIME);
+        let rest = testbed.measure(MEASURED_FOR, || Ok(()))?;
         Ok(vec![rest.cpu, rest.bytes, rest.messages])
     },
 };
@@ -95,18 +96,18 @@
         quantity!("proxy.delta.routes", "bytes of one route changed, with its answer", "B"),
     ],
     measure: |setup, routes| {
-        let stand = Stand::open(setup, NODES_MANY, 0.0)?;
-        let before = stand.control.bytes();
-        stand.publish(routes as u64, 0)?;
-        std::thread::sleep(SETTLES);
-        let (whole, cpu) = (stand.control.bytes() - before, stand.usage()?.cpu_s);
-        let before = stand.control.bytes();
+        let testbed = ProxyTestbed::open(setup, NODES_FIXED, 0.0)?;
+        let before = testbed.control.bytes();
+        testbed.publish(routes as u64, 0)?;
+        std::thread::sleep(SETTLE_TIME);
+        let (whole, cpu) = (testbed.control.bytes() - before, testbed.usage()?.cpu_s);
+        let before = testbed.control.bytes();
         for n in 1..=VERSIONS_EACH {
-            stand.publish(routes as u64, n)?;
+            testbed.publish(routes as u64, n)?;
         }
         // What is done once a version is in force counts as well.
-        std::thread::sleep(SETTLES / 4);
-        let (delta, after) = (stand.control.bytes() - before, stand.usage()?);
+        std::thread::sleep(SETTLE_TIME / 4);
+        let (delta, after) = (testbed.control.bytes() - before, testbed.usage()?);
         let each = VERSIONS_EACH as f64;
         Ok(vec![after.memory_mb, (after.cpu_s - cpu) / each, whole as f64, delta as f64 / each])
     },
@@ -123,24 +124,24 @@
         quantity!("proxy.bytes.versions", "bytes at its sockets, both ways", "B/s"),
     ],
     measure: |setup, rate| {
-        let stand = Stand::open(setup, NODES_MANY, 0.0)?;
-        stand.publish(ROUTES_FEW, 0)?;
-        std::thread::sleep(SETTLES);
+        let testbed = ProxyTestbed::open(setup, NODES_FIXED, 0.0)?;
+        testbed.publish(ROUTES_FEW, 0)?;
+        std::thread::sleep(SETTLE_TIME);
         let (mut n, begun) = (0u64, Instant::now());
-        let rest = stand.look(LOOKED_AT, || {
+        let rest = testbed.measure(MEASURED_FOR, || {
             n += 1;
-            stand.service.publish(body(&stand.day, ROUTES_FEW, n), Plan::default())?;
+            testbed.publish_only(ROUTES_FEW, n)?;
             let due = begun + Duration::from_secs_f64(n as f64 / rate);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             Ok(())
         })?;
-        super::held(n, begun.elapsed().as_secs_f64(), rate)?;
+        super::check_rate(n, begun.elapsed().as_secs_f64(), rate)?;
         Ok(vec![rest.cpu, rest.bytes])
     },
 };
 
-/// What was seen of a proxy in a span.
-struct Seen {
+/// What was measured of a proxy in a span.
+struct Measurement {
     cpu: f64,
     bytes: f64,
     messages: f64,
@@ -149,113 +150,135 @@
 }
 
 /// A proxy between counting relays, with its list, its nodes and its control service.
-struct Stand {
+struct ProxyTestbed {
     day: Day,
     service: Hosted,
-    proxy: Box<dyn Running>,
-    list: Arc<Counted>,
-    control: Arc<Counted>,
+    proxy: Box<dyn RunningProxy>,
+    list_server: Arc<ByteCounter>,
+    control: Arc<ByteCounter>,
     _folder: tempfile::TempDir,
     /// Their thread ends when this is dropped.
     _stand_ins: oneshot::Sender<()>,
 }
 
-/// Where the stand-ins of a proxy stand.
+/// The addresses of a proxy's stand-ins.
 struct StandIns {
     discovery: SocketAddr,
     known: Value,
-    list: Arc<Counted>,
+    list_server: Arc<ByteCounter>,
     services: SocketAddr,
-    control: Arc<Counted>,
+    control: Arc<ByteCounter>,
 }
 
-async fn stand_ins(
+async fn open_stand_ins(
     nodes: usize,
     kinds: &[String],
     changes: f64,
     at: SocketAddr,
 ) -> std::io::Result<StandIns> {
-    let list = List::open(nodes, kinds).await?;
-    let known = list.since(None);
-    let serving = list.serve(changes).await?;
-    let (discovery, list) = relay::open(serving).await?;
-    let (services, control) = relay::open(at).await?;
-    Ok(StandIns { discovery, known, list, services, control })
+    let list_server = EndpointListServer::open(nodes, kinds).await?;
+    let known = list_server.since(None);
+    let serving = list_server.serve(changes).await?;
+    let (discovery, list_server) = byte_counter::open(serving).await?;
+    let (services, control) = byte_counter::open(at).await?;
+    Ok(StandIns { discovery, known, list_server, services, control })
 }
 
-impl Stand {
-    fn open(setup: &Setup, nodes: usize, changes: f64) -> Result<Stand, String> {
-        let mut day = Day::open("quiet").map_err(|e| e.to_string())?;
+impl ProxyTestbed {
+    fn open(setup: &Setup, nodes: usize, changes: f64) -> Result<ProxyTestbed, MeasureError> {
+        let mut day = Day::open("quiet")?;
         day.site.proxy.count = 1;
         day.site.proxy.memory_mb = MEMORY_MB;
         let kinds: Vec<String> = day.site.cache.kinds.iter().map(|k| k.name.clone()).collect();
-        let service = Hosted::start(1).map_err(|e| format!("service: {e}"))?;
+        let service = Hosted::start(1).map_err(MeasureError::Service)?;
         let (stop, stopped) = oneshot::channel::<()>();
-        let (tell, told) = channel();
+        let (tell, progress) = channel();
         let at = service.addr;
-        let runtime =
-            tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-        let stand = move || {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .map_err(MeasureError::Runtime)?;
+        let stand_ins = move || {
             tokio::task::LocalSet::new().block_on(&runtime, async move {
-                // Who opens the stand waits for this; it lets go of the other end to close it.
-                let _ = tell.send(stand_ins(nodes, &kinds, changes, at).await);
+                // Whoever opens the testbed waits for this, and drops the other end to close it.
+                let _ = tell.send(open_stand_ins(nodes, &kinds, changes, at).await);
                 let _ = stopped.await;
             });
         };
-        std::thread::Builder::new().name("stand-ins".into()).spawn(stand).map_err(|e| e.to_string())?;
-        let opened = told.recv().map_err(|_| "the stand-ins did not open")?;
-        let StandIns { discovery, known, list, services, control } =
-            opened.map_err(|e| format!("stand-ins of {nodes} nodes: {e}"))?;
-        let folder = tempfile::tempdir().map_err(|e| format!("a folder: {e}"))?;
+        std::thread::Builder::new()
+            .name("stand-ins".into())
+            .spawn(stand_ins)
+            .map_err(MeasureError::Runtime)?;
+        let opened = progress.recv().map_err(|_| MeasureError::StandInsPanicked)?;
+        let StandIns { discovery, known, list_server, services, control } =
+            opened.map_err(|source| MeasureError::StandIns { nodes, source })?;
+        let folder = tempfile::tempdir().map_err(MeasureError::Folder)?;
         let file = folder.path().join("operator.toml");
         let text = format!("[control]\nservices = [\"{services}\"]\n");
-        std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-        let program = Program { operator: Some(file), tied: true, ..Program::new(setup.proxy.clone()) };
+        std::fs::write(&file, text).map_err(FileError::at(&file))?;
+        let program =
+            Program { operator: Some(file), kill_with_parent: true, ..Program::new(setup.proxy.clone()) };
         let config = proxy_config(&day, 0, discovery, &known);
         let proxy = program.start(0, &config, &folder.path().join("proxy"))?;
-        let stand = Stand { day, service, proxy, list, control, _folder: folder, _stand_ins: stop };
-        stand.until("it found no service", || !stand.service.rows().is_empty())?;
-        Ok(stand)
+        let testbed =
+            ProxyTestbed { day, service, proxy, list_server, control, _folder: folder, _stand_ins: stop };
+        testbed.wait_until("it found no service", || !testbed.service.rows().is_empty())?;
+        Ok(testbed)
     }
 
-    fn until(&self, why: &str, met: impl Fn() -> bool) -> Result<(), String> {
-        let until = Instant::now() + WITHIN;
+    fn wait_until(&self, what: &str, met: impl Fn() -> bool) -> Result<(), MeasureError> {
+        let until = Instant::now() + TIMEOUT;
         while !met() {
             if Instant::now() > until {
-                return Err(format!("{why}; its last lines:\n{}", self.proxy.last_lines().join("\n")));
+                let last_lines = self.proxy.last_lines();
+                return Err(MeasureError::ProxyTimeout { what: what.to_owned(), last_lines });
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
+    /// Publishes a version.
+    fn publish_only(&self, routes: u64, changed: u64) -> Result<Stamp, MeasureError> {
+        let body = version_body(&self.day, routes, changed);
+        let (stamp, _) = self
+            .service
+            .publish(body, Plan::default())
+            .map_err(|why| MeasureError::Control(why.to_string()))?;
+        Ok(stamp)
+    }
+
     /// Publishes a version and waits until the proxy runs it.
-    fn publish(&self, routes: u64, changed: u64) -> Result<Stamp, String> {
-        let (stamp, _) = self.service.publish(body(&self.day, routes, changed), Plan::default())?;
+    fn publish(&self, routes: u64, changed: u64) -> Result<Stamp, MeasureError> {
+        let stamp = self.publish_only(routes, changed)?;
         let runs = || self.service.rows().iter().any(|row| row.running == Some(stamp));
-        self.until(&format!("it does not run version {stamp}"), runs)?;
+        self.wait_until(&format!("it does not run version {stamp}"), runs)?;
         Ok(stamp)
     }
 
-    fn usage(&self) -> Result<Usage, String> {
-        let looked = self.proxy.pid().and_then(Usage::look);
-        looked.ok_or_else(|| format!("the proxy has ended:\n{}", self.proxy.last_lines().join("\n")))
+    fn usage(&self) -> Result<Usage, MeasureError> {
+        let usage = self.proxy.pid().and_then(Usage::of_process);
+        usage.ok_or_else(|| MeasureError::ProxyEnded(self.proxy.last_lines()))
     }
 
     fn counts(&self) -> (u64, u64) {
-        let (list, control) = (&self.list, &self.control);
-        (list.bytes() + control.bytes(), list.messages() + control.messages())
+        let (list_server, control) = (&self.list_server, &self.control);
+        (list_server.bytes() + control.bytes(), list_server.messages() + control.messages())
     }
 
-    /// Looks at the proxy for a span, in which `act` is done over and over.
-    fn look(&self, span: Duration, mut act: impl FnMut() -> Result<(), String>) -> Result<Seen, String> {
+    /// Measures the proxy for a span, in which `act` is repeated.
+    fn measure(
+        &self,
+        span: Duration,
+        mut act: impl FnMut() -> Result<(), MeasureError>,
+    ) -> Result<Measurement, MeasureError> {
         let (begun, before, counted) = (Instant::now(), self.usage()?, self.counts());
         while begun.elapsed() < span {
             act()?;
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let (after, counts, seconds) = (self.usage()?, self.counts(), begun.elapsed().as_secs_f64());
-        Ok(Seen {
+        Ok(Measurement {
             cpu: (after.cpu_s - before.cpu_s) / seconds,
             bytes: (counts.0 - counted.0) as f64 / seconds,
             messages: (counts.1 - counted.1) as f64 / seconds,
--- a/crates/lab-capacity/src/slopes/requests.rs
+++ b/crates/lab-capacity/src/slopes/requests.rs
@@ -1,12 +1,13 @@
 //! What requests cost a real proxy: against their rate, and against the length of their answers.
 
 use super::{Family, Quantity, Setup};
+use crate::MeasureError;
 use aniseyoke_lab_day::Day;
 use aniseyoke_lab_process::Program;
 use aniseyoke_lab_trial::Options;
 use std::time::Duration;
 
-/// For so long requests come.
+/// Requests are sent for this long.
 const LENGTH_OF_LOAD: Duration = Duration::from_secs(6);
 /// The rate where the length of answers is the size, in requests a second.
 const RATE_OF_LONG: f64 = 100.0;
@@ -45,7 +46,7 @@
     measure: |setup, bytes| {
         let played = play(setup, |day| {
             day.load.rate = RATE_OF_LONG;
-            day.load.answer_bytes = bytes as u64;
+            day.load.response_bytes = bytes as u64;
         })?;
         Ok(vec![played.cpu_us * 1e-6])
     },
@@ -71,25 +72,25 @@
     },
 };
 
-struct Played {
+struct TrialCost {
     cpu_us: f64,
     descriptors: f64,
     memory_mb: f64,
 }
 
-fn play(setup: &Setup, differs: impl FnOnce(&mut Day)) -> Result<Played, String> {
-    let mut day = Day::open("plain").map_err(|e| e.to_string())?;
+fn play(setup: &Setup, adjust: impl FnOnce(&mut Day)) -> Result<TrialCost, MeasureError> {
+    let mut day = Day::open("plain")?;
     day.length = LENGTH_OF_LOAD;
     day.site.proxy.memory_mb = MEMORY_MB;
-    differs(&mut day);
+    adjust(&mut day);
     let report = aniseyoke_lab_trial::run(&day, &Program::new(setup.proxy.clone()), &Options::default())?;
     if let Some(why) = report.void {
-        return Err(format!("the trial is void: {why}"));
+        return Err(MeasureError::VoidTrial(why));
     }
     if report.all.outcomes.keys().any(|outcome| outcome != "served") {
-        return Err(format!("not everything was served: {:?}", report.all.outcomes));
+        return Err(MeasureError::NotServed(report.all.outcomes));
     }
-    Ok(Played {
+    Ok(TrialCost {
         cpu_us: report.cpu_us,
         memory_mb: report.proxies.iter().map(|p| p.memory_mb).sum(),
         descriptors: report.proxies.iter().map(|p| p.descriptors as f64).sum(),
--- a/crates/lab-capacity/src/slopes/tests.rs
+++ b/crates/lab-capacity/src/slopes/tests.rs
@@ -10,9 +10,9 @@
     let fit = Fit::new(&bent).expect("a line");
     assert!((fit.slope - 1.1).abs() < 1e-9 && (fit.intercept - 0.0).abs() < 1e-9, "{fit:?}");
     assert!((fit.slope_se - (0.1f64 / 5.0).sqrt()).abs() < 1e-9, "{fit:?}");
-    let said = fit.at(&bent, 5.5);
-    assert!((said.value - 6.05).abs() < 1e-9, "{said:?}");
-    assert!((said.se - (0.1f64 * (1.25 + 9.0 / 5.0)).sqrt()).abs() < 1e-9, "{said:?}");
+    let prediction = fit.predict(&bent, 5.5);
+    assert!((prediction.value - 6.05).abs() < 1e-9, "{prediction:?}");
+    assert!((prediction.se - (0.1f64 * (1.25 + 9.0 / 5.0)).sqrt()).abs() < 1e-9, "{prediction:?}");
 }
 
 #[test]
@@ -39,7 +39,7 @@
     measure: |_, x| Ok(vec![1.0 + x]),
 };
 
-fn slope(points: &[(f64, f64)]) -> Result<Slope, String> {
+fn slope(points: &[(f64, f64)]) -> Result<Slope, CapacityError> {
     Slope::new(&FAMILY.quantities[0], &FAMILY, true, points.to_vec())
 }
 
@@ -52,10 +52,10 @@
         (slope.measured(20.0), slope.measured(5.0), slope.measured(6.0)),
         (Some(30.0), Some(6.0), None)
     );
-    assert_eq!(slope.check(), Ok(()));
+    assert!(slope.check().is_ok());
     let mut other = slope.clone();
     other.fit.slope *= 1.01;
-    assert!(other.check().is_err_and(|why| why.contains("role.cost.size")));
+    assert!(other.check().is_err_and(|why| why.to_string().contains("role.cost.size")));
     let mut other = slope;
     other.points[0].1 += 0.5;
     assert!(other.check().is_err());
@@ -64,22 +64,22 @@
 #[test]
 fn too_few_sizes_or_too_little_span_make_no_slope() {
     let few = slope(&[(1.0, 1.0), (2.0, 2.0), (5.0, 5.0), (10.0, 10.0)]);
-    assert!(few.is_err_and(|why| why.contains("too few")));
+    assert!(few.is_err_and(|why| why.to_string().contains("too few")));
     let near = slope(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0), (4.0, 4.0), (9.0, 9.0)]);
-    assert!(near.is_err_and(|why| why.contains("decade")));
+    assert!(near.is_err_and(|why| why.to_string().contains("decade")));
 }
 
 #[test]
 fn every_family_has_sizes_for_a_slope_and_names_of_its_own() {
     let mut names = std::collections::BTreeSet::new();
     for family in families() {
-        assert!(fitted(family.at.iter().map(|x| (*x, 1.0)).collect()).is_ok(), "{}", family.name);
+        assert!(split_largest(family.at.iter().map(|x| (*x, 1.0)).collect()).is_ok(), "{}", family.name);
         for quantity in family.quantities {
             assert!(names.insert(quantity.name), "{} twice", quantity.name);
-            assert_eq!(called(&[quantity.name.to_owned()]).map(|f| f.len()), Ok(1));
+            assert_eq!(select(&[quantity.name.to_owned()]).expect("a family").len(), 1);
         }
     }
-    assert!(called(&["no.such".to_owned()]).is_err_and(|why| why.contains("no.such")));
+    assert!(select(&["no.such".to_owned()]).is_err_and(|why| why.to_string().contains("no.such")));
 }
 
 #[test]
@@ -88,12 +88,12 @@
     let setup = Setup { proxy: PathBuf::new(), control: PathBuf::new(), shared: false };
     let mut sizes = Vec::new();
     let slopes = measure(&FAMILY, &setup, |x, _| sizes.push(x)).expect("measured");
-    slopes.iter().for_each(|slope| keep(slope, folder.path()).expect("kept"));
-    assert_eq!((sizes.len(), read(folder.path())), (5, Ok(slopes)));
+    slopes.iter().for_each(|slope| save(slope, folder.path()).expect("kept"));
+    assert_eq!((sizes.len(), load(folder.path()).expect("read")), (5, slopes));
 }
 
 #[test]
 fn a_rate_that_was_not_reached_counts_for_nothing() {
-    assert_eq!(held(20, 10.0, 2.0), Ok(()));
-    assert!(held(18, 10.0, 2.0).is_err_and(|why| why.contains("1.8")));
+    assert!(check_rate(20, 10.0, 2.0).is_ok());
+    assert!(check_rate(18, 10.0, 2.0).is_err_and(|why| why.to_string().contains("1.8")));
 }
--- a/crates/lab-capacity/src/tests.rs
+++ b/crates/lab-capacity/src/tests.rs
@@ -5,7 +5,7 @@
     // 3 + 2x with an error, tried at 20.
     let points = vec![(1.0, 5.1), (2.0, 6.9), (5.0, 13.1), (10.0, 22.9)];
     let fit = Fit::new(&points).expect("a fit");
-    let said = fit.at(&points, 20.0);
+    let prediction = fit.predict(&points, 20.0);
     Slope {
         name: "role.cost.size".into(),
         role: "role".into(),
@@ -16,7 +16,12 @@
         shared: true,
         points,
         fit,
-        held_out: HeldOut { x: 20.0, measured: 43.5, predicted: said.value, predicted_se: said.se },
+        held_out: HeldOut {
+            x: 20.0,
+            measured: 43.5,
+            predicted: prediction.value,
+            predicted_se: prediction.se,
+        },
     }
 }
 
@@ -36,7 +41,7 @@
     toml::from_str(&text).expect("a row")
 }
 
-fn worked(rest: &str) -> Result<Worked, String> {
+fn worked(rest: &str) -> Result<Worked, RowError> {
     row(rest).work(&inputs())
 }
 
@@ -55,11 +60,11 @@
 
 #[test]
 fn beyond_the_sizes_the_line_speaks_with_its_error() {
-    let (slope, said) =
+    let (slope, prediction) =
         (slope(), worked(r#"terms = [{ slope = "role.cost.size", at = ["more"] }]"#).expect("worked"));
-    let line = slope.at(40.0);
-    assert_eq!(said, Worked { value: line.value, se: line.se, kind: Kind::Predicted });
-    assert!(said.se > 0.0);
+    let line = slope.predict(40.0);
+    assert_eq!(prediction, Worked { value: line.value, se: line.se, kind: Kind::Predicted });
+    assert!(prediction.se > 0.0);
     let each = worked("scale = 10.0\nterms = [{ slope = \"role.cost.size\", each = [4, \"/size\"] }]")
         .expect("worked");
     assert!(
@@ -72,7 +77,7 @@
 fn the_error_of_a_sum_is_told_only_where_every_part_has_one() {
     let line = r#"{ slope = "role.cost.size", at = ["more"] }"#;
     let two = worked(&format!("terms = [{line}, {line}]")).expect("worked");
-    assert!((two.se - slope().at(40.0).se * 2f64.sqrt()).abs() < 1e-9);
+    assert!((two.se - slope().predict(40.0).se * 2f64.sqrt()).abs() < 1e-9);
     let mixed = worked(&format!(r#"terms = [{line}, {{ run = "r", figure = "f" }}]"#)).expect("worked");
     assert_eq!(mixed.se, 0.0);
 }
@@ -96,7 +101,7 @@
         (r#"terms = [{ run = "r", figure = "f", paper = "p" }]"#, "a term is"),
         ("limit = [\"l\"]\nterms = [{ paper = \"p\" }]", "no figure l"),
     ] {
-        let told = worked(rest).expect_err(rest);
+        let told = worked(rest).expect_err(rest).to_string();
         assert!(told.contains(why), "{rest}: {told}");
     }
 }
@@ -123,7 +128,7 @@
         ("<!-- table:a -->\n<!-- end -->\n<!-- table:a -->\n<!-- end -->\n", "two places"),
         ("<!-- table:a -->\n<!-- table:a -->\n<!-- end -->\n", "line 1 is not closed"),
     ] {
-        let told = fill(bad, &tables).expect_err(bad);
+        let told = fill(bad, &tables).expect_err(bad).to_string();
         assert!(told.contains(why), "{bad}: {told}");
     }
 }
@@ -132,7 +137,7 @@
 fn numbers_are_short() {
     let told: Vec<String> =
         [0.0, 0.0123456, 1.5, 43.5, 123.4, 2046.0, 1234567.0, 2.6e6, 1.234e-5, -3.25, -20460.0]
-            .map(short)
+            .map(format_short)
             .into();
     let wanted = [
         "0",
--- a/crates/lab-day/src/clock.rs
+++ b/crates/lab-day/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of a trial: nanoseconds since its start, the same for site, load and auditor.
+//! The clock of a trial, in nanoseconds since its start, shared by site, load and auditor; and draws that depend on a seed alone.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 /// Nanoseconds in a second.
 pub const SECOND: Nanos = 1_000_000_000;
 /// Nanoseconds in a millisecond.
-pub const MS: Nanos = 1_000_000;
+pub const MILLISECOND: Nanos = 1_000_000;
 
 /// A monotonic clock, with the Unix time of its start for what is told to proxies.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
 
     /// A point of this clock as Unix time, in milliseconds.
     pub fn unix_ms(&self, at: Nanos) -> u64 {
-        self.unix_ms + at / MS
+        self.unix_ms + at / MILLISECOND
     }
 }
 
@@ -57,7 +57,7 @@
     round(first.wrapping_add(b.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
 
-/// A mixed value as a part of one, in [0, 1).
-pub fn part(mixed: u64) -> f64 {
+/// A mixed value as a fraction in [0, 1).
+pub fn unit_fraction(mixed: u64) -> f64 {
     (mixed >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/lab-day/src/settings.rs
+++ b/crates/lab-day/src/settings.rs
@@ -1,13 +1,13 @@
-//! A day's settings as the platform tells them to a proxy.
+//! A day's settings: a proxy's configuration in the platform's form, and the decision module's settings.
 
-use super::{Day, Effect};
+use super::{Day, Idempotency};
 use crate::clock::nanos;
 use aniseyoke_decision::api::{self, Settings};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A tenant's share over what it is expected to send.
-const SHARE_ROOM: f64 = 1.3;
+/// A tenant's quota over what it is expected to send.
+const QUOTA_HEADROOM: f64 = 1.3;
 
 /// A member in discovery's form.
 #[derive(Clone, Debug)]
@@ -25,28 +25,28 @@
 }
 
 impl Member {
-    /// As it stands in a list.
+    /// As an entry of discovery's list.
     pub fn json(&self) -> Value {
         json!({"id": self.id, "addr": self.addr.to_string(), "zone": "hall", "kind": self.kind, "cell": 0,
                "state": self.state, "weight": 1.0, "started_ms": self.started_ms})
     }
 }
 
-/// The configuration of proxy `me`, in the platform's form.
-pub fn proxy_config(day: &Day, me: usize, discovery: SocketAddr, known: &Value) -> Value {
+/// The configuration of proxy `index`, in the platform's form; `initial_list` is the endpoint list that it starts with.
+pub fn proxy_config(day: &Day, index: usize, discovery: SocketAddr, initial_list: &Value) -> Value {
     let class = |c: &super::Class| {
-        let effect = match c.effect {
-            Effect::Safe => "safe",
-            Effect::Keyed => "keyed",
-            Effect::Unsafe => "unsafe",
+        let idempotency = match c.idempotency {
+            Idempotency::Idempotent => "safe",
+            Idempotency::WithKey => "keyed",
+            Idempotency::NotIdempotent => "unsafe",
         };
-        json!({"name": c.name, "effect": effect, "group": "all", "promise_ns": nanos(c.aim),
-               "deadline_ns": nanos(c.give_up), "dedup_window_ns": nanos(day.site.ledger.repeats),
-               "late_value": 0.0, "value": c.worth, "stream": false})
+        json!({"name": c.name, "effect": idempotency, "group": "all", "promise_ns": nanos(c.latency_objective),
+               "deadline_ns": nanos(c.deadline), "dedup_window_ns": nanos(day.site.origin.dedup_window),
+               "late_value": 0.0, "value": c.weight, "stream": false})
     };
     let classes: Vec<Value> = day.load.classes.iter().map(class).collect();
-    // The quota is what its share of a fleet with some room to spare comes to.
-    let quota = |share: f64| day.load.rate * share * SHARE_ROOM;
+    // The quota is a tenant's share of the rate with some headroom.
+    let quota = |share: f64| day.load.rate * share * QUOTA_HEADROOM;
     let tenants: Vec<Value> = (day.load.tenants.iter())
         .map(|t| json!({"name": t.name, "quota_rps": quota(t.share), "fraction": t.share}))
         .collect();
@@ -54,45 +54,45 @@
     kinds.push("ledger");
     let (cache, proxy) = (&day.site.cache, &day.site.proxy);
     json!({
-        "name": format!("p{me}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", crate::clock::mix(day.seed, 0x5eed, me as u64)),
+        "name": format!("p{index}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+        "seed": format!("{:016x}", crate::clock::mix(day.seed, 0x5eed, index as u64)),
         "limits": {"cores": 1.0, "memory_mb": proxy.memory_mb, "sockets": proxy.sockets},
-        "known": known,
+        "known": initial_list,
         "settings": {
             "categories": classes, "customers": tenants, "localities": ["hall"], "machine_types": kinds,
-            "zone": 0, "n_instances": proxy.count, "self_index": me, "discovery": "subscribe",
+            "zone": 0, "n_instances": proxy.count, "self_index": index, "discovery": "subscribe",
             "over_share_worth": 0.05, "worth_by": "work",
             "family_info": {"mode": "aside", "origin_kind": day.site.cache.kinds.len()},
             "caps": {"attempts_cap": 4, "cancelling": true, "second_copies": true, "conn_idle_ns": 30_000_000_000u64,
                      "connect_timeout_ns": 250_000_000u64, "max_retry_after_ns": 2_000_000_000u64},
-            "rules": {"cold_from": cache.cold_from, "cold_ns": nanos(cache.cold),
-                      "fall_multiple": cache.fall_multiple, "fall_ns": nanos(cache.fall),
-                      "must_ask_in_ns": nanos(day.site.roster.must_ask_in)}
+            "rules": {"cold_from": cache.initial_capacity, "cold_ns": nanos(cache.warm_up),
+                      "fall_multiple": cache.overload_multiple, "fall_ns": nanos(cache.overload_window),
+                      "must_ask_in_ns": nanos(day.site.discovery.poll_within)}
         }
     })
 }
 
-/// The same in the module's own terms, for a proxy in simulated time. Its nodes report their load.
-pub fn module_settings(day: &Day, me: usize) -> Settings {
+/// The settings of the decision module of proxy `index`, for simulated time, in which nodes report their load.
+pub fn module_settings(day: &Day, index: usize) -> Settings {
     let class = |c: &super::Class| api::Class {
-        aim: nanos(c.aim),
-        deadline: nanos(c.give_up),
-        effect: match c.effect {
-            Effect::Safe => api::Effect::Safe,
-            Effect::Keyed => api::Effect::Keyed,
-            Effect::Unsafe => api::Effect::Unsafe,
+        aim: nanos(c.latency_objective),
+        deadline: nanos(c.deadline),
+        effect: match c.idempotency {
+            Idempotency::Idempotent => api::Effect::Safe,
+            Idempotency::WithKey => api::Effect::Keyed,
+            Idempotency::NotIdempotent => api::Effect::Unsafe,
         },
-        dedup_window: nanos(day.site.ledger.repeats),
-        worth: c.worth,
+        dedup_window: nanos(day.site.origin.dedup_window),
+        worth: c.weight,
         ..api::Class::default()
     };
-    let tenant = |t: &super::Tenant| api::Tenant { quota_rps: day.load.rate * t.share * SHARE_ROOM };
+    let tenant = |t: &super::Tenant| api::Tenant { quota_rps: day.load.rate * t.share * QUOTA_HEADROOM };
     let cache = &day.site.cache;
     Settings {
         classes: day.load.classes.iter().map(class).collect(),
         tenants: day.load.tenants.iter().map(tenant).collect(),
         proxies: day.site.proxy.count as u32,
-        me: me as u32,
+        me: index as u32,
         must_ask: true,
         aside: true,
         origin_kind: Some(cache.kinds.len() as u32),
@@ -104,11 +104,11 @@
         max_retry_after: 2_000_000_000,
         conn_idle: 30_000_000_000,
         handshake_price: 0.02,
-        cold_from: cache.cold_from,
-        cold: nanos(cache.cold),
-        fall_multiple: cache.fall_multiple,
-        fall: nanos(cache.fall),
-        must_ask_in: nanos(day.site.roster.must_ask_in),
+        cold_from: cache.initial_capacity,
+        cold: nanos(cache.warm_up),
+        fall_multiple: cache.overload_multiple,
+        fall: nanos(cache.overload_window),
+        must_ask_in: nanos(day.site.discovery.poll_within),
         ..Settings::default()
     }
 }
--- a/crates/lab-day/src/tests.rs
+++ b/crates/lab-day/src/tests.rs
@@ -4,8 +4,8 @@
 
 const QUIET: &str = include_str!("../days/quiet.toml");
 
-fn faults(text: &str) -> Vec<String> {
-    Day::parse("my.toml", text).expect_err("refused").faults
+fn problems(text: &str) -> Vec<String> {
+    Day::parse("my.toml", text).expect_err("refused").problems
 }
 
 #[test]
@@ -18,14 +18,14 @@
 
 #[test]
 fn a_key_that_is_not_known_is_refused_with_its_place() {
-    let fault = faults(&QUIET.replace("rate =", "rats ="));
-    assert!(fault[0].contains("rats") && fault[0].contains("line"), "{fault:?}");
+    let problem = problems(&QUIET.replace("rate =", "rats ="));
+    assert!(problem[0].contains("rats") && problem[0].contains("line"), "{problem:?}");
 }
 
 #[test]
 fn a_wrong_unit_is_refused_with_its_place() {
-    let fault = faults(&QUIET.replace("length = \"20s\"", "length = \"20 parsecs\""));
-    assert!(fault[0].contains("parsecs") && fault[0].contains("line 3"), "{fault:?}");
+    let problem = problems(&QUIET.replace("length = \"20s\"", "length = \"20 parsecs\""));
+    assert!(problem[0].contains("parsecs") && problem[0].contains("line 3"), "{problem:?}");
 }
 
 /// Danger: who mends one fault and starts again for the next gives up on the third.
@@ -37,8 +37,8 @@
         .replace("aim = \"600ms\"", "aim = \"6s\"")
         .replace("share = 0.55", "share = 0.95");
     let text = format!("{text}\n[[trouble]]\nkind = \"slow\"\nat = \"1h\"\nfor = \"1s\"\nnodes = [77]\n");
-    let faults = faults(&text);
-    let keys: Vec<&str> = faults.iter().filter_map(|f| f.split(':').next()).collect();
+    let problems = problems(&text);
+    let keys: Vec<&str> = problems.iter().filter_map(|f| f.split(':').next()).collect();
     assert_eq!(
         keys,
         [
@@ -50,7 +50,7 @@
             "trouble.0.nodes",
             "trouble.0.size"
         ],
-        "{faults:?}"
+        "{problems:?}"
     );
 }
 
@@ -58,9 +58,9 @@
 #[test]
 fn more_deploys_than_a_site_has_addresses_for_are_refused() {
     let deploy = "\n[[trouble]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"1s\"\npart = 1.0\n".repeat(301);
-    let faults = faults(&(QUIET.to_owned() + &deploy));
-    assert_eq!(faults.len(), 2, "{faults:?}");
-    assert!(faults.iter().all(|f| f.starts_with("trouble: ")), "{faults:?}");
+    let problems = problems(&(QUIET.to_owned() + &deploy));
+    assert_eq!(problems.len(), 2, "{problems:?}");
+    assert!(problems.iter().all(|f| f.starts_with("trouble: ")), "{problems:?}");
 }
 
 #[test]
@@ -72,5 +72,5 @@
 #[test]
 fn a_squeezed_day_keeps_its_troubles_within_it() {
     let day = Day::open("deploy").expect("built in").squeezed(0.5);
-    assert_eq!((day.length, day.troubles[0].at), (Duration::from_secs(15), Duration::from_secs(2)));
+    assert_eq!((day.length, day.faults[0].at), (Duration::from_secs(15), Duration::from_secs(2)));
 }
--- a/crates/lab-load/src/client.rs
+++ b/crates/lab-load/src/client.rs
@@ -1,12 +1,12 @@
-//! Clients: one task for each request that is due, its tries, and the connections that it goes over.
+//! Clients: one task for each request that is due, with its attempts and the connections that they use.
 
-use super::plan::{self, Arrival, Manner};
-use super::tally::{Outcome, Tally};
-use aniseyoke_lab_audit::{Recorder, Seen};
-use aniseyoke_lab_day::clock::{nanos, Clock, Nanos, MS};
-use aniseyoke_lab_day::{Class, Day};
-use aniseyoke_lab_site::wire::{Pace, Wire};
-use aniseyoke_lab_site::Front;
+use super::arrivals::{self, Arrival, ClientBehavior};
+use super::stats::{LoadStats, Outcome};
+use aniseyoke_lab_audit::{Observation, Recorder};
+use aniseyoke_lab_day::clock::{nanos, Clock, Nanos, MILLISECOND};
+use aniseyoke_lab_day::{Class, Day, Idempotency};
+use aniseyoke_lab_site::http::{HttpConnection, ReadPace};
+use aniseyoke_lab_site::LoadBalancer;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -18,44 +18,45 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A client waits so much longer than it says before it gives up: what the way takes, and what this machine is late.
+/// A client waits this much longer than it announces before it gives up: for the network, and the lateness of this machine.
 const GRACE: Duration = Duration::from_millis(150);
-/// A connection that is not up by then is given up.
+/// A connection that is not established by then is given up.
 const CONNECT_WITHIN: Duration = Duration::from_millis(1000);
-/// The wait before the next try where none connected.
-const CONNECT_AGAIN: Duration = Duration::from_millis(20);
-/// A slow writer's pauses, and into how many parts it cuts its request.
-const WRITE_PAUSE: Duration = Duration::from_millis(120);
-const WRITE_PARTS: usize = 4;
-/// A slow reader reads so much at a time.
-const SLOW_READER: Pace = Pace(200, Duration::from_millis(15));
-/// A client that is slow itself waits so much longer.
+/// The wait before the next attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// A slow writer's pause between two parts of its request.
+const SLOW_WRITER_PAUSE: Duration = Duration::from_millis(120);
+/// The parts of a slow writer's request.
+const SLOW_WRITER_PARTS: usize = 4;
+/// How slowly a slow reader reads.
+const SLOW_READER: ReadPace = ReadPace(200, Duration::from_millis(15));
+/// A client that is slow itself waits this much longer.
 const SLOW_GRACE: Duration = Duration::from_secs(2);
 
 struct Connection {
-    wire: Wire,
+    http: HttpConnection,
     proxy: usize,
     used: bool,
 }
 
-/// All clients.
+/// All clients of a day.
 pub struct Clients {
     pub day: Day,
     pub clock: Clock,
     /// When the load began.
     from: Nanos,
-    pub front: Arc<Front>,
+    pub load_balancer: Arc<LoadBalancer>,
     pub recorder: Recorder,
-    pub tally: RefCell<Tally>,
-    /// Requests that are out.
-    pub out: Cell<usize>,
+    pub stats: RefCell<LoadStats>,
+    /// Requests in flight.
+    pub in_flight: Cell<usize>,
     idle: RefCell<VecDeque<Connection>>,
-    /// Places for connections.
-    places: Semaphore,
+    /// Limits the connections in use at once.
+    connection_slots: Semaphore,
 }
 
-/// What came of one try.
-enum Ended {
+/// How a client's attempt ended.
+enum AttemptEnd {
     Answered { status: u16, retry_after: Option<Duration> },
     Unanswered,
     Broken,
@@ -63,13 +64,29 @@
     Left,
 }
 
+/// What came of one request over one connection.
+struct Exchange {
+    end: AttemptEnd,
+    /// Whether the connection may be used again.
+    reusable: bool,
+    /// Whether the proxy closed the connection without a byte.
+    closed_silently: bool,
+}
+
+impl Exchange {
+    /// The connection is of no further use.
+    fn over(end: AttemptEnd) -> Self {
+        Exchange { end, reusable: false, closed_silently: false }
+    }
+}
+
 impl Clients {
-    /// Clients of a day that begins at `from` and that reach the proxies through `front`, over at most so many connections at once.
+    /// Clients of a day that begins at `from`, over at most `connections` connections at once.
     pub fn new(
         day: &Day,
         clock: Clock,
         from: Nanos,
-        front: Arc<Front>,
+        load_balancer: Arc<LoadBalancer>,
         recorder: Recorder,
         connections: usize,
     ) -> Rc<Self> {
@@ -77,102 +94,107 @@
             day: day.clone(),
             clock,
             from,
-            front,
+            load_balancer,
             recorder,
-            tally: RefCell::new(Tally::new(day)),
-            out: Cell::new(0),
+            stats: RefCell::new(LoadStats::new(day)),
+            in_flight: Cell::new(0),
             idle: RefCell::default(),
-            places: Semaphore::new(connections),
+            connection_slots: Semaphore::new(connections),
         })
     }
 
-    /// One request from its due time to its end, tries and all.
+    /// One request from its due time to its end, with all its attempts.
     pub async fn request(self: Rc<Self>, arrival: Arrival) {
-        self.out.set(self.out.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         let class = &self.day.load.classes[arrival.class];
-        let give_up = arrival.due + nanos(class.give_up);
+        let deadline = arrival.due + nanos(class.deadline);
         let mut outcome = Outcome::Unreachable;
-        let (most, _) = plan::patience(&self.day, &arrival, 0);
-        for number in 0..=most {
+        let (max_retries, _) = arrivals::attempt_limits(&self.day, &arrival, 0);
+        for number in 0..=max_retries {
             let now = self.clock.now();
-            let left = give_up.saturating_sub(now);
-            if left < 5 * MS {
+            let left = deadline.saturating_sub(now);
+            if left < 5 * MILLISECOND {
                 break;
             }
-            let (_, patience) = plan::patience(&self.day, &arrival, left);
-            self.tally.borrow_mut().tries += 1;
-            let ended = self.try_once(&arrival, class, number, patience).await;
+            let (_, patience) = arrivals::attempt_limits(&self.day, &arrival, left);
+            self.stats.borrow_mut().attempts += 1;
+            let ended = self.attempt(&arrival, class, number, patience).await;
             let wait;
-            (outcome, wait) = self.judge(ended, class, &arrival, number);
+            (outcome, wait) = self.classify(ended, class, &arrival, number);
             if matches!(outcome, Outcome::Served | Outcome::Late | Outcome::Left) {
                 break;
             }
-            // The client does not know whether what must not run twice has run: it asks somebody instead.
-            let unsafe_to_repeat =
-                class.effect == aniseyoke_lab_day::Effect::Unsafe && outcome != Outcome::Refused;
-            if unsafe_to_repeat && outcome != Outcome::Unreachable {
+            // The client does not know whether a request that is not idempotent was executed, and does not retry.
+            let may_have_run = class.idempotency == Idempotency::NotIdempotent && outcome != Outcome::Refused;
+            if may_have_run && outcome != Outcome::Unreachable {
                 break;
             }
             sleep(wait).await;
         }
         let latency = self.clock.now().saturating_sub(arrival.due);
         let since = arrival.due - self.from;
-        self.tally.borrow_mut().add(arrival.class, arrival.tenant, outcome, since, latency, class.worth);
-        self.out.set(self.out.get() - 1);
+        self.stats.borrow_mut().add(arrival.class, arrival.tenant, outcome, since, latency, class.weight);
+        self.in_flight.set(self.in_flight.get() - 1);
     }
 
-    /// What an end means for the request, and how long the client waits before its next try.
-    fn judge(&self, ended: Ended, class: &Class, arrival: &Arrival, number: u32) -> (Outcome, Duration) {
-        let backoff = plan::again(&self.day, arrival, number, None);
+    /// What an attempt's end means for the request, and how long the client waits before its next attempt.
+    fn classify(
+        &self,
+        ended: AttemptEnd,
+        class: &Class,
+        arrival: &Arrival,
+        number: u32,
+    ) -> (Outcome, Duration) {
+        let backoff = arrivals::retry_delay(&self.day, arrival, number, None);
         match ended {
-            Ended::Answered { status: 200, .. } => {
+            AttemptEnd::Answered { status: 200, .. } => {
                 let latency = self.clock.now().saturating_sub(arrival.due);
-                let outcome = if latency <= nanos(class.aim) { Outcome::Served } else { Outcome::Late };
+                let outcome =
+                    if latency <= nanos(class.latency_objective) { Outcome::Served } else { Outcome::Late };
                 (outcome, Duration::ZERO)
             }
-            Ended::Answered { status: 429 | 503, retry_after } => {
-                let told = retry_after.filter(|_| arrival.heeds);
-                (Outcome::Refused, plan::again(&self.day, arrival, number, told))
+            AttemptEnd::Answered { status: 429 | 503, retry_after } => {
+                let retry_after = retry_after.filter(|_| arrival.honors_retry_after);
+                (Outcome::Refused, arrivals::retry_delay(&self.day, arrival, number, retry_after))
             }
-            Ended::Answered { .. } => (Outcome::Failed, backoff),
-            Ended::Unanswered => (Outcome::Unanswered, backoff),
-            Ended::Broken => (Outcome::Broken, backoff),
-            Ended::Unreachable => (Outcome::Unreachable, backoff),
-            Ended::Left => (Outcome::Left, Duration::ZERO),
+            AttemptEnd::Answered { .. } => (Outcome::Failed, backoff),
+            AttemptEnd::Unanswered => (Outcome::Unanswered, backoff),
+            AttemptEnd::Broken => (Outcome::Broken, backoff),
+            AttemptEnd::Unreachable => (Outcome::Unreachable, backoff),
+            AttemptEnd::Left => (Outcome::Left, Duration::ZERO),
         }
     }
 
-    async fn try_once(&self, arrival: &Arrival, class: &Class, number: u32, patience: Nanos) -> Ended {
-        // Danger: places are few; who holds one is out, and the rest wait for it with their time running.
-        let Ok(_place) = self.places.acquire().await else { return Ended::Unreachable };
+    async fn attempt(&self, arrival: &Arrival, class: &Class, number: u32, patience: Nanos) -> AttemptEnd {
+        // Danger: connections are few; the other requests wait for one with their time running.
+        let Ok(_slot) = self.connection_slots.acquire().await else { return AttemptEnd::Unreachable };
         let sent = self.clock.now();
-        let id = plan::request_id(&self.day, arrival, number);
-        let text = self.text(arrival, class, id, patience);
+        let id = arrivals::request_id(&self.day, arrival, number);
+        let text = self.request_text(arrival, class, id, patience);
         // A close that crosses a request on a connection used before: the client sends it once more on a new one.
         for again in [false, true] {
             let Some(mut connection) = self.connection(again, sent + patience).await else {
-                return Ended::Unreachable;
+                return AttemptEnd::Unreachable;
             };
             if number == 0 && !again {
                 let late = self.clock.now().saturating_sub(arrival.due) / 1000;
-                self.tally.borrow_mut().lateness.saturating_record(late.max(1));
+                self.stats.borrow_mut().lateness.saturating_record(late.max(1));
             }
             let reused = connection.used;
             connection.used = true;
-            let (ended, keep, silent) =
-                self.exchange(&mut connection, arrival, id, &text, patience, reused).await;
-            if keep {
+            let exchange = self.exchange(&mut connection, arrival, id, &text, patience, reused).await;
+            if exchange.reusable {
                 self.idle.borrow_mut().push_back(connection);
             }
-            if silent && reused && !again {
+            if exchange.closed_silently && reused && !again {
                 continue;
             }
-            return ended;
+            return exchange.end;
         }
-        Ended::Broken
+        AttemptEnd::Broken
     }
 
-    fn text(&self, arrival: &Arrival, class: &Class, id: u64, patience: Nanos) -> Vec<u8> {
+    fn request_text(&self, arrival: &Arrival, class: &Class, id: u64, patience: Nanos) -> Vec<u8> {
         let method = if class.write { "PUT" } else { "GET" };
         let tenant = &self.day.load.tenants[arrival.tenant].name;
         let mut text = format!(
@@ -198,16 +220,18 @@
     async fn connection(&self, new: bool, end: Nanos) -> Option<Connection> {
         if !new {
             while let Some(mut connection) = { self.idle.borrow_mut().pop_front() } {
-                if !connection.wire.stirred() {
+                if !connection.http.has_unread_input() {
                     return Some(connection);
                 }
             }
         }
         loop {
-            let (proxy, addr) = self.front.deal();
+            let (proxy, addr) = self.load_balancer.pick();
             match timeout(CONNECT_WITHIN, TcpStream::connect(addr)).await {
-                Ok(Ok(stream)) => return Some(Connection { wire: Wire::new(stream), proxy, used: false }),
-                Ok(Err(_)) | Err(_) => sleep(CONNECT_AGAIN).await,
+                Ok(Ok(stream)) => {
+                    return Some(Connection { http: HttpConnection::new(stream), proxy, used: false })
+                }
+                Ok(Err(_)) | Err(_) => sleep(RECONNECT_DELAY).await,
             }
             if self.clock.now() >= end {
                 return None;
@@ -215,8 +239,7 @@
         }
     }
 
-    /// One exchange: what came of it, whether the connection is of further use, and whether the proxy closed it
-    /// without a byte.
+    /// Sends one request over a connection and reads its response.
     async fn exchange(
         &self,
         connection: &mut Connection,
@@ -225,73 +248,85 @@
         text: &[u8],
         patience: Nanos,
         reused: bool,
-    ) -> (Ended, bool, bool) {
-        let (proxy, class, wire) = (connection.proxy, arrival.class, &mut connection.wire);
-        let note = |seen| self.recorder.note(seen);
-        note(Seen::Began { request, proxy });
-        let written = write(wire, arrival.manner, text).await;
-        if arrival.manner == Manner::LeavesAsking {
-            return (Ended::Left, false, false);
+    ) -> Exchange {
+        let (proxy, class, http) = (connection.proxy, arrival.class, &mut connection.http);
+        let note = |observed| self.recorder.note(observed);
+        note(Observation::Began { request, proxy });
+        let written = write(http, arrival.behavior, text).await;
+        if arrival.behavior == ClientBehavior::AbortsSending {
+            return Exchange::over(AttemptEnd::Left);
         }
         if written.is_ok() {
-            note(Seen::Asked { request, class, patience, reused });
+            note(Observation::Asked { request, class, patience, reused });
         }
-        if arrival.manner == Manner::LeavesWaiting {
-            sleep(plan::LEAVES_AFTER).await;
-            note(Seen::Left { request });
-            return (Ended::Left, false, false);
+        if arrival.behavior == ClientBehavior::AbortsWaiting {
+            sleep(arrivals::ABORTS_AFTER).await;
+            note(Observation::Left { request });
+            return Exchange::over(AttemptEnd::Left);
         }
-        let slow = arrival.manner == Manner::ReadsSlowly;
-        wire.pace = slow.then_some(SLOW_READER);
+        let slow = arrival.behavior == ClientBehavior::SlowReader;
+        http.read_pace = slow.then_some(SLOW_READER);
         let grace = if slow { GRACE + SLOW_GRACE } else { GRACE };
         let partial = Cell::new(false);
-        let read = timeout(Duration::from_nanos(patience) + grace, read(wire, &partial)).await;
-        wire.pace = None;
+        let read = timeout(Duration::from_nanos(patience) + grace, read(http, &partial)).await;
+        http.read_pace = None;
         match read {
             Err(_) => {
-                note(Seen::GaveUp { request });
-                (Ended::Unanswered, false, false)
+                note(Observation::GaveUp { request });
+                Exchange::over(AttemptEnd::Unanswered)
             }
             Ok(Err(_)) => {
-                // A request whose last byte was not written was not taken.
+                // A request whose last byte was not written was not accepted.
                 if written.is_ok() {
-                    note(Seen::Broken { request, partial: partial.get() });
+                    note(Observation::Broken { request, partial: partial.get() });
                 }
-                (Ended::Broken, false, !partial.get())
+                Exchange { closed_silently: !partial.get(), ..Exchange::over(AttemptEnd::Broken) }
             }
-            Ok(Ok((status, digest, retry_after, last))) => {
-                note(Seen::Answered { request, status, digest });
-                if wire.surplus() {
-                    note(Seen::Surplus { request });
+            Ok(Ok(Response { status, digest, retry_after, closes })) => {
+                note(Observation::Answered { request, status, digest });
+                if http.has_surplus() {
+                    note(Observation::Surplus { request });
                 }
-                let keep = !last && !wire.surplus() && written.is_ok();
-                (Ended::Answered { status, retry_after }, keep, false)
+                let reusable = !closes && !http.has_surplus() && written.is_ok();
+                Exchange { reusable, ..Exchange::over(AttemptEnd::Answered { status, retry_after }) }
             }
         }
     }
 }
 
-async fn write(wire: &mut Wire, manner: Manner, text: &[u8]) -> io::Result<()> {
-    match manner {
-        Manner::LeavesAsking => wire.write(&text[..text.len() / 2]).await,
-        Manner::WritesSlowly => {
-            for (n, part) in text.chunks(text.len().div_ceil(WRITE_PARTS)).enumerate() {
+async fn write(http: &mut HttpConnection, behavior: ClientBehavior, text: &[u8]) -> io::Result<()> {
+    match behavior {
+        ClientBehavior::AbortsSending => http.write(&text[..text.len() / 2]).await,
+        ClientBehavior::SlowWriter => {
+            for (n, part) in text.chunks(text.len().div_ceil(SLOW_WRITER_PARTS)).enumerate() {
                 if n > 0 {
-                    sleep(WRITE_PAUSE).await;
+                    sleep(SLOW_WRITER_PAUSE).await;
                 }
-                wire.write(part).await?;
+                http.write(part).await?;
             }
             Ok(())
         }
-        _ => wire.write(text).await,
+        _ => http.write(text).await,
     }
 }
 
-async fn read(wire: &mut Wire, partial: &Cell<bool>) -> io::Result<(u16, u64, Option<Duration>, bool)> {
-    let answered = wire.answer().await;
-    partial.set(wire.surplus() || answered.as_ref().is_ok_and(|a| a.is_some()));
-    let answered = answered?.ok_or(io::ErrorKind::UnexpectedEof)?;
+/// A whole response.
+struct Response {
+    status: u16,
+    /// A digest of its body.
+    digest: u64,
+    retry_after: Option<Duration>,
+    /// Whether the connection closes after it.
+    closes: bool,
+}
+
+/// Reads a response; `partial` is set once a part of it has come.
+async fn read(http: &mut HttpConnection, partial: &Cell<bool>) -> io::Result<Response> {
+    let head = http.read_response().await;
+    partial.set(http.has_surplus() || head.as_ref().is_ok_and(|head| head.is_some()));
+    let head = head?.ok_or(io::ErrorKind::UnexpectedEof)?;
     let mut digest = Xxh3Default::new();
-    wire.body(answered.framing, |part| digest.update(part)).await?;
-    Ok((answered.status, digest.digest(), answered.retry_after, answered.last))
+    http.read_body(head.framing, |part| digest.update(part)).await?;
+    let (status, digest) = (head.status, digest.digest());
+    Ok(Response { status, digest, retry_after: head.retry_after, closes: head.closes })
 }
--- a/crates/lab-load/src/lib.rs
+++ b/crates/lab-load/src/lib.rs
@@ -1,18 +1,20 @@
 //! Clients in open loop: arrivals are drawn ahead and released when they are due, whatever has been answered by then.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
+mod arrivals;
 mod client;
-mod plan;
+mod stats;
 mod summary;
-mod tally;
 
-pub use plan::{again, patience, Arrival, Manner, Plan, LEAVES_AFTER};
-pub use summary::{outcome_lines, Line, Percentiles};
-pub use tally::{Outcome, Row, Tally, OUTCOMES};
+pub use arrivals::{attempt_limits, retry_delay, Arrival, Arrivals, ClientBehavior, ABORTS_AFTER};
+pub use stats::{Goodput, LoadStats, Outcome, OutcomeStats, OUTCOMES};
+pub use summary::{LoadSummary, OutcomeSummary, Percentiles};
 
 use aniseyoke_lab_audit::Recorder;
 use aniseyoke_lab_day::clock::{nanos, Clock, Nanos, SECOND};
 use aniseyoke_lab_day::Day;
-use aniseyoke_lab_site::Front;
+use aniseyoke_lab_site::LoadBalancer;
 use client::Clients;
 use std::io;
 use std::rc::Rc;
@@ -25,33 +27,33 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Requests that may be out at once; beyond that the load tool gives up, and the trial is void.
-const OUT_MOST: usize = 20_000;
-/// Arrivals that may wait between the pacing thread and the clients.
-const RELEASED_MOST: usize = 1 << 14;
+/// Requests in flight at once at most; beyond that arrivals are not sent, and the trial is void.
+const MAX_IN_FLIGHT: usize = 20_000;
+/// Arrivals that may wait between the releasing thread and the clients.
+const MAX_RELEASED: usize = 1 << 14;
 /// A closed idle connection is opened again after this time.
-const IDLE_AGAIN: Duration = Duration::from_secs(1);
+const REOPEN_IDLE_AFTER: Duration = Duration::from_secs(1);
 
-/// What others see of a load while it runs.
+/// The progress of a running load, for others to read.
 #[derive(Default)]
 pub struct Progress {
     /// Arrivals released so far.
     pub released: AtomicU64,
     /// Requests that have ended.
     pub ended: AtomicU64,
-    /// Set to end the load early; what is out still ends.
+    /// Set to end the load early; requests in flight still end.
     pub stop: AtomicBool,
 }
 
-/// A load that runs on threads of its own.
+/// A running load, on threads of its own.
 pub struct Load {
-    /// How far it is.
+    /// Its progress.
     pub progress: Arc<Progress>,
-    thread: JoinHandle<Tally>,
+    thread: JoinHandle<LoadStats>,
 }
 
 impl Load {
-    /// Starts the load of a day at `from` on the clock, over at most so many connections at once.
+    /// Starts the load of a day at `from` on the clock, over at most `connections` connections at once.
     ///
     /// # Errors
     /// If the system lacks threads.
@@ -59,44 +61,50 @@
         day: &Day,
         clock: Clock,
         from: Nanos,
-        front: Arc<Front>,
+        load_balancer: Arc<LoadBalancer>,
         connections: usize,
         recorder: impl FnOnce() -> Recorder + Send + 'static,
     ) -> io::Result<Load> {
         let progress = Arc::<Progress>::default();
-        let (released, arrivals) = mpsc::channel(RELEASED_MOST);
-        let (planned, pacing) = (day.clone(), progress.clone());
-        let pace = move || pace(&planned, clock, from, &pacing, &released);
-        std::thread::Builder::new().name("pace".into()).spawn(pace)?;
+        let (released, arrivals) = mpsc::channel(MAX_RELEASED);
+        let (planned, shared) = (day.clone(), progress.clone());
+        let releasing = move || release_on_time(&planned, clock, from, &shared, &released);
+        std::thread::Builder::new().name("pace".into()).spawn(releasing)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (day, counted) = (day.clone(), progress.clone());
         let run = move || {
-            let clients = Clients::new(&day, clock, from, front, recorder(), connections);
+            let clients = Clients::new(&day, clock, from, load_balancer, recorder(), connections);
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, release(clients.clone(), from, arrivals, counted));
             drop(local);
             clients.recorder.flush();
-            let tally = clients.tally.borrow().clone();
-            tally
+            let stats = clients.stats.borrow().clone();
+            stats
         };
         let thread = std::thread::Builder::new().name("load".into()).spawn(run)?;
         Ok(Load { progress, thread })
     }
 
     /// Whether every request has ended.
-    pub fn over(&self) -> bool {
+    pub fn finished(&self) -> bool {
         self.thread.is_finished()
     }
 
     /// Waits for the end and returns what was counted.
-    pub fn finish(self) -> Tally {
+    pub fn finish(self) -> LoadStats {
         self.thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
     }
 }
 
-/// Releases each arrival when it is due. A thread of its own, since a runtime's timers are good to a millisecond only.
-fn pace(day: &Day, clock: Clock, from: Nanos, progress: &Progress, released: &mpsc::Sender<Arrival>) {
-    for mut arrival in Plan::new(day) {
+/// Releases each arrival when it is due. It has a thread of its own, since a runtime's timers are good to a millisecond only.
+fn release_on_time(
+    day: &Day,
+    clock: Clock,
+    from: Nanos,
+    progress: &Progress,
+    released: &mpsc::Sender<Arrival>,
+) {
+    for mut arrival in Arrivals::new(day) {
         arrival.due += from;
         let wait = arrival.due.saturating_sub(clock.now());
         if wait > 0 {
@@ -122,12 +130,12 @@
             flushing.recorder.flush();
         }
     });
-    for _ in 0..clients.day.load.rude.idle {
+    for _ in 0..clients.day.load.misbehaving.idle_connections {
         tokio::task::spawn_local(idle(clients.clone()));
     }
     while let Some(arrival) = arrivals.recv().await {
-        if clients.out.get() >= OUT_MOST {
-            clients.tally.borrow_mut().not_sent += 1;
+        if clients.in_flight.get() >= MAX_IN_FLIGHT {
+            clients.stats.borrow_mut().not_sent += 1;
             continue;
         }
         let (clients, progress) = (clients.clone(), progress.clone());
@@ -137,9 +145,9 @@
         });
     }
     // Retries may take their class's whole time; nothing takes longer than that and the slow clients' grace.
-    let longest = clients.day.load.classes.iter().map(|c| nanos(c.give_up)).max().unwrap_or(0);
+    let longest = clients.day.load.classes.iter().map(|c| nanos(c.deadline)).max().unwrap_or(0);
     let end = clients.clock.now().max(from + nanos(clients.day.length)) + 2 * longest + 5 * SECOND;
-    while clients.out.get() > 0 && clients.clock.now() < end {
+    while clients.in_flight.get() > 0 && clients.clock.now() < end {
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -147,13 +155,13 @@
 /// A connection that is opened and never used, and opened again when the proxy has closed it.
 async fn idle(clients: Rc<Clients>) {
     loop {
-        let (_, addr) = clients.front.deal();
+        let (_, addr) = clients.load_balancer.pick();
         if let Ok(mut stream) = TcpStream::connect(addr).await {
             let mut byte = [0; 64];
             // Whatever comes, an error among it, is read to the end of the connection.
             while stream.read(&mut byte).await.is_ok_and(|n| n > 0) {}
-            clients.tally.borrow_mut().idle_closed += 1;
+            clients.stats.borrow_mut().idle_closed += 1;
         }
-        sleep(IDLE_AGAIN).await;
+        sleep(REOPEN_IDLE_AFTER).await;
     }
 }
--- a/crates/lab-load/src/tally.rs
+++ b/crates/lab-load/src/stats.rs
@@ -5,25 +5,25 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// How a request ended, over all its tries.
+/// How a request ended, over all its attempts. Reports use these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Served within its aim.
+    /// Served within its latency objective.
     Served,
     /// Served, but late.
     Late,
-    /// Refused: trying again is harmless.
+    /// Rejected; a retry is harmless.
     Refused,
     /// Failed.
     Failed,
-    /// No answer came.
+    /// No response came.
     Unanswered,
-    /// The connection ended without a whole answer.
+    /// The connection ended without a whole response.
     Broken,
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// The client left by itself.
+    /// The client disconnected by itself.
     Left,
 }
 
@@ -44,9 +44,49 @@
     Histogram::new_with_bounds(1, 60_000_000, 2).expect("sound bounds")
 }
 
+/// Priority weight of requests: served within the latency objective, and offered. Written as a pair.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+#[serde(into = "(f64, f64)")]
+pub struct Goodput {
+    /// Weight served within the latency objective.
+    pub good: f64,
+    /// Weight of all requests.
+    pub offered: f64,
+}
+
+impl From<Goodput> for (f64, f64) {
+    fn from(goodput: Goodput) -> Self {
+        (goodput.good, goodput.offered)
+    }
+}
+
+impl Goodput {
+    fn add(&mut self, outcome: Outcome, weight: f64) {
+        self.offered += weight;
+        self.good += if outcome == Outcome::Served { weight } else { 0.0 };
+    }
+
+    /// The sum over several seconds.
+    pub fn sum(seconds: &[Goodput]) -> Goodput {
+        seconds.iter().fold(Goodput::default(), |sum, second| Goodput {
+            good: sum.good + second.good,
+            offered: sum.offered + second.offered,
+        })
+    }
+
+    /// Weight served within the latency objective over weight offered; 1 if nothing was offered.
+    pub fn ratio(self) -> f64 {
+        if self.offered > 0.0 {
+            self.good / self.offered
+        } else {
+            1.0
+        }
+    }
+}
+
 /// What was counted for one class or one tenant.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct OutcomeStats {
     /// Its name.
     pub name: String,
     /// Requests by outcome, in the order of [`OUTCOMES`].
@@ -55,25 +95,30 @@
     pub served: Histogram<u64>,
     /// Latency of what ended otherwise.
     pub other: Histogram<u64>,
-    /// Worth answered within its aim, and worth asked for.
-    pub worth: (f64, f64),
+    /// Priority weight of its requests.
+    pub weight: Goodput,
 }
 
-impl Row {
+impl OutcomeStats {
     fn new(name: &str) -> Self {
         let outcomes = [0; OUTCOMES.len()];
-        Row { name: name.to_owned(), outcomes, served: latencies(), other: latencies(), worth: (0.0, 0.0) }
+        OutcomeStats {
+            name: name.to_owned(),
+            outcomes,
+            served: latencies(),
+            other: latencies(),
+            weight: Goodput::default(),
+        }
     }
 
-    fn add(&mut self, outcome: Outcome, latency: Nanos, worth: f64) {
+    fn add(&mut self, outcome: Outcome, latency: Nanos, weight: f64) {
         self.outcomes[OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(0)] += 1;
         let served = matches!(outcome, Outcome::Served | Outcome::Late);
         let histogram = if served { &mut self.served } else { &mut self.other };
         histogram.saturating_record((latency / 1000).max(1));
-        // Who leaves has asked for nothing.
+        // A client that disconnects has asked for nothing.
         if outcome != Outcome::Left {
-            self.worth.1 += worth;
-            self.worth.0 += if outcome == Outcome::Served { worth } else { 0.0 };
+            self.weight.add(outcome, weight);
         }
     }
 
@@ -87,51 +132,47 @@
         OUTCOMES.iter().position(|o| *o == outcome).map_or(0, |n| self.outcomes[n])
     }
 
-    /// Worth answered within its aim, as a part of what was asked for.
+    /// Weight served within the latency objective over weight offered.
     pub fn goodput(&self) -> f64 {
-        if self.worth.1 > 0.0 {
-            self.worth.0 / self.worth.1
-        } else {
-            1.0
-        }
+        self.weight.ratio()
     }
 }
 
-/// Everything that was counted.
+/// Everything that the clients counted.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct LoadStats {
     /// Over all.
-    pub all: Row,
+    pub all: OutcomeStats,
     /// By class, in the day's order.
-    pub classes: Vec<Row>,
+    pub classes: Vec<OutcomeStats>,
     /// By tenant, in the day's order.
-    pub tenants: Vec<Row>,
-    /// How much later than due a first try's first byte was written, in microseconds.
+    pub tenants: Vec<OutcomeStats>,
+    /// How much later than due a first attempt's first byte was written, in microseconds.
     pub lateness: Histogram<u64>,
-    /// By the second in which they were due: worth answered within its aim, and worth asked for.
-    pub seconds: Vec<(f64, f64)>,
-    /// By the second in which they were due: requests by outcome, in the order of [`OUTCOMES`].
+    /// Priority weight of requests by the second in which they were due.
+    pub seconds: Vec<Goodput>,
+    /// Requests by the second in which they were due and by outcome, in the order of [`OUTCOMES`].
     pub outcomes: Vec<[u64; OUTCOMES.len()]>,
-    /// Tries, first ones and retries.
-    pub tries: u64,
-    /// Arrivals that were not sent because too many were out. A trial with any is void.
+    /// Attempts of clients, first ones and retries.
+    pub attempts: u64,
+    /// Arrivals that were not sent because too many were in flight. A trial with any is void.
     pub not_sent: u64,
     /// Idle connections that the proxies closed.
     pub idle_closed: u64,
 }
 
-impl Tally {
-    /// An empty tally for a day.
+impl LoadStats {
+    /// Nothing counted yet, for a day.
     pub fn new(day: &Day) -> Self {
-        Tally {
-            all: Row::new("all"),
-            classes: day.load.classes.iter().map(|c| Row::new(&c.name)).collect(),
-            tenants: day.load.tenants.iter().map(|t| Row::new(&t.name)).collect(),
+        LoadStats {
+            all: OutcomeStats::new("all"),
+            classes: day.load.classes.iter().map(|c| OutcomeStats::new(&c.name)).collect(),
+            tenants: day.load.tenants.iter().map(|t| OutcomeStats::new(&t.name)).collect(),
             lateness: latencies(),
             // One more for what is due at the very end.
-            seconds: vec![(0.0, 0.0); day.length.as_secs() as usize + 1],
+            seconds: vec![Goodput::default(); day.length.as_secs() as usize + 1],
             outcomes: vec![[0; OUTCOMES.len()]; day.length.as_secs() as usize + 1],
-            tries: 0,
+            attempts: 0,
             not_sent: 0,
             idle_closed: 0,
         }
@@ -145,20 +186,19 @@
         outcome: Outcome,
         since: Nanos,
         latency: Nanos,
-        worth: f64,
+        weight: f64,
     ) {
         if let Some(second) =
             self.seconds.get_mut((since / SECOND) as usize).filter(|_| outcome != Outcome::Left)
         {
-            second.0 += if outcome == Outcome::Served { worth } else { 0.0 };
-            second.1 += worth;
+            second.add(outcome, weight);
         }
         if let Some(counts) = self.outcomes.get_mut((since / SECOND) as usize) {
             counts[OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(0)] += 1;
         }
-        self.all.add(outcome, latency, worth);
-        self.classes[class].add(outcome, latency, worth);
-        self.tenants[tenant].add(outcome, latency, worth);
+        self.all.add(outcome, latency, weight);
+        self.classes[class].add(outcome, latency, weight);
+        self.tenants[tenant].add(outcome, latency, weight);
     }
 }
 
--- a/crates/lab-load/src/summary.rs
+++ b/crates/lab-load/src/summary.rs
@@ -1,6 +1,6 @@
 //! What clients counted, as reports tell it.
 
-use super::tally::{Row, Tally, OUTCOMES};
+use super::stats::{LoadStats, OutcomeStats, OUTCOMES};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -26,37 +26,52 @@
     }
 }
 
-/// One class, or one tenant, or all.
+/// What was counted for one class, one tenant, or all.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct OutcomeSummary {
     /// Its name.
     pub name: String,
     /// Requests in all.
     pub requests: u64,
     /// Requests by outcome; those that did not occur are left out.
     pub outcomes: BTreeMap<String, u64>,
-    /// Worth answered within its aim over worth asked for.
+    /// Weight served within the latency objective over weight offered.
     pub goodput: f64,
     /// Latency of what was served, from the time it was due.
     pub served: Percentiles,
 }
 
-impl From<&Row> for Line {
-    fn from(row: &Row) -> Self {
+impl From<&OutcomeStats> for OutcomeSummary {
+    fn from(stats: &OutcomeStats) -> Self {
         let name = |n: usize| format!("{:?}", OUTCOMES[n]).to_lowercase();
-        let outcomes = row.outcomes.iter().enumerate().filter(|(_, c)| **c > 0).map(|(n, c)| (name(n), *c));
-        Line {
-            name: row.name.clone(),
-            requests: row.requests(),
+        let outcomes = stats.outcomes.iter().enumerate().filter(|(_, c)| **c > 0).map(|(n, c)| (name(n), *c));
+        OutcomeSummary {
+            name: stats.name.clone(),
+            requests: stats.requests(),
             outcomes: outcomes.collect(),
-            goodput: row.goodput(),
-            served: (&row.served).into(),
+            goodput: stats.goodput(),
+            served: (&stats.served).into(),
         }
     }
 }
 
-/// What the clients counted: over all, by class, by tenant.
-pub fn outcome_lines(tally: &Tally) -> (Line, Vec<Line>, Vec<Line>) {
-    let lines = |rows: &[Row]| rows.iter().map(Line::from).collect();
-    ((&tally.all).into(), lines(&tally.classes), lines(&tally.tenants))
+/// What the clients counted, summarized.
+pub struct LoadSummary {
+    /// Over all requests.
+    pub all: OutcomeSummary,
+    /// By class, in the day's order.
+    pub classes: Vec<OutcomeSummary>,
+    /// By tenant, in the day's order.
+    pub tenants: Vec<OutcomeSummary>,
+}
+
+impl From<&LoadStats> for LoadSummary {
+    fn from(stats: &LoadStats) -> Self {
+        let summaries = |of: &[OutcomeStats]| of.iter().map(OutcomeSummary::from).collect();
+        LoadSummary {
+            all: (&stats.all).into(),
+            classes: summaries(&stats.classes),
+            tenants: summaries(&stats.tenants),
+        }
+    }
 }
