--- a/crates/lab-memcached-server/src/lib.rs
+++ b/crates/lab-memcached-server/src/lib.rs
@@ -11,9 +11,9 @@
 use std::num::NonZeroUsize;
 
 /// A span of time to live above this, in seconds, is a moment of Unix time: 30 days.
-const SPAN_MOST: u32 = 60 * 60 * 24 * 30;
+const MAX_RELATIVE_EXPIRY: u32 = 60 * 60 * 24 * 30;
 /// The time to live of a counter that must be there already.
-const MUST_BE_THERE: u32 = u32::MAX;
+const NO_INITIAL_VALUE: u32 = u32::MAX;
 
 /// A value kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,13 +21,13 @@
     value: Bytes,
     flags: u32,
     /// When it goes, as Unix time in seconds; none: never.
-    until: Option<u64>,
+    expires_at: Option<u64>,
     cas: u64,
 }
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct Response {
     /// What became of the request.
     pub status: Status,
     /// Flags, where a value is given back.
@@ -40,99 +40,100 @@
     pub cas: u64,
 }
 
-impl Said {
-    fn words(status: Status) -> Self {
+impl Response {
+    fn status_only(status: Status) -> Self {
         let value = Bytes::from_static(status.text().as_bytes());
-        Said { status, extras: Extras::None, key: Bytes::new(), value, cas: 0 }
+        Response { status, extras: Extras::None, key: Bytes::new(), value, cas: 0 }
     }
 
-    fn done(cas: u64) -> Self {
-        Said { cas, ..Said::words(Status::Ok) }
+    fn ok(cas: u64) -> Self {
+        Response { cas, ..Response::status_only(Status::Ok) }
     }
 }
 
 /// All values of a server.
-pub struct Keeper {
+pub struct Store {
     items: LruCache<Bytes, Item>,
-    value_most: usize,
+    max_value_bytes: usize,
     next_cas: u64,
     /// Requests that changed something, for the auditor.
-    ran: u64,
+    mutations: u64,
 }
 
-impl Keeper {
+impl Store {
     /// Keeps so many values of at most so many bytes; the one that was not used for longest goes first.
-    pub fn new(items: NonZeroUsize, value_most: usize) -> Self {
-        Keeper { items: LruCache::new(items), value_most, next_cas: 1, ran: 0 }
+    pub fn new(items: NonZeroUsize, max_value_bytes: usize) -> Self {
+        Store { items: LruCache::new(items), max_value_bytes, next_cas: 1, mutations: 0 }
     }
 
     /// Requests that changed something.
-    pub fn ran(&self) -> u64 {
-        self.ran
+    pub fn mutations(&self) -> u64 {
+        self.mutations
     }
 
-    fn until(now: u64, expires: u32) -> Option<u64> {
+    fn expires_at(now: u64, expires: u32) -> Option<u64> {
         match expires {
             0 => None,
-            span if span <= SPAN_MOST => Some(now + u64::from(span)),
-            moment => Some(u64::from(moment)),
+            span if span <= MAX_RELATIVE_EXPIRY => Some(now + u64::from(span)),
+            timestamp => Some(u64::from(timestamp)),
         }
     }
 
     fn get(&mut self, now: u64, key: &Bytes) -> Option<&mut Item> {
-        if self.items.peek(key).is_some_and(|i| i.until.is_some_and(|until| until <= now)) {
+        if self.items.peek(key).is_some_and(|i| i.expires_at.is_some_and(|expires_at| expires_at <= now)) {
             self.items.pop(key);
         }
         self.items.get_mut(key)
     }
 
-    fn put(&mut self, key: &Bytes, mut item: Item) -> Said {
+    fn put(&mut self, key: &Bytes, mut item: Item) -> Response {
         item.cas = self.next_cas;
         self.next_cas += 1;
-        self.ran += 1;
+        self.mutations += 1;
         let cas = item.cas;
         // Danger: a key that is a slice of what was read would keep all of that for as long as the value is kept.
         self.items.put(Bytes::copy_from_slice(key), item);
-        Said::done(cas)
+        Response::ok(cas)
     }
 
     /// Does what a request asks. `now` is Unix time in seconds. Operations about the connection are the caller's.
-    pub fn act(&mut self, now: u64, head: &Head, value: Bytes) -> Said {
-        let Some(opcode) = head.operation() else { return Said::words(Status::Unknown) };
-        if value.len() > self.value_most {
-            return Said::words(Status::TooLarge);
+    pub fn apply(&mut self, now: u64, head: &Head, value: Bytes) -> Response {
+        let Some(opcode) = head.operation() else { return Response::status_only(Status::Unknown) };
+        if value.len() > self.max_value_bytes {
+            return Response::status_only(Status::TooLarge);
         }
         match (opcode.loud(), head.extras) {
             (Opcode::Get | Opcode::GetK, _) => self.read(now, head, opcode, None),
             (Opcode::Gat | Opcode::GatK, Extras::Expires(expires)) => {
-                self.read(now, head, opcode, Some(Self::until(now, expires)))
+                self.read(now, head, opcode, Some(Self::expires_at(now, expires)))
             }
             (Opcode::Touch, Extras::Expires(expires)) => {
-                let until = Self::until(now, expires);
+                let expires_at = Self::expires_at(now, expires);
                 match self.get(now, &head.key) {
                     Some(item) => {
-                        item.until = until;
+                        item.expires_at = expires_at;
                         let cas = item.cas;
-                        self.ran += 1;
-                        Said::done(cas)
+                        self.mutations += 1;
+                        Response::ok(cas)
                     }
-                    None => Said::words(Status::NotFound),
+                    None => Response::status_only(Status::NotFound),
                 }
             }
-            (Opcode::Set | Opcode::Add | Opcode::Replace, Extras::Store { flags, expires }) => self.store(
-                now,
-                head,
-                opcode.loud(),
-                Item { value, flags, until: Self::until(now, expires), cas: 0 },
-            ),
+            (Opcode::Set | Opcode::Add | Opcode::Replace, Extras::Store { flags, expires }) => self
+                .store_value(
+                    now,
+                    head,
+                    opcode.loud(),
+                    Item { value, flags, expires_at: Self::expires_at(now, expires), cas: 0 },
+                ),
             (Opcode::Append | Opcode::Prepend, _) => self.extend(now, head, opcode.loud(), &value),
             (Opcode::Delete, _) => match self.get(now, &head.key).map(|i| i.cas) {
-                None => Said::words(Status::NotFound),
-                Some(cas) if head.cas != 0 && head.cas != cas => Said::words(Status::Exists),
+                None => Response::status_only(Status::NotFound),
+                Some(cas) if head.cas != 0 && head.cas != cas => Response::status_only(Status::Exists),
                 Some(_) => {
                     self.items.pop(&head.key);
-                    self.ran += 1;
-                    Said::done(0)
+                    self.mutations += 1;
+                    Response::ok(0)
                 }
             },
             (Opcode::Increment | Opcode::Decrement, Extras::Count { delta, initial, expires }) => {
@@ -140,24 +141,24 @@
             }
             (Opcode::Flush, _) => {
                 self.items.clear();
-                self.ran += 1;
-                Said::done(0)
+                self.mutations += 1;
+                Response::ok(0)
             }
-            (Opcode::Noop | Opcode::Quit | Opcode::Verbosity, _) => Said::done(0),
-            (Opcode::Version, _) => Said { value: Bytes::from_static(b"1.6.0"), ..Said::done(0) },
-            _ => Said::words(Status::NotSupported),
+            (Opcode::Noop | Opcode::Quit | Opcode::Verbosity, _) => Response::ok(0),
+            (Opcode::Version, _) => Response { value: Bytes::from_static(b"1.6.0"), ..Response::ok(0) },
+            _ => Response::status_only(Status::NotSupported),
         }
     }
 
-    fn read(&mut self, now: u64, head: &Head, opcode: Opcode, touched: Option<Option<u64>>) -> Said {
+    fn read(&mut self, now: u64, head: &Head, opcode: Opcode, new_expiry: Option<Option<u64>>) -> Response {
         let key = if opcode.answers_with_key() { head.key.clone() } else { Bytes::new() };
         let Some(item) = self.get(now, &head.key) else {
-            return Said { key, ..Said::words(Status::NotFound) };
+            return Response { key, ..Response::status_only(Status::NotFound) };
         };
-        if let Some(until) = touched {
-            item.until = until;
+        if let Some(expires_at) = new_expiry {
+            item.expires_at = expires_at;
         }
-        Said {
+        Response {
             status: Status::Ok,
             extras: Extras::Flags(item.flags),
             key,
@@ -166,23 +167,25 @@
         }
     }
 
-    fn store(&mut self, now: u64, head: &Head, opcode: Opcode, item: Item) -> Said {
+    fn store_value(&mut self, now: u64, head: &Head, opcode: Opcode, item: Item) -> Response {
         match (self.get(now, &head.key).map(|i| i.cas), opcode) {
-            (Some(_), Opcode::Add) => Said::words(Status::Exists),
-            (None, Opcode::Replace) => Said::words(Status::NotFound),
-            (None, _) if head.cas != 0 => Said::words(Status::NotFound),
-            (Some(cas), _) if head.cas != 0 && head.cas != cas => Said::words(Status::Exists),
+            (Some(_), Opcode::Add) => Response::status_only(Status::Exists),
+            (None, Opcode::Replace) => Response::status_only(Status::NotFound),
+            (None, _) if head.cas != 0 => Response::status_only(Status::NotFound),
+            (Some(cas), _) if head.cas != 0 && head.cas != cas => Response::status_only(Status::Exists),
             _ => self.put(&head.key, item),
         }
     }
 
-    fn extend(&mut self, now: u64, head: &Head, opcode: Opcode, more: &[u8]) -> Said {
-        let Some(item) = self.get(now, &head.key).cloned() else { return Said::words(Status::NotStored) };
+    fn extend(&mut self, now: u64, head: &Head, opcode: Opcode, more: &[u8]) -> Response {
+        let Some(item) = self.get(now, &head.key).cloned() else {
+            return Response::status_only(Status::NotStored);
+        };
         if head.cas != 0 && head.cas != item.cas {
-            return Said::words(Status::Exists);
+            return Response::status_only(Status::Exists);
         }
-        if item.value.len() + more.len() > self.value_most {
-            return Said::words(Status::TooLarge);
+        if item.value.len() + more.len() > self.max_value_bytes {
+            return Response::status_only(Status::TooLarge);
         }
         let both = if opcode == Opcode::Append { [&item.value, more] } else { [more, &item.value] };
         self.put(&head.key, Item { value: both.concat().into(), ..item })
@@ -194,28 +197,28 @@
         head: &Head,
         opcode: Opcode,
         (delta, initial, expires): (u64, u64, u32),
-    ) -> Said {
+    ) -> Response {
         let Some(item) = self.get(now, &head.key).cloned() else {
-            if expires == MUST_BE_THERE {
-                return Said::words(Status::NotFound);
+            if expires == NO_INITIAL_VALUE {
+                return Response::status_only(Status::NotFound);
             }
             let value = Bytes::from(initial.to_string());
-            let said =
-                self.put(&head.key, Item { value, flags: 0, until: Self::until(now, expires), cas: 0 });
-            return Said { value: Bytes::copy_from_slice(&initial.to_be_bytes()), ..said };
+            let response = self
+                .put(&head.key, Item { value, flags: 0, expires_at: Self::expires_at(now, expires), cas: 0 });
+            return Response { value: Bytes::copy_from_slice(&initial.to_be_bytes()), ..response };
         };
         if head.cas != 0 && head.cas != item.cas {
-            return Said::words(Status::Exists);
+            return Response::status_only(Status::Exists);
         }
         let told = std::str::from_utf8(&item.value).ok().and_then(|text| text.trim_end().parse::<u64>().ok());
-        let Some(before) = told else { return Said::words(Status::NotNumber) };
+        let Some(before) = told else { return Response::status_only(Status::NotNumber) };
         // Up it wraps, down it stops at nothing.
         let after = match opcode {
             Opcode::Increment => before.wrapping_add(delta),
             _ => before.saturating_sub(delta),
         };
-        let said = self.put(&head.key, Item { value: Bytes::from(after.to_string()), ..item });
-        Said { value: Bytes::copy_from_slice(&after.to_be_bytes()), ..said }
+        let response = self.put(&head.key, Item { value: Bytes::from(after.to_string()), ..item });
+        Response { value: Bytes::copy_from_slice(&after.to_be_bytes()), ..response }
     }
 }
 
--- a/crates/lab-memcached-server/src/server.rs
+++ b/crates/lab-memcached-server/src/server.rs
@@ -1,6 +1,6 @@
 //! A keeper on a socket: a memcached server for the binary protocol, as far as clients see one.
 
-use super::{Keeper, Said};
+use super::{Response, Store};
 use aniseyoke_memcached::decode::Bad;
 use aniseyoke_memcached::{encode, meaning, sasl, Decoder, Fault, Head, Limits, Opcode, Part, Side, Status};
 use bytes::{Bytes, BytesMut};
@@ -14,13 +14,13 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// What is read at once, in bytes.
-const READ: usize = 16 << 10;
+const READ_SIZE: usize = 16 << 10;
 /// Answers are written once so much of them waits, or nothing more has come, in bytes.
-const WRITE: usize = 64 << 10;
+const WRITE_THRESHOLD: usize = 64 << 10;
 
 /// A keeper that clients connect to.
 pub struct Server {
-    keeper: RefCell<Keeper>,
+    store: RefCell<Store>,
     limits: Limits,
     /// Users and their passwords; where there are none, nobody has to show who they are.
     users: BTreeMap<String, String>,
@@ -31,12 +31,12 @@
     user: Option<String>,
     out: Vec<u8>,
     /// Nothing more is read.
-    over: bool,
+    closing: bool,
 }
 
 impl Session {
-    fn answer(&mut self, to: &Head, said: &Said) {
-        let Said { status, extras, key, value, cas } = said;
+    fn answer(&mut self, to: &Head, response: &Response) {
+        let Response { status, extras, key, value, cas } = response;
         let head = Head { extras: *extras, key: key.clone(), cas: *cas, ..Head::answer_to(to, *status) };
         // Keys come from packets and values are bounded, so that the format has room for them.
         let _ = encode::packet(Side::Answer, &head, value, &mut self.out);
@@ -45,14 +45,14 @@
 
 impl Server {
     /// A server over a keeper whose values are at most so many bytes.
-    pub fn new(keeper: Keeper, value_most: usize, users: BTreeMap<String, String>) -> Rc<Self> {
-        let limits = Limits { value: value_most, ..Limits::default() };
-        Rc::new(Server { keeper: RefCell::new(keeper), limits, users })
+    pub fn new(store: Store, max_value_bytes: usize, users: BTreeMap<String, String>) -> Rc<Self> {
+        let limits = Limits { value: max_value_bytes, ..Limits::default() };
+        Rc::new(Server { store: RefCell::new(store), limits, users })
     }
 
     /// Requests that changed something.
-    pub fn ran(&self) -> u64 {
-        self.keeper.borrow().ran()
+    pub fn mutations(&self) -> u64 {
+        self.store.borrow().mutations()
     }
 
     /// Serves, for good.
@@ -62,7 +62,7 @@
                 Ok((stream, _)) => {
                     let server = self.clone();
                     // A connection that breaks is its client's matter.
-                    tokio::task::spawn_local(async move { server.connected(stream).await });
+                    tokio::task::spawn_local(async move { server.serve_connection(stream).await });
                 }
                 // Danger: without descriptors accept fails at once, and again.
                 Err(_) => tokio::time::sleep(std::time::Duration::from_millis(20)).await,
@@ -70,36 +70,36 @@
         }
     }
 
-    async fn connected(&self, mut stream: TcpStream) -> io::Result<()> {
+    async fn serve_connection(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut decoder = Decoder::new(Side::Request, self.limits);
-        let mut session = Session { user: None, out: Vec::new(), over: false };
-        let (mut came, mut value) = (BytesMut::with_capacity(READ), BytesMut::new());
+        let mut session = Session { user: None, out: Vec::new(), closing: false };
+        let (mut input, mut value) = (BytesMut::with_capacity(READ_SIZE), BytesMut::new());
         let mut request: Option<(Head, Option<Bad>)> = None;
-        while !session.over {
-            match decoder.next(&mut came) {
+        while !session.closing {
+            match decoder.next(&mut input) {
                 Ok(Some(Part::Head(head))) => request = Some((head, None)),
                 Ok(Some(Part::Bad(head, bad))) => request = Some((head, Some(bad))),
                 Ok(Some(Part::Value(part))) => value.extend_from_slice(&part),
                 Ok(Some(Part::End)) => {
                     if let Some((head, bad)) = request.take() {
-                        self.act(&mut session, &head, bad, value.split().freeze());
+                        self.apply(&mut session, &head, bad, value.split().freeze());
                     }
                 }
                 Ok(None) => {
                     stream.write_all(&session.out).await?;
                     session.out.clear();
-                    came.reserve(READ);
-                    if stream.read_buf(&mut came).await? == 0 {
+                    input.reserve(READ_SIZE);
+                    if stream.read_buf(&mut input).await? == 0 {
                         return Ok(());
                     }
                 }
                 Err(fault) => {
-                    parting(&mut session, fault);
+                    send_last_error(&mut session, fault);
                     break;
                 }
             }
-            if session.out.len() > WRITE {
+            if session.out.len() > WRITE_THRESHOLD {
                 stream.write_all(&session.out).await?;
                 session.out.clear();
             }
@@ -108,66 +108,71 @@
         stream.shutdown().await
     }
 
-    fn act(&self, session: &mut Session, head: &Head, bad: Option<Bad>, value: Bytes) {
+    fn apply(&self, session: &mut Session, head: &Head, bad: Option<Bad>, value: Bytes) {
         let (opcode, status) = match (head.operation(), bad) {
             (Some(opcode), None) => (opcode, None),
             (_, Some(Bad::Unknown)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
             (Some(opcode), Some(_)) => (opcode, Some(Status::Invalid)),
         };
-        let free = matches!(opcode, Opcode::SaslList | Opcode::SaslAuth | Opcode::SaslStep | Opcode::Version);
-        let locked = !self.users.is_empty() && session.user.is_none() && !free;
-        if let Some(status) = status.or(locked.then_some(Status::AuthError)) {
-            return session.answer(head, &Said::words(status));
+        let open_to_all =
+            matches!(opcode, Opcode::SaslList | Opcode::SaslAuth | Opcode::SaslStep | Opcode::Version);
+        let unauthenticated = !self.users.is_empty() && session.user.is_none() && !open_to_all;
+        if let Some(status) = status.or(unauthenticated.then_some(Status::AuthError)) {
+            return session.answer(head, &Response::status_only(status));
         }
         match opcode {
             Opcode::SaslList => {
                 let value = Bytes::from_static(sasl::PLAIN);
-                session.answer(head, &Said { value, ..Said::done(0) });
+                session.answer(head, &Response { value, ..Response::ok(0) });
             }
             Opcode::SaslAuth | Opcode::SaslStep => {
-                let shown = sasl::plain(&value).filter(|_| &head.key[..] == sasl::PLAIN);
-                let user = shown.filter(|p| self.users.get(p.user).is_some_and(|right| right == p.password));
+                let credentials = sasl::plain(&value).filter(|_| &head.key[..] == sasl::PLAIN);
+                let user =
+                    credentials.filter(|p| self.users.get(p.user).is_some_and(|right| right == p.password));
                 session.user = user.map(|p| p.user.to_owned());
                 let right = session.user.is_some() || self.users.is_empty();
-                let said = Said { value: Bytes::from_static(b"Authenticated"), ..Said::done(0) };
-                session.answer(head, &if right { said } else { Said::words(Status::AuthError) });
+                let response = Response { value: Bytes::from_static(b"Authenticated"), ..Response::ok(0) };
+                session
+                    .answer(head, &if right { response } else { Response::status_only(Status::AuthError) });
             }
             Opcode::Stat => self.stat(session, head),
             _ => {
-                let said = self.keeper.borrow_mut().act(unix(), head, value);
-                if meaning::answered(opcode, said.status) {
-                    session.answer(head, &said);
+                let response = self.store.borrow_mut().apply(unix_seconds(), head, value);
+                if meaning::answered(opcode, response.status) {
+                    session.answer(head, &response);
                 }
-                session.over = opcode.loud() == Opcode::Quit;
+                session.closing = opcode.loud() == Opcode::Quit;
             }
         }
     }
 
     /// A packet for each figure, and one without a key behind them.
     fn stat(&self, session: &mut Session, head: &Head) {
-        let figures = [("pid", std::process::id().to_string()), ("cmd_ran", self.ran().to_string())];
+        let figures = [("pid", std::process::id().to_string()), ("cmd_ran", self.mutations().to_string())];
         for (name, figure) in figures {
             let (key, value) = (Bytes::from_static(name.as_bytes()), Bytes::from(figure));
-            session.answer(head, &Said { key, value, ..Said::done(0) });
+            session.answer(head, &Response { key, value, ..Response::ok(0) });
         }
-        session.answer(head, &Said::done(0));
+        session.answer(head, &Response::ok(0));
     }
 }
 
 /// The last word on a connection from which nothing more can be read.
-fn parting(session: &mut Session, fault: Fault) {
+fn send_last_error(session: &mut Session, fault: Fault) {
     match fault {
         Fault::Text => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
         Fault::Large { opaque, opcode, .. } => {
             let head = Head { opcode, opaque, ..Head::request(Opcode::Noop) };
-            session.answer(&head, &Said::words(Status::TooLarge));
+            session.answer(&head, &Response::status_only(Status::TooLarge));
+        }
+        Fault::Lengths { .. } => {
+            session.answer(&Head::request(Opcode::Noop), &Response::status_only(Status::Invalid))
         }
-        Fault::Lengths { .. } => session.answer(&Head::request(Opcode::Noop), &Said::words(Status::Invalid)),
         Fault::Magic(_) | Fault::Answer => {}
     }
 }
 
 /// Unix time in seconds.
-fn unix() -> u64 {
+fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
 }
--- a/crates/lab-memcached-server/tests/clients.rs
+++ b/crates/lab-memcached-server/tests/clients.rs
@@ -1,6 +1,6 @@
 //! A client library of others against the keeper: what it writes is read, and what is answered it understands.
 
-use aniseyoke_lab_memcached_server::{Keeper, Server};
+use aniseyoke_lab_memcached_server::{Server, Store};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-const VALUE_MOST: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A server on a thread of its own, which ends with the test.
 fn server(users: &[(&str, &str)]) -> SocketAddr {
@@ -18,10 +18,10 @@
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async move {
-            let keeper = Keeper::new(NonZeroUsize::new(1000).expect("not 0"), VALUE_MOST);
+            let store = Store::new(NonZeroUsize::new(1000).expect("not 0"), MAX_VALUE_BYTES);
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
             tell.send(listener.local_addr().expect("an address")).expect("awaited");
-            Server::new(keeper, VALUE_MOST, users).serve(listener).await
+            Server::new(store, MAX_VALUE_BYTES, users).serve(listener).await
         });
     });
     told.recv().expect("started")
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn another_s_library_stores_reads_counts_and_deletes() {
+fn a_third_party_client_stores_reads_counts_and_deletes() {
     let client = client(server(&[]), "");
     client.set("k", "value", 0).expect("stored");
     assert_eq!(client.get::<String>("k").expect("read"), Some("value".into()));
@@ -57,7 +57,7 @@
 
 /// The library asks with quiet gets and a NOOP behind them: misses stay unanswered.
 #[test]
-fn another_s_library_reads_many_keys_in_one_go_and_stores_by_version() {
+fn a_third_party_client_reads_many_keys_at_once_and_stores_by_version() {
     let client = client(server(&[]), "");
     (0..50).for_each(|n| client.set(&format!("k{n}"), n, 0).expect("stored"));
     let names: Vec<String> = (0..100).map(|n| format!("k{n}")).collect();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn who_does_not_show_who_they_are_gets_nothing() {
+fn an_unauthenticated_client_gets_nothing() {
     let addr = server(&[("acme", "secret")]);
     let right = client(addr, "acme:secret");
     right.set("k", "v", 0).expect("stored");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_text_protocol_and_lengths_that_lie_get_one_word_and_the_end() {
+fn the_text_protocol_and_wrong_lengths_get_one_error_and_a_close() {
     let addr = server(&[]);
     let told = String::from_utf8(heard(addr, b"get k\r\n")).expect("a text");
     assert!(told.starts_with("ERROR ") && told.ends_with("\r\n") && told.contains("binary"), "{told:?}");
--- a/crates/lab-process/src/descriptors.rs
+++ b/crates/lab-process/src/descriptors.rs
@@ -1,7 +1,7 @@
 //! The limit of descriptors that this process and its children run under.
 
-/// Takes as many descriptors as the system lets a process have: clients and nodes of a day may need thousands.
-pub fn raise_descriptors() {
+/// Raises the limit as far as the system allows: clients and nodes of a day may need thousands of descriptors.
+pub fn raise_descriptor_limit() {
     use nix::sys::resource::{getrlimit, setrlimit, Resource};
     if let Ok((soft, hard)) = getrlimit(Resource::RLIMIT_NOFILE) {
         if soft < hard && setrlimit(Resource::RLIMIT_NOFILE, hard, hard).is_err() {
--- a/crates/lab-process/src/health.rs
+++ b/crates/lab-process/src/health.rs
@@ -1,25 +1,25 @@
-//! Looks at a proxy's health.
+//! Health checks of a proxy.
 
-use aniseyoke_lab_site::wire::Wire;
+use aniseyoke_lab_site::http::HttpConnection;
 use aniseyoke_lab_site::Health;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A look at health takes no longer.
+/// A health check takes no longer.
 const ANSWERS_WITHIN: Duration = Duration::from_millis(500);
 
-/// Whether the proxy at `addr` says that it is well, within half a second.
-pub async fn health(addr: SocketAddr) -> Health {
-    let look = async {
-        let mut wire = Wire::new(TcpStream::connect(addr).await?);
-        wire.write(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await?;
-        wire.answer().await
+/// Checks the health of the proxy at `addr`, within half a second.
+pub async fn check_health(addr: SocketAddr) -> Health {
+    let check = async {
+        let mut http = HttpConnection::new(TcpStream::connect(addr).await?);
+        http.write(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await?;
+        http.read_response().await
     };
-    match timeout(ANSWERS_WITHIN, look).await {
-        Ok(Ok(Some(answer))) if answer.status == 200 => Health::Well,
-        Ok(Ok(Some(_))) => Health::Unwell,
+    match timeout(ANSWERS_WITHIN, check).await {
+        Ok(Ok(Some(response))) if response.status == 200 => Health::Healthy,
+        Ok(Ok(Some(_))) => Health::Unhealthy,
         _ => Health::Dead,
     }
 }
--- a/crates/lab-process/src/lib.rs
+++ b/crates/lab-process/src/lib.rs
@@ -1,11 +1,23 @@
-//! Proxies, and other programs of this workspace, as child processes: found and built, started, looked at, ended.
+//! Proxies, and other programs of this workspace, as child processes: found and built, started, watched, ended.
+#![deny(unsafe_code)]
+#![deny(missing_docs)]
 
 mod descriptors;
+mod error;
+mod find;
 mod health;
-mod subject;
+mod launcher;
+mod process_log;
+mod program;
 mod usage;
 
-pub use descriptors::raise_descriptors;
-pub use health::health;
-pub use subject::{find_control, find_file, find_proxy, tie, Log, Program, Running, Subject};
+use aniseyoke_lab_day::FileError;
+
+pub use descriptors::raise_descriptor_limit;
+pub use error::ProcessError;
+pub use find::{find_control, find_file, find_proxy};
+pub use health::check_health;
+pub use launcher::{ProxyLauncher, RunningProxy};
+pub use process_log::ProcessLog;
+pub use program::{kill_with_parent, Program};
 pub use usage::Usage;
--- a/crates/lab-process/src/usage.rs
+++ b/crates/lab-process/src/usage.rs
@@ -1,12 +1,12 @@
-//! What a process uses, as the kernel tells it under `/proc`.
+//! The resources that a process uses, as `/proc` has them.
 
 use serde::Serialize;
 use std::fs;
 
-/// What a process has used so far.
+/// The resources that a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Usage {
-    /// Time on a core, in seconds, over all threads that live.
+    /// Processor time of all live threads, in seconds.
     pub cpu_s: f64,
     /// The most memory resident at once, in MB.
     pub memory_mb: f64,
@@ -15,8 +15,8 @@
 }
 
 impl Usage {
-    /// Looks at a process; none: there is no such process any more.
-    pub fn look(pid: u32) -> Option<Usage> {
+    /// The usage of a process; none if there is no such process.
+    pub fn of_process(pid: u32) -> Option<Usage> {
         let tasks = fs::read_dir(format!("/proc/{pid}/task")).ok()?;
         let on_core = |task: fs::DirEntry| {
             let text = fs::read_to_string(task.path().join("schedstat")).ok()?;
@@ -30,8 +30,8 @@
         Some(Usage { cpu_s: cpu_ns / 1e9, memory_mb: peak_kb / 1024.0, descriptors })
     }
 
-    /// Takes a later look at the same process in.
-    pub fn update(&mut self, later: Usage) {
+    /// Takes in a later reading of the same process.
+    pub fn merge(&mut self, later: Usage) {
         self.cpu_s = self.cpu_s.max(later.cpu_s);
         self.memory_mb = self.memory_mb.max(later.memory_mb);
         self.descriptors = self.descriptors.max(later.descriptors);
--- a/crates/lab-rig/src/board.rs
+++ b/crates/lab-rig/src/board.rs
@@ -1,7 +1,8 @@
-//! Who stands at the ends of a link, the faults that can be put on links, and the board of those in force.
+//! The ends of links, the faults that can be injected on links, and the board of the active ones.
 //!
-//! No I/O and no clock: the schedule puts faults on and takes them off; relays read what holds for their link.
+//! No I/O and no clock: the schedule injects and clears faults; relays read the effect on their link.
 
+use super::error::LinkEndsError;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,70 +11,70 @@
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Party {
+pub enum LinkEnd {
     /// A proxy, by its number in the experiment.
     Proxy(usize),
-    /// The list service.
+    /// Discovery.
     Discovery,
-    /// The ledger (origin).
+    /// The origin; experiments and reports call it ledger.
     Ledger,
     /// A cache node, by the address at which the site opened it.
     Node(SocketAddr),
 }
 
-/// A set of parties, as an experiment names it: `proxies`, `proxy:3`, `proxy:0-4`, `discovery`, `ledger`, `nodes`.
+/// A set of ends, as an experiment names it: `proxies`, `proxy:3`, `proxy:0-4`, `discovery`, `ledger`, `nodes`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum LinkEnds {
     /// Every proxy.
     Proxies,
-    /// Proxies from the first number to the last, both in.
+    /// Proxies from the first number to the last, inclusive.
     Range(usize, usize),
-    /// The list service.
+    /// Discovery.
     Discovery,
-    /// The ledger.
+    /// The origin; experiments and reports call it ledger.
     Ledger,
     /// Every cache node.
     Nodes,
 }
 
-impl Group {
+impl LinkEnds {
     /// Reads one name of a set.
     ///
     /// # Errors
     /// Names the word that is not a set.
-    pub fn parse(word: &str) -> Result<Group, String> {
-        let number =
-            |n: &str| n.trim().parse::<usize>().map_err(|_| format!("`{word}`: `{n}` is not a number"));
+    pub fn parse(word: &str) -> Result<LinkEnds, LinkEndsError> {
+        let number = |part: &str| {
+            let not_a_number = |_| LinkEndsError::NotANumber { word: word.to_owned(), part: part.to_owned() };
+            part.trim().parse::<usize>().map_err(not_a_number)
+        };
         match word {
-            "proxies" => Ok(Group::Proxies),
-            "discovery" => Ok(Group::Discovery),
-            "ledger" | "origin" => Ok(Group::Ledger),
-            "nodes" => Ok(Group::Nodes),
+            "proxies" => Ok(LinkEnds::Proxies),
+            "discovery" => Ok(LinkEnds::Discovery),
+            "ledger" | "origin" => Ok(LinkEnds::Ledger),
+            "nodes" => Ok(LinkEnds::Nodes),
             _ => match word.strip_prefix("proxy:") {
                 Some(span) => match span.split_once('-') {
                     Some((from, to)) => {
                         let (from, to) = (number(from)?, number(to)?);
                         if from > to {
-                            return Err(format!("`{word}`: {from} comes after {to}"));
+                            return Err(LinkEndsError::EmptyRange { word: word.to_owned(), from, to });
                         }
-                        Ok(Group::Range(from, to))
+                        Ok(LinkEnds::Range(from, to))
                     }
-                    None => number(span).map(|n| Group::Range(n, n)),
+                    None => number(span).map(|n| LinkEnds::Range(n, n)),
                 },
-                None => Err(format!(
-                    "`{word}` is no set of processes: proxies, proxy:N, proxy:N-M, discovery, ledger or nodes"
-                )),
+                None => Err(LinkEndsError::Unknown(word.to_owned())),
             },
         }
     }
 
-    /// Whether a party belongs to it.
-    pub fn holds(&self, party: Party) -> bool {
-        match (self, party) {
-            (Group::Proxies, Party::Proxy(_)) => true,
-            (Group::Range(from, to), Party::Proxy(n)) => (*from..=*to).contains(&n),
-            (Group::Discovery, Party::Discovery) | (Group::Ledger, Party::Ledger) => true,
-            (Group::Nodes, Party::Node(_)) => true,
+    /// Whether an end belongs to the set.
+    pub fn contains(&self, end: LinkEnd) -> bool {
+        match (self, end) {
+            (LinkEnds::Proxies, LinkEnd::Proxy(_)) => true,
+            (LinkEnds::Range(from, to), LinkEnd::Proxy(n)) => (*from..=*to).contains(&n),
+            (LinkEnds::Discovery, LinkEnd::Discovery) | (LinkEnds::Ledger, LinkEnd::Ledger) => true,
+            (LinkEnds::Nodes, LinkEnd::Node(_)) => true,
             _ => false,
         }
     }
@@ -81,29 +82,29 @@
     /// The highest proxy that it names, if it names proxies by number.
     pub fn last_proxy(&self) -> Option<usize> {
         match self {
-            Group::Range(_, to) => Some(*to),
+            LinkEnds::Range(_, to) => Some(*to),
             _ => None,
         }
     }
 }
 
-/// What may go wrong on a link.
+/// The kinds of faults on links.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Every chunk of bytes waits so long, and up to `jitter` more; order is kept.
+    /// Every chunk of bytes is delayed, by up to `jitter` more; order is kept.
     Delay,
-    /// This part of new connections is closed as soon as it is taken.
+    /// A fraction of new connections is closed as soon as they are accepted.
     Drop,
-    /// This part of connections is cut off in the middle of its bytes, and closed.
+    /// A fraction of connections is closed in the middle of their bytes.
     Cut,
-    /// Connections open now and new ones are reset.
+    /// Open connections and new ones are reset.
     Reset,
-    /// Connections are taken and never answered; open ones go silent; bytes come again when it ends.
+    /// Connections are accepted and not answered; open ones go silent; bytes come through when it ends.
     BlackHole,
-    /// Connections open now go silent for good and are never closed; new ones are carried.
+    /// Open connections go silent for good and are never closed; new ones work.
     HalfOpen,
-    /// At most so many bytes a second in each direction of a connection.
+    /// Bandwidth is limited in each direction of a connection.
     Bandwidth,
     /// The two sets hear nothing of each other (a black hole both ways) until it ends.
     Partition,
@@ -111,130 +112,129 @@
 
 /// A fault on the links between two sets.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Active {
-    /// Its number in the schedule.
+pub struct ActiveFault {
+    /// Its id in the schedule.
     pub id: usize,
-    /// What it does.
+    /// Its kind.
     pub fault: Fault,
     /// One side.
-    pub a: Vec<Group>,
+    pub a: Vec<LinkEnds>,
     /// The other side.
-    pub b: Vec<Group>,
-    /// The part of connections that `drop` and `cut` strike, from 0 to 1.
-    pub part: f64,
-    /// What `delay` adds, and its jitter.
+    pub b: Vec<LinkEnds>,
+    /// The fraction of connections that `drop` and `cut` hit.
+    pub fraction: f64,
+    /// What `delay` adds.
     pub delay: Duration,
     /// Up to this much more for `delay`.
     pub jitter: Duration,
     /// What `bandwidth` lets through, in bytes a second.
     pub rate: u64,
-    /// The board's count of changes when it struck: connections opened before that are struck by `half-open` and `reset`.
-    pub struck: u64,
+    /// The board's count of changes when it was injected; `half-open` and `reset` hit connections opened before that.
+    pub injected_at: u64,
 }
 
-impl Active {
-    fn joins(&self, from: Party, to: Party) -> bool {
-        let side = |groups: &[Group], p: Party| groups.iter().any(|g| g.holds(p));
+impl ActiveFault {
+    fn applies_to(&self, from: LinkEnd, to: LinkEnd) -> bool {
+        let side = |sets: &[LinkEnds], end: LinkEnd| sets.iter().any(|set| set.contains(end));
         (side(&self.a, from) && side(&self.b, to)) || (side(&self.b, from) && side(&self.a, to))
     }
 }
 
-/// What holds on one link now. Effects of several faults add up: delays add, caps take the lowest, silence wins.
+/// The effect of the active faults on one link. Effects of several faults combine: delays add, the lowest bandwidth limit
+/// holds, silence wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Effect {
-    /// Bytes wait so long.
+pub struct LinkEffect {
+    /// Bytes are delayed by this.
     pub delay: Duration,
-    /// And up to so much more.
+    /// And by up to this much more.
     pub jitter: Duration,
-    /// Bytes a second, if capped.
+    /// The limit in bytes a second, if any.
     pub rate: Option<u64>,
-    /// The part of new connections closed at once.
+    /// The fraction of new connections closed at once.
     pub drop: f64,
-    /// The part of connections cut in their bytes.
+    /// The fraction of connections truncated.
     pub cut: f64,
     /// Connections opened before this change of the board are reset.
     pub reset_before: u64,
-    /// New connections are reset too.
+    /// Whether new connections are reset too.
     pub resets: bool,
     /// Connections opened before this change of the board are silent for good.
-    pub stale_before: u64,
-    /// Nothing passes while it holds.
+    pub half_open_before: u64,
+    /// Whether nothing passes.
     pub silent: bool,
 }
 
-impl Effect {
-    /// Whether a connection opened at change `born` of the board is to be reset now.
-    pub fn resets(&self, born: u64) -> bool {
-        self.resets || born < self.reset_before
+impl LinkEffect {
+    /// Whether a connection opened at change `opened_at` of the board is to be reset now.
+    pub fn resets(&self, opened_at: u64) -> bool {
+        self.resets || opened_at < self.reset_before
     }
 
-    /// Whether a connection opened at change `born` is half-open: silent for good.
-    pub fn stale(&self, born: u64) -> bool {
-        born < self.stale_before
+    /// Whether a connection opened at change `opened_at` is half-open: silent for good.
+    pub fn half_open(&self, opened_at: u64) -> bool {
+        opened_at < self.half_open_before
     }
 }
 
-/// The faults in force, and the number of changes so far.
+/// The active faults, and the number of changes so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Faults {
-    /// Each change counts one.
+pub struct FaultSet {
+    /// The number of changes.
     pub changes: u64,
-    /// What is in force.
-    pub active: Vec<Active>,
+    /// The active faults.
+    pub active: Vec<ActiveFault>,
 }
 
-impl Faults {
-    /// What holds on the link from `from` to `to`.
-    pub fn effect(&self, from: Party, to: Party) -> Effect {
-        let mut effect = Effect::default();
-        for active in self.active.iter().filter(|a| a.joins(from, to)) {
-            match active.fault {
+impl FaultSet {
+    /// The effect on the link between two ends.
+    pub fn effect(&self, from: LinkEnd, to: LinkEnd) -> LinkEffect {
+        let mut effect = LinkEffect::default();
+        for fault in self.active.iter().filter(|a| a.applies_to(from, to)) {
+            match fault.fault {
                 Fault::Delay => {
-                    effect.delay += active.delay;
-                    effect.jitter += active.jitter;
+                    effect.delay += fault.delay;
+                    effect.jitter += fault.jitter;
                 }
-                Fault::Drop => effect.drop = 1.0 - (1.0 - effect.drop) * (1.0 - active.part),
-                Fault::Cut => effect.cut = 1.0 - (1.0 - effect.cut) * (1.0 - active.part),
+                Fault::Drop => effect.drop = 1.0 - (1.0 - effect.drop) * (1.0 - fault.fraction),
+                Fault::Cut => effect.cut = 1.0 - (1.0 - effect.cut) * (1.0 - fault.fraction),
                 Fault::Reset => {
                     effect.resets = true;
-                    effect.reset_before = effect.reset_before.max(active.struck);
+                    effect.reset_before = effect.reset_before.max(fault.injected_at);
                 }
-                Fault::HalfOpen => effect.stale_before = effect.stale_before.max(active.struck),
+                Fault::HalfOpen => effect.half_open_before = effect.half_open_before.max(fault.injected_at),
                 Fault::BlackHole | Fault::Partition => effect.silent = true,
-                Fault::Bandwidth => {
-                    effect.rate = Some(effect.rate.map_or(active.rate, |r| r.min(active.rate)))
-                }
+                Fault::Bandwidth => effect.rate = Some(effect.rate.map_or(fault.rate, |r| r.min(fault.rate))),
             }
         }
         effect
     }
 }
 
-/// The board that the schedule writes and relays read.
+/// The active faults, which the schedule changes and relays follow.
 #[derive(Clone)]
-pub struct Board {
-    faults: watch::Sender<Arc<Faults>>,
+pub struct FaultBoard {
+    faults: watch::Sender<Arc<FaultSet>>,
 }
 
-impl Default for Board {
+impl Default for FaultBoard {
     fn default() -> Self {
-        Board { faults: watch::Sender::new(Arc::default()) }
+        FaultBoard { faults: watch::Sender::new(Arc::default()) }
     }
 }
 
-impl Board {
-    /// Puts a fault on; it strikes connections that are open now.
-    pub fn strike(&self, mut active: Active) {
+impl FaultBoard {
+    /// Injects a fault; it also hits connections that are open now.
+    pub fn inject(&self, mut fault: ActiveFault) {
         self.faults.send_modify(|faults| {
             let faults = Arc::make_mut(faults);
             faults.changes += 1;
-            active.struck = faults.changes;
-            faults.active.push(active);
+            fault.injected_at = faults.changes;
+            faults.active.push(fault);
         });
     }
 
-    /// Takes fault `id` off; connections that it made half-open or reset stay so.
-    pub fn lift(&self, id: usize) {
+    /// Clears fault `id`; connections that it made half-open or reset stay so.
+    pub fn clear(&self, id: usize) {
         self.faults.send_modify(|faults| {
             let faults = Arc::make_mut(faults);
             faults.changes += 1;
@@ -242,13 +242,13 @@
         });
     }
 
-    /// What is in force now, and a way to hear of changes.
-    pub fn watch(&self) -> watch::Receiver<Arc<Faults>> {
+    /// Follows the active faults.
+    pub fn watch(&self) -> watch::Receiver<Arc<FaultSet>> {
         self.faults.subscribe()
     }
 
-    /// The faults in force now.
-    pub fn now(&self) -> Arc<Faults> {
+    /// The faults that are active now.
+    pub fn now(&self) -> Arc<FaultSet> {
         self.faults.borrow().clone()
     }
 }
--- a/crates/lab-rig/src/lib.rs
+++ b/crates/lab-rig/src/lib.rs
@@ -1,22 +1,27 @@
-//! The fault rig: real proxies beside the site's stand-ins, a relay of ours on every link, faults by a schedule
+//! The fault rig: real proxies beside the site's stand-ins, a relay on every link, faults by a schedule
 //! (`docs/design-rig.md`).
 //!
-//! - [`board`]: parties, faults and the board of those in force; no I/O.
-//! - [`mesh`]: the relays of an experiment, on a thread of their own.
+//! - [`board`]: the ends of links, faults, and the board of the active faults; no I/O.
 //! - [`plan`]: an experiment's file and the schedule that a seed makes of it.
 //! - [`play`]: one experiment from start to end.
-//! - [`procs`]: the real proxies, signalled and started again.
-//! - [`ready`]: how long proxies that were started again take until they are ready.
+//! - [`outcome`]: what an experiment came to.
+//! - [`processes`]: the real proxies, signalled and started again.
+//! - [`readiness`]: how long proxies that were started again take to be ready.
 //! - [`relay`]: a relay on one link.
-//! - [`report`]: what came of an experiment, as a page with plots.
+//! - [`relays`]: all relays of an experiment, on a thread of their own.
+//! - [`report`]: the outcome as a page with plots.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod board;
-pub mod mesh;
+pub mod error;
+pub mod outcome;
 pub mod plan;
 pub mod play;
-pub mod procs;
-pub mod ready;
+pub mod processes;
+pub mod readiness;
 pub mod relay;
+pub mod relays;
 pub mod report;
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/lab-rig/src/outcome.rs
@@ -0,0 +1,161 @@
+//! The outcome of an experiment, and its table for a reader.
+
+use super::readiness::Readiness;
+use super::relays::RelayTotals;
+use aniseyoke_lab_audit::Verdict;
+use aniseyoke_lab_load::OutcomeSummary;
+use aniseyoke_lab_world::connection_load::MemberLoad;
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// The outcome of an experiment.
+#[derive(Clone, Debug, Serialize)]
+pub struct Outcome {
+    /// The seed of its schedule.
+    pub seed: u64,
+    /// Real proxies.
+    pub proxies: usize,
+    /// Requests by outcome, over all.
+    pub all: OutcomeSummary,
+    /// For each second of the load: requests by outcome.
+    pub seconds: Vec<BTreeMap<String, u64>>,
+    /// Calls at discovery for each second from the site's opening, before the load and during it.
+    pub list_asks: Vec<u64>,
+    /// Of those, rejected as past what it answers.
+    pub list_refused: Vec<u64>,
+    /// When the load began, in seconds from the site's opening.
+    pub began_s: f64,
+    /// Connections and attempts at cache nodes.
+    pub nodes: MemberLoad,
+    /// Connections and attempts at the origin.
+    #[serde(rename = "ledger")]
+    pub origin: MemberLoad,
+    /// What the relays did, summed.
+    pub links: RelayTotals,
+    /// The steps of the schedule as they were carried out, in seconds on the clock of the audit (from the rig's start, the
+    /// load beginning a little later).
+    #[serde(rename = "done")]
+    pub steps: Vec<(f64, String)>,
+    /// Proxies that crashed, or could not be started again.
+    pub crashes: Vec<String>,
+    /// Processes that each proxy had.
+    pub starts: Vec<u32>,
+    /// How long those that were started again took to be ready.
+    pub restarted: Readiness,
+    /// The auditor's verdict.
+    pub verdict: Verdict,
+}
+
+impl Outcome {
+    /// Whether no rule was broken and no proxy crashed.
+    pub fn clean(&self) -> bool {
+        self.verdict.clean() && self.crashes.is_empty()
+    }
+}
+
+/// The fraction of the requests that is served in time in steady service.
+const STEADY_FRACTION: f64 = 0.95;
+
+/// The second of the load from which on every second is one of steady service; none if its last is not.
+pub fn steady_after(outcome: &Outcome) -> Option<usize> {
+    let steady = |counts: &BTreeMap<String, u64>| {
+        let all: u64 = counts.values().sum();
+        all == 0 || counts.get("served").copied().unwrap_or(0) as f64 >= STEADY_FRACTION * all as f64
+    };
+    // The last second has been cut short by the end.
+    let seconds = outcome.seconds.split_last().map_or(&[][..], |(_, rest)| rest);
+    let after = seconds.iter().rposition(|counts| !steady(counts)).map_or(0, |last| last + 1);
+    (after < seconds.len()).then_some(after)
+}
+
+/// The outcome as a table for a reader.
+pub fn table(outcome: &Outcome) -> String {
+    let mut text = format!("{} proxies, seed {}\n", outcome.proxies, outcome.seed);
+    for (at, what) in &outcome.steps {
+        text += &format!("  {at:8.3} s  {what}\n");
+    }
+    let all = &outcome.all;
+    text += &format!("requests {}, goodput {:.3}\n", all.requests, all.goodput);
+    for (outcome, count) in &all.outcomes {
+        text += &format!("  {outcome:<12} {count:>8}\n");
+    }
+    text += &list_lines(outcome);
+    text += &member_lines(outcome);
+    text += &restart_lines(&outcome.restarted);
+    match steady_after(outcome) {
+        Some(s) => text += &format!("steady service (95% served in time) from second {s} of the load on\n"),
+        None => text += "no steady service (95% served in time) by the end\n",
+    }
+    let RelayTotals { relays, taken, dropped, cut, reset, held, unreached, .. } = outcome.links;
+    text += &format!(
+        "links: {relays} relays, {taken} connections; dropped {dropped}, cut {cut}, reset {reset}, held silent {held}, target gone {unreached}\n"
+    );
+    text += &audit_lines(&outcome.verdict);
+    for crash in &outcome.crashes {
+        text += &format!("crash: {crash}\n");
+    }
+    text += if outcome.clean() { "clean\n" } else { "RULES BROKEN\n" };
+    text
+}
+
+fn list_lines(outcome: &Outcome) -> String {
+    let mut sorted = outcome.list_asks.clone();
+    sorted.sort_unstable();
+    format!(
+        "list service: {} calls, at most {} in a second, median {} a second, {} refused\n",
+        sorted.iter().sum::<u64>(),
+        sorted.last().copied().unwrap_or(0),
+        sorted.get(sorted.len() / 2).copied().unwrap_or(0),
+        outcome.list_refused.iter().sum::<u64>()
+    )
+}
+
+fn member_lines(outcome: &Outcome) -> String {
+    let mut text = String::new();
+    for (who, load) in [("a node", &outcome.nodes), ("the ledger", &outcome.origin)] {
+        let (all, most) = (load.opened.iter().sum::<u64>(), load.max_opened.iter().max().unwrap_or(&0));
+        text += &format!(
+            "{who}: {most} connections a second at most ({all} in all), {} held at once, {} attempts out, {} of them turned away for lack of room, {} connections turned away\n",
+            load.max_open,
+            load.max_in_flight,
+            load.rejected_attempts,
+            load.rejected_connections.iter().sum::<u64>()
+        );
+    }
+    text
+}
+
+fn restart_lines(restarted: &Readiness) -> String {
+    if restarted.ready + restarted.unready == 0 {
+        return String::new();
+    }
+    let seconds = |time: Option<f64>| time.map_or("not".to_owned(), |s| format!("{s:.3} s"));
+    format!(
+        "started again: {} ready, {} not; half within {}, nine in ten within {}, all within {}\n",
+        restarted.ready,
+        restarted.unready,
+        seconds(restarted.p50_s),
+        seconds(restarted.p90_s),
+        seconds(restarted.most_s)
+    )
+}
+
+fn audit_lines(verdict: &Verdict) -> String {
+    let mut text = format!(
+        "audit: {} requests, {} unanswered where the rig struck, {} closed at the door, broken {:?}\n",
+        verdict.requests, verdict.proxy_faulted, verdict.closed_before_forwarding, verdict.broken
+    );
+    if !verdict.repeated_after_kill.is_empty() {
+        text += &format!(
+            "ran twice after a kill, asked again elsewhere (no takeover yet): {:?}\n",
+            verdict.repeated_after_kill
+        );
+    }
+    for violation in verdict.violations.iter().chain(&verdict.violations_after_kill) {
+        text += &format!("{:?}: {}\n", violation.rule, violation.what);
+        for line in &violation.history {
+            text += &format!("    {line}\n");
+        }
+    }
+    text
+}
--- /dev/null
+++ b/crates/lab-rig/src/plan/check.rs
@@ -0,0 +1,78 @@
+//! Checks an experiment for values that its file may spell but that can't be played.
+
+use super::{LinkStep, Plan, MAX_LENGTH, MAX_PROXIES};
+use crate::board::{Fault, LinkEnds};
+use std::ops::Range;
+use std::time::Duration;
+
+/// Every problem of an experiment, each with its place; `at` names a place of the file.
+pub fn problems(plan: &Plan, file: &str, at: &dyn Fn(Option<Range<usize>>) -> String) -> Vec<String> {
+    let mut problems = Vec::new();
+    let mut report = |span: Range<usize>, why: String| problems.push(format!("{}: {why}", at(Some(span))));
+    let proxies = plan.proxies();
+    if proxies == 0 || proxies > MAX_PROXIES {
+        report(plan.proxies.span(), format!("proxies = {proxies}: from 1 to {MAX_PROXIES}"));
+    }
+    let length = plan.length.unwrap_or(Duration::MAX);
+    for step in &plan.links {
+        let mut report = |why: String| report(step.span(), why);
+        check_link(step.get_ref(), proxies, length, &mut report);
+    }
+    for step in &plan.clocks {
+        let clock = step.get_ref();
+        let mut report = |why: String| report(step.span(), why);
+        check_sets(&clock.proxies, proxies, &mut report);
+        if clock.ahead.is_zero() == clock.behind.is_zero() {
+            report("a clock is wrong by `ahead` or by `behind`, one of the two".into());
+        }
+    }
+    for step in &plan.processes {
+        let process = step.get_ref();
+        let mut report = |why: String| report(step.span(), why);
+        check_sets(&process.proxies, proxies, &mut report);
+        if process.pick == Some(0) {
+            report("pick = 0 picks nothing".into());
+        }
+        if process.at + process.spread + process.span > length {
+            report("it would outlast the experiment's length".into());
+        }
+    }
+    if plan.length.is_some_and(|length| length.is_zero() || length > MAX_LENGTH) {
+        // A duration's place is not kept by its reader; the key is named instead.
+        let max = humantime::format_duration(MAX_LENGTH);
+        problems.push(format!("{file}: length: more than nothing and at most {max}"));
+    }
+    problems
+}
+
+fn check_link(link: &LinkStep, proxies: usize, length: Duration, report: &mut dyn FnMut(String)) {
+    if link.a.is_empty() || link.b.is_empty() {
+        report("a link fault needs sets on both sides, `a` and `b`".into());
+    }
+    check_sets(&link.a, proxies, report);
+    check_sets(&link.b, proxies, report);
+    if !(0.0..=1.0).contains(&link.fraction) {
+        report(format!("part = {}: a part from 0 to 1", link.fraction));
+    }
+    if link.fault == Fault::Delay && link.delay.is_zero() && link.jitter.is_zero() {
+        report("a delay needs `delay` or `jitter`".into());
+    }
+    if link.fault == Fault::Bandwidth && link.bytes_per_second == 0 {
+        report("bandwidth needs `bytes_per_second` above 0".into());
+    }
+    if link.at + link.spread + link.span > length {
+        report("it would outlast the experiment's length".into());
+    }
+}
+
+fn check_sets(words: &[String], proxies: usize, report: &mut dyn FnMut(String)) {
+    for word in words {
+        match LinkEnds::parse(word) {
+            Ok(set) if set.last_proxy().is_some_and(|last| last >= proxies) => {
+                report(format!("`{word}`: there are {proxies} proxies, from 0"));
+            }
+            Ok(_) => {}
+            Err(why) => report(why.to_string()),
+        }
+    }
+}
--- a/crates/lab-rig/src/plan/tests.rs
+++ b/crates/lab-rig/src/plan/tests.rs
@@ -27,8 +27,8 @@
     assert_eq!(plan.schedule(3), plan.schedule(3));
     assert_ne!(plan.schedule(3), plan.schedule(4));
     let steps = plan.schedule(3).steps;
-    let kills = steps.iter().filter(|(_, d)| matches!(d, Do::Signal(_, Action::Kill))).count();
-    let starts = steps.iter().filter(|(_, d)| matches!(d, Do::Start(_, State::Cleared))).count();
+    let kills = steps.iter().filter(|(_, d)| matches!(d, Step::Signal(_, Action::Kill))).count();
+    let starts = steps.iter().filter(|(_, d)| matches!(d, Step::Start(_, State::Cleared))).count();
     assert_eq!((kills, starts, steps.len()), (2, 2, 6));
     assert!(steps.windows(2).all(|w| w[0].0 <= w[1].0));
 }
@@ -36,24 +36,16 @@
 #[test]
 fn faults_of_a_file_are_told_all_at_once_with_their_places() {
     let bad = PLAN.replace("proxy:0-1", "proxy:0-9").replace("fault = \"partition\"", "fault = \"delay\"");
-    let faults = Plan::parse("p.toml", &bad).unwrap_err().faults;
-    assert_eq!(faults.len(), 2, "{faults:?}");
-    assert!(faults[0].starts_with("p.toml:5:1: `proxy:0-9`: there are 6 proxies"), "{faults:?}");
-    assert!(faults[1].contains("a delay needs"), "{faults:?}");
+    let problems = Plan::parse("p.toml", &bad).unwrap_err().problems;
+    assert_eq!(problems.len(), 2, "{problems:?}");
+    assert!(problems[0].starts_with("p.toml:5:1: `proxy:0-9`: there are 6 proxies"), "{problems:?}");
+    assert!(problems[1].contains("a delay needs"), "{problems:?}");
     let unknown = Plan::parse("p.toml", &PLAN.replace("spread = \"2s\"", "sprad = \"2s\"")).unwrap_err();
-    assert!(unknown.faults[0].starts_with("p.toml:15:1: unknown field `sprad`"), "{unknown}");
+    assert!(unknown.problems[0].starts_with("p.toml:15:1: unknown field `sprad`"), "{unknown}");
     let word = Plan::parse("p.toml", &PLAN.replace("\"kill\"", "\"maim\"")).unwrap_err();
-    assert!(word.faults[0].starts_with("p.toml:16:10: unknown variant `maim`"), "{word}");
+    assert!(word.problems[0].starts_with("p.toml:16:10: unknown variant `maim`"), "{word}");
     let none = Plan::parse("p.toml", &PLAN.replace("proxies = 6", "proxies = 0")).unwrap_err();
-    assert!(none.faults[0].starts_with("p.toml:3:11: proxies = 0"), "{none}");
+    assert!(none.problems[0].starts_with("p.toml:3:11: proxies = 0"), "{none}");
     let long = Plan::parse("p.toml", &format!("length = \"90m\"\n{PLAN}")).unwrap_err();
-    assert!(long.faults.iter().any(|f| f.starts_with("p.toml: length: ")), "{long}");
-}
-
-#[test]
-fn places_are_found_in_any_text() {
-    assert_eq!(place("a\nbé c", 5), (2, 3));
-    // Within a character, or past the end: the place of what comes before.
-    assert_eq!(place("é", 1), (1, 1));
-    assert_eq!(place("ab", 99), (1, 3));
+    assert!(long.problems.iter().any(|f| f.starts_with("p.toml: length: ")), "{long}");
 }
--- a/crates/lab-rig/src/relay.rs
+++ b/crates/lab-rig/src/relay.rs
@@ -1,6 +1,6 @@
-//! A relay on one link: takes the connections of one party for another and carries their bytes, as the board says.
+//! A relay on one link: accepts the connections of one end for the other and carries their bytes, under the active faults.
 
-use super::board::{Effect, Faults, Party};
+use super::board::{FaultSet, LinkEffect, LinkEnd};
 use aniseyoke_lab_day::clock::mix;
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -18,36 +18,36 @@
 
 /// A chunk of bytes is at most this large.
 const CHUNK: usize = 16 * 1024;
-/// A relay gives up reaching its target after so long, and resets the connection it took.
+/// A relay gives up reaching its target after this time, and resets the connection that it accepted.
 const CONNECT_WITHIN: Duration = Duration::from_secs(2);
-/// A cut comes within this many bytes of a connection.
+/// A truncated connection carries fewer bytes than this.
 const CUT_WITHIN: u64 = 2048;
 
 /// What a relay has done, for reports and tests.
 #[derive(Debug, Default)]
-pub struct Counts {
-    /// Connections taken.
+pub struct RelayCounters {
+    /// Connections accepted.
     pub taken: AtomicU64,
-    /// Closed at once by `drop`.
+    /// Connections closed at once by `drop`.
     pub dropped: AtomicU64,
-    /// Cut in their bytes.
+    /// Connections truncated by `cut`.
     pub cut: AtomicU64,
-    /// Reset.
+    /// Connections reset.
     pub reset: AtomicU64,
-    /// Held silent for a while, or for good.
+    /// Connections held silent for a while, or for good.
     pub held: AtomicU64,
     /// Of those, given up by their callers before the silence ended: nothing of them reaches the target.
     pub given_up: AtomicU64,
-    /// Whose target could not be reached.
+    /// Connections whose target could not be reached.
     pub unreached: AtomicU64,
-    /// Bytes carried toward the target, and back.
+    /// Bytes carried toward the target.
     pub bytes_to: AtomicU64,
     /// Bytes carried back.
     pub bytes_back: AtomicU64,
 }
 
-impl Counts {
-    /// A count as it stands.
+impl RelayCounters {
+    /// The current value of a counter.
     pub fn get(counter: &AtomicU64) -> u64 {
         counter.load(Ordering::Relaxed)
     }
@@ -61,19 +61,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
     /// Who opens connections.
-    pub from: Party,
-    /// Who takes them.
-    pub to: Party,
+    pub from: LinkEnd,
+    /// Who accepts them.
+    pub to: LinkEnd,
     /// Where the far end listens.
     pub target: SocketAddr,
 }
 
-/// A relay that stands.
+/// An open relay.
 pub struct Relay {
-    /// Where it takes connections.
+    /// Where it accepts connections.
     pub addr: SocketAddr,
     /// What it has done.
-    pub counts: Arc<Counts>,
+    pub counts: Arc<RelayCounters>,
 }
 
 /// Opens a relay on `handle`'s runtime; its randomness follows from `seed` and the number of each connection.
@@ -83,14 +83,14 @@
 pub fn open(
     handle: &Handle,
     link: Link,
-    faults: watch::Receiver<Arc<Faults>>,
+    faults: watch::Receiver<Arc<FaultSet>>,
     seed: u64,
 ) -> io::Result<Relay> {
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     listener.set_nonblocking(true)?;
     let addr = listener.local_addr()?;
-    let counts = Arc::new(Counts::default());
-    let kept = counts.clone();
+    let counts = Arc::new(RelayCounters::default());
+    let shared = counts.clone();
     handle.spawn(async move {
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
@@ -102,8 +102,8 @@
                 Ok((stream, _)) => {
                     number += 1;
                     let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, addr.port().into(), number));
-                    Counts::add(&kept.taken, 1);
-                    tokio::spawn(carry(stream, link, faults.clone(), rng, kept.clone()));
+                    RelayCounters::add(&shared.taken, 1);
+                    tokio::spawn(carry(stream, link, faults.clone(), rng, shared.clone()));
                 }
                 Err(e) => {
                     tracing::warn!("relay {addr}: {e}");
@@ -115,7 +115,7 @@
     Ok(Relay { addr, counts })
 }
 
-/// Whether a caller has closed its connection by now.
+/// Whether a caller has closed its connection meanwhile.
 async fn given_up(stream: &TcpStream) -> bool {
     let writable = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
     writable.is_ok_and(|ready| ready.is_read_closed() || ready.is_write_closed())
@@ -130,62 +130,41 @@
 enum Ended {
     /// Its sender closed it.
     Closed,
-    /// The board says to reset the connection, or a side failed.
+    /// A fault resets the connection, or a side failed.
     Reset,
-    /// It was cut.
+    /// A fault truncated it.
     Cut,
 }
 
-/// One connection, from its taking to its end.
+/// Carries one connection, from its acceptance to its end.
 async fn carry(
     mut down: TcpStream,
     link: Link,
-    mut faults: watch::Receiver<Arc<Faults>>,
+    mut faults: watch::Receiver<Arc<FaultSet>>,
     mut rng: Xoshiro256PlusPlus,
-    counts: Arc<Counts>,
+    counts: Arc<RelayCounters>,
 ) {
     let _ = down.set_nodelay(true);
-    let born = faults.borrow().changes;
-    let effect = |faults: &watch::Receiver<Arc<Faults>>| faults.borrow().effect(link.from, link.to);
-    if effect(&faults).silent {
-        Counts::add(&counts.held, 1);
-        // Taken and not answered until the silence ends, as a SYN that is sent again would find it.
-        if faults.wait_for(|f| !f.effect(link.from, link.to).silent).await.is_err() {
-            return;
-        }
-        // Danger: what its caller wrote to the relay and gave up meanwhile would reach the target all at once, though
-        // over a real link no handshake had come about and nothing had been written.
-        if given_up(&down).await {
-            Counts::add(&counts.given_up, 1);
-            return;
-        }
-    }
-    let first = effect(&faults);
-    if first.resets(born) {
-        Counts::add(&counts.reset, 1);
-        return reset(&down);
-    }
-    if rng.random_bool(first.drop.clamp(0.0, 1.0)) {
-        Counts::add(&counts.dropped, 1);
-        return;
-    }
-    let cut_at = rng.random_bool(first.cut.clamp(0.0, 1.0)).then(|| rng.random_range(0..CUT_WITHIN));
+    let opened_at = faults.borrow().changes;
+    let budget = match admit(&down, link, opened_at, &mut faults, &mut rng, &counts).await {
+        Some(budget) => AtomicU64::new(budget),
+        None => return,
+    };
     let mut up = match timeout(CONNECT_WITHIN, TcpStream::connect(link.target)).await {
         Ok(Ok(up)) => up,
         _ => {
-            Counts::add(&counts.unreached, 1);
+            RelayCounters::add(&counts.unreached, 1);
             return reset(&down);
         }
     };
     let _ = up.set_nodelay(true);
-    let budget = AtomicU64::new(cut_at.unwrap_or(u64::MAX));
     let seed = rng.random::<u64>();
     let ended = {
+        let connection = Connection { link, opened_at, budget: &budget, counts: &counts };
         let (mut down_read, mut down_write) = down.split();
         let (mut up_read, mut up_write) = up.split();
-        let there =
-            pump(&mut down_read, &mut up_write, link, born, faults.clone(), seed, &budget, &counts, true);
-        let back = pump(&mut up_read, &mut down_write, link, born, faults, seed ^ 1, &budget, &counts, false);
+        let there = connection.pump(&mut down_read, &mut up_write, faults.clone(), seed, &counts.bytes_to);
+        let back = connection.pump(&mut up_read, &mut down_write, faults, seed ^ 1, &counts.bytes_back);
         tokio::pin!(there, back);
         let (first, other) = tokio::select! {
             ended = &mut there => (ended, true),
@@ -201,113 +180,163 @@
     match ended {
         Ended::Closed => {}
         Ended::Reset => {
-            Counts::add(&counts.reset, 1);
+            RelayCounters::add(&counts.reset, 1);
             reset(&down);
             reset(&up);
         }
-        Ended::Cut => Counts::add(&counts.cut, 1),
+        Ended::Cut => RelayCounters::add(&counts.cut, 1),
     }
 }
 
-/// Carries one direction of a connection.
-#[allow(clippy::too_many_arguments)]
-async fn pump(
-    read: &mut ReadHalf<'_>,
-    write: &mut WriteHalf<'_>,
+/// Applies the faults that hit a new connection; the bytes that it may carry before it is truncated, or none if it is over.
+async fn admit(
+    down: &TcpStream,
     link: Link,
-    born: u64,
-    mut faults: watch::Receiver<Arc<Faults>>,
-    seed: u64,
-    budget: &AtomicU64,
-    counts: &Counts,
-    toward: bool,
-) -> Ended {
-    let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut buf = vec![0u8; CHUNK];
-    let mut due = Instant::now();
-    loop {
-        let n = tokio::select! {
-            got = read.read(&mut buf) => match got {
-                Ok(0) => {
-                    let _ = write.shutdown().await;
-                    return Ended::Closed;
-                }
-                Ok(n) => n,
-                Err(_) => return Ended::Reset,
-            },
-            changed = faults.changed() => {
-                if changed.is_err() {
-                    return Ended::Closed;
-                }
-                let effect = faults.borrow().effect(link.from, link.to);
-                if effect.resets(born) {
-                    return Ended::Reset;
-                }
-                if effect.stale(born) {
-                    Counts::add(&counts.held, 1);
-                    // Half-open for good, even after the fault is lifted.
-                    std::future::pending::<()>().await;
-                }
-                continue;
-            }
-        };
-        let effect = match hold(&mut faults, link, born, counts).await {
-            Some(effect) => effect,
-            None => return Ended::Reset,
-        };
-        let mut chunk = &buf[..n];
-        // Both directions draw on one budget; it never goes below nothing.
-        let take = |left: u64| Some(left.saturating_sub(n as u64));
-        let left = budget.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).unwrap_or(0);
-        let cut = left <= n as u64;
-        if cut {
-            chunk = &chunk[..left as usize];
-        }
-        if !effect.delay.is_zero() || !effect.jitter.is_zero() {
-            let jitter = effect.jitter.mul_f64(rng.random::<f64>());
-            // Order is kept: a chunk never leaves before the one ahead of it.
-            due = due.max(Instant::now() + effect.delay + jitter);
-            tokio::time::sleep_until(due).await;
-        }
-        if let Some(rate) = effect.rate.filter(|r| *r > 0) {
-            sleep(Duration::from_secs_f64(chunk.len() as f64 / rate as f64)).await;
-        }
-        if write.write_all(chunk).await.is_err() {
-            return Ended::Reset;
-        }
-        Counts::add(if toward { &counts.bytes_to } else { &counts.bytes_back }, chunk.len() as u64);
-        if cut {
-            return Ended::Cut;
+    opened_at: u64,
+    faults: &mut watch::Receiver<Arc<FaultSet>>,
+    rng: &mut Xoshiro256PlusPlus,
+    counts: &RelayCounters,
+) -> Option<u64> {
+    if faults.borrow().effect(link.from, link.to).silent {
+        RelayCounters::add(&counts.held, 1);
+        // Accepted and not answered until the silence ends, as a SYN that is sent again would find it.
+        faults.wait_for(|f| !f.effect(link.from, link.to).silent).await.ok()?;
+        // Danger: what its caller wrote to the relay and gave up meanwhile would reach the target all at once, though
+        // over a real link no handshake had come about and nothing had been written.
+        if given_up(down).await {
+            RelayCounters::add(&counts.given_up, 1);
+            return None;
         }
     }
+    let effect = faults.borrow().effect(link.from, link.to);
+    if effect.resets(opened_at) {
+        RelayCounters::add(&counts.reset, 1);
+        reset(down);
+        return None;
+    }
+    if rng.random_bool(effect.drop.clamp(0.0, 1.0)) {
+        RelayCounters::add(&counts.dropped, 1);
+        return None;
+    }
+    let cut = rng.random_bool(effect.cut.clamp(0.0, 1.0));
+    Some(if cut { rng.random_range(0..CUT_WITHIN) } else { u64::MAX })
 }
 
-/// Waits while the link is silent; none if the connection is to be reset. A half-open connection never comes back.
-async fn hold(
-    faults: &mut watch::Receiver<Arc<Faults>>,
+/// A connection whose two directions are carried.
+struct Connection<'a> {
     link: Link,
-    born: u64,
-    counts: &Counts,
-) -> Option<Effect> {
-    let mut counted = false;
-    loop {
-        let effect = faults.borrow_and_update().effect(link.from, link.to);
-        if effect.resets(born) {
-            return None;
-        }
-        if !effect.silent && !effect.stale(born) {
-            return Some(effect);
-        }
-        if !counted {
-            Counts::add(&counts.held, 1);
-            counted = true;
+    /// The board's count of changes when it was opened.
+    opened_at: u64,
+    /// Bytes that both directions together may still carry.
+    budget: &'a AtomicU64,
+    counts: &'a RelayCounters,
+}
+
+impl Connection<'_> {
+    /// Carries one direction; its bytes are counted in `carried`.
+    async fn pump(
+        &self,
+        read: &mut ReadHalf<'_>,
+        write: &mut WriteHalf<'_>,
+        mut faults: watch::Receiver<Arc<FaultSet>>,
+        seed: u64,
+        carried: &AtomicU64,
+    ) -> Ended {
+        let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
+        let mut buf = vec![0u8; CHUNK];
+        let mut due = Instant::now();
+        loop {
+            let n = match self.read(read, write, &mut faults, &mut buf).await {
+                Ok(n) => n,
+                Err(ended) => return ended,
+            };
+            let effect = match self.hold(&mut faults).await {
+                Some(effect) => effect,
+                None => return Ended::Reset,
+            };
+            // Both directions draw on one budget; it never goes below nothing.
+            let take = |left: u64| Some(left.saturating_sub(n as u64));
+            let left = self.budget.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).unwrap_or(0);
+            let cut = left <= n as u64;
+            let chunk = if cut { &buf[..left as usize] } else { &buf[..n] };
+            if !effect.delay.is_zero() || !effect.jitter.is_zero() {
+                let jitter = effect.jitter.mul_f64(rng.random::<f64>());
+                // Order is kept: a chunk never leaves before the one ahead of it.
+                due = due.max(Instant::now() + effect.delay + jitter);
+                tokio::time::sleep_until(due).await;
+            }
+            if let Some(rate) = effect.rate.filter(|r| *r > 0) {
+                sleep(Duration::from_secs_f64(chunk.len() as f64 / rate as f64)).await;
+            }
+            if write.write_all(chunk).await.is_err() {
+                return Ended::Reset;
+            }
+            RelayCounters::add(carried, chunk.len() as u64);
+            if cut {
+                return Ended::Cut;
+            }
         }
-        if effect.stale(born) {
-            // Half-open: neither answered nor closed, for as long as the other side keeps it.
-            std::future::pending::<()>().await;
+    }
+
+    /// Reads the next chunk, or how the direction ended; follows the faults meanwhile.
+    async fn read(
+        &self,
+        read: &mut ReadHalf<'_>,
+        write: &mut WriteHalf<'_>,
+        faults: &mut watch::Receiver<Arc<FaultSet>>,
+        buf: &mut [u8],
+    ) -> Result<usize, Ended> {
+        loop {
+            tokio::select! {
+                got = read.read(buf) => match got {
+                    Ok(0) => {
+                        let _ = write.shutdown().await;
+                        return Err(Ended::Closed);
+                    }
+                    Ok(n) => return Ok(n),
+                    Err(_) => return Err(Ended::Reset),
+                },
+                changed = faults.changed() => {
+                    if changed.is_err() {
+                        return Err(Ended::Closed);
+                    }
+                    let effect = faults.borrow().effect(self.link.from, self.link.to);
+                    if effect.resets(self.opened_at) {
+                        return Err(Ended::Reset);
+                    }
+                    if effect.half_open(self.opened_at) {
+                        RelayCounters::add(&self.counts.held, 1);
+                        // Half-open for good, even after the fault is cleared.
+                        std::future::pending::<()>().await;
+                    }
+                }
+            }
         }
-        if faults.changed().await.is_err() {
-            return None;
+    }
+
+    /// Waits while the link is silent; the effect after that, or none if the connection is to be reset. A half-open
+    /// connection never comes back.
+    async fn hold(&self, faults: &mut watch::Receiver<Arc<FaultSet>>) -> Option<LinkEffect> {
+        let mut counted = false;
+        loop {
+            let effect = faults.borrow_and_update().effect(self.link.from, self.link.to);
+            if effect.resets(self.opened_at) {
+                return None;
+            }
+            if !effect.silent && !effect.half_open(self.opened_at) {
+                return Some(effect);
+            }
+            if !counted {
+                RelayCounters::add(&self.counts.held, 1);
+                counted = true;
+            }
+            if effect.half_open(self.opened_at) {
+                // Half-open: neither answered nor closed, for as long as the other side keeps it.
+                std::future::pending::<()>().await;
+            }
+            if faults.changed().await.is_err() {
+                return None;
+            }
         }
     }
 }
--- a/crates/lab-rig/src/mesh.rs
+++ b/crates/lab-rig/src/relays.rs
@@ -1,8 +1,8 @@
-//! The relays of an experiment, on a thread and runtime of their own: one for each proxy and each party it reaches,
-//! opened the first time that the link is named.
+//! The relays of an experiment, on a thread and runtime of their own: one for each link from a proxy, opened the first time
+//! that the link is named.
 
-use super::board::{Board, Party};
-use super::relay::{self, Counts, Link, Relay};
+use super::board::{FaultBoard, LinkEnd};
+use super::relay::{self, Link, Relay, RelayCounters};
 use aniseyoke_lab_day::clock::mix;
 use std::collections::HashMap;
 use std::io;
@@ -12,59 +12,59 @@
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
 
-/// So many relays may stand at once; a link past that goes straight to its target, and is counted.
-const RELAYS_MOST: usize = 20_000;
+/// Relays open at once at most; a link past that goes straight to its target, and is counted.
+const MAX_RELAYS: usize = 20_000;
 
 /// All relays of an experiment.
-pub struct Mesh {
+pub struct Relays {
     handle: Handle,
-    board: Board,
+    board: FaultBoard,
     seed: u64,
-    relays: Mutex<Relays>,
+    relays: Mutex<RelayTable>,
     stop: Mutex<Option<(oneshot::Sender<()>, JoinHandle<()>)>>,
 }
 
 #[derive(Default)]
-struct Relays {
+struct RelayTable {
     by_link: HashMap<(usize, SocketAddr), Relay>,
     unrelayed: u64,
 }
 
-/// What the relays of a link did, summed over all relays of the experiment.
+/// What the relays did, summed over all relays of the experiment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Totals {
+pub struct RelayTotals {
     /// Relays opened.
     pub relays: u64,
-    /// Connections taken.
+    /// Connections accepted.
     pub taken: u64,
-    /// Closed at once by `drop`.
+    /// Connections closed at once by `drop`.
     pub dropped: u64,
-    /// Cut in their bytes.
+    /// Connections truncated by `cut`.
     pub cut: u64,
-    /// Reset.
+    /// Connections reset.
     pub reset: u64,
-    /// Held silent.
+    /// Connections held silent.
     pub held: u64,
-    /// Whose target could not be reached.
+    /// Connections whose target could not be reached.
     pub unreached: u64,
-    /// Links that found no room for a relay and went straight.
+    /// Links past the limit of relays, which went straight to their targets.
     pub unrelayed: u64,
 }
 
-impl Mesh {
+impl Relays {
     /// Starts the relays' thread.
     ///
     /// # Errors
     /// If no thread or runtime could be had.
-    pub fn start(board: Board, seed: u64) -> io::Result<Arc<Mesh>> {
+    pub fn start(board: FaultBoard, seed: u64) -> io::Result<Arc<Relays>> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = std::thread::Builder::new().name("relays".into()).spawn(move || {
-            // Ended when the mesh is: the sender is dropped or used.
+            // Ended when the sender is used or dropped.
             let _ = runtime.block_on(stopped);
         })?;
-        Ok(Arc::new(Mesh {
+        Ok(Arc::new(Relays {
             handle,
             board,
             seed,
@@ -73,17 +73,17 @@
         }))
     }
 
-    /// Where proxy `proxy` is to reach party `to` that listens at `target`.
-    pub fn route(&self, proxy: usize, target: SocketAddr, to: Party) -> SocketAddr {
+    /// The address at which `proxy` is to reach the end `to` that listens at `target`.
+    pub fn route(&self, proxy: usize, target: SocketAddr, to: LinkEnd) -> SocketAddr {
         let mut relays = self.relays.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some(relay) = relays.by_link.get(&(proxy, target)) {
             return relay.addr;
         }
-        if relays.by_link.len() >= RELAYS_MOST {
+        if relays.by_link.len() >= MAX_RELAYS {
             relays.unrelayed += 1;
             return target;
         }
-        let link = Link { from: Party::Proxy(proxy), to, target };
+        let link = Link { from: LinkEnd::Proxy(proxy), to, target };
         let seed = mix(self.seed, proxy as u64, u64::from(target.port()));
         match relay::open(&self.handle, link, self.board.watch(), seed) {
             Ok(relay) => {
@@ -99,19 +99,22 @@
         }
     }
 
-    /// What all relays did so far.
-    pub fn totals(&self) -> Totals {
+    /// What all relays have done so far.
+    pub fn totals(&self) -> RelayTotals {
         let relays = self.relays.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let mut totals =
-            Totals { relays: relays.by_link.len() as u64, unrelayed: relays.unrelayed, ..Totals::default() };
+        let mut totals = RelayTotals {
+            relays: relays.by_link.len() as u64,
+            unrelayed: relays.unrelayed,
+            ..RelayTotals::default()
+        };
         for relay in relays.by_link.values() {
             let c = &relay.counts;
-            totals.taken += Counts::get(&c.taken);
-            totals.dropped += Counts::get(&c.dropped);
-            totals.cut += Counts::get(&c.cut);
-            totals.reset += Counts::get(&c.reset);
-            totals.held += Counts::get(&c.held);
-            totals.unreached += Counts::get(&c.unreached);
+            totals.taken += RelayCounters::get(&c.taken);
+            totals.dropped += RelayCounters::get(&c.dropped);
+            totals.cut += RelayCounters::get(&c.cut);
+            totals.reset += RelayCounters::get(&c.reset);
+            totals.held += RelayCounters::get(&c.held);
+            totals.unreached += RelayCounters::get(&c.unreached);
         }
         totals
     }
@@ -120,14 +123,14 @@
     pub fn close(&self) {
         let stop = self.stop.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take();
         if let Some((stop, thread)) = stop {
-            // A thread that has ended needs no telling.
+            // The thread may have ended already.
             let _ = stop.send(());
             let _ = thread.join();
         }
     }
 }
 
-impl Drop for Mesh {
+impl Drop for Relays {
     fn drop(&mut self) {
         self.close();
     }
--- a/crates/lab-rig/src/report.rs
+++ b/crates/lab-rig/src/report.rs
@@ -1,7 +1,8 @@
-//! What came of an experiment, as one page for a browser: outcomes, calls at the list service and connections by second,
-//! with the faults' times on each plot.
+//! The outcome of an experiment as one HTML page: outcomes, calls at discovery and connections by second, with the times of
+//! the faults on each plot.
 
-use super::play::{table, Outcome};
+use super::error::RigError;
+use super::outcome::{table, Outcome};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::fmt::Write as _;
@@ -9,25 +10,25 @@
 /// A plot's size, in pixels.
 const SIZE: (u32, u32) = (960, 300);
 /// Faults that are drawn; with more the plots would be all lines.
-const MARKS_MOST: usize = 60;
+const MAX_MARKS: usize = 60;
 
-/// One line of a plot: its name, and its value at each second.
-struct Row<'a> {
+/// One line of a plot: its name, and its value in each second.
+struct Series<'a> {
     name: &'a str,
     seconds: Vec<f64>,
 }
 
-fn row<'a>(name: &'a str, counts: &[u64]) -> Row<'a> {
-    Row { name, seconds: counts.iter().map(|c| *c as f64).collect() }
+fn series<'a>(name: &'a str, counts: &[u64]) -> Series<'a> {
+    Series { name, seconds: counts.iter().map(|c| *c as f64).collect() }
 }
 
 fn draw(
     root: &DrawingArea<SVGBackend<'_>, Shift>,
     title: &str,
     from: f64,
-    rows: &[Row<'_>],
+    rows: &[Series<'_>],
     marks: &[f64],
-) -> Result<(), Box<dyn std::error::Error>> {
+) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     root.fill(&WHITE)?;
     let values = || rows.iter().flat_map(|r| r.seconds.iter().copied());
     let (most, length) =
@@ -42,12 +43,12 @@
     for at in marks {
         chart.draw_series(LineSeries::new([(*at, 0.0), (*at, most * 1.05)], RED.mix(0.25)))?;
     }
-    for (n, row) in rows.iter().enumerate() {
+    for (n, series) in rows.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
-        let points = row.seconds.iter().enumerate().map(|(s, v)| (from + s as f64 + 0.5, *v));
+        let points = series.seconds.iter().enumerate().map(|(s, v)| (from + s as f64 + 0.5, *v));
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
-            .label(row.name)
+            .label(series.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw()?;
@@ -55,17 +56,18 @@
     Ok(())
 }
 
-fn plot(title: &str, from: f64, rows: &[Row<'_>], marks: &[f64]) -> Result<String, String> {
+fn plot(title: &str, from: f64, rows: &[Series<'_>], marks: &[f64]) -> Result<String, RigError> {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        draw(&root, title, from, rows, marks).map_err(|e| format!("{title}: {e}"))?;
+        draw(&root, title, from, rows, marks)
+            .map_err(|source| RigError::Plot { title: title.to_owned(), source })?;
     }
     Ok(svg)
 }
 
-/// Text as it may stand in a page.
-fn plain(text: &str) -> String {
+/// Escapes text for HTML.
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
@@ -73,19 +75,21 @@
 ///
 /// # Errors
 /// If a plot can't be drawn.
-pub fn page(name: &str, outcome: &Outcome) -> Result<String, String> {
+pub fn page(name: &str, outcome: &Outcome) -> Result<String, RigError> {
     let mut kinds: Vec<&String> = outcome.seconds.iter().flat_map(|s| s.keys()).collect();
     kinds.sort_unstable();
     kinds.dedup();
     let of = |kind: &String| -> Vec<u64> {
         outcome.seconds.iter().map(|s| s.get(kind).copied().unwrap_or(0)).collect()
     };
-    let outcomes: Vec<Row<'_>> = kinds.iter().map(|kind| row(kind, &of(kind))).collect();
-    let marks: Vec<f64> = outcome.done.iter().map(|(at, _)| *at).take(MARKS_MOST).collect();
-    let list = [row("calls", &outcome.list_asks), row("refused", &outcome.list_refused)];
-    let opened = [row("all nodes", &outcome.nodes.opened), row("the ledger", &outcome.ledger.opened)];
-    let most =
-        [row("busiest node", &outcome.nodes.opened_most), row("turned away, all", &outcome.nodes.turned)];
+    let outcomes: Vec<Series<'_>> = kinds.iter().map(|kind| series(kind, &of(kind))).collect();
+    let marks: Vec<f64> = outcome.steps.iter().map(|(at, _)| *at).take(MAX_MARKS).collect();
+    let list = [series("calls", &outcome.list_asks), series("refused", &outcome.list_refused)];
+    let opened = [series("all nodes", &outcome.nodes.opened), series("the ledger", &outcome.origin.opened)];
+    let most = [
+        series("busiest node", &outcome.nodes.max_opened),
+        series("turned away, all", &outcome.nodes.rejected_connections),
+    ];
     let plots = [
         plot("requests by how they ended", outcome.began_s, &outcomes, &marks)?,
         plot("calls at the list service", 0.0, &list, &marks)?,
@@ -93,7 +97,7 @@
         plot("connections opened at one node", 0.0, &most, &marks)?,
     ];
     let mut page = String::new();
-    let name = plain(name);
+    let name = escape_html(name);
     let head = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">";
     let style =
         "<style>body{font:14px sans-serif;max-width:980px;margin:2em auto}pre{overflow-x:auto}</style>";
@@ -102,6 +106,6 @@
     // Writing to a String does not fail.
     let _ = write!(page, "{head}<title>{title}</title>{style}</head><body><h1>{title}</h1>");
     let _ = write!(page, "<p>{verdict}. Red lines: faults struck or lifted.</p>{}", plots.concat());
-    let _ = write!(page, "<pre>{}</pre></body></html>", plain(&table(outcome)));
+    let _ = write!(page, "<pre>{}</pre></body></html>", escape_html(&table(outcome)));
     Ok(page)
 }
--- a/crates/lab-rig/src/tests.rs
+++ b/crates/lab-rig/src/tests.rs
@@ -1,8 +1,8 @@
 //! The relay is on the path: each fault changes what passes, and nothing else does.
 
-use super::board::{Active, Board, Fault, Group, Party};
-use super::ready::Readiness;
-use super::relay::{self, Counts, Link, Relay};
+use super::board::{ActiveFault, Fault, FaultBoard, LinkEnd, LinkEnds};
+use super::readiness::Readiness;
+use super::relay::{self, Link, Relay, RelayCounters};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -24,23 +24,23 @@
     addr
 }
 
-async fn relayed(board: &Board) -> Relay {
+async fn relayed(board: &FaultBoard) -> Relay {
     let target = echo().await;
-    let link = Link { from: Party::Proxy(0), to: Party::Discovery, target };
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Discovery, target };
     relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap()
 }
 
-fn fault(id: usize, fault: Fault) -> Active {
-    Active {
+fn fault(id: usize, fault: Fault) -> ActiveFault {
+    ActiveFault {
         id,
         fault,
-        a: vec![Group::Range(0, 0)],
-        b: vec![Group::Discovery],
-        part: 1.0,
+        a: vec![LinkEnds::Range(0, 0)],
+        b: vec![LinkEnds::Discovery],
+        fraction: 1.0,
         delay: Duration::from_millis(80),
         jitter: Duration::ZERO,
         rate: 64 * 1024,
-        struck: 0,
+        injected_at: 0,
     }
 }
 
@@ -59,13 +59,13 @@
 
 #[tokio::test]
 async fn bytes_pass_unchanged_and_a_delay_is_added_to_them() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let plain = Instant::now();
     assert_eq!(round(&mut stream, 100_000, Duration::from_secs(5)).await.unwrap().len(), 100_000);
     let plain = plain.elapsed();
-    board.strike(fault(1, Fault::Delay));
+    board.inject(fault(1, Fault::Delay));
     let slow = Instant::now();
     round(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
     // Both directions wait.
@@ -74,25 +74,25 @@
         "{:?} with a delay, {plain:?} without",
         slow.elapsed()
     );
-    assert_eq!(Counts::get(&relay.counts.bytes_back), 100_010);
+    assert_eq!(RelayCounters::get(&relay.counts.bytes_back), 100_010);
 }
 
 #[tokio::test]
 async fn a_partition_holds_bytes_until_it_heals_and_new_connections_go_unanswered() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    board.strike(fault(1, Fault::Partition));
+    board.inject(fault(1, Fault::Partition));
     assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
     assert_eq!(round(&mut new, 10, Duration::from_millis(300)).await, Err("silent".into()));
-    board.lift(1);
+    board.clear(1);
     // What was held comes through once it heals, on both.
     let mut rest = [0u8; 10];
     timeout(Duration::from_secs(5), open.read_exact(&mut rest)).await.unwrap().unwrap();
     timeout(Duration::from_secs(5), new.read_exact(&mut rest)).await.unwrap().unwrap();
-    assert_eq!(Counts::get(&relay.counts.held), 2);
+    assert_eq!(RelayCounters::get(&relay.counts.held), 2);
 }
 
 /// A far end that counts the connections that it takes and reads them to their ends.
@@ -116,11 +116,11 @@
 /// Danger: over a real link no handshake comes about in a partition, so that callers that gave up leave nothing behind.
 #[tokio::test]
 async fn callers_that_gave_up_in_a_partition_do_not_reach_the_target_when_it_heals() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let (target, taken) = counting().await;
-    let link = Link { from: Party::Proxy(0), to: Party::Discovery, target };
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Discovery, target };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
-    board.strike(fault(1, Fault::Partition));
+    board.inject(fault(1, Fault::Partition));
     for resets in [false, true] {
         let mut gave_up = TcpStream::connect(relay.addr).await.unwrap();
         gave_up.write_all(b"asked").await.unwrap();
@@ -130,29 +130,29 @@
     }
     let mut waits = TcpStream::connect(relay.addr).await.unwrap();
     assert!(round(&mut waits, 100, Duration::from_millis(200)).await.is_err());
-    board.lift(1);
+    board.clear(1);
     let mut back = vec![0; 100];
     timeout(Duration::from_secs(2), waits.read_exact(&mut back)).await.expect("in time").expect("answered");
     assert_eq!(taken.load(std::sync::atomic::Ordering::Relaxed), 1);
-    assert_eq!(Counts::get(&relay.counts.given_up), 2);
+    assert_eq!(RelayCounters::get(&relay.counts.given_up), 2);
 }
 
 #[tokio::test]
 async fn drops_resets_and_cuts_end_connections_each_in_its_way() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
-    board.strike(fault(1, Fault::Drop));
+    board.inject(fault(1, Fault::Drop));
     let mut dropped = TcpStream::connect(relay.addr).await.unwrap();
     let mut byte = [0u8; 1];
     assert_eq!(timeout(Duration::from_secs(5), dropped.read(&mut byte)).await.unwrap().unwrap(), 0);
-    board.lift(1);
+    board.clear(1);
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    board.strike(fault(2, Fault::Reset));
+    board.inject(fault(2, Fault::Reset));
     let reset = timeout(Duration::from_secs(5), open.read(&mut byte)).await.unwrap();
     assert!(matches!(&reset, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset), "{reset:?}");
-    board.lift(2);
-    board.strike(fault(3, Fault::Cut));
+    board.clear(2);
+    board.inject(fault(3, Fault::Cut));
     let mut cut = TcpStream::connect(relay.addr).await.unwrap();
     let sent = vec![1u8; 10_000];
     let _ = cut.write_all(&sent).await;
@@ -161,30 +161,34 @@
     assert!(got.len() < sent.len(), "all {} bytes came through a cut", got.len());
     let counts = &relay.counts;
     assert_eq!(
-        (Counts::get(&counts.dropped), Counts::get(&counts.reset), Counts::get(&counts.cut)),
+        (
+            RelayCounters::get(&counts.dropped),
+            RelayCounters::get(&counts.reset),
+            RelayCounters::get(&counts.cut)
+        ),
         (1, 1, 1)
     );
 }
 
 #[tokio::test]
 async fn half_open_connections_stay_silent_while_new_ones_are_carried() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    board.strike(fault(1, Fault::HalfOpen));
+    board.inject(fault(1, Fault::HalfOpen));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut new, 10, Duration::from_secs(5)).await.unwrap();
-    board.lift(1);
+    board.clear(1);
     assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
 }
 
 #[tokio::test]
 async fn a_cap_on_bandwidth_slows_a_large_transfer() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
-    board.strike(fault(1, Fault::Bandwidth));
+    board.inject(fault(1, Fault::Bandwidth));
     let began = Instant::now();
     // 64 KiB each way at 64 KiB a second.
     round(&mut stream, 64 * 1024, Duration::from_secs(10)).await.unwrap();
@@ -193,15 +197,15 @@
 
 #[tokio::test]
 async fn a_target_that_is_gone_is_a_reset() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let gone = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
-    let link = Link { from: Party::Proxy(0), to: Party::Ledger, target: gone };
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Ledger, target: gone };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let mut byte = [0u8; 1];
     let read = timeout(Duration::from_secs(5), stream.read(&mut byte)).await.unwrap();
     assert!(read.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-    assert_eq!(Counts::get(&relay.counts.unreached), 1);
+    assert_eq!(RelayCounters::get(&relay.counts.unreached), 1);
 }
 
 /// The median time of a small round trip, of so many.
@@ -219,7 +223,7 @@
 /// Danger: a relay that adds much would make the figures of proxies its own.
 #[tokio::test]
 async fn a_relay_adds_less_than_a_millisecond_at_the_median() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let mut straight = TcpStream::connect(echo().await).await.unwrap();
     let mut through = TcpStream::connect(relayed(&board).await.addr).await.unwrap();
     let (straight, through) = (median(&mut straight, 400).await, median(&mut through, 400).await);
--- a/crates/lab-scale/src/procs.rs
+++ b/crates/lab-scale/src/children.rs
@@ -1,42 +1,44 @@
-//! The children of a run: the control service, relays, real proxies and hosts of hollow members. Each dies with the
-//! rig, and is ended by its id.
+//! The child processes of a run: the control service, relays, real proxies and hosts of hollow members. Each is killed with
+//! this process, and ended by its id.
 
+use super::error::ScaleError;
 use super::now;
-use aniseyoke_lab_process::{tie, Usage};
+use aniseyoke_lab_day::FileError;
+use aniseyoke_lab_process::{kill_with_parent, Usage};
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::SocketAddr;
 use std::path::Path;
-use std::process::{Child, ChildStdin, Command, Stdio};
+use std::process::{ChildStdin, Command, Stdio};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Duration, Instant};
 
-/// A line of a child longer than this is cut, in bytes. A host's report is one line.
-const LINE_MOST: u64 = 256 << 20;
-/// A child's last lines that are kept.
-const LAST: usize = 20;
+/// A longer line of a child is split, in bytes. A host's report is one line.
+const MAX_LINE_BYTES: u64 = 256 << 20;
+/// Lines of a child that are kept, the last ones.
+const MAX_LAST_LINES: usize = 20;
 /// A child tells its addresses within this time.
 const TELLS_WITHIN: Duration = Duration::from_secs(30);
 
-/// A line of a child.
+/// A line that a child wrote.
 pub struct Line {
-    /// Which child.
+    /// The child.
     pub child: usize,
     /// Which of its processes, counted from 0.
     pub start: u32,
-    /// When it came.
+    /// When it came, on the machine's clock.
     pub at: u64,
-    /// What it says.
+    /// The line.
     pub text: String,
 }
 
 /// One child, over all of its processes.
-pub struct One {
-    /// What it is called.
+pub struct Child {
+    /// Its name.
     pub name: String,
     command: Box<dyn Fn() -> Command>,
-    child: Option<Child>,
-    /// Where the rig writes to it; only hosts are written to.
+    process: Option<std::process::Child>,
+    /// Its standard input; only hosts are written to.
     pub stdin: Option<ChildStdin>,
     starts: u32,
     /// Its last lines.
@@ -47,33 +49,37 @@
 }
 
 /// All children.
-pub struct Procs {
-    all: Vec<One>,
+pub struct Children {
+    all: Vec<Child>,
     told: SyncSender<Line>,
     lines: Receiver<Line>,
     log: std::fs::File,
 }
 
-impl Procs {
+impl Children {
     /// No children yet; every line of each will go into `log`.
     ///
     /// # Errors
     /// If the log can't be created.
-    pub fn new(log: &Path) -> Result<Procs, String> {
+    pub fn new(log: &Path) -> Result<Children, ScaleError> {
         let (told, lines) = std::sync::mpsc::sync_channel(10_000);
-        let log = std::fs::File::create(log).map_err(|e| format!("{}: {e}", log.display()))?;
-        Ok(Procs { all: Vec::new(), told, lines, log })
+        let log = std::fs::File::create(log).map_err(FileError::at(log))?;
+        Ok(Children { all: Vec::new(), told, lines, log })
     }
 
-    /// Starts one more; its number is returned.
+    /// Starts another child; its number.
     ///
     /// # Errors
     /// If it can't be started.
-    pub fn add(&mut self, name: String, command: impl Fn() -> Command + 'static) -> Result<usize, String> {
-        self.all.push(One {
+    pub fn add(
+        &mut self,
+        name: String,
+        command: impl Fn() -> Command + 'static,
+    ) -> Result<usize, ScaleError> {
+        self.all.push(Child {
             name,
             command: Box::new(command),
-            child: None,
+            process: None,
             stdin: None,
             starts: 0,
             last: VecDeque::new(),
@@ -86,16 +92,17 @@
         Ok(n)
     }
 
-    /// Starts one again that was killed.
+    /// Starts a child again that was killed.
     ///
     /// # Errors
     /// If it can't be started.
-    pub fn start(&mut self, n: usize) -> Result<(), String> {
+    pub fn start(&mut self, n: usize) -> Result<(), ScaleError> {
         let one = &mut self.all[n];
         let mut command = (one.command)();
-        tie(&mut command);
+        kill_with_parent(&mut command);
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", one.name))?;
+        let mut child =
+            command.spawn().map_err(|source| ScaleError::Child { name: one.name.clone(), source })?;
         let start = one.starts;
         one.starts += 1;
         one.expected_down = false;
@@ -108,32 +115,32 @@
             let listen = move || {
                 let mut reads = BufReader::new(reads);
                 let mut line = Vec::new();
-                while reads.by_ref().take(LINE_MOST).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
+                while reads.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
                     let text = String::from_utf8_lossy(&line).trim_end().to_owned();
                     line = Vec::new();
-                    // The rig wants no more at its end.
+                    // At its end the run wants no more lines.
                     if told.send(Line { child: n, start, at: now(), text }).is_err() {
                         return;
                     }
                 }
             };
             let thread = std::thread::Builder::new().stack_size(128 << 10);
-            thread.spawn(listen).map_err(|e| format!("a thread: {e}"))?;
+            thread.spawn(listen).map_err(ScaleError::Thread)?;
         }
-        one.child = Some(child);
+        one.process = Some(child);
         Ok(())
     }
 
-    /// The next line of any child, if one comes within the time.
+    /// The next line of any child, if one comes within this time.
     pub fn next(&mut self, within: Duration) -> Option<Line> {
         use std::fmt::Write as _;
         match self.lines.recv_timeout(within) {
             Ok(line) => {
                 let one = &mut self.all[line.child];
-                // What hosts say on standard output is no line for people.
+                // Messages of hosts on standard output are no log lines.
                 if !line.text.starts_with('{') {
                     one.last.push_back(line.text.clone());
-                    if one.last.len() > LAST {
+                    if one.last.len() > MAX_LAST_LINES {
                         one.last.pop_front();
                     }
                     let mut text = String::new();
@@ -148,11 +155,11 @@
         }
     }
 
-    /// Waits until each of these children has told an address behind some words, and returns the addresses.
+    /// Waits until each of these children has written an address after each of `words`; the addresses by child.
     ///
     /// # Errors
-    /// Which child told none, with its last lines.
-    pub fn addrs(&mut self, of: &[usize], words: &[&str]) -> Result<Vec<Vec<SocketAddr>>, String> {
+    /// If a child wrote none in time or ended.
+    pub fn addrs(&mut self, of: &[usize], words: &[&str]) -> Result<Vec<Vec<SocketAddr>>, ScaleError> {
         let mut found = vec![vec![None; words.len()]; of.len()];
         let until = Instant::now() + TELLS_WITHIN;
         loop {
@@ -162,66 +169,66 @@
             if let Some(line) = self.next(Duration::from_millis(50)) {
                 let Some(n) = of.iter().position(|n| *n == line.child) else { continue };
                 for (word, found) in words.iter().zip(&mut found[n]) {
-                    let told = line.text.split_once(word).and_then(|(_, addr)| addr.trim().parse().ok());
-                    *found = found.or(told);
+                    let addr = line.text.split_once(word).and_then(|(_, addr)| addr.trim().parse().ok());
+                    *found = found.or(addr);
                 }
             }
             let lacks = of.iter().zip(&found).find(|(_, f)| f.iter().any(Option::is_none)).map(|(n, _)| *n);
             if let Some(n) = lacks.filter(|n| Instant::now() > until || !self.runs(*n)) {
                 let one = &self.all[n];
-                let last: Vec<&str> = one.last.iter().map(String::as_str).collect();
-                return Err(format!("{} told no address; its last lines:\n{}", one.name, last.join("\n")));
+                let last_lines = one.last.iter().cloned().collect();
+                return Err(ScaleError::NoAddress { name: one.name.clone(), last_lines });
             }
         }
     }
 
-    /// Whether one runs.
+    /// Whether a child runs.
     pub fn runs(&mut self, n: usize) -> bool {
-        self.all[n].child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        self.all[n].process.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Kills one; it is not counted as having ended by itself.
+    /// Kills a child; that does not count as a crash.
     pub fn kill(&mut self, n: usize) {
-        self.look(n);
+        self.update_usage(n);
         let one = &mut self.all[n];
         one.expected_down = true;
         one.past_cpu_s += one.used.cpu_s;
         one.used.cpu_s = 0.0;
-        if let Some(mut child) = one.child.take() {
+        if let Some(mut child) = one.process.take() {
             // One that has ended meanwhile needs no signal.
             let _ = (child.kill(), child.wait());
         }
     }
 
-    /// Those that have ended by themselves, with their last lines.
+    /// Children that have crashed since the last call, with their last lines.
     pub fn ended(&mut self) -> Vec<String> {
         let mut ended = Vec::new();
         for one in &mut self.all {
-            let Some(child) = one.child.as_mut() else { continue };
+            let Some(child) = one.process.as_mut() else { continue };
             if let Ok(Some(status)) = child.try_wait() {
                 let last: Vec<&str> = one.last.iter().map(String::as_str).collect();
                 ended.push(format!("{} ended by itself, {status}:\n  {}", one.name, last.join("\n  ")));
-                one.child = None;
+                one.process = None;
             }
         }
         ended
     }
 
-    fn look(&mut self, n: usize) {
+    fn update_usage(&mut self, n: usize) {
         let one = &mut self.all[n];
-        if let Some(usage) = one.child.as_ref().and_then(|c| Usage::look(c.id())) {
-            one.used.update(usage);
+        if let Some(usage) = one.process.as_ref().and_then(|c| Usage::of_process(c.id())) {
+            one.used.merge(usage);
         }
     }
 
-    /// What one has used so far, over all of its processes.
+    /// The usage of a child so far, over all of its processes.
     pub fn used(&mut self, n: usize) -> Usage {
-        self.look(n);
+        self.update_usage(n);
         let one = &self.all[n];
         Usage { cpu_s: one.past_cpu_s + one.used.cpu_s, ..one.used }
     }
 
-    /// How many there are.
+    /// The number of children.
     pub fn len(&self) -> usize {
         self.all.len()
     }
@@ -231,26 +238,27 @@
         self.all.is_empty()
     }
 
-    /// Writes a line to one.
+    /// Writes a line to a child.
     ///
     /// # Errors
     /// If it takes none.
-    pub fn write(&mut self, n: usize, line: &str) -> Result<(), String> {
+    pub fn write(&mut self, n: usize, line: &str) -> Result<(), ScaleError> {
         let one = &mut self.all[n];
-        let stdin = one.stdin.as_mut().ok_or_else(|| format!("{} takes no lines", one.name))?;
-        writeln!(stdin, "{line}").and_then(|()| stdin.flush()).map_err(|e| format!("{}: {e}", one.name))
+        let stdin = one.stdin.as_mut().ok_or_else(|| ScaleError::NoInput(one.name.clone()))?;
+        let written = writeln!(stdin, "{line}").and_then(|()| stdin.flush());
+        written.map_err(|source| ScaleError::Child { name: one.name.clone(), source })
     }
 }
 
-impl Drop for Procs {
+impl Drop for Children {
     fn drop(&mut self) {
         for one in &mut self.all {
-            if let Some(child) = one.child.as_mut() {
+            if let Some(child) = one.process.as_mut() {
                 let _ = child.kill();
             }
         }
         for one in &mut self.all {
-            if let Some(child) = one.child.as_mut() {
+            if let Some(child) = one.process.as_mut() {
                 let _ = child.wait();
             }
         }
--- a/crates/lab-scale/src/need/tests.rs
+++ b/crates/lab-scale/src/descriptors/tests.rs
@@ -7,12 +7,12 @@
 fn what_is_short_is_named_with_how_much() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     // Nobody is far, so nothing goes over links: the service has 1,002 connections and its own 64.
-    let at_root = needs(&plan, 1).into_iter().find(|n| n.0 == "the control service").map(|n| n.1);
+    let at_root = descriptor_needs(&plan, 1).into_iter().find(|n| n.0 == "the control service").map(|n| n.1);
     assert_eq!(at_root, Some(1066));
-    let rig = needs(&plan, 1)[0].1;
+    let rig = descriptor_needs(&plan, 1)[0].1;
     assert_eq!(rig, 64 + 3 * 7 + 20 + 10 + 900 + 2 * 22);
-    assert_eq!(short(&plan, 1, 2000), Vec::<String>::new());
-    let told = short(&plan, 1, 1060);
+    assert_eq!(shortfalls(&plan, 1, 2000), Vec::<String>::new());
+    let told = shortfalls(&plan, 1, 1060);
     assert_eq!(told.len(), 1, "{told:?}");
     assert!(
         told[0].starts_with("the control service needs 1066 descriptors") && told[0].ends_with("6 short")
@@ -24,5 +24,5 @@
     let far = Plan::parse("p.toml", &format!("{PLAN}[delay]\nbase = \"10ms\"\n")).expect("sound");
     let near = Plan::parse("p.toml", PLAN).expect("sound");
     // One of the two regions is far: half of the 1,002 members.
-    assert_eq!(needs(&far, 1)[0].1 - needs(&near, 1)[0].1, 1002);
+    assert_eq!(descriptor_needs(&far, 1)[0].1 - descriptor_needs(&near, 1)[0].1, 1002);
 }
--- /dev/null
+++ b/crates/lab-scale/src/figures.rs
@@ -0,0 +1,115 @@
+//! The figures of a run.
+
+use super::member::Traffic;
+use super::play::Used;
+use super::publish::Published;
+use serde::Serialize;
+use std::time::Duration;
+
+/// One figure.
+#[derive(Clone, Debug, Serialize)]
+pub struct Figure {
+    /// Its name.
+    pub name: String,
+    /// Its value.
+    pub value: f64,
+    /// Its unit.
+    pub unit: &'static str,
+    /// Its limit, if it has one.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub limit: Option<f64>,
+}
+
+/// How long something that was published took to be in force everywhere.
+#[derive(Clone, Copy, Debug)]
+pub struct Took {
+    /// When it was due, from the start of the schedule, in seconds.
+    pub due_s: f64,
+    /// How long it took from when it was due, in milliseconds; none if it is not in force everywhere.
+    pub ms: Option<f64>,
+    /// Whether a fault was active meanwhile.
+    pub under_fault: bool,
+}
+
+/// The value below which a fraction of the values lie; none of no values.
+pub fn quantile(values: &[f64], part: f64) -> Option<f64> {
+    let mut sorted = values.to_vec();
+    sorted.sort_by(f64::total_cmp);
+    let at = (part * sorted.len() as f64).ceil() as usize;
+    sorted.get(at.clamp(1, sorted.len().max(1)) - 1).copied()
+}
+
+fn mean(values: &[f64]) -> Option<f64> {
+    (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
+}
+
+/// The figures of a run, in the order of its table.
+pub struct Figures(pub Vec<Figure>);
+
+impl Figures {
+    /// Adds a figure, if it has a value.
+    pub fn add(
+        &mut self,
+        name: impl Into<String>,
+        value: Option<f64>,
+        unit: &'static str,
+        limit: Option<f64>,
+    ) {
+        if let Some(value) = value.filter(|v| v.is_finite()) {
+            self.0.push(Figure { name: name.into(), value: (value * 1e6).round() / 1e6, unit, limit });
+        }
+    }
+
+    /// Adds the figures of the times to in force everywhere, of purges or of versions.
+    pub fn times(&mut self, what: &str, took: &[Took], published: &[Published], due: usize, limit: Duration) {
+        if due == 0 {
+            return;
+        }
+        let limit = Some(limit.as_secs_f64() * 1e3);
+        let not_done = took.iter().filter(|t| t.ms.is_none()).count();
+        self.add(format!("{what}.due"), Some(due as f64), "", None);
+        self.add(format!("{what}.made"), Some(published.len() as f64), "", None);
+        self.add(format!("{what}.not_done_everywhere"), Some(not_done as f64), "", None);
+        let called: Vec<f64> =
+            published.iter().map(|m| m.called_at.saturating_sub(m.due_at) as f64 / 1e6).collect();
+        self.add(format!("{what}.called_late.p99"), quantile(&called, 0.99), "ms", None);
+        let answered: Vec<f64> =
+            published.iter().map(|m| m.answered_at.saturating_sub(m.called_at) as f64 / 1e6).collect();
+        self.add(format!("{what}.answered.p99"), quantile(&answered, 0.99), "ms", None);
+        let faults = took.iter().any(|t| t.under_fault);
+        let all = [("", None), (".no_fault", Some(false)), (".under_fault", Some(true))];
+        for (kind, wanted) in all.into_iter().take(if faults { 3 } else { 1 }) {
+            let of = |t: &&Took| wanted.is_none_or(|wanted| wanted == t.under_fault);
+            let ms: Vec<f64> = took.iter().filter(of).filter_map(|t| t.ms).collect();
+            let name = format!("{what}.done_everywhere{kind}");
+            self.add(format!("{name}.count"), Some(ms.len() as f64), "", None);
+            for (tail, part) in [("p50", 0.5), ("p99", 0.99), ("most", 1.0)] {
+                self.add(format!("{name}.{tail}"), quantile(&ms, part), "ms", limit);
+            }
+        }
+    }
+
+    /// Adds the figures of the traffic of members.
+    pub fn traffic(&mut self, who: &str, all: &[Traffic], seconds: f64, limit: Option<f64>) {
+        let each =
+            |of: fn(&Traffic) -> u64| -> Vec<f64> { all.iter().map(|t| of(t) as f64 / seconds).collect() };
+        let (payload, whole) = (each(Traffic::payload), each(Traffic::with_headers));
+        let frames = each(|t| t.frames_in + t.frames_out);
+        self.add(format!("{who}.bytes.mean"), mean(&payload), "B/s", limit);
+        self.add(format!("{who}.bytes.most"), quantile(&payload, 1.0), "B/s", limit);
+        self.add(format!("{who}.bytes_with_headers_estimated.mean"), mean(&whole), "B/s", limit);
+        self.add(format!("{who}.bytes_with_headers_estimated.most"), quantile(&whole, 1.0), "B/s", limit);
+        self.add(format!("{who}.messages.mean"), mean(&frames), "1/s", None);
+    }
+
+    /// Adds the figures of what children used.
+    pub fn used(&mut self, who: &str, used: &[Used], seconds: f64, core: Option<f64>, memory: Option<f64>) {
+        let cores: Vec<f64> = used.iter().map(|u| u.cpu_s / seconds).collect();
+        let memories: Vec<f64> = used.iter().map(|u| u.memory_mb).collect();
+        self.add(format!("{who}.count"), Some(used.len() as f64), "", None);
+        self.add(format!("{who}.core.mean"), mean(&cores), "cores", core);
+        self.add(format!("{who}.core.most"), quantile(&cores, 1.0), "cores", core);
+        self.add(format!("{who}.memory.mean"), mean(&memories), "MB", memory);
+        self.add(format!("{who}.memory.most"), quantile(&memories, 1.0), "MB", memory);
+    }
+}
--- a/crates/lab-scale/src/layout.rs
+++ b/crates/lab-scale/src/layout.rs
@@ -1,12 +1,12 @@
-//! Who stands at which site, zone and region, and how far regions are. No I/O, no clock.
+//! The site, zone and region of each member, and the delays of regions. No I/O, no clock.
 
-use super::plan::{Do, Plan, Role};
-use aniseyoke_lab_day::clock::{mix, part};
+use super::plan::{Plan, Role, Step};
+use aniseyoke_lab_day::clock::{mix, unit_fraction};
 use std::time::Duration;
 
-/// Where something stands.
+/// The location of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The site.
     pub site: usize,
     /// Its zone.
@@ -15,18 +15,18 @@
     pub region: usize,
 }
 
-/// The region and zone of a site.
-pub fn site(plan: &Plan, site: usize) -> Place {
+/// The location of a site.
+pub fn site(plan: &Plan, site: usize) -> Location {
     let zone = site % plan.zones();
-    Place { site, zone, region: zone % plan.regions() }
+    Location { site, zone, region: zone % plan.regions() }
 }
 
-/// Where a member stands, by its role and number.
-pub fn member(plan: &Plan, role: Role, n: usize) -> Place {
+/// The location of a member, by its role and number.
+pub fn member(plan: &Plan, role: Role, n: usize) -> Location {
     match role {
-        Role::RegionRelay => Place { site: n, zone: n, region: n },
+        Role::RegionRelay => Location { site: n, zone: n, region: n },
         Role::SiteRelay | Role::Proxy | Role::Node => site(plan, n % plan.sites()),
-        // Fewer than sites: as far apart as they can be.
+        // Fewer than sites: spread as evenly as possible.
         Role::Real => site(plan, n * plan.sites() / plan.real().max(1) % plan.sites()),
     }
 }
@@ -42,15 +42,15 @@
     }
 }
 
-/// How long bytes take from the first region to another, one way; nothing within the first.
+/// The delay from the first region to another, one way; none within the first.
 pub fn delay(plan: &Plan, seed: u64, region: usize) -> Duration {
     if region == 0 {
         return Duration::ZERO;
     }
-    plan.delay.base.0 + plan.delay.spread.0.mul_f64(part(mix(seed, 4, region as u64)))
+    plan.delay.base.0 + plan.delay.spread.0.mul_f64(unit_fraction(mix(seed, 4, region as u64)))
 }
 
-/// Up to so much more, for each chunk of bytes; nothing within the first region.
+/// Up to this much more, for each chunk of bytes; none within the first region.
 pub fn jitter(plan: &Plan, region: usize) -> Duration {
     if region == 0 {
         return Duration::ZERO;
@@ -58,10 +58,10 @@
     plan.delay.jitter.0
 }
 
-/// Which regions are reached over a link: those that are away, and those that will be cut off.
+/// For each region, whether it is reached over a link: those with a delay, and those that will be cut off.
 pub fn linked(plan: &Plan, seed: u64) -> Vec<bool> {
     let steps = plan.schedule(seed).steps;
-    let cut = |region| steps.iter().any(|(_, step)| *step == Do::Cut(region));
+    let cut = |region| steps.iter().any(|(_, step)| *step == Step::Cut(region));
     let away = |region| !(delay(plan, seed, region) + jitter(plan, region)).is_zero();
     (0..plan.regions()).map(|region| away(region) || cut(region)).collect()
 }
--- a/crates/lab-scale/src/link.rs
+++ b/crates/lab-scale/src/link.rs
@@ -1,6 +1,6 @@
 //! A link between regions: every connection over it is delayed, order kept, and goes silent while the link is cut.
-//! Chunks of bytes are on their way at the same time, as on a long line; the fault rig's relay holds one at a time,
-//! which would add a delay for those behind.
+//! Many chunks of bytes are in flight at the same time; the fault rig's relay carries one at a time, which would delay those
+//! behind it further.
 
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -14,48 +14,48 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A chunk of bytes is at most so long.
+/// The longest chunk, in bytes.
 const CHUNK: usize = 16 << 10;
-/// Chunks of one direction that are on their way at once; past that the sender waits.
-const ON_THE_WAY: usize = 1024;
+/// Chunks of one direction in flight at once at most; past that the sender waits.
+const MAX_CHUNKS_IN_FLIGHT: usize = 1024;
 /// The far end is reached within this time.
 const CONNECT_WITHIN: Duration = Duration::from_secs(2);
 
-/// How long bytes take, one way.
+/// The delay of a link, one way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Takes {
-    /// At least so long.
+pub struct LinkDelay {
+    /// The least delay.
     pub delay: Duration,
-    /// Up to so much more, for each chunk.
+    /// Up to this much more, for each chunk.
     pub jitter: Duration,
 }
 
-/// The thread that carries bytes over all links, so that nothing else of the rig holds them back; it ends with this.
-pub struct Carrier {
+/// The thread that carries bytes over all links, apart from everything else; it ends when this is dropped.
+pub struct LinkRuntime {
     /// Where links are opened.
     pub handle: Handle,
     _stop: tokio::sync::oneshot::Sender<()>,
 }
 
-impl Carrier {
-    /// Starts it.
+impl LinkRuntime {
+    /// Starts the thread.
     ///
     /// # Errors
     /// If the system lacks threads or descriptors.
-    pub fn start() -> io::Result<Carrier> {
+    pub fn start() -> io::Result<LinkRuntime> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
         let (stop, stopped) = tokio::sync::oneshot::channel();
         // It ends when the sender is gone, which is no error here.
         let carry = move || drop(runtime.block_on(stopped));
         std::thread::Builder::new().name("links".into()).spawn(carry)?;
-        Ok(Carrier { handle, _stop: stop })
+        Ok(LinkRuntime { handle, _stop: stop })
     }
 }
 
-/// A link that stands.
+/// An open link.
 pub struct Link {
-    /// Where it takes connections.
+    /// Where it accepts connections.
     pub addr: SocketAddr,
     cut: watch::Sender<bool>,
 }
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// If no port on loopback could be had.
-pub fn open(handle: &Handle, target: SocketAddr, takes: Takes, seed: u64) -> io::Result<Link> {
+pub fn open(handle: &Handle, target: SocketAddr, link_delay: LinkDelay, seed: u64) -> io::Result<Link> {
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     listener.set_nonblocking(true)?;
     // A whole region connects at once; the standard library asks for room for 128.
@@ -87,7 +87,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(carry(stream, target, takes, rng.random(), is_cut.clone()));
+                    tokio::spawn(carry(stream, target, link_delay, rng.random(), is_cut.clone()));
                 }
                 Err(e) => {
                     tracing::warn!("link {addr}: {e}");
@@ -102,7 +102,7 @@
 async fn carry(
     down: TcpStream,
     target: SocketAddr,
-    takes: Takes,
+    link_delay: LinkDelay,
     seed: u64,
     mut is_cut: watch::Receiver<bool>,
 ) {
@@ -115,25 +115,25 @@
     let _ = (down.set_nodelay(true), up.set_nodelay(true));
     let ((down_reads, down_writes), (up_reads, up_writes)) = (down.into_split(), up.into_split());
     tokio::select! {
-        () = pump(down_reads, up_writes, takes, seed, is_cut.clone()) => {}
-        () = pump(up_reads, down_writes, takes, seed ^ 1, is_cut) => {}
+        () = pump(down_reads, up_writes, link_delay, seed, is_cut.clone()) => {}
+        () = pump(up_reads, down_writes, link_delay, seed ^ 1, is_cut) => {}
     }
 }
 
 async fn pump(
     mut reads: OwnedReadHalf,
     mut writes: OwnedWriteHalf,
-    takes: Takes,
+    link_delay: LinkDelay,
     seed: u64,
     mut is_cut: watch::Receiver<bool>,
 ) {
-    let (send, mut sent) = mpsc::channel::<(Instant, Vec<u8>)>(ON_THE_WAY);
+    let (send, mut sent) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
     let read = async move {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let mut part = vec![0; CHUNK];
-        while let Ok(length @ 1..) = reads.read(&mut part).await {
-            let due = Instant::now() + takes.delay + takes.jitter.mul_f64(rng.random::<f64>());
-            if send.send((due, part[..length].to_vec())).await.is_err() {
+        let mut buffer = vec![0; CHUNK];
+        while let Ok(length @ 1..) = reads.read(&mut buffer).await {
+            let due = Instant::now() + link_delay.delay + link_delay.jitter.mul_f64(rng.random::<f64>());
+            if send.send((due, buffer[..length].to_vec())).await.is_err() {
                 return;
             }
         }
--- a/crates/lab-scale/src/lists.rs
+++ b/crates/lab-scale/src/list_polls.rs
@@ -1,6 +1,6 @@
-//! A hollow proxy's calls for the list of cache nodes, in its own slots as `aniseyoke-pace` gives them.
+//! A hollow proxy's polls of the endpoint list, in its own time slots as `aniseyoke-pace` gives them.
 
-use super::member::{Shared, Traffic};
+use super::member::{SharedState, Traffic};
 use super::now;
 use aniseyoke_lab_day::clock::SECOND;
 use aniseyoke_pace::polls::Rules;
@@ -13,12 +13,13 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A list is at most so long, in bytes.
-const LIST_MOST: usize = 4 << 20;
-const HEAD_MOST: usize = 4096;
+/// The longest list, in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// The longest head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 4096;
 
-/// Asks for good; `place`: which of how many proxies.
-pub async fn ask(n: usize, place: (u32, u32), every: u64, addr: SocketAddr, shared: Rc<Shared>) {
+/// Polls until its task is aborted; `place` is the proxy's number, and how many proxies there are.
+pub async fn poll_list(n: usize, place: (u32, u32), every: u64, addr: SocketAddr, shared: Rc<SharedState>) {
     let rules =
         Rules { every, back_off_most: 10 * SECOND, answer: SECOND, answer_most: 8 * SECOND }.bounded();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
@@ -32,12 +33,12 @@
         let hold = version.map_or(0, |_| polls.hold(at));
         let within = Duration::from_nanos(polls.limit(at, hold));
         match timeout(within, call(stream.take(), addr, version, hold / 1_000_000)).await {
-            Ok(Ok((kept, told, traffic))) => {
-                (stream, version) = (Some(kept), told.or(version));
+            Ok(Ok(Polled { stream: open, version: polled, traffic })) => {
+                (stream, version) = (Some(open), polled.or(version));
                 polls.answered();
-                let mut sum = shared.lists[n].get();
+                let mut sum = shared.list_polls[n].get();
                 sum.add(&traffic);
-                shared.lists[n].set(sum);
+                shared.list_polls[n].set(sum);
             }
             Ok(Err(_)) => polls.failed(now()),
             Err(_) => polls.late(now()),
@@ -45,15 +46,21 @@
     }
 }
 
-type Told = (TcpStream, Option<u64>, Traffic);
+/// The answer to a poll.
+struct Polled {
+    stream: TcpStream,
+    /// The version of the list, if it has one.
+    version: Option<u64>,
+    traffic: Traffic,
+}
 
 async fn call(
-    kept: Option<TcpStream>,
+    open: Option<TcpStream>,
     addr: SocketAddr,
     version: Option<u64>,
     hold_ms: u64,
-) -> io::Result<Told> {
-    let mut stream = match kept {
+) -> io::Result<Polled> {
+    let mut stream = match open {
         Some(stream) => stream,
         None => TcpStream::connect(addr).await?,
     };
@@ -65,33 +72,33 @@
     let mut traffic = Traffic::default();
     stream.write_all(request.as_bytes()).await?;
     traffic.frame(request.len(), true);
-    let (mut came, mut part) = (Vec::new(), vec![0; 4096]);
+    let (mut received, mut buffer) = (Vec::new(), vec![0; 4096]);
     let broken = |why: &str| io::Error::new(io::ErrorKind::InvalidData, why.to_owned());
     let (head, length) = loop {
-        if let Some(end) = came.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&came[..end]).to_ascii_lowercase();
+        if let Some(end) = received.windows(4).position(|w| w == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&received[..end]).to_ascii_lowercase();
             let length = head.lines().find_map(|l| l.strip_prefix("content-length:"));
             let length: usize = length.and_then(|l| l.trim().parse().ok()).ok_or(broken("no length"))?;
-            if !head.starts_with("http/1.1 200") || length > LIST_MOST {
+            if !head.starts_with("http/1.1 200") || length > MAX_LIST_BYTES {
                 return Err(broken("refused"));
             }
             break (end + 4, length);
         }
-        if came.len() > HEAD_MOST {
+        if received.len() > MAX_HEAD_BYTES {
             return Err(broken("a long head"));
         }
-        match stream.read(&mut part).await? {
+        match stream.read(&mut buffer).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            n => came.extend_from_slice(&part[..n]),
+            n => received.extend_from_slice(&buffer[..n]),
         }
     };
-    while came.len() < head + length {
-        match stream.read(&mut part).await? {
+    while received.len() < head + length {
+        match stream.read(&mut buffer).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            n => came.extend_from_slice(&part[..n]),
+            n => received.extend_from_slice(&buffer[..n]),
         }
     }
-    traffic.frame(came.len(), false);
-    let list: serde_json::Value = serde_json::from_slice(&came[head..head + length])?;
-    Ok((stream, list["version"].as_u64(), traffic))
+    traffic.frame(received.len(), false);
+    let list: serde_json::Value = serde_json::from_slice(&received[head..head + length])?;
+    Ok(Polled { stream, version: list["version"].as_u64(), traffic })
 }
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -1,9 +1,9 @@
-//! A hollow member: the real deciding parts of a proxy's control side on a real socket, without clients and without a
-//! store. It notes when each purge and each version was in force, and counts what went over its socket.
+//! A hollow member: the real state machines of a proxy's control side on a real socket, without clients and without a
+//! cache. It records when each purge and each version was in force, and counts the traffic of its socket.
 
 use super::now;
 use super::plan::Role;
-use super::tally::Tally;
+use super::tally::CompletionTally;
 use aniseyoke_control::follower::{Action, Identity, Times};
 use aniseyoke_control::frame::{decode, encode, FromProxy, FromService, PROTOCOL};
 use aniseyoke_control::Follower;
@@ -22,37 +22,37 @@
 
 const TICK: Duration = Duration::from_millis(250);
 const CONNECT_WITHIN: Duration = Duration::from_secs(3);
-/// Its relay takes a frame within this time.
+/// Its relay accepts a frame within this time.
 const TAKES_WITHIN: Duration = Duration::from_secs(5);
-/// Longer frames it does not read, in bytes.
-const FRAME_MOST: usize = 16 << 20;
+/// The longest frame that it reads, in bytes.
+const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Bytes read at once.
-pub const PART: usize = 64 << 10;
-/// So long after it was told that it has everything it may claim to be fresh.
+const READ_SIZE: usize = 64 << 10;
+/// How long it may claim to be fresh after it was told that it has everything, in nanoseconds.
 const LEASE: u64 = 5_000_000_000;
 /// What a TCP segment carries at most on an Ethernet of today, in bytes, and its header of IP and TCP with timestamps.
 pub const SEGMENT: u64 = 1448;
 /// See [`SEGMENT`].
 pub const HEADER: u64 = 52;
 
-/// Who a hollow member is.
+/// The specification of a hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Spec {
+pub struct MemberSpec {
     /// Its name.
     pub name: String,
-    /// A hollow proxy or a hollow node.
+    /// Whether it is a node; otherwise it is a proxy.
     pub node: bool,
     /// Region, zone and site.
     pub labels: BTreeMap<String, String>,
-    /// Where it is told, in the order in which it tries.
+    /// The services that it connects to, in the order in which it tries them.
     pub services: Vec<SocketAddr>,
-    /// The list service that it asks, if it is a proxy.
+    /// The discovery that it polls, if it is a proxy.
     pub list: Option<SocketAddr>,
-    /// Which of how many proxies it is.
+    /// Its number among the proxies, and how many proxies there are.
     pub place: (u32, u32),
 }
 
-impl Spec {
+impl MemberSpec {
     /// Its role.
     pub fn role(&self) -> Role {
         if self.node {
@@ -63,16 +63,16 @@
     }
 }
 
-/// What went over a member's socket.
+/// The traffic of a member's socket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Bytes that came, frames' heads included.
+    /// Bytes received, frames' heads included.
     pub bytes_in: u64,
-    /// Bytes that went.
+    /// Bytes sent.
     pub bytes_out: u64,
-    /// Frames that came.
+    /// Frames received.
     pub frames_in: u64,
-    /// Frames that went.
+    /// Frames sent.
     pub frames_out: u64,
     /// Segments of TCP, both ways, if each frame goes out in segments of its own; bare acknowledgements not counted.
     pub segments: u64,
@@ -90,7 +90,7 @@
         self.segments += (length as u64).div_ceil(SEGMENT);
     }
 
-    /// Takes other traffic in.
+    /// Adds other traffic.
     pub fn add(&mut self, other: &Traffic) {
         self.bytes_in += other.bytes_in;
         self.bytes_out += other.bytes_out;
@@ -110,69 +110,108 @@
     }
 }
 
-/// What the members of one process share.
-pub struct Shared {
-    /// All of them.
-    pub members: Vec<Spec>,
+/// The state that the members of one process share.
+pub struct SharedState {
+    /// The members.
+    pub members: Vec<MemberSpec>,
     /// The seed of the run.
     pub seed: u64,
     /// Whether they take purges.
     pub purging: bool,
     /// When each purge was in force.
-    pub purges: RefCell<Tally>,
+    pub purges: RefCell<CompletionTally>,
     /// When each version was in force, at proxies.
-    pub versions: RefCell<Tally>,
+    pub versions: RefCell<CompletionTally>,
     /// The number of each member among the proxies.
     pub proxy: Vec<Option<usize>>,
-    /// What went over each one's socket.
+    /// The traffic of each one's connection to control.
     pub traffic: Vec<Cell<Traffic>>,
-    /// What went over its connection to the list service.
-    pub lists: Vec<Cell<Traffic>>,
-    /// Whether each is connected, and has been told where the log of purges stands.
+    /// The traffic of each one's connection to discovery.
+    pub list_polls: Vec<Cell<Traffic>>,
+    /// Whether each is connected, and knows its place in the purge log if it takes purges.
     pub up: Vec<Cell<bool>>,
-    /// Times that members dropped everything, beyond the first word after their start.
+    /// Times that members dropped everything, the first time after their start not counted.
     pub flushes: Cell<u64>,
     /// Connections made.
     pub connects: Cell<u64>,
-    /// Versions that were turned down, and frames that could not be read.
+    /// Versions that were rejected, and frames that could not be read.
     pub faults: Cell<u64>,
-    /// Where bytes are read to. One for all: what came is taken before anyone waits again.
-    pub part: RefCell<Vec<u8>>,
+    /// Where bytes are read to. One buffer for all: its contents are consumed before any member waits again.
+    pub buffer: RefCell<Vec<u8>>,
 }
 
-struct Hollow {
+impl SharedState {
+    /// Members that have not started yet.
+    pub fn new(members: Vec<MemberSpec>, seed: u64, purging: bool) -> Self {
+        let count = members.len();
+        let proxies = (0..count).scan(0, |next, n| {
+            let proxy = (!members[n].node).then_some(*next);
+            *next += usize::from(proxy.is_some());
+            Some(proxy)
+        });
+        let proxy: Vec<Option<usize>> = proxies.collect();
+        SharedState {
+            purges: RefCell::new(CompletionTally::new(if purging { count } else { 0 })),
+            versions: RefCell::new(CompletionTally::new(proxy.iter().flatten().count())),
+            traffic: vec![Cell::default(); count],
+            list_polls: vec![Cell::default(); count],
+            up: vec![Cell::new(false); count],
+            flushes: Cell::new(0),
+            connects: Cell::new(0),
+            faults: Cell::new(0),
+            buffer: RefCell::new(vec![0; READ_SIZE]),
+            members,
+            seed,
+            purging,
+            proxy,
+        }
+    }
+}
+
+struct HollowMember {
     n: usize,
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     identity: Identity,
     follower: Follower,
     purges: Option<Member>,
     stream: Option<TcpStream>,
-    came: Vec<u8>,
-    /// It was not told yet where the log of purges stands, or a version, since it started anew.
-    anew: (bool, bool),
+    received: Vec<u8>,
+    /// It has not been told its place in the purge log since its start.
+    purges_unknown: bool,
+    /// It has not been told a version since it was started again.
+    version_unknown: bool,
 }
 
-/// Lives, until its task is ended; `starts`: how often it was started before.
-pub async fn live(n: usize, starts: u64, shared: Rc<Shared>) {
+/// Runs a member until its task is aborted; `starts`: how often it was started before.
+pub async fn run_member(n: usize, starts: u64, shared: Rc<SharedState>) {
     let spec = &shared.members[n];
     let seed = mix(shared.seed, n as u64, starts);
     let identity = Identity {
         instance: spec.name.clone(),
         boot: mix(seed, 1, 1),
         labels: spec.labels.clone(),
-        frame_most: FRAME_MOST,
+        frame_most: MAX_FRAME_BYTES,
     };
     let follower = Follower::new(identity.clone(), spec.services.len(), None, Times::default(), seed);
     let purges = shared.purging.then(|| Member::new(Progress::default(), LEASE));
-    let (stream, came, anew) = (None, Vec::new(), (true, starts > 0));
-    let mut hollow = Hollow { n, shared, identity, follower, purges, stream, came, anew };
+    let mut hollow = HollowMember {
+        n,
+        shared,
+        identity,
+        follower,
+        purges,
+        stream: None,
+        received: Vec::new(),
+        purges_unknown: true,
+        version_unknown: starts > 0,
+    };
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut actions = Vec::new();
         tokio::select! {
-            came = readable(&hollow.stream) => {
-                if came.and_then(|()| hollow.read(&mut actions)).is_err() {
+            received = readable(&hollow.stream) => {
+                if received.and_then(|()| hollow.read(&mut actions)).is_err() {
                     hollow.lost();
                 }
             }
@@ -189,10 +228,10 @@
     }
 }
 
-impl Hollow {
+impl HollowMember {
     fn lost(&mut self) {
         self.stream = None;
-        self.came = Vec::new();
+        self.received = Vec::new();
         self.shared.up[self.n].set(false);
         self.follower.disconnected(now());
     }
@@ -203,23 +242,23 @@
         self.shared.traffic[self.n].set(traffic);
     }
 
-    /// Takes what has come.
+    /// Reads and handles what has been received.
     fn read(&mut self, actions: &mut Vec<Action>) -> io::Result<()> {
         let Some(stream) = &self.stream else { return Ok(()) };
         {
-            let mut part = self.shared.part.borrow_mut();
-            match stream.try_read(&mut part) {
+            let mut buffer = self.shared.buffer.borrow_mut();
+            match stream.try_read(&mut buffer) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(length) => self.came.extend_from_slice(&part[..length]),
+                Ok(length) => self.received.extend_from_slice(&buffer[..length]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e),
             }
         }
         loop {
-            let before = self.came.len();
-            match decode::<FromService>(&mut self.came, FRAME_MOST) {
+            let before = self.received.len();
+            match decode::<FromService>(&mut self.received, MAX_FRAME_BYTES) {
                 Ok(Some(frame)) => {
-                    self.count(before - self.came.len(), false);
+                    self.count(before - self.received.len(), false);
                     self.frame(frame, actions);
                 }
                 Ok(None) => break,
@@ -230,9 +269,9 @@
                 }
             }
         }
-        if self.came.is_empty() {
-            // A long frame's room is not kept.
-            self.came = Vec::new();
+        if self.received.is_empty() {
+            // The memory of a long frame is released.
+            self.received = Vec::new();
         }
         Ok(())
     }
@@ -265,19 +304,19 @@
         self.follower.frame(at, frame, actions);
     }
 
-    /// Everything through where it stands now is done.
+    /// Every purge through its present place in the log is done.
     fn purged(&mut self, flushed: bool, actions: &mut Vec<Action>) {
         let Some(member) = &self.purges else { return };
         let Progress { epoch, through } = member.progress();
         let mut tally = self.shared.purges.borrow_mut();
-        // Who has just started holds nothing that was purged before.
-        if flushed && self.anew.0 {
+        // A member that has just started has nothing cached that was purged before.
+        if flushed && self.purges_unknown {
             tally.excused(self.n, through);
         } else {
             tally.reached(self.n, through, now());
             self.shared.flushes.set(self.shared.flushes.get() + u64::from(flushed));
         }
-        self.anew.0 = false;
+        self.purges_unknown = false;
         self.shared.up[self.n].set(true);
         actions.push(Action::Send(FromProxy::Purged { epoch, through, lacking: 0, names: Vec::new() }));
     }
@@ -309,7 +348,7 @@
                             let _ = stream.set_nodelay(true);
                             self.stream = Some(stream);
                             self.shared.connects.set(self.shared.connects.get() + 1);
-                            self.shared.up[self.n].set(!self.shared.purging || !self.anew.0);
+                            self.shared.up[self.n].set(!self.shared.purging || !self.purges_unknown);
                             self.follower.connected(now(), &mut more);
                         }
                         _ => self.lost(),
@@ -317,7 +356,7 @@
                 }
                 Action::Disconnect => {
                     self.stream = None;
-                    self.came = Vec::new();
+                    self.received = Vec::new();
                     self.shared.up[self.n].set(false);
                 }
                 Action::Send(FromProxy::Hello { .. }) => {
@@ -328,7 +367,7 @@
                 Action::Apply(version) => {
                     if let Some(proxy) = self.shared.proxy[self.n] {
                         let mut tally = self.shared.versions.borrow_mut();
-                        match std::mem::replace(&mut self.anew.1, false) {
+                        match std::mem::replace(&mut self.version_unknown, false) {
                             true => tally.excused(proxy, version.stamp.number),
                             false => tally.reached(proxy, version.stamp.number, now()),
                         }
--- a/crates/lab-scale/src/plan.rs
+++ b/crates/lab-scale/src/plan.rs
@@ -1,7 +1,10 @@
-//! An experiment of the scale run as one TOML file, checked whole with places (`file:line:col`), and its schedule.
+//! An experiment of the scale run as one TOML file, checked whole, each problem with its place (`file:line:col`), and its
+//! schedule.
+
+mod check;
 
 use aniseyoke_lab_day::clock::mix;
-use aniseyoke_lab_day::plan_file::{place, PlanError};
+use aniseyoke_lab_day::plan_file::{line_and_column, PlanError};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -9,18 +12,23 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// An experiment runs no longer than this.
-pub const LENGTH_MOST: Duration = Duration::from_secs(30 * 60);
+/// The longest experiment.
+pub const MAX_LENGTH: Duration = Duration::from_secs(30 * 60);
 /// Members of one run at most, real and hollow.
-pub const MEMBERS_MOST: usize = 20_000;
+pub const MAX_MEMBERS: usize = 20_000;
 /// Real proxies of one run at most.
-pub const REAL_MOST: usize = 64;
+pub const MAX_REAL: usize = 64;
 /// Nodes on the list at most: what a day of the stand-in site holds.
-pub const LISTED_MOST: usize = 512;
+pub const MAX_LISTED: usize = 512;
 /// Children of the rig at most.
-pub const PROCESSES_MOST: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 /// Purges of one run at most.
-pub const PURGES_MOST: f64 = 500_000.0;
+pub const MAX_PURGES: f64 = 500_000.0;
+/// Processes that share the hollow members at most.
+const MAX_HOSTS: usize = 32;
+/// Publishers of purges at most.
+const MAX_PUBLISHERS: usize = 7;
+/// Seconds of a day.
 const DAY_S: f64 = 86_400.0;
 
 /// A length of time with a unit, as `250ms`.
@@ -28,13 +36,13 @@
 #[serde(transparent)]
 pub struct Span(#[serde(with = "humantime_serde")] pub Duration);
 
-/// Who tells the members.
+/// Which services members connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Topology {
-    /// One control service tells everyone itself.
+    /// All connect to one control service.
     Direct,
-    /// The control service tells a relay in each region, which tells a relay at each of its sites.
+    /// Members connect to a relay at their site, which connects to one in its region, which connects to the control service.
     Relays,
 }
 
@@ -42,14 +50,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// For how long purges and changes are made.
+    /// For how long purges and versions are published.
     pub length: Spanned<Span>,
-    /// How long the last of them may take, beyond `length`, before the run counts as not complete.
-    #[serde(default = "settle")]
+    /// How long the last of them may take beyond `length` before the run counts as not complete.
+    #[serde(default = "default_settle")]
     pub settle: Span,
-    /// Who tells the members.
+    /// Which services members connect to.
     pub topology: Topology,
-    /// Regions; the control service stands in the first.
+    /// Regions; the control service is in the first.
     pub regions: Spanned<usize>,
     /// Zones, spread evenly over the regions.
     pub zones: Spanned<usize>,
@@ -57,66 +65,66 @@
     pub sites: Spanned<usize>,
     /// Hollow proxies, spread evenly over the sites.
     pub proxies: Spanned<usize>,
-    /// Hollow cache nodes, spread likewise.
+    /// Hollow cache nodes, spread in the same way.
     pub nodes: usize,
-    /// Real proxies, spread likewise.
+    /// Real proxies, spread in the same way.
     pub real: Spanned<usize>,
-    /// Cache nodes on the list that hollow proxies ask for, at a stand-in of their own; 0: they ask for none.
-    #[serde(default = "asked")]
-    pub asked: Spanned<usize>,
-    /// Cache nodes on the list that real proxies get, each a listener of a stand-in site; hollow nodes are on neither.
-    #[serde(default = "listed")]
+    /// Cache nodes on the list that hollow proxies poll, at a stand-in of their own; 0: they poll none.
+    #[serde(default = "default_polled", rename = "asked")]
+    pub polled: Spanned<usize>,
+    /// Cache nodes on the list that real proxies poll, each a listener of a stand-in site; hollow nodes are on neither.
+    #[serde(default = "default_listed")]
     pub listed: Spanned<usize>,
     /// Processes that the hollow members share.
-    #[serde(default = "hosts")]
+    #[serde(default = "default_hosts")]
     pub hosts: Spanned<usize>,
-    /// Members connect at first spread over so long.
-    #[serde(default = "join")]
+    /// The first connects of members are spread over this time.
+    #[serde(default = "default_join")]
     pub join: Span,
-    /// What comes within so long goes out together.
+    /// How long messages are collected to be sent together.
     #[serde(default)]
     pub batch: Batch,
-    /// How far regions are from the first.
+    /// The delay of regions to the first.
     #[serde(default)]
     pub delay: Delay,
-    /// Objects dropped everywhere.
+    /// Purges of objects.
     #[serde(default)]
     pub purges: Purges,
     /// Versions of the configuration.
     #[serde(default)]
     pub changes: Changes,
-    /// What the figures are held against.
+    /// Limits that figures are compared with.
     #[serde(default)]
     pub limits: Limits,
     /// Processes and members that are killed, and started again.
     #[serde(default, rename = "kill")]
     pub kills: Vec<Spanned<Kill>>,
-    /// Regions that hear nothing of the first for a while.
+    /// Regions that are cut off from the first for a while.
     #[serde(default, rename = "cut")]
     pub cuts: Vec<Spanned<Cut>>,
 }
 
-fn settle() -> Span {
+fn default_settle() -> Span {
     Span(Duration::from_secs(30))
 }
 
-fn listed() -> Spanned<usize> {
+fn default_listed() -> Spanned<usize> {
     Spanned::new(0..0, 12)
 }
 
-fn asked() -> Spanned<usize> {
+fn default_polled() -> Spanned<usize> {
     Spanned::new(0..0, 12)
 }
 
-fn hosts() -> Spanned<usize> {
+fn default_hosts() -> Spanned<usize> {
     Spanned::new(0..0, 8)
 }
 
-fn join() -> Span {
+fn default_join() -> Span {
     Span(Duration::from_secs(3))
 }
 
-/// What comes within so long goes out together.
+/// How long messages are collected to be sent together.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Batch {
@@ -132,25 +140,25 @@
     }
 }
 
-/// The time that a region is away from the first, one way: `base` and up to `spread` more, drawn from the seed.
+/// The delay of a region to the first, one way: `base` and up to `spread` more, drawn from the seed.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Delay {
-    /// At least so long.
+    /// The least delay.
     pub base: Span,
-    /// Up to so much more, for each region one draw.
+    /// Up to this much more, one draw for each region.
     pub spread: Span,
-    /// Up to so much more again, for each chunk of bytes.
+    /// Up to this much more again, for each chunk of bytes.
     pub jitter: Span,
 }
 
-/// Objects dropped everywhere.
+/// Purges of objects.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Purges {
-    /// How many a second, at random times; 0: none, and members take none.
+    /// Purges a second, at random times; 0: none, and members do not follow the purge log.
     pub per_second: f64,
-    /// Publishers that make them in turn, 1 to 7: the service hears eight operators at once.
+    /// Publishers that publish them in turn, 1 to 7: the service serves eight operators at once.
     pub publishers: usize,
 }
 
@@ -164,11 +172,11 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Changes {
-    /// How many a day.
+    /// Versions a day.
     pub per_day: f64,
-    /// So many come close together.
+    /// Versions that come close together.
     pub burst: usize,
-    /// So long after one another.
+    /// The time between two of them.
     pub gap: Span,
     /// Routes in each version, of which one changes.
     pub routes: u64,
@@ -180,17 +188,17 @@
     }
 }
 
-/// What the figures are held against.
+/// Limits that figures are compared with.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// A purge is done everywhere within this time.
+    /// A purge is in force everywhere within this time.
     pub purge: Span,
     /// A change is in force everywhere within this time.
     pub change: Span,
-    /// What a member may get and send for control, in bytes a second.
+    /// A member's traffic for control, in bytes a second.
     pub bytes_per_second: f64,
-    /// What of a core a proxy may spend on control, from 0 to 1.
+    /// The fraction of a core that a proxy spends on control.
     pub core: f64,
     /// A proxy's memory for control, in MB.
     pub memory_mb: f64,
@@ -208,7 +216,7 @@
     }
 }
 
-/// What can be killed.
+/// The roles of what can be killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -224,28 +232,28 @@
     Real,
 }
 
-/// Some are killed (SIGKILL; hollow members: their connection ends and what they held is gone) and come again.
+/// Some are killed (by SIGKILL; hollow members end their connection and lose their state) and started again.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kill {
     /// When, from the start of the schedule.
     pub at: Span,
-    /// Up to so much later, drawn from the seed for each.
+    /// Up to this much later, drawn from the seed for each.
     #[serde(default)]
     pub spread: Span,
-    /// What.
+    /// Their role.
     pub role: Role,
     /// Which, by number from 0.
     #[serde(default)]
     pub which: Vec<usize>,
-    /// Or so many, drawn from the seed.
+    /// Or this many, drawn from the seed.
     pub pick: Option<usize>,
     /// How long they stay down.
     #[serde(rename = "for")]
     pub span: Span,
 }
 
-/// Some regions hear nothing of the first for a while.
+/// Some regions are cut off from the first for a while.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cut {
@@ -257,28 +265,28 @@
     /// Which regions, by number; the first (0) can't be cut from itself.
     #[serde(default)]
     pub which: Vec<usize>,
-    /// Or so many, drawn from the seed.
+    /// Or this many, drawn from the seed.
     pub pick: Option<usize>,
 }
 
-/// One thing to be done at its time.
+/// One step of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Do {
-    /// One is killed.
+pub enum Step {
+    /// One of a role is killed.
     Kill(Role, usize),
-    /// It is started again.
+    /// One of a role is started again.
     Start(Role, usize),
-    /// A region hears nothing any more.
+    /// A region is cut off.
     Cut(usize),
-    /// It hears again.
+    /// A region is connected again.
     Heal(usize),
 }
 
-/// What is done when, from the start of the schedule, each in order of time.
+/// The schedule of an experiment: times from its start, each in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
     /// Faults and their ends.
-    pub steps: Vec<(Duration, Do)>,
+    pub steps: Vec<(Duration, Step)>,
     /// When each purge is due.
     pub purges: Vec<Duration>,
     /// When each change is due.
@@ -289,91 +297,22 @@
     /// Reads an experiment from its text; `file` is named in errors.
     ///
     /// # Errors
-    /// Every fault found, each as `file:line:col: reason`.
+    /// Every problem found, each as `file:line:col: reason`.
     pub fn parse(file: &str, text: &str) -> Result<Plan, PlanError> {
         let at = |from: usize| {
-            let (line, col) = place(text, from);
+            let (line, col) = line_and_column(text, from);
             format!("{file}:{line}:{col}")
         };
         let plan: Plan = toml::from_str(text).map_err(|e| PlanError {
-            faults: vec![format!("{}: {}", at(e.span().map_or(0, |s| s.start)), e.message().trim_end())],
+            problems: vec![format!("{}: {}", at(e.span().map_or(0, |s| s.start)), e.message().trim_end())],
         })?;
-        let mut faults = Vec::new();
-        plan.check(&mut |from, why| faults.push((from, format!("{}: {why}", at(from)))));
-        faults.sort();
-        if faults.is_empty() {
+        let mut problems = Vec::new();
+        check::check(&plan, &mut |from, why| problems.push((from, format!("{}: {why}", at(from)))));
+        problems.sort();
+        if problems.is_empty() {
             Ok(plan)
         } else {
-            Err(PlanError { faults: faults.into_iter().map(|f| f.1).collect() })
-        }
-    }
-
-    fn check(&self, fault: &mut dyn FnMut(usize, String)) {
-        let length = self.length();
-        if length.is_zero() || length > LENGTH_MOST {
-            let most = humantime::format_duration(LENGTH_MOST);
-            fault(self.length.span().start, format!("length: more than nothing and at most {most}"));
-        }
-        let mut within = |key: &str, value: &Spanned<usize>, least: usize, most: usize| {
-            if !(least..=most).contains(value.get_ref()) {
-                fault(value.span().start, format!("{key} = {}: from {least} to {most}", value.get_ref()));
-            }
-        };
-        within("regions", &self.regions, 1, PROCESSES_MOST);
-        within("zones", &self.zones, self.regions(), MEMBERS_MOST);
-        within("sites", &self.sites, self.zones(), MEMBERS_MOST);
-        within("proxies", &self.proxies, 1, MEMBERS_MOST.saturating_sub(self.nodes));
-        within("real", &self.real, 0, REAL_MOST);
-        within("listed", &self.listed, 1, LISTED_MOST);
-        within("asked", &self.asked, 0, LISTED_MOST);
-        within("hosts", &self.hosts, 1, 32);
-        if self.processes() > PROCESSES_MOST {
-            let why =
-                format!("{} processes, of which a rig starts {PROCESSES_MOST} at most", self.processes());
-            fault(self.sites.span().start, why);
-        }
-        let bad = |n: f64| !n.is_finite() || n < 0.0;
-        let (purges, changes) = (self.purges, self.changes);
-        if bad(purges.per_second) || purges.per_second * length.as_secs_f64() > PURGES_MOST {
-            fault(0, format!("purges.per_second: from 0, and at most {PURGES_MOST} in all"));
-        }
-        if !(1..=7).contains(&purges.publishers) {
-            fault(0, "purges.publishers: from 1 to 7".into());
-        }
-        if bad(changes.per_day) || changes.per_day > DAY_S || changes.burst == 0 || changes.burst > 1000 {
-            fault(0, "changes: at most one a second, in bursts of 1 to 1000".into());
-        }
-        if changes.routes > 100_000 {
-            fault(0, "changes.routes: at most 100,000".into());
-        }
-        let sets = |which: &[usize], pick: Option<usize>, of: usize| match (which, pick) {
-            ([], None) => Some("name them with `which`, or draw so many with `pick`".to_owned()),
-            ([_, ..], Some(_)) => Some("`which` or `pick`, not both".to_owned()),
-            ([], Some(n)) if n == 0 || n > of => Some(format!("pick = {n}: from 1 to {of}")),
-            (which, _) => which.iter().find(|n| **n >= of).map(|n| format!("{n}: there are {of}, from 0")),
-        };
-        for kill in &self.kills {
-            let (from, kill) = (kill.span().start, kill.get_ref());
-            let of = self.count(kill.role);
-            if of == 0 {
-                fault(from, format!("there is no {:?} in this experiment", kill.role));
-            } else if let Some(why) = sets(&kill.which, kill.pick, of) {
-                fault(from, why);
-            }
-            if kill.at.0 + kill.spread.0 + kill.span.0 > length {
-                fault(from, "it would outlast the experiment's length".into());
-            }
-        }
-        for cut in &self.cuts {
-            let (from, cut) = (cut.span().start, cut.get_ref());
-            if cut.which.contains(&0) || self.regions() < 2 {
-                fault(from, "the first region can't be cut from itself".into());
-            } else if let Some(why) = sets(&cut.which, cut.pick.map(|n| n + 1), self.regions()) {
-                fault(from, why);
-            }
-            if cut.at.0 + cut.span.0 > length {
-                fault(from, "it would outlast the experiment's length".into());
-            }
+            Err(PlanError { problems: problems.into_iter().map(|f| f.1).collect() })
         }
     }
 
@@ -407,7 +346,7 @@
         *self.real.get_ref()
     }
 
-    /// How many there are of a role.
+    /// The number of members of a role.
     pub fn count(&self, role: Role) -> usize {
         let relays = usize::from(self.topology == Topology::Relays);
         match role {
@@ -419,7 +358,7 @@
         }
     }
 
-    /// Children that the rig starts.
+    /// Child processes of a run.
     pub fn processes(&self) -> usize {
         1 + self.count(Role::RegionRelay) + self.count(Role::SiteRelay) + self.real() + self.hosts.get_ref()
     }
@@ -440,15 +379,15 @@
             let (kill, mut rng) = (kill.get_ref(), rng(1, n));
             for one in draw(&kill.which, kill.pick, 0, self.count(kill.role), &mut rng) {
                 let at = kill.at.0 + kill.spread.0.mul_f64(rng.random::<f64>());
-                steps.push((at, Do::Kill(kill.role, one)));
-                steps.push((at + kill.span.0, Do::Start(kill.role, one)));
+                steps.push((at, Step::Kill(kill.role, one)));
+                steps.push((at + kill.span.0, Step::Start(kill.role, one)));
             }
         }
         for (n, cut) in self.cuts.iter().enumerate() {
             let (cut, mut rng) = (cut.get_ref(), rng(2, n));
             for region in draw(&cut.which, cut.pick, 1, self.regions(), &mut rng) {
-                steps.push((cut.at.0, Do::Cut(region)));
-                steps.push((cut.at.0 + cut.span.0, Do::Heal(region)));
+                steps.push((cut.at.0, Step::Cut(region)));
+                steps.push((cut.at.0 + cut.span.0, Step::Heal(region)));
             }
         }
         steps.sort_by_key(|step| step.0);
@@ -486,13 +425,12 @@
         due
     }
 
-    /// Whether something due at `at` came while a fault was in force, or so close before or after one that it may
-    /// have been met by it.
+    /// Whether something due at `at` came while a fault was active, or within `around` before or after one.
     pub fn under_fault(&self, schedule: &Schedule, at: Duration, around: Duration) -> bool {
-        let begins = |step: &Do| matches!(step, Do::Kill(..) | Do::Cut(_));
-        let ends = |begun: &Do, step: &Do| match (begun, step) {
-            (Do::Kill(role, n), Do::Start(other, m)) => (role, n) == (other, m),
-            (Do::Cut(n), Do::Heal(m)) => n == m,
+        let begins = |step: &Step| matches!(step, Step::Kill(..) | Step::Cut(_));
+        let ends = |begun: &Step, step: &Step| match (begun, step) {
+            (Step::Kill(role, n), Step::Start(other, m)) => (role, n) == (other, m),
+            (Step::Cut(n), Step::Heal(m)) => n == m,
             _ => false,
         };
         schedule.steps.iter().enumerate().filter(|(_, (_, step))| begins(step)).any(|(n, (from, begun))| {
--- a/crates/lab-scale/src/plan/tests.rs
+++ b/crates/lab-scale/src/plan/tests.rs
@@ -53,9 +53,9 @@
     let plan = Plan::parse("p.toml", PLAN.split("[[kill]]").next().expect("a part")).expect("sound");
     let schedule = Schedule {
         steps: vec![
-            (Duration::from_secs(20), Do::Cut(3)),
-            (Duration::from_secs(25), Do::Kill(Role::Proxy, 1)),
-            (Duration::from_secs(30), Do::Heal(3)),
+            (Duration::from_secs(20), Step::Cut(3)),
+            (Duration::from_secs(25), Step::Kill(Role::Proxy, 1)),
+            (Duration::from_secs(30), Step::Heal(3)),
         ],
         ..Schedule::default()
     };
@@ -67,12 +67,12 @@
 #[test]
 fn faults_of_a_file_are_told_all_at_once_with_their_places() {
     let bad = PLAN.replace("which = [3]", "which = [4]").replace("pick = 2", "pick = 17");
-    let told = Plan::parse("p.toml", &bad).expect_err("faults").faults;
+    let told = Plan::parse("p.toml", &bad).expect_err("faults").problems;
     assert_eq!(told.len(), 2, "{told:?}");
     assert!(told[0].starts_with("p.toml:22:1: pick = 17: from 1 to 16"), "{told:?}");
     assert!(told[1].starts_with("p.toml:29:1: 4: there are 4, from 0"), "{told:?}");
     let one = |from: &str, to: &str| {
-        let told = Plan::parse("p.toml", &PLAN.replace(from, to)).expect_err("a fault").faults;
+        let told = Plan::parse("p.toml", &PLAN.replace(from, to)).expect_err("a fault").problems;
         told[0].clone()
     };
     assert!(one("regions = 4", "regions = 0").starts_with("p.toml:4:11: regions = 0"));
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -1,16 +1,17 @@
-//! The run: everything starts, is left alone for a moment, purges and changes are made, faults strike by the schedule,
-//! what is still out is waited for, and all of it is told.
+//! A run: everything starts, purges and versions are published, faults are played by the schedule, what is not yet in force
+//! is waited for, and the outcome is collected.
 
 mod start;
 
-use super::host::{Order, Report, Said};
+use super::children::{Children, Line};
+use super::error::ScaleError;
+use super::host::{HostMessage, HostOrder, MemberReport};
 use super::layout;
 use super::link::{self, Link};
-use super::plan::{Do, Plan, Role, Schedule};
-use super::procs::{Line, Procs};
-use super::publish::{self, Log, Made};
-use super::tally::Tally;
-use super::{need, now};
+use super::plan::{Plan, Role, Schedule, Step};
+use super::publish::{self, PublishLog, Published};
+use super::tally::CompletionTally;
+use super::{descriptors, now};
 use crate::versions;
 use aniseyoke_lab_audit::Recorder;
 use aniseyoke_lab_day::clock::Clock;
@@ -22,17 +23,18 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Everyone is up and has the first version within this time of the last start.
+/// All members are up and have the first version within this time of the last start.
 const UP_WITHIN: Duration = Duration::from_secs(60);
-/// All is left alone for so long before the schedule starts.
-const QUIET: Duration = Duration::from_secs(2);
-/// A host tells everything within this time.
+/// Nothing happens for this long before the schedule starts.
+const QUIET_TIME: Duration = Duration::from_secs(2);
+/// A host reports within this time.
 const REPORTS_WITHIN: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(20);
-/// Routes are changed in a version of so many classes at least.
-const ROUTES_LEAST: u64 = 1;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Routes of a version at least.
+const MIN_ROUTES: u64 = 1;
 
 /// The programs of a run.
 #[derive(Clone, Debug)]
@@ -45,39 +47,39 @@
     pub lab: PathBuf,
 }
 
-/// What a child of a sort used over the schedule.
+/// What a child used over the schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Used {
     /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// The most memory, in MB, over its life.
+    /// The most memory over its run, in MB.
     pub memory_mb: f64,
 }
 
-/// What came of a run.
+/// The outcome of a run.
 pub struct Outcome {
-    /// How long the schedule and what was waited for after it took, in seconds.
+    /// How long the schedule and the wait after it took, in seconds.
     pub seconds: f64,
     /// Children started.
     pub processes: usize,
-    /// What the hollow members told.
-    pub hollow: Report,
+    /// What the hollow members counted.
+    pub hollow: MemberReport,
     /// When each version was in force at the real proxies.
-    pub real: Tally,
-    /// Purges made, in the order of their answers.
-    pub purges: Vec<Made>,
-    /// Versions made.
-    pub changes: Vec<Made>,
-    /// The same that were due.
+    pub real: CompletionTally,
+    /// Purges published, in the order of their answers.
+    pub purges: Vec<Published>,
+    /// Versions published, in the same way.
+    pub changes: Vec<Published>,
+    /// Purges and versions that were due.
     pub due: (usize, usize),
-    /// Calls that failed and were made again, and the last reason.
-    pub again: (usize, String),
-    /// What each child used, by sort.
+    /// Calls that failed and were retried, and the last reason.
+    pub retries: (usize, String),
+    /// What each child used, by kind.
     pub used: BTreeMap<&'static str, Vec<Used>>,
     /// Faults as they were played, with seconds from the start of the schedule.
     pub played: Vec<(f64, String)>,
-    /// Children that ended by themselves, and what else went wrong.
-    pub troubles: Vec<String>,
+    /// Children that crashed, and what else went wrong.
+    pub problems: Vec<String>,
     /// The schedule.
     pub schedule: Schedule,
 }
@@ -85,19 +87,32 @@
 struct Run<'a> {
     plan: &'a Plan,
     seed: u64,
-    procs: Procs,
+    children: Children,
     root: usize,
     regions: Vec<usize>,
     sites: Vec<usize>,
     reals: Vec<usize>,
     hosts: Vec<usize>,
-    /// None where a region is neither far nor ever cut off: its members and relays connect without one.
+    /// By region; none where a region is neither far nor ever cut off, whose members and relays connect without one.
     links: Vec<Option<Link>>,
-    real: Tally,
-    /// Real proxies that were started again and have told of no version since.
-    anew: Vec<bool>,
-    stands: Vec<(usize, u64, u64)>,
-    reports: Vec<Option<Report>>,
+    real: CompletionTally,
+    /// Real proxies that were started again and have reported no version since.
+    restarted: Vec<bool>,
+    host_progress: Vec<HostProgress>,
+    reports: Vec<Option<MemberReport>>,
+    /// Children that crashed, and what else went wrong.
+    problems: Vec<String>,
+}
+
+/// What hosts tell of their members.
+#[derive(Clone, Copy, Debug, Default)]
+struct HostProgress {
+    /// Members that are up.
+    up: usize,
+    /// All members have the purges through this number...
+    purges: u64,
+    /// ...and the versions through this one.
+    versions: u64,
 }
 
 /// The number of a version that a proxy's line says is in force.
@@ -107,10 +122,11 @@
     stamp.split_once('.')?.1.parse().ok()
 }
 
-/// Plays an experiment; `folder` takes what children leave, `progress` is told what is going on and how far it is.
+/// Plays an experiment; `folder` takes the children's folders and log, `progress` is called with what is going on and how
+/// far it is.
 ///
 /// # Errors
-/// What is short, or what did not start.
+/// If descriptors are short, or something could not be started.
 pub fn run(
     plan: &Plan,
     seed: u64,
@@ -118,69 +134,71 @@
     folder: &Path,
     stop: &AtomicBool,
     progress: &dyn Fn(&str, f64),
-) -> Result<Outcome, String> {
-    need::secure(plan, seed)?;
+) -> Result<Outcome, ScaleError> {
+    descriptors::raise_limit(plan, seed)?;
     let clock = Clock::start();
-    let mut day = Day::open("quiet").map_err(|e| e.to_string())?;
-    let listed = *plan.listed.get_ref();
-    day = day.sized(plan.real().max(1), listed).map_err(|e| e.to_string())?;
-    let site = Site::open(&day, clock, move || Recorder::nowhere(clock)).map_err(|e| format!("site: {e}"))?;
-    // Thousands that ask for one list would keep real proxies from theirs.
-    let asked = match *plan.asked.get_ref() {
+    let open = |day: &Day| Site::open(day, clock, move || Recorder::discarding(clock));
+    let day = Day::open("quiet")?.sized(plan.real().max(1), *plan.listed.get_ref())?;
+    let site = open(&day).map_err(ScaleError::Site)?;
+    // Thousands that poll one discovery would keep real proxies from theirs.
+    let hollow_site = match *plan.polled.get_ref() {
         0 => None,
-        asked => {
-            let day = day.clone().sized(1, asked).map_err(|e| e.to_string())?;
-            let site = Site::open(&day, clock, move || Recorder::nowhere(clock));
-            Some(site.map_err(|e| format!("the second site: {e}"))?)
-        }
-    };
-    let links = link::Carrier::start().map_err(|e| format!("links: {e}"))?;
-    let procs = Procs::new(&folder.join("processes.log"))?;
-    let mut run = Run {
-        plan,
-        seed,
-        procs,
-        root: 0,
-        regions: Vec::new(),
-        sites: Vec::new(),
-        reals: Vec::new(),
-        hosts: Vec::new(),
-        links: Vec::new(),
-        real: Tally::new(plan.real()),
-        anew: vec![false; plan.real()],
-        stands: vec![(0, 0, 0); *plan.hosts.get_ref()],
-        reports: vec![None; *plan.hosts.get_ref()],
+        nodes => Some(open(&day.clone().sized(1, nodes)?).map_err(ScaleError::HollowSite)?),
     };
+    let links = link::LinkRuntime::start().map_err(ScaleError::Links)?;
+    let mut run = Run::new(plan, seed, Children::new(&folder.join("processes.log"))?);
     progress("control service and relays", 0.0);
-    let (door, tells) = run.start_control(programs, folder, &links)?;
+    let addrs = run.start_control(programs, folder, &links)?;
     progress("real proxies", 0.0);
-    run.start_real(programs, folder, &day, &site, &tells)?;
+    run.start_real(programs, folder, &day, &site, &addrs.services)?;
     progress("hollow members", 0.0);
-    let list = asked.as_ref().map(|site| site.discovery[0]);
-    run.start_hosts(programs, &day, list, &tells)?;
-    run.until_up(door, &day, progress)?;
-    let outcome = run.schedule(door, &day, stop, progress);
+    let discovery = hollow_site.as_ref().map(|site| site.discovery[0]);
+    run.start_hosts(programs, &day, discovery, &addrs.services)?;
+    run.wait_until_up(addrs.operators, &day, progress)?;
+    let outcome = run.play(addrs.operators, &day, stop, progress);
     site.close();
-    asked.map(Site::close);
+    hollow_site.map(Site::close);
     outcome
 }
 
-impl Run<'_> {
+impl<'a> Run<'a> {
+    fn new(plan: &'a Plan, seed: u64, children: Children) -> Self {
+        let hosts = *plan.hosts.get_ref();
+        Run {
+            plan,
+            seed,
+            children,
+            root: 0,
+            regions: Vec::new(),
+            sites: Vec::new(),
+            reals: Vec::new(),
+            hosts: Vec::new(),
+            links: Vec::new(),
+            real: CompletionTally::new(plan.real()),
+            restarted: vec![false; plan.real()],
+            host_progress: vec![HostProgress::default(); hosts],
+            reports: vec![None; hosts],
+            problems: Vec::new(),
+        }
+    }
+
     fn purging(&self) -> bool {
         self.plan.purges.per_second > 0.0
     }
 
-    /// Takes a line of a child.
+    /// Handles a line of a child.
     fn take(&mut self, line: &Line) {
         if let Some(host) = self.hosts.iter().position(|n| *n == line.child) {
-            match serde_json::from_str::<Said>(&line.text) {
-                Ok(Said::Stands { up, purges, versions }) => self.stands[host] = (up, purges, versions),
-                Ok(Said::Report(report)) => self.reports[host] = Some(*report),
+            match serde_json::from_str::<HostMessage>(&line.text) {
+                Ok(HostMessage::Progress { up, purges, versions }) => {
+                    self.host_progress[host] = HostProgress { up, purges, versions };
+                }
+                Ok(HostMessage::Report(report)) => self.reports[host] = Some(*report),
                 Err(_) => {}
             }
         } else if let Some(real) = self.reals.iter().position(|n| *n == line.child) {
             if let Some(number) = in_force(&line.text) {
-                match std::mem::replace(&mut self.anew[real], false) {
+                match std::mem::replace(&mut self.restarted[real], false) {
                     true => self.real.excused(real, number),
                     false => self.real.reached(real, number, line.at),
                 }
@@ -188,11 +206,12 @@
         }
     }
 
-    fn listen(&mut self, within: Duration) {
+    /// Handles the lines of children for this long.
+    fn take_lines(&mut self, within: Duration) {
         let until = Instant::now() + within;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            match self.procs.next(left) {
+            match self.children.next(left) {
                 Some(line) => self.take(&line),
                 None => return,
             }
@@ -202,49 +221,54 @@
         }
     }
 
-    /// Members that are up, and the numbers that all have.
-    fn stand(&self) -> (usize, u64, u64) {
-        let up = self.stands.iter().map(|s| s.0).sum();
-        let all = |number: fn(&(usize, u64, u64)) -> u64| self.stands.iter().map(number).min().unwrap_or(0);
-        (up, all(|s| s.1), all(|s| s.2).min(self.real.everywhere()))
+    /// The progress of all members, hollow and real.
+    fn progress(&self) -> HostProgress {
+        let all = |number: fn(&HostProgress) -> u64| self.host_progress.iter().map(number).min().unwrap_or(0);
+        HostProgress {
+            up: self.host_progress.iter().map(|host| host.up).sum(),
+            purges: all(|host| host.purges),
+            versions: all(|host| host.versions).min(self.real.everywhere()),
+        }
     }
 
-    /// Waits until all are connected, and have the first version.
-    fn until_up(&mut self, door: SocketAddr, day: &Day, progress: &dyn Fn(&str, f64)) -> Result<(), String> {
+    /// Waits until all members are connected and have the first version.
+    fn wait_until_up(
+        &mut self,
+        operators: SocketAddr,
+        day: &Day,
+        progress: &dyn Fn(&str, f64),
+    ) -> Result<(), ScaleError> {
         let hollow = self.plan.hollow();
         let until = Instant::now() + UP_WITHIN;
-        let first = publish::version(self.body(day, 0));
+        let first = publish::version(self.version_body(day, 0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|e| e.to_string())?;
-        runtime.block_on(aniseyoke_control::service::call(door, &first))?;
+        let runtime = runtime.map_err(ScaleError::Runtime)?;
+        let published = runtime.block_on(aniseyoke_control::service::call(operators, &first));
+        published.map_err(|e| ScaleError::Control(e.to_string()))?;
         loop {
-            self.listen(LOOK);
-            let (up, _, versions) = self.stand();
+            self.take_lines(POLL_INTERVAL);
+            let HostProgress { up, versions, .. } = self.progress();
             progress("members join", up as f64 / hollow.max(1) as f64);
             if up == hollow && versions >= 1 {
                 return Ok(());
             }
-            let ended = self.procs.ended();
+            let ended = self.children.ended();
             if !ended.is_empty() {
-                return Err(ended.join("\n"));
+                return Err(ScaleError::Crashed(ended));
             }
             if Instant::now() > until {
-                let real = self.real.lacking(1).count();
-                return Err(format!(
-                    "after {} s {up} of {hollow} hollow members are up, all have version {versions}, and {real} of {} \
-                     real proxies lack the first",
-                    UP_WITHIN.as_secs(),
-                    self.plan.real()
-                ));
+                let (lacking, real) = (self.real.lacking(1).count(), self.plan.real());
+                let seconds = UP_WITHIN.as_secs();
+                return Err(ScaleError::NotUp { seconds, up, hollow, versions, lacking, real });
             }
         }
     }
 
-    fn body(&self, day: &Day, change: u64) -> serde_json::Value {
-        versions::body(day, self.plan.changes.routes.max(ROUTES_LEAST), change)
+    fn version_body(&self, day: &Day, change: u64) -> serde_json::Value {
+        versions::version_body(day, self.plan.changes.routes.max(MIN_ROUTES), change)
     }
 
-    fn sorts(&self) -> Vec<(&'static str, Vec<usize>)> {
+    fn children_by_kind(&self) -> Vec<(&'static str, Vec<usize>)> {
         vec![
             ("root", vec![self.root]),
             ("region_relay", self.regions.clone()),
@@ -255,160 +279,187 @@
     }
 
     fn usage(&mut self) -> Vec<Usage> {
-        (0..self.procs.len()).map(|n| self.procs.used(n)).collect()
+        (0..self.children.len()).map(|n| self.children.used(n)).collect()
     }
 
-    fn order(&mut self, host: usize, order: Order, troubles: &mut Vec<String>) {
+    fn order(&mut self, host: usize, order: HostOrder) {
         let line = serde_json::to_string(&order).unwrap_or_default();
-        if let Err(why) = self.procs.write(self.hosts[host], &line) {
-            troubles.push(why);
+        if let Err(why) = self.children.write(self.hosts[host], &line) {
+            self.problems.push(why.to_string());
         }
     }
 
     /// The host of a hollow member, and its number there.
-    fn hosted(&self, role: Role, n: usize) -> (usize, usize) {
+    fn host_of(&self, role: Role, n: usize) -> (usize, usize) {
         let hosts = *self.plan.hosts.get_ref();
         let (host, at) = (n % hosts, n / hosts);
         let proxies = (host..self.plan.count(Role::Proxy)).step_by(hosts).len();
         (host, if role == Role::Node { proxies + at } else { at })
     }
 
-    fn carry_out(&mut self, step: Do, troubles: &mut Vec<String>) -> String {
+    /// Carries a step out; what was done, in words.
+    fn carry_out(&mut self, step: Step) -> String {
         let child = |run: &Self, role, n: usize| match role {
             Role::RegionRelay => run.regions[n],
             Role::SiteRelay => run.sites[n],
             _ => run.reals[n],
         };
         match step {
-            Do::Kill(role @ (Role::Proxy | Role::Node), n) => {
-                let (host, member) = self.hosted(role, n);
-                self.order(host, Order::Kill(member), troubles);
+            Step::Kill(role @ (Role::Proxy | Role::Node), n) => {
+                let (host, member) = self.host_of(role, n);
+                self.order(host, HostOrder::Kill(member));
             }
-            Do::Start(role @ (Role::Proxy | Role::Node), n) => {
-                let (host, member) = self.hosted(role, n);
-                self.order(host, Order::Start(member), troubles);
+            Step::Start(role @ (Role::Proxy | Role::Node), n) => {
+                let (host, member) = self.host_of(role, n);
+                self.order(host, HostOrder::Start(member));
             }
-            Do::Kill(role, n) => {
+            Step::Kill(role, n) => {
                 let child = child(self, role, n);
-                self.procs.kill(child);
+                self.children.kill(child);
             }
-            Do::Start(role, n) => {
+            Step::Start(role, n) => {
                 if role == Role::Real {
-                    self.anew[n] = true;
+                    self.restarted[n] = true;
                 }
                 let child = child(self, role, n);
-                if let Err(why) = self.procs.start(child) {
-                    troubles.push(why);
+                if let Err(why) = self.children.start(child) {
+                    self.problems.push(why.to_string());
                 }
             }
-            Do::Cut(region) => self.links[region].iter().for_each(|link| link.cut(true)),
-            Do::Heal(region) => self.links[region].iter().for_each(|link| link.cut(false)),
+            Step::Cut(region) => self.links[region].iter().for_each(|link| link.cut(true)),
+            Step::Heal(region) => self.links[region].iter().for_each(|link| link.cut(false)),
         }
         match step {
-            Do::Kill(role, n) => format!("{} killed", layout::name(role, n)),
-            Do::Start(role, n) => format!("{} started again", layout::name(role, n)),
-            Do::Cut(region) => format!("region {region} cut off"),
-            Do::Heal(region) => format!("region {region} healed"),
+            Step::Kill(role, n) => format!("{} killed", layout::name(role, n)),
+            Step::Start(role, n) => format!("{} started again", layout::name(role, n)),
+            Step::Cut(region) => format!("region {region} cut off"),
+            Step::Heal(region) => format!("region {region} healed"),
         }
     }
 
-    fn schedule(
+    /// Plays the schedule, waits for what is not in force yet, and collects the outcome.
+    fn play(
         mut self,
-        door: SocketAddr,
+        operators: SocketAddr,
         day: &Day,
         stop: &AtomicBool,
         progress: &dyn Fn(&str, f64),
-    ) -> Result<Outcome, String> {
-        let (plan, mut troubles, mut played) = (self.plan, Vec::new(), Vec::new());
-        let schedule = plan.schedule(self.seed);
-        self.listen(QUIET);
-        (0..self.hosts.len()).for_each(|host| self.order(host, Order::Mark, &mut troubles));
+    ) -> Result<Outcome, ScaleError> {
+        let schedule = self.plan.schedule(self.seed);
+        self.take_lines(QUIET_TIME);
+        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Mark));
         let before = self.usage();
-        let log = Arc::new(Log::default());
+        let log = Arc::new(PublishLog::default());
         let start = now();
-        let mut publishers = Vec::new();
-        for publisher in 0..plan.purges.publishers {
-            let due =
-                schedule.purges.iter().skip(publisher).step_by(plan.purges.publishers).copied().collect();
-            let what = Box::new(move |n| publish::purge(publisher, n));
-            publishers.push(publish::start(log.clone(), door, start, due, what));
-        }
-        let bodies: Vec<_> = (1..=schedule.changes.len()).map(|n| self.body(day, n as u64)).collect();
-        let what = Box::new(move |n: usize| publish::version(bodies[n].clone()));
-        publishers.push(publish::start(log.clone(), door, start, schedule.changes.clone(), what));
-        let elapsed = || Duration::from_nanos(now() - start);
-        let mut steps = schedule.steps.iter().copied().peekable();
-        let (length, settle) = (plan.length(), plan.settle.0);
-        loop {
-            self.listen(LOOK);
-            while let Some((_, step)) = steps.next_if(|(at, _)| *at <= elapsed()) {
-                let what = self.carry_out(step, &mut troubles);
-                tracing::info!("{:8.3} s  {what}", elapsed().as_secs_f64());
-                played.push((elapsed().as_secs_f64(), what));
-            }
-            troubles.extend(self.procs.ended());
-            let (purges, changes) = (Log::made(&log.purges), Log::made(&log.changes));
-            let (up, everywhere, versions) = self.stand();
-            let what = format!(
-                "{up} up, purges {everywhere}/{} of {}, versions {versions}/{}",
-                purges.len(),
-                schedule.purges.len(),
-                changes.len() + 1
-            );
-            progress(&what, elapsed().as_secs_f64() / length.as_secs_f64());
-            let newest = |made: &[Made], least| made.iter().map(|m| m.number).max().unwrap_or(least);
-            let made = purges.len() == schedule.purges.len() && changes.len() == schedule.changes.len();
-            let done = made && everywhere >= newest(&purges, 0) && versions >= newest(&changes, 1);
-            let over = elapsed() >= length && steps.peek().is_none();
-            if (over && done) || elapsed() > length + settle || stop.load(Ordering::Relaxed) {
-                break;
-            }
-        }
-        let seconds = elapsed().as_secs_f64();
+        let publishers = self.start_publishers(&schedule, &log, operators, start, day)?;
+        let played = self.follow(&schedule, &log, start, stop, progress);
+        let seconds = Duration::from_nanos(now() - start).as_secs_f64();
         let after = self.usage();
         log.stop.store(true, Ordering::Relaxed);
-        self.gather(&mut troubles);
+        self.collect_reports();
         for publisher in publishers {
-            // Each ends once its call under way has its answer.
-            publisher.map_err(|e| e.to_string())?.join().map_err(|_| "a publisher broke".to_owned())?;
+            // Each ends once its call in flight has its answer.
+            publisher.join().map_err(|_| ScaleError::PublisherPanicked)?;
         }
         let mut used = BTreeMap::new();
-        for (sort, of) in self.sorts() {
+        for (kind, of) in self.children_by_kind() {
             let one = |n: &usize| Used {
                 cpu_s: after[*n].cpu_s - before[*n].cpu_s,
                 memory_mb: after[*n].memory_mb,
             };
-            used.insert(sort, of.iter().map(one).collect());
+            used.insert(kind, of.iter().map(one).collect());
         }
-        let mut hollow = Report::default();
+        let mut hollow = MemberReport::default();
         self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.join(report));
         let why = log.why.lock().map(|why| why.clone()).unwrap_or_default();
         Ok(Outcome {
             seconds,
-            processes: self.procs.len(),
+            processes: self.children.len(),
             hollow,
             real: std::mem::take(&mut self.real),
-            purges: Log::made(&log.purges),
-            changes: Log::made(&log.changes),
+            purges: PublishLog::published(&log.purges),
+            changes: PublishLog::published(&log.changes),
             due: (schedule.purges.len(), schedule.changes.len()),
-            again: (log.again.load(Ordering::Relaxed), why),
+            retries: (log.retries.load(Ordering::Relaxed), why),
             used,
             played,
-            troubles,
+            problems: std::mem::take(&mut self.problems),
             schedule,
         })
     }
 
-    /// Has every host tell everything.
-    fn gather(&mut self, troubles: &mut Vec<String>) {
-        (0..self.hosts.len()).for_each(|host| self.order(host, Order::Report, troubles));
+    /// Starts the publishers of purges and of versions.
+    fn start_publishers(
+        &self,
+        schedule: &Schedule,
+        log: &Arc<PublishLog>,
+        operators: SocketAddr,
+        start: u64,
+        day: &Day,
+    ) -> Result<Vec<JoinHandle<()>>, ScaleError> {
+        let mut publishers = Vec::new();
+        let count = self.plan.purges.publishers;
+        for publisher in 0..count {
+            let due = schedule.purges.iter().skip(publisher).step_by(count).copied().collect();
+            let call = Box::new(move |n| publish::purge(publisher, n));
+            publishers.push(publish::start(log.clone(), operators, start, due, call));
+        }
+        let bodies: Vec<_> = (1..=schedule.changes.len()).map(|n| self.version_body(day, n as u64)).collect();
+        let call = Box::new(move |n: usize| publish::version(bodies[n].clone()));
+        publishers.push(publish::start(log.clone(), operators, start, schedule.changes.clone(), call));
+        publishers.into_iter().collect::<Result<_, _>>().map_err(ScaleError::Runtime)
+    }
+
+    /// Carries the schedule out until everything that was published is in force, or the time is over; the faults as they
+    /// were played, with seconds from the start.
+    fn follow(
+        &mut self,
+        schedule: &Schedule,
+        log: &PublishLog,
+        start: u64,
+        stop: &AtomicBool,
+        progress: &dyn Fn(&str, f64),
+    ) -> Vec<(f64, String)> {
+        let elapsed = || Duration::from_nanos(now() - start);
+        let (length, settle) = (self.plan.length(), self.plan.settle.0);
+        let mut played = Vec::new();
+        let mut steps = schedule.steps.iter().copied().peekable();
+        loop {
+            self.take_lines(POLL_INTERVAL);
+            while let Some((_, step)) = steps.next_if(|(at, _)| *at <= elapsed()) {
+                let what = self.carry_out(step);
+                tracing::info!("{:8.3} s  {what}", elapsed().as_secs_f64());
+                played.push((elapsed().as_secs_f64(), what));
+            }
+            let crashed = self.children.ended();
+            self.problems.extend(crashed);
+            let (purges, changes) = (PublishLog::published(&log.purges), PublishLog::published(&log.changes));
+            let HostProgress { up, purges: everywhere, versions } = self.progress();
+            let (made, due, published) = (purges.len(), schedule.purges.len(), changes.len() + 1);
+            let what =
+                format!("{up} up, purges {everywhere}/{made} of {due}, versions {versions}/{published}");
+            progress(&what, elapsed().as_secs_f64() / length.as_secs_f64());
+            let newest =
+                |published: &[Published], least| published.iter().map(|m| m.number).max().unwrap_or(least);
+            let all_made = made == due && changes.len() == schedule.changes.len();
+            let done = all_made && everywhere >= newest(&purges, 0) && versions >= newest(&changes, 1);
+            let over = elapsed() >= length && steps.peek().is_none();
+            if (over && done) || elapsed() > length + settle || stop.load(Ordering::Relaxed) {
+                return played;
+            }
+        }
+    }
+
+    /// Collects the report of every host.
+    fn collect_reports(&mut self) {
+        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Report));
         let until = Instant::now() + REPORTS_WITHIN;
         while self.reports.iter().any(Option::is_none) && Instant::now() < until {
-            self.listen(LOOK);
+            self.take_lines(POLL_INTERVAL);
         }
         for (host, report) in self.reports.iter().enumerate() {
             if report.is_none() {
-                troubles.push(format!("host-{host} told nothing at the end"));
+                self.problems.push(format!("host-{host} told nothing at the end"));
             }
         }
     }
