--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -1,14 +1,14 @@
-//! Starts everything of a run: the control service, links and relays, real proxies, hosts of hollow members.
+//! Starts the parts of a run: the control service, links and relays, real proxies, hosts of hollow members.
 
-use super::super::host::Hosted;
-use super::super::layout::{self, Place};
-use super::super::link::{self, Takes};
-use super::super::member::Spec;
+use super::super::error::ScaleError;
+use super::super::host::HostSpec;
+use super::super::layout::{self, Location};
+use super::super::link::{self, LinkDelay};
+use super::super::member::MemberSpec;
 use super::super::plan::{Role, Topology};
-use super::super::procs::Procs;
 use super::{Programs, Run};
-use aniseyoke_lab_day::clock::mix;
-use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_day::clock::{mix, nanos};
+use aniseyoke_lab_day::{proxy_config, Day, FileError};
 use aniseyoke_lab_site::Site;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,106 +17,143 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// A tier of relays: their numbers among the children, and their addresses.
+struct Tier {
+    children: Vec<usize>,
+    addrs: Vec<SocketAddr>,
+}
+
+/// Where operators call the control service, and where each site's members connect, in the order of preference.
+pub(super) struct ControlAddrs {
+    /// Where operators call.
+    pub operators: SocketAddr,
+    /// The services of each site's members.
+    pub services: Vec<Vec<SocketAddr>>,
+}
+
+fn batch_text(span: Duration) -> String {
+    format!("{}ms", span.as_millis().max(1))
+}
+
 impl Run<'_> {
-    /// Starts the root, links and relays; its operators' door, and where each site's members are told.
+    /// Starts the root, links and relays.
     pub(super) fn start_control(
         &mut self,
         programs: &Programs,
         folder: &Path,
-        carrier: &link::Carrier,
-    ) -> Result<(SocketAddr, Vec<Vec<SocketAddr>>), String> {
-        let (plan, purging) = (self.plan, self.purging());
+        link_runtime: &link::LinkRuntime,
+    ) -> Result<ControlAddrs, ScaleError> {
+        let plan = self.plan;
+        let (root, operators) = self.start_root(programs, folder)?;
+        self.open_links(root, link_runtime)?;
+        let links: Vec<SocketAddr> = self.links.iter().map(|l| l.as_ref().map_or(root, |l| l.addr)).collect();
+        let region_of = |site| layout::site(plan, site).region;
+        if plan.topology == Topology::Direct {
+            let services = (0..plan.sites()).map(|site| vec![links[region_of(site)]]).collect();
+            return Ok(ControlAddrs { operators, services });
+        }
+        let upstream = links.iter().map(|link| vec![*link]).collect();
+        let regions = self.start_tier(programs, Role::RegionRelay, upstream)?;
+        self.regions = regions.children;
+        let upstream = (0..plan.sites()).map(|site| vec![regions.addrs[region_of(site)]]).collect();
+        let sites = self.start_tier(programs, Role::SiteRelay, upstream)?;
+        self.sites = sites.children;
+        // A member whose site's relay is gone goes to its region's.
+        let services = |site| vec![sites.addrs[site], regions.addrs[region_of(site)]];
+        Ok(ControlAddrs { operators, services: (0..plan.sites()).map(services).collect() })
+    }
+
+    /// Starts the control service; where proxies connect, and where operators call.
+    fn start_root(
+        &mut self,
+        programs: &Programs,
+        folder: &Path,
+    ) -> Result<(SocketAddr, SocketAddr), ScaleError> {
         let any = "127.0.0.1:0";
-        let batch = |span: Duration| format!("{}ms", span.as_millis().max(1));
         let (control, dir) = (programs.control.clone(), folder.join("root"));
-        let root_batch = batch(plan.batch.root.0);
-        self.root = self.procs.add("root".into(), move || {
+        let (purging, batch) = (self.purging(), batch_text(self.plan.batch.root.0));
+        self.root = self.children.add("root".into(), move || {
             let mut command = Command::new(&control);
             command.args(["serve", "--listen", any, "--door", any, "--dir"]).arg(&dir);
             if purging {
-                command.args(["--purges", "--batch", &root_batch]);
+                command.args(["--purges", "--batch", &batch]);
             }
             command
         })?;
-        let found = self.procs.addrs(&[self.root], &["proxies connect at ", "operators call at "])?;
-        let (root, door) = (found[0][0], found[0][1]);
-        let linked = layout::linked(plan, self.seed);
-        for (region, linked) in linked.into_iter().enumerate() {
-            let takes =
-                Takes { delay: layout::delay(plan, self.seed, region), jitter: layout::jitter(plan, region) };
-            let open = || link::open(&carrier.handle, root, takes, mix(self.seed, 6, region as u64));
-            let opened = linked.then(open).transpose();
-            self.links.push(opened.map_err(|e| format!("a link: {e}"))?);
-        }
-        let links: Vec<SocketAddr> = self.links.iter().map(|l| l.as_ref().map_or(root, |l| l.addr)).collect();
-        if plan.topology == Topology::Direct {
-            let site = |n| vec![links[layout::site(plan, n).region]];
-            return Ok((door, (0..plan.sites()).map(site).collect()));
+        let found = self.children.addrs(&[self.root], &["proxies connect at ", "operators call at "])?;
+        Ok((found[0][0], found[0][1]))
+    }
+
+    /// Opens a link to the root for each region that is far or will be cut off.
+    fn open_links(&mut self, root: SocketAddr, link_runtime: &link::LinkRuntime) -> Result<(), ScaleError> {
+        for (region, linked) in layout::linked(self.plan, self.seed).into_iter().enumerate() {
+            let delay = layout::delay(self.plan, self.seed, region);
+            let link_delay = LinkDelay { delay, jitter: layout::jitter(self.plan, region) };
+            let open =
+                || link::open(&link_runtime.handle, root, link_delay, mix(self.seed, 6, region as u64));
+            self.links.push(linked.then(open).transpose().map_err(ScaleError::Link)?);
         }
-        let relay_batch = batch(plan.batch.relay.0);
-        let start = |procs: &mut Procs, role, n, upstream: Vec<SocketAddr>| {
-            // A relay that is started again is found where it was.
+        Ok(())
+    }
+
+    /// Starts a relay for each list of services above it.
+    fn start_tier(
+        &mut self,
+        programs: &Programs,
+        role: Role,
+        upstream: Vec<Vec<SocketAddr>>,
+    ) -> Result<Tier, ScaleError> {
+        let mut children = Vec::new();
+        let mut listening = Vec::new();
+        for (n, upstream) in upstream.into_iter().enumerate() {
+            // A relay that is started again listens where it did before.
             let listen = Rc::new(Cell::new(SocketAddr::from(([127, 0, 0, 1], 0))));
-            let (control, kept, batch) = (programs.control.clone(), listen.clone(), relay_batch.clone());
-            let name = layout::name(role, n);
+            let (control, listens) = (programs.control.clone(), listen.clone());
+            let (name, batch) = (layout::name(role, n), batch_text(self.plan.batch.relay.0));
             let upstream = upstream.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
             let own = name.clone();
-            let n = procs.add(name, move || {
+            let child = self.children.add(name, move || {
                 let mut command = Command::new(&control);
-                command.args(["relay", "--listen", &kept.get().to_string(), "--upstream", &upstream]);
+                command.args(["relay", "--listen", &listens.get().to_string(), "--upstream", &upstream]);
                 command.args(["--name", &own, "--batch", &batch]);
                 command
             })?;
-            Ok::<_, String>((n, listen))
-        };
-        let tier = |procs: &mut Procs, role, upstream: Vec<Vec<SocketAddr>>| {
-            let mut started = Vec::new();
-            for (n, upstream) in upstream.into_iter().enumerate() {
-                started.push(start(procs, role, n, upstream)?);
-            }
-            let of: Vec<usize> = started.iter().map(|s| s.0).collect();
-            let found = procs.addrs(&of, &["proxies connect at "])?;
-            let addrs: Vec<SocketAddr> = found.into_iter().map(|f| f[0]).collect();
-            started.iter().zip(&addrs).for_each(|(s, addr)| s.1.set(*addr));
-            Ok::<_, String>((of, addrs))
-        };
-        let upstream = links.iter().map(|link| vec![*link]).collect();
-        let (of, regions) = tier(&mut self.procs, Role::RegionRelay, upstream)?;
-        self.regions = of;
-        let sites = 0..plan.sites();
-        let upstream = sites.clone().map(|n| vec![regions[layout::site(plan, n).region]]).collect();
-        let (of, addrs) = tier(&mut self.procs, Role::SiteRelay, upstream)?;
-        self.sites = of;
-        // A member whose site's relay is gone goes to its region's.
-        let tells = sites.map(|n| vec![addrs[n], regions[layout::site(plan, n).region]]);
-        Ok((door, tells.collect()))
+            children.push(child);
+            listening.push(listen);
+        }
+        let found = self.children.addrs(&children, &["proxies connect at "])?;
+        let addrs: Vec<SocketAddr> = found.into_iter().map(|f| f[0]).collect();
+        listening.iter().zip(&addrs).for_each(|(listen, addr)| listen.set(*addr));
+        Ok(Tier { children, addrs })
     }
 
+    /// Starts the real proxies, each in a folder of its own.
     pub(super) fn start_real(
         &mut self,
         programs: &Programs,
         folder: &Path,
         day: &Day,
         site: &Site,
-        tells: &[Vec<SocketAddr>],
-    ) -> Result<(), String> {
+        service_addrs: &[Vec<SocketAddr>],
+    ) -> Result<(), ScaleError> {
         for n in 0..self.plan.real() {
             let place = layout::member(self.plan, Role::Real, n);
             let dir = folder.join(layout::name(Role::Real, n));
             let write = |name: &str, text: String| {
                 let file = dir.join(name);
-                std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-                Ok::<_, String>(file)
+                std::fs::write(&file, text).map_err(FileError::at(&file))?;
+                Ok::<_, ScaleError>(file)
             };
-            std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-            let config = proxy_config(day, n, site.discovery[n], &site.known[n]);
+            std::fs::create_dir_all(&dir).map_err(FileError::at(&dir))?;
+            let config = proxy_config(day, n, site.discovery[n], &site.initial_lists[n]);
             let config = write("config.json", config.to_string())?;
-            let services: Vec<String> = tells[place.site].iter().map(|a| format!("\"{a}\"")).collect();
+            let services: Vec<String> =
+                service_addrs[place.site].iter().map(|a| format!("\"{a}\"")).collect();
             // Every line about a version is wanted.
             let text = format!("[log]\nburst = 10000\n[control]\nservices = [{}]\n", services.join(", "));
             let operator = write("operator.toml", text)?;
             let program = programs.proxy.clone();
-            let proxy = self.procs.add(layout::name(Role::Real, n), move || {
+            let proxy = self.children.add(layout::name(Role::Real, n), move || {
                 let mut command = Command::new(&program);
                 command.env_clear().env("PROXY_CONFIG", &config).env("TMPDIR", &dir);
                 command.env("ANISEYOKE_FILE", &operator).current_dir(&dir);
@@ -125,50 +162,51 @@
             self.reals.push(proxy);
         }
         let of = self.reals.clone();
-        self.procs.addrs(&of, &["listening on "]).map(|_| ())
+        self.children.addrs(&of, &["listening on "]).map(|_| ())
     }
 
+    /// Starts the hosts, and gives each its hollow members.
     pub(super) fn start_hosts(
         &mut self,
         programs: &Programs,
         day: &Day,
         list: Option<SocketAddr>,
-        tells: &[Vec<SocketAddr>],
-    ) -> Result<(), String> {
+        service_addrs: &[Vec<SocketAddr>],
+    ) -> Result<(), ScaleError> {
         let plan = self.plan;
         let (hosts, proxies) = (*plan.hosts.get_ref(), plan.count(Role::Proxy));
-        let must_ask_in = u64::try_from(day.site.roster.must_ask_in.as_nanos()).unwrap_or(u64::MAX);
+        let poll_within = nanos(day.site.discovery.poll_within);
         let all = proxies + plan.real();
         let spec = |role: Role, n: usize| {
-            let Place { site: at, zone, region } = layout::member(plan, role, n);
+            let Location { site: at, zone, region } = layout::member(plan, role, n);
             let labels = [("region", region), ("zone", zone), ("site", at)];
-            Spec {
+            MemberSpec {
                 name: layout::name(role, n),
                 node: role == Role::Node,
                 labels: labels.iter().map(|(k, v)| ((*k).to_owned(), v.to_string())).collect(),
-                services: tells[at].clone(),
+                services: service_addrs[at].clone(),
                 list: list.filter(|_| role == Role::Proxy),
                 place: ((plan.real() + n) as u32, all as u32),
             }
         };
         for host in 0..hosts {
             let of = |role: Role| (host..plan.count(role)).step_by(hosts).map(move |n| spec(role, n));
-            let hosted = Hosted {
+            let host_spec = HostSpec {
                 seed: self.seed,
                 purging: self.purging(),
                 join_ms: plan.join.0.as_millis() as u64,
-                list_every: aniseyoke_pace::polls::Rules::every_by(must_ask_in),
+                poll_interval: aniseyoke_pace::polls::Rules::every_by(poll_within),
                 members: of(Role::Proxy).chain(of(Role::Node)).collect(),
             };
             let lab = programs.lab.clone();
-            let n = self.procs.add(format!("host-{host}"), move || {
+            let n = self.children.add(format!("host-{host}"), move || {
                 let mut command = Command::new(&lab);
                 command.arg("hollow");
                 command
             })?;
             self.hosts.push(n);
-            let line = serde_json::to_string(&hosted).map_err(|e| e.to_string())?;
-            self.procs.write(n, &line)?;
+            let line = serde_json::to_string(&host_spec).map_err(ScaleError::Json)?;
+            self.children.write(n, &line)?;
         }
         Ok(())
     }
--- a/crates/lab-scale/src/publish.rs
+++ b/crates/lab-scale/src/publish.rs
@@ -1,4 +1,4 @@
-//! Purges and changes, made as operators make them: each at its time, whatever became of the ones before.
+//! Publishers of purges and versions: each is published at its time, whatever became of the ones before.
 
 use super::now;
 use aniseyoke_control::frame::{FromOperator, ToOperator};
@@ -12,65 +12,87 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A call is given up after so long, and made again.
+/// A call without an answer is retried after this time.
 const ANSWERS_WITHIN: Duration = Duration::from_secs(10);
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What was made.
+/// A purge or a version that was published.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Made {
+pub struct Published {
     /// Its number.
     pub number: u64,
     /// When it was due, from the start of the schedule.
     pub due: Duration,
     /// The same on the machine's clock.
     pub due_at: u64,
-    /// When it was first called for.
+    /// When it was first called for, on the same clock.
     pub called_at: u64,
-    /// When the answer was there.
+    /// When the call was answered, on the same clock.
     pub answered_at: u64,
 }
 
-/// What all publishers have made, and how often a call had to be made again.
+/// What all publishers have published, and how often a call was retried.
 #[derive(Default)]
-pub struct Log {
+pub struct PublishLog {
     /// Purges.
-    pub purges: Mutex<Vec<Made>>,
+    pub purges: Mutex<Vec<Published>>,
     /// Versions.
-    pub changes: Mutex<Vec<Made>>,
-    /// Calls that failed and were made again.
-    pub again: AtomicUsize,
-    /// The last reason.
+    pub changes: Mutex<Vec<Published>>,
+    /// Calls that failed and were retried.
+    pub retries: AtomicUsize,
+    /// The last reason of a retry.
     pub why: Mutex<String>,
-    /// Set to end.
+    /// Set to end the publishers.
     pub stop: AtomicBool,
 }
 
-/// What is to be made: by which call, for the `n`th of what is due.
+/// The call that publishes the `n`th of what is due.
 pub type Call = Box<dyn Fn(usize) -> FromOperator + Send>;
 
-impl Log {
-    /// What is known of purges or of versions, so far.
-    pub fn made(list: &Mutex<Vec<Made>>) -> Vec<Made> {
+impl PublishLog {
+    /// The purges, or the versions, so far.
+    pub fn published(list: &Mutex<Vec<Published>>) -> Vec<Published> {
         list.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
+    /// Calls until the call is answered, or the publishers are to end.
+    async fn publish(&self, operators: SocketAddr, publish: &FromOperator, due: Duration, due_at: u64) {
+        let called_at = now();
+        let published = |number| Published { number, due, due_at, called_at, answered_at: now() };
+        while !self.stop.load(Ordering::Relaxed) {
+            match timeout(ANSWERS_WITHIN, call(operators, publish)).await {
+                Ok(Ok(ToOperator::Purging { through, .. })) => return add(&self.purges, published(through)),
+                Ok(Ok(ToOperator::Published { stamp })) => {
+                    return add(&self.changes, published(stamp.number))
+                }
+                Ok(Ok(other)) => self.failed(format!("{other:?}")),
+                Ok(Err(why)) => self.failed(why.to_string()),
+                Err(_) => self.failed(format!("{operators}: no answer in time")),
+            }
+            sleep(RETRY_DELAY).await;
+        }
+    }
+
     fn failed(&self, why: String) {
-        self.again.fetch_add(1, Ordering::Relaxed);
+        self.retries.fetch_add(1, Ordering::Relaxed);
         *self.why.lock().unwrap_or_else(PoisonError::into_inner) = why;
     }
 }
 
-/// A publisher on a thread of its own: calls at `door` for each of what is due, from `start` on.
+fn add(list: &Mutex<Vec<Published>>, published: Published) {
+    list.lock().unwrap_or_else(PoisonError::into_inner).push(published);
+}
+
+/// Starts a publisher on a thread of its own: it calls at `operators` for each of what is due, from `start` on.
 ///
 /// # Errors
 /// If the system lacks threads or descriptors.
 pub fn start(
-    log: Arc<Log>,
-    door: SocketAddr,
+    log: Arc<PublishLog>,
+    operators: SocketAddr,
     start: u64,
     due: Vec<Duration>,
-    what: Call,
+    publish: Call,
 ) -> std::io::Result<JoinHandle<()>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("publisher".into()).spawn(move || {
@@ -78,26 +100,7 @@
             for (n, due) in due.into_iter().enumerate() {
                 let due_at = start + due.as_nanos() as u64;
                 sleep(Duration::from_nanos(due_at.saturating_sub(now()))).await;
-                let called_at = now();
-                while !log.stop.load(Ordering::Relaxed) {
-                    match timeout(ANSWERS_WITHIN, call(door, &what(n))).await {
-                        Ok(Ok(ToOperator::Purging { through, .. })) => {
-                            let made = Made { number: through, due, due_at, called_at, answered_at: now() };
-                            log.purges.lock().unwrap_or_else(PoisonError::into_inner).push(made);
-                            break;
-                        }
-                        Ok(Ok(ToOperator::Published { stamp })) => {
-                            let number = stamp.number;
-                            let made = Made { number, due, due_at, called_at, answered_at: now() };
-                            log.changes.lock().unwrap_or_else(PoisonError::into_inner).push(made);
-                            break;
-                        }
-                        Ok(Ok(other)) => log.failed(format!("{other:?}")),
-                        Ok(Err(why)) => log.failed(why),
-                        Err(_) => log.failed(format!("{door}: no answer in time")),
-                    }
-                    sleep(AGAIN).await;
-                }
+                log.publish(operators, &publish(n), due, due_at).await;
             }
         });
     })
--- a/crates/lab-scale/src/report/tests.rs
+++ b/crates/lab-scale/src/report/tests.rs
@@ -1,5 +1,7 @@
-use super::super::host::Report;
-use super::super::tally::Tally;
+use super::super::figures::quantile;
+use super::super::host::{MemberReport, MemberTraffic};
+use super::super::play::Used;
+use super::super::tally::CompletionTally;
 use super::*;
 use std::collections::BTreeMap;
 
@@ -7,70 +9,75 @@
                     proxies = 2\nnodes = 0\nreal = 1\n[purges]\nper_second = 1\n";
 
 fn outcome() -> Outcome {
-    let mut hollow = Report { purges: Tally::new(2), versions: Tally::new(2), ..Report::default() };
+    let mut hollow = MemberReport {
+        purges: CompletionTally::new(2),
+        versions: CompletionTally::new(2),
+        ..MemberReport::default()
+    };
     for member in 0..2 {
         hollow.purges.reached(member, 1, 250_000_000);
         hollow.versions.reached(member, 2, 300_000_000);
         let traffic = Traffic { bytes_in: 900, bytes_out: 100, frames_in: 5, frames_out: 5, segments: 10 };
-        hollow.members.push((format!("hollow-{member}"), false, traffic, Traffic::default()));
+        let name = format!("hollow-{member}");
+        hollow.members.push(MemberTraffic { name, node: false, control: traffic, list: Traffic::default() });
     }
-    let mut real = Tally::new(1);
+    let mut real = CompletionTally::new(1);
     real.reached(0, 2, 700_000_000);
-    let made = |number| Made {
+    let published = |number| Published {
         number,
         due: Duration::from_millis(50),
         due_at: 50_000_000,
         called_at: 51_000_000,
         answered_at: 52_000_000,
     };
-    let used = |sort| (sort, vec![Used { cpu_s: 0.1, memory_mb: 8.0 }]);
+    let used = |kind| (kind, vec![Used { cpu_s: 0.1, memory_mb: 8.0 }]);
     Outcome {
         seconds: 10.0,
         processes: 3,
         hollow,
         real,
-        purges: vec![made(1)],
-        changes: vec![made(2)],
+        purges: vec![published(1)],
+        changes: vec![published(2)],
         due: (1, 1),
-        again: (0, String::new()),
+        retries: (0, String::new()),
         used: BTreeMap::from([used("root"), used("real"), used("host")]),
         played: Vec::new(),
-        troubles: Vec::new(),
+        problems: Vec::new(),
         schedule: Default::default(),
     }
 }
 
-fn value(judged: &Judged, name: &str) -> f64 {
-    let found = judged.scale.figures.iter().find(|f| f.name == name);
+fn value(judgement: &Judgement, name: &str) -> f64 {
+    let found = judgement.scale.figures.iter().find(|f| f.name == name);
     found.unwrap_or_else(|| panic!("no figure {name}")).value
 }
 
 #[test]
 fn the_last_member_real_or_hollow_makes_the_time() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
-    let judged = judge("a", "p.toml", &plan, 1, &outcome());
-    assert!(judged.complete, "{:?}", judged.troubles);
-    assert_eq!(value(&judged, "purge.done_everywhere.most"), 200.0);
-    assert_eq!(value(&judged, "change.done_everywhere.p50"), 650.0);
-    assert_eq!(value(&judged, "hollow_proxy.control.bytes.mean"), 100.0);
-    assert_eq!(value(&judged, "hollow_proxy.control.bytes_with_headers_estimated.mean"), 152.0);
-    assert_eq!(value(&judged, "hollow_member.core.mean"), 0.005);
-    let json = serde_json::to_value(&judged.scale).expect("JSON");
+    let judgement = judge("a", "p.toml", &plan, 1, &outcome());
+    assert!(judgement.complete, "{:?}", judgement.problems);
+    assert_eq!(value(&judgement, "purge.done_everywhere.most"), 200.0);
+    assert_eq!(value(&judgement, "change.done_everywhere.p50"), 650.0);
+    assert_eq!(value(&judgement, "hollow_proxy.control.bytes.mean"), 100.0);
+    assert_eq!(value(&judgement, "hollow_proxy.control.bytes_with_headers_estimated.mean"), 152.0);
+    assert_eq!(value(&judgement, "hollow_member.core.mean"), 0.005);
+    let json = serde_json::to_value(&judgement.scale).expect("JSON");
     assert_eq!(json["figures"][0]["name"], "run.complete");
     assert!(json["figures"][0].get("limit").is_none());
-    assert!(table(&judged, &outcome()).contains("\ncomplete"));
+    assert!(table(&judgement, &outcome()).contains("\ncomplete"));
 }
 
 #[test]
 fn what_one_member_lacks_is_named_and_the_run_is_not_complete() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let mut lacking = outcome();
-    lacking.hollow.purges = Tally::new(2);
+    lacking.hollow.purges = CompletionTally::new(2);
     lacking.hollow.purges.reached(0, 1, 1);
-    let judged = judge("a", "p.toml", &plan, 1, &lacking);
-    assert!(!judged.complete);
-    assert_eq!(value(&judged, "purge.not_done_everywhere"), 1.0);
-    assert!(judged.troubles.iter().any(|t| t.contains("hollow-1@0")), "{:?}", judged.troubles);
+    let judgement = judge("a", "p.toml", &plan, 1, &lacking);
+    assert!(!judgement.complete);
+    assert_eq!(value(&judgement, "purge.not_done_everywhere"), 1.0);
+    assert!(judgement.problems.iter().any(|t| t.contains("hollow-1@0")), "{:?}", judgement.problems);
     let mut unmade = outcome();
     unmade.due.0 = 2;
     assert!(!judge("a", "p.toml", &plan, 1, &unmade).complete);
--- a/crates/lab-scale/src/tally.rs
+++ b/crates/lab-scale/src/tally.rs
@@ -1,48 +1,48 @@
-//! When each number, of a purge or of a version, was in force at all members. No I/O, no clock.
+//! When each purge, or each version, by its number was in force at all members. No I/O, no clock.
 
 use serde::{Deserialize, Serialize};
 
-/// Higher numbers are counted as being beyond, and no more than that.
-pub const NUMBERS_MOST: u64 = 1_000_000;
+/// Higher numbers are only counted as being beyond it.
+pub const MAX_NUMBER: u64 = 1_000_000;
 
-/// What became of the numbers at a set of members.
+/// How far a set of members is, and when each number was in force at all of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct CompletionTally {
     /// The highest number that each member has.
-    marks: Vec<u64>,
+    progress: Vec<u64>,
     /// For number `n`, at `n - 1`: how many members have it, and when the last of them did, in nanoseconds.
     done: Vec<(u32, u64)>,
-    /// Numbers past [`NUMBERS_MOST`] that were told.
+    /// Numbers past [`MAX_NUMBER`].
     pub beyond: u64,
 }
 
-impl Tally {
-    /// For so many members, numbered from 0, which have nothing yet.
+impl CompletionTally {
+    /// For this many members, numbered from 0, which have nothing yet.
     pub fn new(members: usize) -> Self {
-        Tally { marks: vec![0; members], ..Tally::default() }
+        CompletionTally { progress: vec![0; members], ..CompletionTally::default() }
     }
 
     /// How many members there are.
     pub fn members(&self) -> usize {
-        self.marks.len()
+        self.progress.len()
     }
 
     fn count(&mut self, member: usize, through: u64, at: u64) {
-        let Some(mark) = self.marks.get_mut(member) else { return };
-        if through > NUMBERS_MOST {
+        let Some(progress) = self.progress.get_mut(member) else { return };
+        if through > MAX_NUMBER {
             self.beyond += 1;
             return;
         }
         if self.done.len() < through as usize {
             self.done.resize(through as usize, (0, 0));
         }
-        let from = *mark as usize;
+        let from = *progress as usize;
         if (through as usize) > from {
             for (count, last) in &mut self.done[from..through as usize] {
                 *count += 1;
                 *last = (*last).max(at);
             }
-            *mark = through;
+            *progress = through;
         }
     }
 
@@ -51,14 +51,14 @@
         self.count(member, through, at);
     }
 
-    /// Everything through a number does not concern a member: it started anew after they were made, and holds nothing.
+    /// Everything through a number does not concern a member, which started after they were published.
     pub fn excused(&mut self, member: usize, through: u64) {
         self.count(member, through, 0);
     }
 
     /// The number through which all members have everything.
     pub fn everywhere(&self) -> u64 {
-        self.marks.iter().copied().min().unwrap_or(u64::MAX)
+        self.progress.iter().copied().min().unwrap_or(u64::MAX)
     }
 
     /// The highest number that any member has.
@@ -69,23 +69,23 @@
     /// When the last of the members had number `number`; none if one of them has not.
     pub fn done(&self, number: u64) -> Option<u64> {
         let (count, last) = *self.done.get(usize::try_from(number.checked_sub(1)?).ok()?)?;
-        (count as usize == self.marks.len()).then_some(last)
+        (count as usize == self.progress.len()).then_some(last)
     }
 
-    /// Members, by number, that lack something through `newest`, and what they stand at.
+    /// Members, by number, that lack something through `newest`, and the number that they have.
     pub fn lacking(&self, newest: u64) -> impl Iterator<Item = (usize, u64)> + '_ {
-        self.marks.iter().copied().enumerate().filter(move |(_, mark)| *mark < newest)
+        self.progress.iter().copied().enumerate().filter(move |(_, progress)| *progress < newest)
     }
 
-    /// Takes in what became of the numbers at other members.
-    pub fn join(&mut self, other: Tally) {
+    /// Adds the tally of other members.
+    pub fn join(&mut self, other: CompletionTally) {
         if self.done.len() < other.done.len() {
             self.done.resize(other.done.len(), (0, 0));
         }
         for (mine, theirs) in self.done.iter_mut().zip(other.done) {
             *mine = (mine.0 + theirs.0, mine.1.max(theirs.1));
         }
-        self.marks.extend(other.marks);
+        self.progress.extend(other.progress);
         self.beyond += other.beyond;
     }
 }
--- a/crates/lab-scale/src/tally/tests.rs
+++ b/crates/lab-scale/src/tally/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_number_is_done_when_the_last_member_has_it() {
-    let mut tally = Tally::new(3);
+    let mut tally = CompletionTally::new(3);
     tally.reached(0, 2, 10);
     tally.reached(1, 1, 20);
     tally.reached(2, 2, 30);
@@ -18,7 +18,7 @@
 
 #[test]
 fn what_does_not_concern_a_new_member_is_not_waited_for_and_sets_no_time() {
-    let mut tally = Tally::new(2);
+    let mut tally = CompletionTally::new(2);
     tally.reached(0, 5, 10);
     tally.excused(1, 4);
     tally.reached(1, 5, 50);
@@ -27,7 +27,7 @@
 
 #[test]
 fn two_sets_joined_are_as_one() {
-    let (mut a, mut b) = (Tally::new(1), Tally::new(2));
+    let (mut a, mut b) = (CompletionTally::new(1), CompletionTally::new(2));
     a.reached(0, 3, 7);
     b.reached(0, 3, 9);
     b.reached(1, 2, 8);
@@ -38,7 +38,7 @@
 
 #[test]
 fn numbers_past_the_bound_and_unknown_members_take_no_room() {
-    let mut tally = Tally::new(1);
+    let mut tally = CompletionTally::new(1);
     tally.reached(0, u64::MAX, 1);
     tally.reached(7, 3, 1);
     assert_eq!((tally.newest(), tally.beyond, tally.everywhere()), (0, 1, 0));
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -1,5 +1,5 @@
-//! Real proxies behind one control service: how long a version takes from publishing to in force at all of them, how
-//! long the swap holds each one's serving thread up, and what a client of one of them sees of it.
+//! Real proxies behind one control service: how long a version takes from publishing to in force at all of them, how long
+//! the swap blocks each one's serving thread, and the latency that a client of one of them observes.
 
 use aniseyoke_control::hosted::Hosted;
 use aniseyoke_control::publisher::Row;
@@ -7,15 +7,16 @@
 use aniseyoke_control::Stamp;
 use aniseyoke_lab_audit::Recorder;
 use aniseyoke_lab_day::clock::Clock;
-use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_day::{proxy_config, Day, DayError, FileError};
 use aniseyoke_lab_load::Percentiles;
-use aniseyoke_lab_process::{Program, Running, Subject, Usage};
+use aniseyoke_lab_process::{ProcessError, Program, ProxyLauncher, RunningProxy, Usage};
 use aniseyoke_lab_site::Site;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::{json, Value};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
@@ -25,18 +26,18 @@
 const MEMORY_MB: usize = 128;
 /// All proxies have a version within this time, or the measurement fails.
 const WITHIN: Duration = Duration::from_secs(60);
-/// Who runs what is looked at as often.
-const LOOK: Duration = Duration::from_millis(5);
-/// The watched proxy is left alone for so long, for comparison.
-const QUIET: Duration = Duration::from_secs(3);
-/// A call at the watched proxy each so long.
+/// How often the running versions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Calls are measured for this long before anything is published, for comparison.
+const QUIET_TIME: Duration = Duration::from_secs(3);
+/// The pause between two calls.
 const CALL_EVERY: Duration = Duration::from_micros(500);
-/// The longest span that is told apart, in microseconds.
-const SPAN_MOST_US: u64 = 120_000_000;
+/// The longest time that is told apart, in microseconds.
+const MAX_SPAN_US: u64 = 120_000_000;
 
-/// How much is measured.
+/// The size of a measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     /// Real proxies.
     pub proxies: usize,
     /// Versions after the first, each with one route changed.
@@ -45,40 +46,99 @@
     pub routes: u64,
 }
 
-/// What one version took.
+/// The cost of one version.
 #[derive(Clone, Debug, Serialize)]
-pub struct Took {
-    /// From publishing to the word of each proxy that it is in force.
+pub struct VersionTiming {
+    /// From publishing to each proxy's acknowledgement that it is in force.
     pub in_force: Percentiles,
     /// CPU time of the service, in milliseconds.
     pub service_ms: f64,
 }
 
-/// What was measured.
+/// The result of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
-    /// Proxies that took part.
+    /// Real proxies.
     pub proxies: usize,
     /// The length of a whole version as JSON, in bytes.
     pub bytes: usize,
     /// Each version, the first of them sent whole.
-    pub versions: Vec<Took>,
-    /// How long swaps held serving threads up.
+    pub versions: Vec<VersionTiming>,
+    /// How long swaps blocked serving threads.
     pub swaps: Percentiles,
-    /// What calls at one proxy took while nothing was published.
+    /// Latency of calls at one proxy while nothing was published.
     pub calls_before: Percentiles,
-    /// And while versions came.
+    /// The same while versions came.
     pub calls_during: Percentiles,
     /// CPU time of all proxies for each version, in milliseconds a proxy.
     pub proxy_ms: f64,
     /// The most memory of a proxy before the first version, in MB.
     pub memory_before_mb: f64,
-    /// And after the last.
+    /// The same after the last.
     pub memory_after_mb: f64,
 }
 
-/// A version with so many routes, one of which is another in each.
-pub fn body(day: &Day, routes: u64, changed: u64) -> Value {
+/// Why a measurement of versions failed.
+#[derive(Debug, thiserror::Error)]
+pub enum VersionsError {
+    /// The day of the stand-in site is not possible.
+    #[error(transparent)]
+    Day(#[from] DayError),
+    /// The stand-in site could not be opened.
+    #[error("site: {0}")]
+    Site(#[source] io::Error),
+    /// The control service could not be started.
+    #[error("service: {0}")]
+    Service(#[source] io::Error),
+    /// There is no folder for the proxies.
+    #[error("a folder: {0}")]
+    Folder(#[source] io::Error),
+    /// A file can't be written.
+    #[error(transparent)]
+    File(#[from] FileError),
+    /// A proxy could not be started.
+    #[error(transparent)]
+    Process(#[from] ProcessError),
+    /// Not all proxies connected to the service in time.
+    #[error("only {connected} proxies found the service")]
+    NotConnected {
+        /// Those that did.
+        connected: usize,
+    },
+    /// The service rejected a version.
+    #[error("{0}")]
+    Publish(String),
+    /// A proxy rejected a version.
+    #[error("version {stamp} is turned down: {}", why.join("; "))]
+    Rejected {
+        /// The version.
+        stamp: Stamp,
+        /// Why.
+        why: Vec<String>,
+    },
+    /// A version was not in force everywhere in time.
+    #[error("only {running} of {proxies} proxies run version {stamp}")]
+    NotInForce {
+        /// The version.
+        stamp: Stamp,
+        /// Proxies that run it.
+        running: usize,
+        /// All proxies.
+        proxies: usize,
+    },
+    /// The thread that calls a proxy's health panicked.
+    #[error("the watch broke")]
+    CallerPanicked,
+    /// The proxy whose health is called did not answer.
+    #[error("the watched proxy: {0}")]
+    Caller(#[source] io::Error),
+    /// No proxy logged a swap.
+    #[error("no proxy told of a swap")]
+    NoSwap,
+}
+
+/// A version with this many routes, of which a different one differs in each.
+pub fn version_body(day: &Day, routes: u64, changed: u64) -> Value {
     let kinds: Vec<&str> = day.site.cache.kinds.iter().map(|k| k.name.as_str()).collect();
     let pool = |n| if n == changed % routes.max(1) { "b" } else { "a" };
     let route = |n| json!({ "prefix": format!("device-{n:06}/"), "pool": pool(n) });
@@ -87,20 +147,20 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(SPAN_MOST_US, 3).expect("constant bounds are sound")
+    Histogram::new_with_max(MAX_SPAN_US, 3).expect("constant bounds are sound")
 }
 
-/// Calls at a proxy's health, one after the other, on a thread of its own.
-struct Watch {
+/// Calls a proxy's health endpoint, one call after the other, on a thread of its own.
+struct HealthCaller {
     calls: Arc<Mutex<Histogram<u64>>>,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<std::io::Result<()>>,
 }
 
-impl Watch {
+impl HealthCaller {
     fn start(addr: SocketAddr) -> Self {
         let (calls, stop) = (Arc::new(Mutex::new(histogram())), Arc::<AtomicBool>::default());
-        let (noted, stopped) = (calls.clone(), stop.clone());
+        let (calls_in, stopped) = (calls.clone(), stop.clone());
         let thread = std::thread::spawn(move || {
             let mut stream: Option<BufReader<TcpStream>> = None;
             while !stopped.load(Ordering::Relaxed) {
@@ -120,14 +180,14 @@
                     stream = Some(peer);
                 }
                 let took = start.elapsed().as_micros() as u64;
-                noted.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(took);
+                calls_in.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(took);
             }
             Ok(())
         });
-        Watch { calls, stop, thread }
+        HealthCaller { calls, stop, thread }
     }
 
-    /// What calls took since the last look.
+    /// The latency of calls since the last time.
     fn take(&self) -> Percentiles {
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         let took = Percentiles::from(&*calls);
@@ -135,14 +195,14 @@
         took
     }
 
-    fn end(self) -> Result<(), String> {
+    fn end(self) -> Result<(), VersionsError> {
         self.stop.store(true, Ordering::Relaxed);
-        let ended = self.thread.join().map_err(|_| "the watch broke".to_owned())?;
-        ended.map_err(|e| format!("the watched proxy: {e}"))
+        let ended = self.thread.join().map_err(|_| VersionsError::CallerPanicked)?;
+        ended.map_err(VersionsError::Caller)
     }
 }
 
-/// Reads an answer; whether the connection may be used again.
+/// Reads a response; whether the connection may be used again.
 fn health(peer: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
     let (mut length, mut stays) = (0, true);
     loop {
@@ -166,8 +226,8 @@
     Ok(stays)
 }
 
-/// The span that a line of a proxy's log tells of a swap, in microseconds.
-fn swapped(line: &str) -> Option<f64> {
+/// The duration of a swap that a line of a proxy's log tells, in microseconds.
+fn swap_duration_us(line: &str) -> Option<f64> {
     let (_, told) = line.split_once("swapped in ")?;
     let unit = told.find(|c: char| c != '.' && !c.is_ascii_digit())?;
     let number: f64 = told[..unit].parse().ok()?;
@@ -181,12 +241,16 @@
     Some(number * in_us)
 }
 
-fn usage(proxies: &[Box<dyn Running>]) -> Vec<Usage> {
-    proxies.iter().filter_map(|p| p.pid().and_then(Usage::look)).collect()
+fn usage(proxies: &[Box<dyn RunningProxy>]) -> Vec<Usage> {
+    proxies.iter().filter_map(|p| p.pid().and_then(Usage::of_process)).collect()
 }
 
-/// Waits until every proxy runs a version, and tells what each took.
-fn all_run(service: &Hosted, stamp: Stamp, proxies: usize) -> Result<Histogram<u64>, String> {
+/// Waits until every proxy runs a version; how long each took.
+fn wait_until_running(
+    service: &Hosted,
+    stamp: Stamp,
+    proxies: usize,
+) -> Result<Histogram<u64>, VersionsError> {
     let until = Instant::now() + WITHIN;
     loop {
         let rows = service.rows();
@@ -197,12 +261,12 @@
             return Ok(took);
         }
         if let Some((_, why)) = rows.iter().filter_map(|r| r.refused.as_ref()).find(|r| r.0 == stamp) {
-            return Err(format!("version {stamp} is turned down: {}", why.join("; ")));
+            return Err(VersionsError::Rejected { stamp, why: why.clone() });
         }
         if Instant::now() > until {
-            return Err(format!("only {} of {proxies} proxies run version {stamp}", run.len()));
+            return Err(VersionsError::NotInForce { stamp, running: run.len(), proxies });
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -210,72 +274,100 @@
 ///
 /// # Errors
 /// If the fleet could not be started, or a version did not come into force everywhere.
-pub fn measure(size: Size, program: &std::path::Path) -> Result<Measured, String> {
-    let mut day = Day::open("quiet").map_err(|e| e.to_string())?;
+pub fn measure(size: FleetSize, program: &Path) -> Result<Measured, VersionsError> {
+    let mut day = Day::open("quiet")?;
     day.site.proxy.count = size.proxies;
     day.site.proxy.memory_mb = MEMORY_MB;
     let clock = Clock::start();
-    let site = Site::open(&day, clock, move || Recorder::nowhere(clock)).map_err(|e| format!("site: {e}"))?;
-    let service = Hosted::start(1).map_err(|e| format!("service: {e}"))?;
-    let folder = tempfile::tempdir().map_err(|e| format!("a folder: {e}"))?;
-    let file = folder.path().join("operator.toml");
+    let site = Site::open(&day, clock, move || Recorder::discarding(clock)).map_err(VersionsError::Site)?;
+    let service = Hosted::start(1).map_err(VersionsError::Service)?;
+    let folder = tempfile::tempdir().map_err(VersionsError::Folder)?;
+    let mut proxies = start_proxies(&day, &site, &service, program, folder.path())?;
+    wait_until_connected(&service, size.proxies)?;
+    let caller = HealthCaller::start(proxies[0].addr());
+    std::thread::sleep(QUIET_TIME);
+    let calls_before = caller.take();
+    let before = usage(&proxies);
+    let versions = publish_all(&service, &day, size)?;
+    let (calls_during, after) = (caller.take(), usage(&proxies));
+    caller.end()?;
+    let swaps = swaps(&proxies)?;
+    proxies.iter_mut().for_each(|p| p.terminate());
+    drop(proxies);
+    site.close();
+    let cpu = |usage: &[Usage]| usage.iter().map(|u| u.cpu_s).sum::<f64>();
+    let memory = |usage: &[Usage]| usage.iter().map(|u| u.memory_mb).fold(0.0, f64::max);
+    Ok(Measured {
+        proxies: size.proxies,
+        bytes: version_body(&day, size.routes, 0).to_string().len(),
+        proxy_ms: (cpu(&after) - cpu(&before)) * 1e3 / (size.proxies as f64 * (size.versions + 1) as f64),
+        versions,
+        swaps,
+        calls_before,
+        calls_during,
+        memory_before_mb: memory(&before),
+        memory_after_mb: memory(&after),
+    })
+}
+
+/// Starts the proxies of a site, with the service in their operator file.
+fn start_proxies(
+    day: &Day,
+    site: &Site,
+    service: &Hosted,
+    program: &Path,
+    folder: &Path,
+) -> Result<Vec<Box<dyn RunningProxy>>, VersionsError> {
+    let file = folder.join("operator.toml");
     // Every line about a swap is wanted.
     let text = format!("[log]\nburst = 10000\n[control]\nservices = [\"{}\"]\n", service.addr);
-    std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
+    std::fs::write(&file, text).map_err(FileError::at(&file))?;
     let program = Program { operator: Some(file), ..Program::new(program.to_owned()) };
     let mut proxies = Vec::new();
-    for (me, discovery) in site.discovery.iter().enumerate() {
-        let config = proxy_config(&day, me, *discovery, &site.known[me]);
-        proxies.push(program.start(me, &config, &folder.path().join(format!("proxy-{me}")))?);
+    for (index, discovery) in site.discovery.iter().enumerate() {
+        let config = proxy_config(day, index, *discovery, &site.initial_lists[index]);
+        proxies.push(program.start(index, &config, &folder.join(format!("proxy-{index}")))?);
     }
+    Ok(proxies)
+}
+
+fn wait_until_connected(service: &Hosted, proxies: usize) -> Result<(), VersionsError> {
     let until = Instant::now() + WITHIN;
-    while service.rows().len() < size.proxies {
+    while service.rows().len() < proxies {
         if Instant::now() > until {
-            return Err(format!("only {} proxies found the service", service.rows().len()));
+            return Err(VersionsError::NotConnected { connected: service.rows().len() });
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let watch = Watch::start(proxies[0].addr());
-    std::thread::sleep(QUIET);
-    let calls_before = watch.take();
-    let before = usage(&proxies);
+    Ok(())
+}
+
+/// Publishes the first version and those after it, each once the one before is in force everywhere.
+fn publish_all(service: &Hosted, day: &Day, size: FleetSize) -> Result<Vec<VersionTiming>, VersionsError> {
     let mut versions = Vec::new();
     for n in 0..=size.versions {
         let cpu = service.cpu();
-        let (stamp, _) = service.publish(body(&day, size.routes, n), Plan::default())?;
-        let in_force = Percentiles::from(&all_run(&service, stamp, size.proxies)?);
+        let body = version_body(day, size.routes, n);
+        let published = service.publish(body, Plan::default());
+        let (stamp, _) = published.map_err(|e| VersionsError::Publish(e.to_string()))?;
+        let in_force = Percentiles::from(&wait_until_running(service, stamp, size.proxies)?);
         let service_ms = (service.cpu() - cpu).as_secs_f64() * 1e3;
-        versions.push(Took { in_force, service_ms });
+        versions.push(VersionTiming { in_force, service_ms });
     }
-    let (calls_during, after) = (watch.take(), usage(&proxies));
-    watch.end()?;
+    Ok(versions)
+}
+
+/// How long swaps blocked the serving threads, by the last lines of the proxies.
+fn swaps(proxies: &[Box<dyn RunningProxy>]) -> Result<Percentiles, VersionsError> {
     let mut swaps = histogram();
-    for proxy in &proxies {
-        proxy
-            .last_lines()
-            .iter()
-            .filter_map(|l| swapped(l))
-            .for_each(|us| swaps.saturating_record(us as u64));
+    for proxy in proxies {
+        let lines = proxy.last_lines();
+        lines.iter().filter_map(|l| swap_duration_us(l)).for_each(|us| swaps.saturating_record(us as u64));
     }
     if swaps.is_empty() {
-        return Err("no proxy told of a swap".into());
+        return Err(VersionsError::NoSwap);
     }
-    proxies.iter_mut().for_each(|p| p.terminate());
-    drop(proxies);
-    site.close();
-    let cpu = |usage: &[Usage]| usage.iter().map(|u| u.cpu_s).sum::<f64>();
-    let memory = |usage: &[Usage]| usage.iter().map(|u| u.memory_mb).fold(0.0, f64::max);
-    Ok(Measured {
-        proxies: size.proxies,
-        bytes: body(&day, size.routes, 0).to_string().len(),
-        proxy_ms: (cpu(&after) - cpu(&before)) * 1e3 / (size.proxies as f64 * (size.versions + 1) as f64),
-        versions,
-        swaps: (&swaps).into(),
-        calls_before,
-        calls_during,
-        memory_before_mb: memory(&before),
-        memory_after_mb: memory(&after),
-    })
+    Ok((&swaps).into())
 }
 
 #[cfg(test)]
--- a/crates/lab-scale/src/versions/tests.rs
+++ b/crates/lab-scale/src/versions/tests.rs
@@ -2,17 +2,18 @@
 
 #[test]
 fn the_span_of_a_swap_is_read_in_every_unit() {
-    let read = |told: &str| swapped(&format!("aniseyoke: version 1.2 is in force, swapped in {told}"));
+    let read =
+        |told: &str| swap_duration_us(&format!("aniseyoke: version 1.2 is in force, swapped in {told}"));
     let close = |told: &str, us: f64| read(told).is_some_and(|found| (found - us).abs() < 1e-6);
     assert!(close("950ns", 0.95) && close("87.5µs", 87.5) && close("1.25ms", 1250.0) && close("2s", 2e6));
-    assert_eq!((read("soon"), swapped("something else")), (None, None));
+    assert_eq!((read("soon"), swap_duration_us("something else")), (None, None));
 }
 
 /// The whole way, at a small size.
 #[test]
 fn a_small_fleet_takes_versions_and_every_figure_is_there() {
     let proxy = aniseyoke_lab_process::find_proxy(None).expect("the proxy");
-    let size = Size { proxies: 3, versions: 2, routes: 50 };
+    let size = FleetSize { proxies: 3, versions: 2, routes: 50 };
     let measured = measure(size, &proxy).expect("measured");
     assert_eq!(measured.versions.len(), 3);
     assert!(measured.versions.iter().all(|v| v.in_force.max_ms > 0.0), "{measured:?}");
--- a/crates/lab-sim/src/client.rs
+++ b/crates/lab-sim/src/client.rs
@@ -1,48 +1,48 @@
-//! A client's request: its tries, and what it does after each.
+//! Clients' requests: their attempts, and what a client does after each.
 
 use super::*;
-use aniseyoke_lab_day::Effect as May;
-use aniseyoke_lab_load::{again, patience, Arrival, Manner, Outcome, LEAVES_AFTER};
+use aniseyoke_lab_day::Idempotency;
+use aniseyoke_lab_load::{attempt_limits, retry_delay, Arrival, ClientBehavior, Outcome, ABORTS_AFTER};
 
 /// A request of a client that has not ended.
-pub struct Asking {
+pub struct ClientRequest {
     pub arrival: Arrival,
-    /// The id of its present try.
-    pub id: u64,
-    /// Which try it is at, from 0.
-    pub number: u32,
-    /// Its proxy's number for the present try.
-    pub at: Option<(u32, u64)>,
-    /// Counted from the start of the warming.
+    /// The id of its current attempt.
+    pub request_id: u64,
+    /// Which attempt it is at, from 0.
+    pub attempt_number: u32,
+    /// The proxy of the current attempt, and that proxy's id for it.
+    pub proxy_request: Option<(u32, u64)>,
+    /// Counted from the start of the warm-up.
     pub due: Nanos,
-    /// One of the crowd: comes again at once, this often.
+    /// Set for one of the crowd: it retries at once, at most this often.
     pub crowd: Option<u32>,
     pub outcome: Outcome,
 }
 
-/// A crowd's client comes again after this time.
-const AT_ONCE: Nanos = 5 * MS;
+/// A crowd's client retries after this time.
+const CROWD_RETRY_DELAY: Nanos = 5 * MILLISECOND;
 
 impl Sim {
-    /// The next first try of the day has come, or of the crowd.
-    pub(super) fn due(&mut self) {
-        let Some(arrival) = self.plan.next() else { return };
-        self.ask(arrival, None);
-        if let Some(next) = self.plan.peek() {
+    /// The day's next request is due.
+    pub(super) fn next_request_due(&mut self) {
+        let Some(arrival) = self.arrivals.next() else { return };
+        self.start_request(arrival, None);
+        if let Some(next) = self.arrivals.peek() {
             let at = next.due;
-            self.queue.push(at, Happening::Due);
+            self.queue.push(at, SimEvent::NextRequest);
         }
     }
 
-    pub(super) fn crowded(&mut self) {
+    pub(super) fn start_crowd_request(&mut self) {
         let Some(crowd) = self.options.crowd.clone() else { return };
-        let end = self.from + nanos(crowd.at + crowd.length);
+        let end = self.reported_from + nanos(crowd.at + crowd.length);
         if self.now >= end {
             return;
         }
         let mut rng = rand::SeedableRng::seed_from_u64(mix(self.day.seed, 0xc0d, self.crowd));
         let rng: &mut rand::rngs::Xoshiro256PlusPlus = &mut rng;
-        let key = self.catalogue.draw(rng);
+        let key = self.key_space.draw(rng);
         self.crowd += 1;
         let arrival = Arrival {
             number: (1 << 40) + self.crowd,
@@ -51,111 +51,124 @@
             tenant: crowd.tenant,
             key,
             body: 0,
-            manner: Manner::Plain,
-            heeds: false,
-            hasty: false,
+            behavior: ClientBehavior::Normal,
+            honors_retry_after: false,
+            impatient: false,
         };
-        self.ask(arrival, Some(crowd.again));
+        self.start_request(arrival, Some(crowd.retries));
         let gap = -(1.0 - self.draw()).ln() / crowd.rate.max(1e-9) * SECOND as f64;
-        self.later(gap as Nanos, Happening::Crowd);
+        self.schedule_after(gap as Nanos, SimEvent::CrowdRequest);
     }
 
-    fn ask(&mut self, arrival: Arrival, crowd: Option<u32>) {
+    fn start_request(&mut self, arrival: Arrival, crowd: Option<u32>) {
         let due = arrival.due;
-        let asking =
-            Asking { arrival, id: 0, number: 0, at: None, due, crowd, outcome: Outcome::Unreachable };
-        let place = self.free.pop().unwrap_or(self.asking.len() as u32);
-        if place as usize == self.asking.len() {
-            self.asking.push(asking);
+        let client = ClientRequest {
+            arrival,
+            request_id: 0,
+            attempt_number: 0,
+            proxy_request: None,
+            due,
+            crowd,
+            outcome: Outcome::Unreachable,
+        };
+        let slot = self.free_clients.pop().unwrap_or(self.clients.len() as u32);
+        if slot as usize == self.clients.len() {
+            self.clients.push(client);
         } else {
-            self.asking[place as usize] = asking;
+            self.clients[slot as usize] = client;
         }
         let first = self.second(due);
         self.counts.at(first).into_iter().for_each(|s| s.first += 1);
-        self.attempt(place);
+        self.start_attempt(slot);
     }
 
-    /// Which proxy a try is dealt to.
-    fn deal(&mut self, place: u32) -> u32 {
+    /// The proxy that an attempt is sent to.
+    fn choose_proxy(&mut self, slot: u32) -> u32 {
         let all = self.weights.last().copied().unwrap_or(1.0);
-        let part = match (self.asking[place as usize].crowd, &self.options.crowd) {
+        let fraction = match (self.clients[slot as usize].crowd, &self.options.crowd) {
             (Some(_), Some(crowd)) => crowd.proxies,
             _ => 1.0,
         };
-        let drawn = self.draw() * part * all;
-        self.weights.partition_point(|sum| *sum <= drawn).min(self.hosts.len() - 1) as u32
+        let drawn = self.draw() * fraction * all;
+        self.weights.partition_point(|sum| *sum <= drawn).min(self.proxies.len() - 1) as u32
     }
 
-    /// A client sends its next try, if there is time for one.
-    pub(super) fn attempt(&mut self, place: u32) {
-        let asking = &self.asking[place as usize];
-        let class = &self.day.load.classes[asking.arrival.class];
-        let give_up = asking.due + nanos(class.give_up);
+    /// A client sends its next attempt, if there is time for one.
+    pub(super) fn start_attempt(&mut self, slot: u32) {
+        let client = &self.clients[slot as usize];
+        let class = &self.day.load.classes[client.arrival.class];
+        let give_up = client.due + nanos(class.deadline);
         let left = give_up.saturating_sub(self.now);
-        let (_, patience) = patience(&self.day, &asking.arrival, left);
-        if left < 5 * MS {
-            return self.end(place);
+        let (_, patience) = attempt_limits(&self.day, &client.arrival, left);
+        if left < 5 * MILLISECOND {
+            return self.end_request(slot);
         }
-        let leaves = asking.arrival.manner == Manner::LeavesWaiting;
-        let (number, id) =
-            (asking.number, mix(self.day.seed ^ 0x1d5, asking.arrival.number, u64::from(asking.number)));
-        self.asking[place as usize].id = id;
+        let aborts = client.arrival.behavior == ClientBehavior::AbortsWaiting;
+        let number = client.attempt_number;
+        let request_id = mix(self.day.seed ^ 0x1d5, client.arrival.number, u64::from(number));
+        self.clients[slot as usize].request_id = request_id;
         let second = self.second(self.now);
-        self.counts.at(second).into_iter().for_each(|s| s.tries += 1);
-        let proxy = self.deal(place);
-        if leaves {
-            self.later(nanos(LEAVES_AFTER), Happening::Leave(place, number));
+        self.counts.at(second).into_iter().for_each(|s| s.attempts += 1);
+        let proxy = self.choose_proxy(slot);
+        if aborts {
+            self.schedule_after(nanos(ABORTS_AFTER), SimEvent::ClientAbort(slot, number));
         }
-        self.arrive(proxy, place, patience);
+        self.arrive(proxy, slot, patience);
     }
 
-    /// A try has ended for its client.
-    pub(super) fn told(&mut self, place: u32, number: u32, outcome: Outcome, wait: Option<Duration>) {
-        let asking = &mut self.asking[place as usize];
-        if asking.number != number || asking.at.is_none() {
+    /// An attempt has ended for its client.
+    pub(super) fn attempt_ended(
+        &mut self,
+        slot: u32,
+        number: u32,
+        outcome: Outcome,
+        retry_after: Option<Duration>,
+    ) {
+        let client = &mut self.clients[slot as usize];
+        if client.attempt_number != number || client.proxy_request.is_none() {
             return;
         }
-        asking.at = None;
-        asking.outcome = outcome;
+        client.proxy_request = None;
+        client.outcome = outcome;
         if outcome == Outcome::Served
-            && self.now > asking.due + nanos(self.day.load.classes[asking.arrival.class].aim)
+            && self.now > client.due + nanos(self.day.load.classes[client.arrival.class].latency_objective)
         {
-            asking.outcome = Outcome::Late;
+            client.outcome = Outcome::Late;
         }
-        let class = &self.day.load.classes[asking.arrival.class];
-        let most = asking.crowd.unwrap_or(patience(&self.day, &asking.arrival, 0).0);
-        let over = matches!(asking.outcome, Outcome::Served | Outcome::Late | Outcome::Left);
-        // The client does not know whether what must not run twice has run: it asks somebody instead.
-        let unsure = class.effect == May::Unsafe && outcome != Outcome::Refused;
-        if over || unsure || number >= most {
-            return self.end(place);
+        let class = &self.day.load.classes[client.arrival.class];
+        let max_retries = client.crowd.unwrap_or(attempt_limits(&self.day, &client.arrival, 0).0);
+        let done = matches!(client.outcome, Outcome::Served | Outcome::Late | Outcome::Left);
+        // The client cannot know whether a request that is not idempotent was executed: it does not retry.
+        let unsure = class.idempotency == Idempotency::NotIdempotent && outcome != Outcome::Refused;
+        if done || unsure || number >= max_retries {
+            return self.end_request(slot);
         }
-        let told = wait.filter(|_| asking.arrival.heeds);
-        let delay = if asking.crowd.is_some() {
-            AT_ONCE
+        let retry_after = retry_after.filter(|_| client.arrival.honors_retry_after);
+        let delay = if client.crowd.is_some() {
+            CROWD_RETRY_DELAY
         } else {
-            nanos(again(&self.day, &asking.arrival, number, told))
+            nanos(retry_delay(&self.day, &client.arrival, number, retry_after))
         };
-        asking.number += 1;
-        self.later(delay, Happening::Try(place));
+        client.attempt_number += 1;
+        self.schedule_after(delay, SimEvent::ClientAttempt(slot));
     }
 
-    /// A request has ended, with all its tries.
-    fn end(&mut self, place: u32) {
-        let asking = &self.asking[place as usize];
-        let latency = self.now.saturating_sub(asking.due);
-        let class = &self.day.load.classes[asking.arrival.class];
-        if let Some(since) = asking.due.checked_sub(self.from) {
-            let tally = if asking.crowd.is_some() { &mut self.counts.crowd } else { &mut self.counts.tally };
-            tally.add(
-                asking.arrival.class,
-                asking.arrival.tenant,
-                asking.outcome,
+    /// A request has ended, with all its attempts.
+    fn end_request(&mut self, slot: u32) {
+        let client = &self.clients[slot as usize];
+        let latency = self.now.saturating_sub(client.due);
+        let class = &self.day.load.classes[client.arrival.class];
+        if let Some(since) = client.due.checked_sub(self.reported_from) {
+            let stats = if client.crowd.is_some() { &mut self.counts.crowd } else { &mut self.counts.stats };
+            stats.add(
+                client.arrival.class,
+                client.arrival.tenant,
+                client.outcome,
                 since,
                 latency,
-                class.worth,
+                class.weight,
             );
         }
-        self.free.push(place);
+        self.free_clients.push(slot);
     }
 }
--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -2,30 +2,31 @@
 //! fleets of hundreds of proxies fit in one process, and a day follows from its file, seed and sizes alone.
 //!
 //! What is left out against a trial on sockets: the proxies' own cost in time, bytes and their pieces, the front's notice of dead
-//! proxies (none dies here), discovery's own load, limits that an operator's file sets, and what connections cost a node. A new
+//! proxies (none dies here), discovery's own load, limits that an operator file sets, and what connections cost a node. A new
 //! connection costs a round trip.
 
+mod attempts;
 mod client;
-mod count;
-mod host;
-mod lists;
+mod counts;
+mod list_service;
+mod proxy;
 mod queue;
 mod ramp;
 mod run;
 #[cfg(test)]
 mod tests;
 
-pub use count::{Counts, Second, CAUSES};
-pub use lists::Service;
+pub use counts::{Counts, Second, CAUSES};
+pub use list_service::ListService;
 pub use ramp::{Fullest, Ramped};
 
-use aniseyoke_lab_day::clock::{mix, nanos, part, Nanos, MS, SECOND};
+use aniseyoke_lab_day::clock::{mix, nanos, unit_fraction, Nanos, MILLISECOND, SECOND};
 use aniseyoke_lab_day::Day;
-use aniseyoke_lab_load::Plan;
-use aniseyoke_lab_world::connection_load::{Bears, Toll};
-use aniseyoke_lab_world::{Catalogue, Effect, Ticket, World};
-use client::Asking;
-use host::Host;
+use aniseyoke_lab_load::Arrivals;
+use aniseyoke_lab_world::connection_load::{ConnectionLimits, ConnectionLoad};
+use aniseyoke_lab_world::{AttemptId, Effect, KeySpace, World};
+use client::ClientRequest;
+use proxy::SimProxy;
 use queue::Queue;
 use ramp::Ramp;
 use rustc_hash::FxHashMap;
@@ -35,29 +36,29 @@
 /// How a day is played in simulated time.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// So long before what is reported the day's load runs with a ledger that has room for all, so that caches fill.
-    pub warm: Duration,
+    /// So long before what is reported the day's load runs with a origin that has room for all, so that caches fill.
+    pub warm_up: Duration,
     /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight; 0: evenly.
-    pub uneven: f64,
+    pub unevenness: f64,
     /// The part of all tries that comes to the first proxy beside its share of the rest; below 1.
-    pub heavy: f64,
+    pub first_proxy_fraction: f64,
     /// Clients beside the day's own.
     pub crowd: Option<Crowd>,
     /// The list service; none: proxies hear of each change at once, and calls are not counted.
-    pub list: Option<Service>,
-    /// Connections a second that all proxies together open to a node and to the ledger; none: as many as they like.
-    pub opening: Option<(f64, f64)>,
+    pub list: Option<ListService>,
+    /// Connections a second that all proxies together open to a node and to the origin; none: as many as they like.
+    pub connection_rates: Option<(f64, f64)>,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            warm: Duration::from_secs(30),
-            uneven: 0.6,
-            heavy: 0.0,
+            warm_up: Duration::from_secs(30),
+            unevenness: 0.6,
+            first_proxy_fraction: 0.0,
             crowd: None,
             list: None,
-            opening: None,
+            connection_rates: None,
         }
     }
 }
@@ -76,78 +77,79 @@
     /// The tenant, as the day numbers them.
     pub tenant: usize,
     /// They come again by themselves this often after a bad answer, at once and heeding no advice.
-    pub again: u32,
+    pub retries: u32,
 }
 
-/// The ledger is so many times as quick while caches fill.
-const QUICK: f64 = 20.0;
+/// The origin is so many times as quick while caches fill.
+const WARM_UP_ORIGIN_SPEED: f64 = 20.0;
 /// The way between any two machines, at least and at most.
-const WAY: (Nanos, Nanos) = (MS / 5, MS / 2);
+const NETWORK_DELAY: (Nanos, Nanos) = (MILLISECOND / 5, MILLISECOND / 2);
 /// A connection that nobody answers is given up after this time.
-const CONNECT_WITHIN: Nanos = 250 * MS;
+const CONNECT_TIMEOUT: Nanos = 250 * MILLISECOND;
 /// Proxies differ in what clients send them by at most this factor from the mean.
-const UNEVEN_MOST: f64 = 6.0;
+const MAX_UNEVENNESS: f64 = 6.0;
 
 /// What will happen at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    /// The next first try is due.
-    Due,
-    /// One of the crowd is due.
-    Crowd,
+enum SimEvent {
+    /// The day's next request is due.
+    NextRequest,
+    /// The crowd's next request is due.
+    CrowdRequest,
     /// The model has something due.
-    World,
-    /// The load of the reported part begins.
-    Begin,
-    /// A client asks: a place in the table of clients.
-    Try(u32),
-    /// A client leaves before its answer: its place and which try.
-    Leave(u32, u32),
+    WorldDue,
+    /// The reported part begins.
+    DayBegins,
+    /// A client sends its next attempt: its slot.
+    ClientAttempt(u32),
+    /// A client disconnects before its response: its slot, and which attempt.
+    ClientAbort(u32, u32),
     /// A proxy's request has run out of time.
-    Guard(u32, u64),
+    Deadline(u32, u64),
     /// A proxy's timer.
     Timer(u32, u64),
-    /// A proxy's attempt reaches its node: ticket.
-    Reach(Ticket),
-    /// A proxy's attempt has ended, as its proxy sees it.
-    Back(Ticket, Back),
+    /// A proxy's attempt arrives at its member.
+    AttemptArrival(AttemptId),
+    /// The outcome of an attempt has reached its proxy.
+    AttemptReply(AttemptId, AttemptReply),
     /// A proxy waits no longer for an attempt.
-    Over(Ticket),
-    /// A proxy hears of a change of the list: the version to which it is brought.
-    Told(u32),
+    AttemptTimeout(AttemptId),
+    /// A proxy is sent the endpoint list.
+    ListAnswer(u32),
     /// A proxy's call reaches the list service.
-    Ask(u32),
-    /// A proxy's watch has been held for its time; its number.
-    Held(u32, u32),
+    ListCall(u32),
+    /// A proxy's watch has been held for its time: the watch's number.
+    WatchExpiry(u32, u32),
     /// A proxy's call has failed, or was refused.
-    Unlisted(u32, bool),
+    ListFailure(u32, bool),
     /// A proxy asks for a permit to open a connection for an attempt.
-    Open(Ticket),
+    OpenConnection(AttemptId),
 }
 
 /// What comes back of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Back {
+enum AttemptReply {
     Served { hit: bool },
     Miss,
     Error,
-    Full,
-    Unreached,
+    Rejected,
+    ConnectFailed,
     Reset,
 }
 
 /// One attempt that is out.
-struct Out {
+struct InFlightAttempt {
     proxy: u32,
     request: u64,
-    number: u32,
+    /// Which of its request's attempts it is.
+    index: u32,
     member: usize,
     /// Over a connection that was opened for it.
-    fresh: bool,
+    new_connection: bool,
     reached: bool,
     /// Nothing comes back over its connection any more.
     dead: bool,
-    ledger: bool,
+    origin: bool,
     /// It waits for a permit to open its connection until then at most; none: it waits for none.
     permit_by: Option<Nanos>,
 }
@@ -156,29 +158,30 @@
 pub struct Sim {
     day: Day,
     options: Options,
-    catalogue: Catalogue,
+    key_space: KeySpace,
     world: World,
-    plan: Peekable<Plan>,
+    arrivals: Peekable<Arrivals>,
     queue: Queue,
     now: Nanos,
     /// When what is reported begins.
-    from: Nanos,
-    hosts: Vec<Host>,
+    reported_from: Nanos,
+    proxies: Vec<SimProxy>,
     /// Sums of the proxies' weights, by which clients are dealt.
     weights: Vec<f64>,
-    asking: Vec<Asking>,
-    free: Vec<u32>,
+    /// The requests that have not ended, by slot.
+    clients: Vec<ClientRequest>,
+    free_clients: Vec<u32>,
     crowd: u64,
-    out: FxHashMap<Ticket, Out>,
-    tickets: Ticket,
+    in_flight: FxHashMap<AttemptId, InFlightAttempt>,
+    attempt_count: AttemptId,
     draws: u64,
-    runs: FxHashMap<u64, u32>,
+    executions: FxHashMap<u64, u32>,
     /// Members by the id that the module knows them by.
-    named: FxHashMap<u64, usize>,
+    members_by_server: FxHashMap<u64, usize>,
     /// For when the model was last put into the queue.
     world_due: Option<Nanos>,
     effects: Vec<Effect>,
-    toll: Toll,
+    connection_load: ConnectionLoad,
     ramp: Ramp,
     /// What was counted.
     pub counts: Counts,
@@ -187,63 +190,66 @@
 impl Sim {
     /// A day before it begins, its proxies and nodes as the day's file has them.
     pub fn new(day: &Day, options: Options) -> Self {
-        let warm = nanos(options.warm);
-        let catalogue = Catalogue::new(day);
-        let mut world = World::new(day, &catalogue);
-        world.empty();
-        let hosts = (0..day.site.proxy.count).map(|me| Host::new(day, me, &options));
-        let hosts: Vec<Host> = hosts.collect();
+        let warm_up = nanos(options.warm_up);
+        let key_space = KeySpace::new(day);
+        let mut world = World::new(day, &key_space);
+        world.clear_caches();
+        let proxies = (0..day.site.proxy.count).map(|index| SimProxy::new(day, index, &options));
+        let proxies: Vec<SimProxy> = proxies.collect();
         let mut sum = 0.0;
-        let weights = (0..hosts.len()).map(|p| {
-            let drawn: f64 = (0..12).map(|n| part(mix(day.seed, 0x0e7e + n, p as u64))).sum::<f64>() - 6.0;
-            sum += (options.uneven * drawn).exp().clamp(1.0 / UNEVEN_MOST, UNEVEN_MOST);
+        let weights = (0..proxies.len()).map(|p| {
+            let drawn: f64 =
+                (0..12).map(|n| unit_fraction(mix(day.seed, 0x0e7e + n, p as u64))).sum::<f64>() - 6.0;
+            sum += (options.unevenness * drawn).exp().clamp(1.0 / MAX_UNEVENNESS, MAX_UNEVENNESS);
             sum
         });
         let mut weights: Vec<f64> = weights.collect();
-        let heavy = options.heavy.clamp(0.0, 0.99);
-        weights.iter_mut().for_each(|upto| *upto += heavy / (1.0 - heavy) * sum);
+        let first_proxy_fraction = options.first_proxy_fraction.clamp(0.0, 0.99);
+        weights
+            .iter_mut()
+            .for_each(|upto| *upto += first_proxy_fraction / (1.0 - first_proxy_fraction) * sum);
         let mut sim = Sim {
-            plan: Plan::warmed(day, options.warm).peekable(),
+            arrivals: Arrivals::with_warm_up(day, options.warm_up).peekable(),
             counts: Counts::new(day),
             day: day.clone(),
-            catalogue,
+            key_space,
             world,
             queue: Queue::default(),
             now: 0,
-            from: warm,
-            hosts,
+            reported_from: warm_up,
+            proxies,
             weights,
-            asking: Vec::new(),
-            free: Vec::new(),
+            clients: Vec::new(),
+            free_clients: Vec::new(),
             crowd: 0,
-            out: FxHashMap::default(),
-            tickets: 0,
+            in_flight: FxHashMap::default(),
+            attempt_count: 0,
             draws: 0,
-            runs: FxHashMap::default(),
-            named: FxHashMap::default(),
+            executions: FxHashMap::default(),
+            members_by_server: FxHashMap::default(),
             world_due: None,
             effects: Vec::new(),
-            toll: Toll::new(Bears::default()),
+            connection_load: ConnectionLoad::new(ConnectionLimits::default()),
             ramp: Ramp::new(day),
             options,
         };
-        sim.open();
+        sim.start();
         sim
     }
 
     /// What the day asks for that is not played here, by the names of its file.
     pub fn left_out(day: &Day) -> Vec<&'static str> {
-        use aniseyoke_lab_day::TroubleKind::{DiscoveryDown, Pieces, ProxyRoll};
-        let trouble = |kind| day.troubles.iter().any(|t| t.kind == kind);
-        let rude = &day.load.rude;
+        use aniseyoke_lab_day::FaultKind::{DiscoveryDown, Pieces, ProxyRoll};
+        let fault = |kind| day.faults.iter().any(|t| t.kind == kind);
+        let misbehaving = &day.load.misbehaving;
         let all = [
-            (trouble(ProxyRoll), "proxy-roll"),
-            (trouble(DiscoveryDown), "discovery-down"),
-            (trouble(Pieces), "pieces"),
-            (rude.idle > 0, "load.rude.idle"),
-            (rude.slow_readers > 0.0, "load.rude.slow_readers"),
-            (rude.slow_writers > 0.0, "load.rude.slow_writers"),
-            (rude.leave_asking > 0.0, "load.rude.leave_asking"),
+            (fault(ProxyRoll), "proxy-roll"),
+            (fault(DiscoveryDown), "discovery-down"),
+            (fault(Pieces), "pieces"),
+            (misbehaving.idle_connections > 0, "load.rude.idle"),
+            (misbehaving.slow_readers > 0.0, "load.rude.slow_readers"),
+            (misbehaving.slow_writers > 0.0, "load.rude.slow_writers"),
+            (misbehaving.abort_sending > 0.0, "load.rude.leave_asking"),
         ];
         all.into_iter().filter(|(there, _)| *there).map(|(_, name)| name).collect()
     }
@@ -251,19 +257,19 @@
     /// A number in [0, 1) that follows from the seed and from how many were drawn before.
     fn draw(&mut self) -> f64 {
         self.draws += 1;
-        part(mix(self.day.seed, 0xd4a5, self.draws))
+        unit_fraction(mix(self.day.seed, 0xd4a5, self.draws))
     }
 
-    fn way(&mut self) -> Nanos {
-        WAY.0 + ((WAY.1 - WAY.0) as f64 * self.draw()) as Nanos
+    fn network_delay(&mut self) -> Nanos {
+        NETWORK_DELAY.0 + ((NETWORK_DELAY.1 - NETWORK_DELAY.0) as f64 * self.draw()) as Nanos
     }
 
-    fn later(&mut self, delay: Nanos, happening: Happening) {
-        self.queue.push(self.now.saturating_add(delay), happening);
+    fn schedule_after(&mut self, delay: Nanos, event: SimEvent) {
+        self.queue.push(self.now.saturating_add(delay), event);
     }
 
     /// The second of the reported part in which something happens; none before it.
     fn second(&self, at: Nanos) -> Option<usize> {
-        Some((at.checked_sub(self.from)? / SECOND) as usize)
+        Some((at.checked_sub(self.reported_from)? / SECOND) as usize)
     }
 }
--- /dev/null
+++ b/crates/lab-sim/src/list_service.rs
@@ -0,0 +1,148 @@
+//! The list service in simulated time: each proxy's calls and watches as its discovery makes them, counted, refused past
+//! what the service takes, and failed while it is down.
+
+use super::*;
+use aniseyoke_decision::api::{Event, ListKind};
+use aniseyoke_pace::polls::Rules;
+use aniseyoke_pace::{Place, Polls};
+
+/// The list service, and how it is asked.
+#[derive(Clone, Debug, Default)]
+pub struct ListService {
+    /// Proxies ask in their own slots.
+    pub paced: bool,
+    /// Calls a second that it answers; past that it refuses.
+    pub max_per_second: Option<u64>,
+    /// What its refusals advise.
+    pub retry_after: Duration,
+    /// It is down for so long from the start.
+    pub down: Duration,
+}
+
+/// The longest and the shortest wait of a proxy whose calls are not paced.
+const HOLD: (Nanos, Nanos) = (SECOND, 20 * SECOND);
+/// What `[list]` in the operator file sets where it says nothing else.
+const MAX_BACK_OFF: Nanos = 3600 * MILLISECOND;
+/// See `MAX_BACK_OFF`.
+const ANSWER_TIMEOUT: (Nanos, Nanos) = (1200 * MILLISECOND, 3600 * MILLISECOND);
+
+/// One proxy's side of it.
+#[derive(Default)]
+pub struct ListCaller {
+    polls: Option<Polls>,
+    /// A call is out, or waits for its slot.
+    busy: bool,
+    /// A watch is held; its number.
+    watch: Option<u32>,
+    watches: u32,
+}
+
+impl ListCaller {
+    /// Proxy `me` of a day.
+    pub fn new(day: &Day, index: usize, service: Option<&ListService>) -> Self {
+        let slot = Place::new(index as u32, day.site.proxy.count as u32);
+        let rules = Rules {
+            every: Rules::every_by(nanos(day.site.discovery.poll_within)),
+            back_off_most: MAX_BACK_OFF,
+            answer: ANSWER_TIMEOUT.0,
+            answer_most: ANSWER_TIMEOUT.1,
+        };
+        let polls = service.filter(|s| s.paced).map(|_| Polls::new(rules, slot, 0, 0));
+        ListCaller { polls, ..ListCaller::default() }
+    }
+}
+
+impl Sim {
+    /// A proxy's module wants the list followed, or its last call has been answered.
+    pub(super) fn call_list(&mut self, proxy: u32, restarted: bool) {
+        let (now, caller) = (self.now, &mut self.proxies[proxy as usize].caller);
+        if restarted && std::mem::replace(&mut caller.busy, true) {
+            return;
+        }
+        let at = caller.polls.as_ref().map_or(now, |polls| polls.due(now));
+        self.queue.push(at, SimEvent::ListCall(proxy));
+    }
+
+    /// A proxy's call reaches the service.
+    pub(super) fn list_call_arrived(&mut self, proxy: u32) {
+        let Some(service) = self.options.list.clone() else { return };
+        let now = self.now;
+        let second = (now / SECOND) as usize;
+        let calls = &mut self.counts.list_calls;
+        if calls.len() <= second {
+            calls.resize(second + 1, 0);
+        }
+        calls[second] += 1;
+        let over = service.max_per_second.is_some_and(|most| calls[second] > most);
+        let sim_proxy = &mut self.proxies[proxy as usize];
+        sim_proxy.caller.polls.iter_mut().for_each(|p| p.polled(now));
+        let delay = self.network_delay();
+        if now < nanos(service.down) {
+            return self.schedule_after(delay, SimEvent::ListFailure(proxy, false));
+        }
+        if over {
+            self.counts.list_rejected += 1;
+            return self.schedule_after(delay, SimEvent::ListFailure(proxy, true));
+        }
+        let sim_proxy = &mut self.proxies[proxy as usize];
+        if !sim_proxy.subscribed || sim_proxy.version != self.world.endpoint_list().version() {
+            return self.schedule_after(delay, SimEvent::ListAnswer(proxy));
+        }
+        let must = nanos(self.day.site.discovery.poll_within) / 2;
+        let caller = &mut sim_proxy.caller;
+        let hold = caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.hold(now));
+        caller.watches += 1;
+        caller.watch = Some(caller.watches);
+        let number = caller.watches;
+        self.schedule_after(hold, SimEvent::WatchExpiry(proxy, number));
+    }
+
+    /// A watch has been held for as long as it was to be.
+    pub(super) fn watch_expired(&mut self, proxy: u32, number: u32) {
+        let caller = &mut self.proxies[proxy as usize].caller;
+        if caller.watch == Some(number) {
+            caller.watch = None;
+            let delay = self.network_delay();
+            self.schedule_after(delay, SimEvent::ListAnswer(proxy));
+        }
+    }
+
+    /// The list has changed: watches end.
+    pub(super) fn list_changed(&mut self) {
+        for proxy in 0..self.proxies.len() as u32 {
+            let sim_proxy = &mut self.proxies[proxy as usize];
+            let hears = match self.options.list {
+                Some(_) => sim_proxy.caller.watch.take().is_some(),
+                None => sim_proxy.subscribed,
+            };
+            if hears {
+                let delay = self.network_delay();
+                self.schedule_after(delay, SimEvent::ListAnswer(proxy));
+            }
+        }
+    }
+
+    /// A proxy has had its answer, and asks on.
+    pub(super) fn list_answered(&mut self, proxy: u32) {
+        self.deliver_list(proxy);
+        if self.options.list.is_some() {
+            self.proxies[proxy as usize].caller.polls.iter_mut().for_each(Polls::answered);
+            self.call_list(proxy, false);
+        }
+    }
+
+    /// A proxy's call was refused, or failed.
+    pub(super) fn list_call_failed(&mut self, proxy: u32, refused: bool) {
+        let now = self.now;
+        let after = self.options.list.as_ref().map(|s| nanos(s.retry_after)).filter(|_| refused);
+        let caller = &mut self.proxies[proxy as usize].caller;
+        caller.busy = false;
+        if let Some(polls) = &mut caller.polls {
+            match refused {
+                true => polls.refused(now, after),
+                false => polls.failed(now),
+            }
+        }
+        self.feed(proxy, Event::List { kind: ListKind::Failed, entries: Vec::new() });
+    }
+}
--- a/crates/lab-sim/src/ramp.rs
+++ b/crates/lab-sim/src/ramp.rs
@@ -71,7 +71,7 @@
 impl Ramp {
     /// Nothing yet, by a day's rule on cold nodes.
     pub fn new(day: &Day) -> Self {
-        let span = nanos(day.site.cache.fall);
+        let span = nanos(day.site.cache.overload_window);
         Ramp { span, work: mean_work(day), nodes: FxHashMap::default(), found: Ramped::default() }
     }
 
@@ -88,7 +88,7 @@
         node.got.push_back(now);
         let (got, allowed) = (node.got.len() as u64, allowed / self.work);
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-        let age_ms = now.saturating_sub(born) / aniseyoke_lab_day::clock::MS;
+        let age_ms = now.saturating_sub(born) / aniseyoke_lab_day::clock::MILLISECOND;
         let span = Fullest { member, age_ms, got, allowed, bound };
         let found = &mut self.found;
         if span.ratio() > found.fullest.ratio() {
--- a/crates/lab-sim/src/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -1,22 +1,26 @@
-use super::count::Cause;
+use super::counts::Cause;
 use super::ramp::{mean_work, Ramp};
 use super::*;
-use aniseyoke_lab_day::{Trouble, TroubleKind};
+use aniseyoke_lab_day::{Fault, FaultKind};
 use aniseyoke_lab_load::Outcome;
 
 const WARM: Duration = Duration::from_secs(8);
 
-/// A small day without troubles.
+/// A small day without faults.
 fn still(proxies: usize, nodes: usize, seconds: u64) -> Day {
     let mut day = Day::open("join").expect("built in").sized(proxies, nodes).expect("sound");
-    (day.troubles, day.load.hasty) = (Vec::new(), None);
+    (day.faults, day.load.impatient) = (Vec::new(), None);
     day.length = Duration::from_secs(seconds);
     day
 }
 
 fn play(day: &Day, crowd: Option<Crowd>) -> Counts {
-    let counts = Sim::new(day, Options { warm: WARM, crowd, ..Options::default() }).run();
-    assert!(!counts.broken(), "a rule was broken: {:?}", (counts.fell, counts.stopped, counts.ran_twice));
+    let counts = Sim::new(day, Options { warm_up: WARM, crowd, ..Options::default() }).run();
+    assert!(
+        !counts.broken(),
+        "a rule was broken: {:?}",
+        (counts.node_overloads, counts.origin_overloads, counts.executed_twice)
+    );
     counts
 }
 
@@ -24,9 +28,9 @@
     CAUSES.iter().position(|c| *c == of).expect("listed")
 }
 
-fn trouble(kind: TroubleKind, part: f64, size: Option<f64>) -> Trouble {
+fn fault(kind: FaultKind, fraction: f64, size: Option<f64>) -> Fault {
     let (at, length) = (Duration::from_secs(2), Duration::from_secs(4));
-    Trouble { kind, at, length, part: Some(part), nodes: None, size }
+    Fault { kind, at, length, fraction: Some(fraction), nodes: None, size }
 }
 
 fn sum(counts: &Counts, of: impl Fn(&Second) -> u64) -> u64 {
@@ -45,12 +49,12 @@
 #[test]
 fn every_try_ends_once_with_one_cause() {
     let mut day = Day::open("join").expect("built in").sized(60, 30).expect("sound").squeezed(0.4);
-    day.load.rude.leave_waiting = 0.1;
+    day.load.misbehaving.abort_waiting = 0.1;
     let counts = play(&day, None);
-    let (tries, ended) = (sum(&counts, |s| s.tries), sum(&counts, |s| s.causes.iter().sum()));
-    assert_eq!(tries, ended);
-    assert_eq!(sum(&counts, |s| s.first), counts.tally.all.requests());
-    assert!(counts.tally.all.count(Outcome::Left) > 0, "who leaves is counted");
+    let (attempts, ended) = (sum(&counts, |s| s.attempts), sum(&counts, |s| s.causes.iter().sum()));
+    assert_eq!(attempts, ended);
+    assert_eq!(sum(&counts, |s| s.first), counts.stats.all.requests());
+    assert!(counts.stats.all.count(Outcome::Left) > 0, "who leaves is counted");
     assert!(sum(&counts, |s| s.sent[1]) > 0, "cold nodes are asked");
 }
 
@@ -58,7 +62,7 @@
 #[test]
 fn a_release_among_hasty_clients_leaves_most_usual_ones_served() {
     let mut day = Day::open("join").expect("built in").sized(60, 40).expect("sound").squeezed(0.5);
-    day.troubles.push(trouble(TroubleKind::Slow, 0.125, Some(0.5)));
+    day.faults.push(fault(FaultKind::Slow, 0.125, Some(0.5)));
     let counts = play(&day, None);
     let storm = counts.goodput(3..8);
     assert!(storm > 0.8, "{storm} of the worth in the release");
@@ -68,14 +72,14 @@
 /// Danger: an attempt whose connection goes dead without a word must end by its proxy's own clock, and no later answer count.
 #[test]
 fn tries_end_once_whatever_becomes_of_their_nodes() {
-    for kind in [TroubleKind::HalfOpen, TroubleKind::Silence, TroubleKind::Crash, TroubleKind::Cut] {
+    for kind in [FaultKind::HalfOpen, FaultKind::Silence, FaultKind::Crash, FaultKind::Cut] {
         let mut day = still(20, 10, 8);
-        day.troubles = vec![trouble(kind, 0.3, None)];
+        day.faults = vec![fault(kind, 0.3, None)];
         let counts = play(&day, None);
-        let (tries, ended) = (sum(&counts, |s| s.tries), sum(&counts, |s| s.causes.iter().sum()));
-        assert_eq!(tries, ended, "{kind:?}");
+        let (attempts, ended) = (sum(&counts, |s| s.attempts), sum(&counts, |s| s.causes.iter().sum()));
+        assert_eq!(attempts, ended, "{kind:?}");
         let timed_out = sum(&counts, |s| s.timed_out[0]);
-        let silent = matches!(kind, TroubleKind::HalfOpen | TroubleKind::Silence);
+        let silent = matches!(kind, FaultKind::HalfOpen | FaultKind::Silence);
         assert!(!silent || timed_out > 0, "{kind:?} is met");
     }
 }
@@ -95,7 +99,7 @@
         rate: 2.0 * day.load.rate,
         proxies: 1.0,
         tenant: 0,
-        again: 5,
+        retries: 5,
     };
     let counts = play(&day, Some(crowd));
     let (before, during, after) = (counts.goodput(0..3), counts.goodput(4..8), counts.goodput(10..14));
@@ -113,10 +117,10 @@
         rate: 20.0 * day.load.tenants[2].share * day.load.rate / 10.0,
         proxies: 0.1,
         tenant: 2,
-        again: 2,
+        retries: 2,
     };
     let counts = play(&day, Some(crowd));
-    for tenant in &counts.tally.tenants[..2] {
+    for tenant in &counts.stats.tenants[..2] {
         assert!(tenant.goodput() > 0.9, "{}: {}", tenant.name, tenant.goodput());
     }
 }
@@ -124,24 +128,27 @@
 #[test]
 fn clients_that_leave_just_before_their_answer_do_not_move_admission() {
     let mut day = still(40, 20, 8);
-    day.load.rude.leave_waiting = 0.4;
+    day.load.misbehaving.abort_waiting = 0.4;
     let counts = play(&day, None);
-    let unsent = sum(&counts, |s| s.causes[cause(Cause::Unsent)]) as f64 / sum(&counts, |s| s.tries) as f64;
+    let unsent =
+        sum(&counts, |s| s.causes[cause(Cause::RejectedUnsent)]) as f64 / sum(&counts, |s| s.attempts) as f64;
     assert!(unsent < 0.02, "{unsent} refused unsent");
-    assert!(counts.tally.all.goodput() > 0.95, "{}", counts.tally.all.goodput());
+    assert!(counts.stats.all.goodput() > 0.95, "{}", counts.stats.all.goodput());
 }
 
 #[test]
 fn thin_proxies_and_one_with_much_serve_alike_where_nothing_is_wrong() {
     // One request a second at each of 300 proxies, and 200 more at one of them.
-    for (nodes, heavy) in [(12, 0.0), (20, 0.4)] {
+    for (nodes, first_proxy_fraction) in [(12, 0.0), (20, 0.4)] {
         let mut day = still(300, nodes, 10);
-        day.load.rate = 300.0 / (1.0 - heavy);
-        let warm = Duration::from_secs(20);
-        let counts = Sim::new(&day, Options { warm, uneven: 0.0, heavy, ..Options::default() }).run();
+        day.load.rate = 300.0 / (1.0 - first_proxy_fraction);
+        let warm_up = Duration::from_secs(20);
+        let counts =
+            Sim::new(&day, Options { warm_up, unevenness: 0.0, first_proxy_fraction, ..Options::default() })
+                .run();
         assert!(!counts.broken());
         let goodput = counts.goodput(4..10);
-        assert!(goodput > 0.9, "{goodput} with {heavy} at one proxy");
+        assert!(goodput > 0.9, "{goodput} with {first_proxy_fraction} at one proxy");
     }
 }
 
@@ -149,56 +156,61 @@
 fn restarted(proxies: usize, nodes: usize, options: Options) -> Counts {
     let mut day = still(proxies, nodes, 12);
     let (at, length) = (Duration::ZERO, Duration::from_millis(100));
-    day.troubles =
-        vec![Trouble { kind: TroubleKind::Crash, at, length, part: Some(1.0), nodes: None, size: None }];
+    day.faults =
+        vec![Fault { kind: FaultKind::Crash, at, length, fraction: Some(1.0), nodes: None, size: None }];
     let counts = Sim::new(&day, options).run();
-    assert!(!counts.broken(), "{:?}", (counts.fell, counts.stopped, counts.ran_twice, counts.drains_broken));
+    assert!(
+        !counts.broken(),
+        "{:?}",
+        (counts.node_overloads, counts.origin_overloads, counts.executed_twice, counts.drain_violations)
+    );
     counts
 }
 
 #[test]
 fn proxies_that_ask_in_their_slots_spare_the_list_service_and_the_nodes() {
-    let (proxies, warm) = (120, Duration::from_secs(1));
-    let list = |paced| Some(Service { paced, ..Service::default() });
+    let (proxies, warm_up) = (120, Duration::from_secs(1));
+    let list = |paced| Some(ListService { paced, ..ListService::default() });
     let most = |counts: &[u64]| counts.iter().copied().max().unwrap_or(0);
-    let free = restarted(proxies, 20, Options { warm, list: list(false), ..Options::default() });
-    let opening = Some((40.0, 200.0));
-    let paced = restarted(proxies, 20, Options { warm, list: list(true), opening, ..Options::default() });
+    let free = restarted(proxies, 20, Options { warm_up, list: list(false), ..Options::default() });
+    let connection_rates = Some((40.0, 200.0));
+    let paced =
+        restarted(proxies, 20, Options { warm_up, list: list(true), connection_rates, ..Options::default() });
     // One in a cycle of 2.5 s each; a second's edge may fall between two proxies' slots.
     let bound = (proxies as f64 / 2.5).ceil() as u64 + 1;
-    assert!(most(&paced.list_asks) <= bound, "{bound} a second: {:?}", paced.list_asks);
-    assert!(most(&free.list_asks) > 10 * bound, "{:?}", free.list_asks);
+    assert!(most(&paced.list_calls) <= bound, "{bound} a second: {:?}", paced.list_calls);
+    assert!(most(&free.list_calls) > 10 * bound, "{:?}", free.list_calls);
     // By the end of the first cycle of 3 s a node was opened at its rate, and one more for each proxy at most.
-    let opened = |counts: &Counts| most(&counts.met[0].opened_most);
-    assert!(opened(&paced) <= 40 + proxies as u64 && opened(&paced) < opened(&free), "{:?}", paced.met[0]);
+    let opened = |counts: &Counts| most(&counts.load[0].max_opened);
+    assert!(opened(&paced) <= 40 + proxies as u64 && opened(&paced) < opened(&free), "{:?}", paced.load[0]);
 }
 
 #[test]
 fn a_list_service_that_was_down_is_not_hammered_when_it_is_back() {
-    let (proxies, warm) = (120, Duration::from_secs(1));
+    let (proxies, warm_up) = (120, Duration::from_secs(1));
     let down = Duration::from_secs(6);
     let service = |paced| {
         let retry_after = Duration::from_secs(1);
-        Some(Service { paced, takes: Some(30), retry_after, down })
+        Some(ListService { paced, max_per_second: Some(30), retry_after, down })
     };
-    let paced = restarted(proxies, 20, Options { warm, list: service(true), ..Options::default() });
+    let paced = restarted(proxies, 20, Options { warm_up, list: service(true), ..Options::default() });
     let bound = (proxies as f64 / 2.5).ceil() as u64 + 1;
-    assert!(paced.list_asks.iter().all(|asks| *asks <= bound), "{:?}", paced.list_asks);
-    assert!(paced.list_refused > 0, "past 30 a second it refuses: {:?}", paced.list_asks);
+    assert!(paced.list_calls.iter().all(|calls| *calls <= bound), "{:?}", paced.list_calls);
+    assert!(paced.list_rejected > 0, "past 30 a second it refuses: {:?}", paced.list_calls);
 }
 
 #[test]
 fn what_cold_nodes_get_of_all_proxies_is_counted_and_within_what_they_are_allowed() {
     let mut day = Day::open("join").expect("built in").sized(60, 20).expect("sound").squeezed(0.5);
-    for (proxies, uneven) in [(20, 0.0), (60, 1.2)] {
+    for (proxies, unevenness) in [(20, 0.0), (60, 1.2)] {
         day.site.proxy.count = proxies;
-        let counts = Sim::new(&day, Options { warm: WARM, uneven, ..Options::default() }).run();
-        let ramped = &counts.ramped;
-        assert!(!counts.broken() && ramped.starts >= 8, "{ramped:?}");
-        assert!(ramped.fullest.got > 0 && ramped.fullest.ratio() > 0.0, "{ramped:?}");
-        assert_eq!(ramped.past_bound, 0, "{ramped:?}");
+        let counts = Sim::new(&day, Options { warm_up: WARM, unevenness, ..Options::default() }).run();
+        let slow_start = &counts.slow_start;
+        assert!(!counts.broken() && slow_start.starts >= 8, "{slow_start:?}");
+        assert!(slow_start.fullest.got > 0 && slow_start.fullest.ratio() > 0.0, "{slow_start:?}");
+        assert_eq!(slow_start.past_bound, 0, "{slow_start:?}");
         let sent: u64 = counts.seconds.iter().map(|s| s.sent[1]).sum();
-        assert!(ramped.fullest.got <= sent, "{ramped:?}, {sent} sent to cold nodes");
+        assert!(slow_start.fullest.got <= sent, "{slow_start:?}, {sent} sent to cold nodes");
     }
 }
 
@@ -215,7 +227,7 @@
     assert_eq!((found.past_allowed, found.past_bound, found.fullest.got), (1, 1, 12));
     assert!((found.fullest.ratio() - 3.0).abs() < 1e-9 && (found.fullest.bound - 10.0).abs() < 1e-9);
     // What is older than the span counts no more, and another start is another node's.
-    ramp.arrived(SECOND / 8 + nanos(day.site.cache.fall), 0, 1, 4.0 * work);
+    ramp.arrived(SECOND / 8 + nanos(day.site.cache.overload_window), 0, 1, 4.0 * work);
     ramp.arrived(20 * SECOND, 0, 20 * SECOND, 4.0 * work);
     let found = ramp.found();
     assert_eq!((found.starts, found.past_allowed, found.past_bound, found.fullest.got), (2, 1, 1, 12));
--- a/crates/lab-site/src/discovery.rs
+++ b/crates/lab-site/src/discovery.rs
@@ -1,23 +1,23 @@
-//! Discovery on its sockets: the whole list, and watches on its changes. Each proxy has an address of its own, so that
-//! it is known what each was told when.
+//! Discovery on its sockets: the whole endpoint list, and long polls for its changes. Each proxy has an address of its own,
+//! so that it is known what each was notified of, and when.
 
-use super::hall::Hall;
-use super::wire::Wire;
-use aniseyoke_lab_world::{Line, Roster};
+use super::http::HttpConnection;
+use super::state::SiteState;
+use aniseyoke_lab_world::{Endpoint, EndpointList};
 use serde_json::{json, Value};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A watch waits no longer than this.
-const HOLD_MOST: Duration = Duration::from_secs(60);
+/// A long poll is held no longer than this.
+const MAX_HOLD: Duration = Duration::from_secs(60);
 
-/// Takes the calls of one proxy for as long as the site stands.
-pub async fn attend(hall: Rc<Hall>, proxy: usize, listener: TcpListener) {
+/// Serves the calls of one proxy for as long as the site is open.
+pub async fn serve_proxy(state: Rc<SiteState>, proxy: usize, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::task::spawn_local(connection(hall.clone(), proxy, stream))),
+            Ok((stream, _)) => drop(tokio::task::spawn_local(connection(state.clone(), proxy, stream))),
             Err(e) => {
                 tracing::warn!("discovery for proxy {proxy}: {e}");
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -26,9 +26,9 @@
     }
 }
 
-async fn connection(hall: Rc<Hall>, proxy: usize, stream: TcpStream) {
-    let mut up = hall.discovery.subscribe();
-    let mut wire = Wire::new(stream);
+async fn connection(state: Rc<SiteState>, proxy: usize, stream: TcpStream) {
+    let mut up = state.discovery.subscribe();
+    let mut http = HttpConnection::new(stream);
     let down = async {
         // A site that ends takes discovery with it.
         let _ = up.wait_for(|up| !up).await;
@@ -36,14 +36,14 @@
     let broken = tokio::select! {
         biased;
         () = down => true,
-        served = serve(&hall, proxy, &mut wire) => served.is_err(),
+        served = serve(&state, proxy, &mut http) => served.is_err(),
     };
     if broken {
-        wire.reset();
+        http.reset();
     }
 }
 
-/// The value of a parameter of a query.
+/// The value of a query parameter.
 pub fn parameter(path: &str, name: &str) -> Option<u64> {
     let query = path.split_once('?')?.1;
     query
@@ -53,58 +53,58 @@
         .and_then(|(_, v)| v.parse().ok())
 }
 
-/// What is told to who has `from`: changes, or the whole list.
-fn news(roster: &Roster, from: Option<u64>) -> (Vec<Line>, bool) {
-    match from.and_then(|from| roster.since(from)) {
+/// The answer to a caller that has version `from`: the changes since, or the whole list; and whether it is the whole list.
+fn changes_since(list: &EndpointList, from: Option<u64>) -> (Vec<Endpoint>, bool) {
+    match from.and_then(|from| list.since(from)) {
         Some(changes) => (changes, false),
-        None => (roster.all(), true),
+        None => (list.all(), true),
     }
 }
 
-/// A list, or changes of one, in discovery's form, as proxy `proxy` is to be told it.
-pub fn list(hall: &Hall, proxy: usize, lines: &[Line], whole: bool) -> Value {
-    let told = |line: &Line| {
-        let mut member = hall.member(*line)?;
-        if let Some(mesh) = &hall.rigging.mesh {
-            member.addr = mesh(proxy, member.addr, &member.kind);
+/// A list, or changes of one, in discovery's form, with the addresses that `proxy` is to use.
+pub fn list(state: &SiteState, proxy: usize, endpoints: &[Endpoint], full: bool) -> Value {
+    let listed = |endpoint: &Endpoint| {
+        let mut member = state.member(*endpoint)?;
+        if let Some(route) = &state.options.route {
+            member.addr = route(proxy, member.addr, &member.kind);
         }
         Some(member.json())
     };
-    let servers: Vec<Value> = lines.iter().filter_map(told).collect();
-    json!({"version": hall.world.borrow().roster().version(), "full": whole, "servers": servers})
+    let servers: Vec<Value> = endpoints.iter().filter_map(listed).collect();
+    json!({"version": state.world.borrow().endpoint_list().version(), "full": full, "servers": servers})
 }
 
-async fn serve(hall: &Rc<Hall>, proxy: usize, wire: &mut Wire) -> io::Result<()> {
-    let mut listed = hall.listed.subscribe();
-    while let Some(asked) = wire.request().await? {
-        wire.body(asked.framing, |_| {}).await?;
-        if !asked.path.starts_with("/catalog/members") {
-            wire.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
+async fn serve(state: &Rc<SiteState>, proxy: usize, http: &mut HttpConnection) -> io::Result<()> {
+    let mut list_version = state.list_version.subscribe();
+    while let Some(head) = http.read_request().await? {
+        http.read_body(head.framing, |_| {}).await?;
+        if !head.path.starts_with("/catalog/members") {
+            http.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
             continue;
         }
-        if !hall.list_ask() {
-            let after = hall.rigging.retry_after_s;
-            let refusal = format!(
+        if !state.admit_list_call() {
+            let after = state.options.retry_after_s;
+            let rejection = format!(
                 "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {after}\r\nContent-Length: 0\r\n\r\n"
             );
-            wire.write(refusal.as_bytes()).await?;
+            http.write(rejection.as_bytes()).await?;
             continue;
         }
-        let from = parameter(&asked.path, "from");
-        if let (Some(from), Some(hold)) = (from, parameter(&asked.path, "hold_ms")) {
-            let hold = Duration::from_millis(hold).min(HOLD_MOST);
+        let from = parameter(&head.path, "from");
+        if let (Some(from), Some(hold)) = (from, parameter(&head.path, "hold_ms")) {
+            let hold = Duration::from_millis(hold).min(MAX_HOLD);
             tokio::select! {
-                // Newer than that, or from a future that this discovery does not know.
-                _ = listed.wait_for(|version| *version != from) => {}
+                // A newer version, or a future one that this discovery does not know.
+                _ = list_version.wait_for(|version| *version != from) => {}
                 () = tokio::time::sleep(hold) => {}
-                () = wire.ended() => return Ok(()),
+                () = http.closed() => return Ok(()),
             }
         }
-        let (lines, whole) = news(hall.world.borrow().roster(), from);
-        let body = list(hall, proxy, &lines, whole).to_string();
-        hall.told(proxy, &lines, whole);
+        let (endpoints, full) = changes_since(state.world.borrow().endpoint_list(), from);
+        let body = list(state, proxy, &endpoints, full).to_string();
+        state.record_notified(proxy, &endpoints, full);
         let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
-        wire.write(format!("{head}{}\r\n\r\n{body}", body.len()).as_bytes()).await?;
+        http.write(format!("{head}{}\r\n\r\n{body}", body.len()).as_bytes()).await?;
     }
     Ok(())
 }
--- a/crates/lab-site/src/wire.rs
+++ b/crates/lab-site/src/http.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection as the laboratory speaks it: exact about when bytes came and went, forgiving in nothing, and
-//! able to stop anywhere. Heads are parsed by httparse.
+//! One HTTP/1.1 connection, of a client or a server: exact about when bytes came and went, strict, and able to stop
+//! anywhere in a message. Heads are parsed by httparse.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -7,16 +7,16 @@
 use tokio::net::TcpStream;
 
 /// A head is at most this long, in bytes.
-const HEAD_MOST: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 /// Headers in a head.
-const HEADERS_MOST: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// Read at a time.
-const PART: usize = 16 << 10;
+const READ_SIZE: usize = 16 << 10;
 
 /// How a body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// This many bytes.
     Length(u64),
     /// In chunks.
     Chunked,
@@ -24,63 +24,64 @@
     Close,
 }
 
-/// A request's head, as far as a site looks at it.
+/// A request's head, as far as a site uses it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestHead {
     /// The method.
     pub method: String,
     /// Path and query.
     pub path: String,
     /// `X-Correlation-Id`.
-    pub id: Option<String>,
+    pub correlation_id: Option<String>,
     /// `Idempotency-Key`.
-    pub repeat: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The body's framing.
     pub framing: Framing,
 }
 
-/// An answer's head, as far as a client looks at it.
+/// A response's head, as far as a client uses it.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// The body's framing.
     pub framing: Framing,
     /// `Retry-After`.
     pub retry_after: Option<Duration>,
-    /// The connection is of no further use.
-    pub last: bool,
+    /// Whether the connection closes after it.
+    pub closes: bool,
 }
 
-/// How slowly a peer reads: so many bytes, then a pause.
+/// How slowly a peer reads: this many bytes, then a pause.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace(pub usize, pub Duration);
+pub struct ReadPace(pub usize, pub Duration);
 
 /// A connection.
-pub struct Wire {
-    /// The stream; whoever has the wire may shut it.
+pub struct HttpConnection {
+    /// The stream; the owner may shut it down.
     pub stream: TcpStream,
-    held: Vec<u8>,
-    /// When the first byte came of the message that is being read.
-    pub first: Instant,
-    /// How slowly it is read.
-    pub pace: Option<Pace>,
+    buffer: Vec<u8>,
+    /// When the first byte of the message that is being read came.
+    pub first_byte_at: Instant,
+    /// How slowly it is read; as it comes if none.
+    pub read_pace: Option<ReadPace>,
 }
 
-fn bad(why: &str) -> io::Error {
+fn invalid(why: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_owned())
 }
 
-fn text(value: &[u8]) -> Option<String> {
+fn trimmed_text(value: &[u8]) -> Option<String> {
     std::str::from_utf8(value).ok().map(|v| v.trim().to_owned())
 }
 
 fn framing(headers: &[httparse::Header<'_>], none: Framing) -> io::Result<Framing> {
-    let named = |name: &str| headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
-    match (named("content-length"), named("transfer-encoding")) {
-        (Some(_), Some(_)) => Err(bad("both Content-Length and Transfer-Encoding")),
+    let header = |name: &str| headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+    match (header("content-length"), header("transfer-encoding")) {
+        (Some(_), Some(_)) => Err(invalid("both Content-Length and Transfer-Encoding")),
         (Some(length), None) => {
-            let length = text(length).and_then(|l| l.parse().ok()).ok_or(bad("bad Content-Length"))?;
+            let length =
+                trimmed_text(length).and_then(|l| l.parse().ok()).ok_or(invalid("bad Content-Length"))?;
             Ok(Framing::Length(length))
         }
         (None, Some(_)) => Ok(Framing::Chunked),
@@ -88,40 +89,40 @@
     }
 }
 
-impl Wire {
+impl HttpConnection {
     /// Takes a stream over.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Wire { stream, held: Vec::new(), first: Instant::now(), pace: None }
+        HttpConnection { stream, buffer: Vec::new(), first_byte_at: Instant::now(), read_pace: None }
     }
 
     /// Reads more; 0 at the peer's end.
-    async fn fill(&mut self) -> io::Result<usize> {
-        let part = match self.pace {
-            Some(Pace(part, pause)) => {
+    async fn fill_buffer(&mut self) -> io::Result<usize> {
+        let part = match self.read_pace {
+            Some(ReadPace(part, pause)) => {
                 tokio::time::sleep(pause).await;
                 part
             }
-            None => PART,
+            None => READ_SIZE,
         };
-        if self.held.is_empty() {
+        if self.buffer.is_empty() {
             self.stream.readable().await?;
-            self.first = Instant::now();
+            self.first_byte_at = Instant::now();
         }
-        self.held.reserve(part);
+        self.buffer.reserve(part);
         let mut limited = (&mut self.stream).take(part as u64);
-        limited.read_buf(&mut self.held).await
+        limited.read_buf(&mut self.buffer).await
     }
 
     /// Whether something has come that was not read, or the peer has ended.
-    pub fn stirred(&mut self) -> bool {
-        if !self.held.is_empty() {
+    pub fn has_unread_input(&mut self) -> bool {
+        if !self.buffer.is_empty() {
             return true;
         }
         let mut byte = [0; 1];
         match self.stream.try_read(&mut byte) {
             Ok(n) => {
-                self.held.extend_from_slice(&byte[..n]);
+                self.buffer.extend_from_slice(&byte[..n]);
                 true
             }
             Err(e) => e.kind() != io::ErrorKind::WouldBlock,
@@ -129,18 +130,18 @@
     }
 
     /// Whether bytes are held that nothing has asked for.
-    pub fn surplus(&self) -> bool {
-        !self.held.is_empty()
+    pub fn has_surplus(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
     /// Returns once the peer has ended its sending or reset the connection; what it sends meanwhile is kept.
-    pub async fn ended(&mut self) {
+    pub async fn closed(&mut self) {
         loop {
-            if self.held.len() > HEAD_MOST {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 // Danger: a peer that sends on without end must not fill memory; it is read no further.
                 std::future::pending::<()>().await;
             }
-            match self.fill().await {
+            match self.fill_buffer().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -148,25 +149,25 @@
     }
 
     /// Reads a head with `parse`, which says how long it is; none at the peer's end between messages.
-    async fn head<T>(
+    async fn read_head<T>(
         &mut self,
         parse: impl Fn(&[u8]) -> io::Result<Option<(usize, T)>>,
     ) -> io::Result<Option<T>> {
-        if !self.held.is_empty() {
-            self.first = Instant::now();
+        if !self.buffer.is_empty() {
+            self.first_byte_at = Instant::now();
         }
         loop {
-            if !self.held.is_empty() {
-                if let Some((length, head)) = parse(&self.held)? {
-                    self.held.drain(..length);
+            if !self.buffer.is_empty() {
+                if let Some((length, head)) = parse(&self.buffer)? {
+                    self.buffer.drain(..length);
                     return Ok(Some(head));
                 }
-                if self.held.len() > HEAD_MOST {
-                    return Err(bad("the head does not end"));
+                if self.buffer.len() > MAX_HEAD_BYTES {
+                    return Err(invalid("the head does not end"));
                 }
             }
-            if self.fill().await? == 0 {
-                let between = self.held.is_empty();
+            if self.fill_buffer().await? == 0 {
+                let between = self.buffer.is_empty();
                 return if between { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
             }
         }
@@ -176,26 +177,27 @@
     ///
     /// # Errors
     /// If the connection breaks, or what comes is no request.
-    pub async fn request(&mut self) -> io::Result<Option<Asked>> {
-        self.head(|held| {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    pub async fn read_request(&mut self) -> io::Result<Option<RequestHead>> {
+        self.read_head(|buffer| {
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut request = httparse::Request::new(&mut headers);
-            let httparse::Status::Complete(length) = request.parse(held).map_err(|e| bad(&e.to_string()))?
+            let httparse::Status::Complete(length) =
+                request.parse(buffer).map_err(|e| invalid(&e.to_string()))?
             else {
                 return Ok(None);
             };
-            let named = |name: &str| {
+            let header = |name: &str| {
                 let header = request.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-                header.and_then(|h| text(h.value))
+                header.and_then(|h| trimmed_text(h.value))
             };
-            let asked = Asked {
+            let head = RequestHead {
                 method: request.method.unwrap_or("").to_owned(),
                 path: request.path.unwrap_or("").to_owned(),
-                id: named("x-correlation-id"),
-                repeat: named("idempotency-key"),
+                correlation_id: header("x-correlation-id"),
+                idempotency_key: header("idempotency-key"),
                 framing: framing(request.headers, Framing::Length(0))?,
             };
-            Ok(Some((length, asked)))
+            Ok(Some((length, head)))
         })
         .await
     }
@@ -204,23 +206,23 @@
     ///
     /// # Errors
     /// If the connection breaks, or what comes is no answer.
-    pub async fn answer(&mut self) -> io::Result<Option<Answered>> {
+    pub async fn read_response(&mut self) -> io::Result<Option<ResponseHead>> {
         loop {
-            let head = self.head(|held| {
-                let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+            let head = self.read_head(|buffer| {
+                let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
                 let mut response = httparse::Response::new(&mut headers);
-                let parsed = response.parse(held).map_err(|e| bad(&e.to_string()))?;
+                let parsed = response.parse(buffer).map_err(|e| invalid(&e.to_string()))?;
                 let httparse::Status::Complete(length) = parsed else { return Ok(None) };
-                let named = |name: &str| {
+                let header = |name: &str| {
                     let header = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-                    header.and_then(|h| text(h.value))
+                    header.and_then(|h| trimmed_text(h.value))
                 };
-                let wait = named("retry-after").and_then(|v| v.parse::<f64>().ok());
-                let answered = Answered {
+                let wait = header("retry-after").and_then(|v| v.parse::<f64>().ok());
+                let answered = ResponseHead {
                     status: response.code.unwrap_or(0),
                     framing: framing(response.headers, Framing::Close)?,
                     retry_after: wait.and_then(|s| Duration::try_from_secs_f64(s).ok()),
-                    last: named("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
+                    closes: header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
                 };
                 Ok(Some((length, answered)))
             });
@@ -235,57 +237,57 @@
     ///
     /// # Errors
     /// If it does not come whole.
-    pub async fn body(&mut self, framing: Framing, mut sink: impl FnMut(&[u8])) -> io::Result<()> {
+    pub async fn read_body(&mut self, framing: Framing, mut sink: impl FnMut(&[u8])) -> io::Result<()> {
         match framing {
-            Framing::Length(length) => self.exactly(length, &mut sink).await,
+            Framing::Length(length) => self.read_exactly(length, &mut sink).await,
             Framing::Close => loop {
-                sink(&self.held);
-                self.held.clear();
-                if self.fill().await? == 0 {
+                sink(&self.buffer);
+                self.buffer.clear();
+                if self.fill_buffer().await? == 0 {
                     return Ok(());
                 }
             },
             Framing::Chunked => loop {
-                let size = self.line().await?;
+                let size = self.read_line().await?;
                 let size = size.split(';').next().unwrap_or("").trim();
-                let size = u64::from_str_radix(size, 16).map_err(|_| bad("bad chunk"))?;
-                self.exactly(size, &mut sink).await?;
+                let size = u64::from_str_radix(size, 16).map_err(|_| invalid("bad chunk"))?;
+                self.read_exactly(size, &mut sink).await?;
                 if size == 0 {
                     // Trailers, up to the empty line.
-                    while !self.line().await?.is_empty() {}
+                    while !self.read_line().await?.is_empty() {}
                     return Ok(());
                 }
-                if !self.line().await?.is_empty() {
-                    return Err(bad("bad end of chunk"));
+                if !self.read_line().await?.is_empty() {
+                    return Err(invalid("bad end of chunk"));
                 }
             },
         }
     }
 
-    async fn exactly(&mut self, mut left: u64, sink: &mut impl FnMut(&[u8])) -> io::Result<()> {
+    async fn read_exactly(&mut self, mut left: u64, sink: &mut impl FnMut(&[u8])) -> io::Result<()> {
         while left > 0 {
-            if self.held.is_empty() && self.fill().await? == 0 {
+            if self.buffer.is_empty() && self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            let n = self.held.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-            sink(&self.held[..n]);
-            self.held.drain(..n);
+            let n = self.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+            sink(&self.buffer[..n]);
+            self.buffer.drain(..n);
             left -= n as u64;
         }
         Ok(())
     }
 
-    async fn line(&mut self) -> io::Result<String> {
+    async fn read_line(&mut self) -> io::Result<String> {
         loop {
-            if let Some(end) = self.held.iter().position(|b| *b == b'\n') {
-                let line = text(&self.held[..end]).ok_or(bad("bad line"))?;
-                self.held.drain(..=end);
+            if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
+                let line = trimmed_text(&self.buffer[..end]).ok_or(invalid("bad line"))?;
+                self.buffer.drain(..=end);
                 return Ok(line);
             }
-            if self.held.len() > HEAD_MOST {
-                return Err(bad("a line does not end"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid("a line does not end"));
             }
-            if self.fill().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
--- a/crates/lab-site/src/door.rs
+++ b/crates/lab-site/src/listener.rs
@@ -1,4 +1,4 @@
-//! Where a member listens: taking connections, refusing them, or leaving them without a word, at one address for life.
+//! The listening socket of a member: it accepts connections, refuses them, or leaves them unanswered, always at one address.
 
 use aniseyoke_lab_world::Process;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be taken.
+/// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// To fill a queue of none takes no more than so many connections.
-const FILLERS_MOST: usize = 8;
-/// A connection on loopback that is not up by then will not come up.
-const COMES_UP_WITHIN: Duration = Duration::from_millis(60);
+/// Connections that are opened at most to fill an accept queue of length 0.
+const MAX_FILLERS: usize = 8;
+/// A connection on loopback that is not established by then will not be.
+const CONNECTS_WITHIN: Duration = Duration::from_millis(60);
 
-/// The door of one member.
-pub struct Door {
+/// The listening socket of one member.
+pub struct MemberListener {
     /// Its address.
     pub addr: SocketAddr,
-    /// Keeps the port while nothing listens: bound, so that nobody else gets it, and refusing.
+    /// Keeps the port while nothing listens: bound, so that nobody else gets it, and refusing connections.
     _holder: Socket,
     listener: Option<TcpListener>,
     /// Connections of our own that fill the queue of a silent machine.
@@ -33,22 +33,22 @@
     Ok(socket)
 }
 
-impl Door {
-    /// A closed door at an address that the system chooses on loopback.
+impl MemberListener {
+    /// A socket that refuses connections, at a loopback address that the system chooses.
     ///
     /// # Errors
     /// If the system has none.
     pub fn new() -> io::Result<Self> {
         let holder = bound(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let addr = holder.local_addr()?.as_socket().ok_or(io::ErrorKind::Unsupported)?;
-        Ok(Door { addr, _holder: holder, listener: None, fillers: Vec::new() })
+        Ok(MemberListener { addr, _holder: holder, listener: None, fillers: Vec::new() })
     }
 
-    /// Becomes what its member's process is.
+    /// Accepts, refuses or ignores connections as the member's process does.
     ///
     /// # Errors
     /// If the system refuses.
-    pub async fn become_(&mut self, process: Process) -> io::Result<()> {
+    pub async fn set_process(&mut self, process: Process) -> io::Result<()> {
         match process {
             Process::Up => {
                 self.fillers.clear();
@@ -62,17 +62,17 @@
                 self.fillers.clear();
                 self.listener = None;
             }
-            Process::Silent => self.fill().await?,
+            Process::Silent => self.fill_queue().await?,
         }
         Ok(())
     }
 
-    /// Fills the queue, so that the kernel answers no new connection: none is refused and none comes up.
-    async fn fill(&mut self) -> io::Result<()> {
+    /// Fills the accept queue, so that the kernel answers no handshake: connections are neither refused nor established.
+    async fn fill_queue(&mut self) -> io::Result<()> {
         let Some(listener) = &self.listener else { return Ok(()) };
         SockRef::from(listener).listen(0)?;
-        while self.fillers.len() < FILLERS_MOST {
-            let connecting = tokio::time::timeout(COMES_UP_WITHIN, TcpStream::connect(self.addr));
+        while self.fillers.len() < MAX_FILLERS {
+            let connecting = tokio::time::timeout(CONNECTS_WITHIN, TcpStream::connect(self.addr));
             match connecting.await {
                 Ok(filler) => self.fillers.push(filler?),
                 Err(_) => return Ok(()),
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// The next connection; none ever comes while the door is not open.
+    /// The next connection; none ever comes while the socket does not accept.
     pub async fn accept(&self) -> TcpStream {
         loop {
             match &self.listener {
--- /dev/null
+++ b/crates/lab-site/src/load_balancer/tests.rs
@@ -0,0 +1,18 @@
+use super::*;
+
+#[test]
+fn connections_go_round_the_healthy_and_to_the_dead_until_they_are_detected() {
+    let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
+    let load_balancer = LoadBalancer::new(&[addr(1), addr(2), addr(3)], Duration::ZERO);
+    let picked = |n| (0..n).map(|_| load_balancer.pick().0).collect::<Vec<_>>();
+    assert_eq!(picked(4), [0, 1, 2, 0]);
+    load_balancer.record_health(1, Health::Unhealthy);
+    assert_eq!(picked(3), [2, 0, 2]);
+    load_balancer.record_health(0, Health::Dead);
+    std::thread::sleep(Duration::from_millis(1));
+    assert_eq!(picked(2), [2, 2]);
+    load_balancer.record_health(2, Health::Unhealthy);
+    assert!(picked(4).iter().all(|n| *n != 0), "unhealthy before known dead");
+    load_balancer.set_addr(0, addr(9));
+    assert_eq!(load_balancer.pick(), (0, addr(9)));
+}
--- a/crates/lab-site/src/node.rs
+++ b/crates/lab-site/src/node.rs
@@ -1,10 +1,10 @@
-//! Cache nodes and the ledger on their sockets: connections, requests, and answers in every manner the model asks for.
+//! Cache nodes and the origin on their sockets: connections, requests, and responses written as the model asks for.
 
-use super::door::Door;
-use super::hall::{Hall, Post, Pulse};
-use super::wire::{Asked, Wire};
-use aniseyoke_lab_audit::Seen;
-use aniseyoke_lab_world::{Ask, Manner, Process, Reply, Ticket};
+use super::http::{HttpConnection, RequestHead};
+use super::listener::MemberListener;
+use super::state::{ConnectionEpochs, MemberHandle, SiteState};
+use aniseyoke_lab_audit::Observation;
+use aniseyoke_lab_world::{Attempt, AttemptId, Delivery, Process, Reply};
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -13,17 +13,32 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The pause between two pieces of an answer.
-const PIECE_PAUSE: Duration = Duration::from_millis(1);
-/// What an answer that does not end sends before its connection is left to stand, in bytes.
-const OVERSIZE_MOST: usize = 64 << 20;
+/// The pause between two pieces of a fragmented response.
+const FRAGMENT_PAUSE: Duration = Duration::from_millis(1);
+/// What a response that does not end sends before it stalls, in bytes.
+const MAX_OVERSIZE_BYTES: usize = 64 << 20;
 
-/// Takes the connections of one member for as long as the site stands.
-pub async fn attend(hall: Rc<Hall>, member: usize, mut door: Door, post: Rc<Post>) {
-    let mut process = post.process.subscribe();
+/// Starts to accept the connections of one member.
+pub fn spawn_member(
+    state: Rc<SiteState>,
+    member: usize,
+    listener: MemberListener,
+    member_handle: Rc<MemberHandle>,
+) {
+    tokio::task::spawn_local(serve_member(state, member, listener, member_handle));
+}
+
+/// Accepts the connections of one member for as long as the site is open.
+async fn serve_member(
+    state: Rc<SiteState>,
+    member: usize,
+    mut listener: MemberListener,
+    member_handle: Rc<MemberHandle>,
+) {
+    let mut process = member_handle.process.subscribe();
     let now = *process.borrow_and_update();
-    if let Err(e) = door.become_(now).await {
-        tracing::error!("member {member} at {}: {e}", door.addr);
+    if let Err(e) = listener.set_process(now).await {
+        tracing::error!("member {member} at {}: {e}", listener.addr);
     }
     loop {
         tokio::select! {
@@ -33,77 +48,87 @@
                     return;
                 }
                 let now = *process.borrow_and_update();
-                if let Err(e) = door.become_(now).await {
-                    tracing::error!("member {member} at {}: {e}", door.addr);
+                if let Err(e) = listener.set_process(now).await {
+                    tracing::error!("member {member} at {}: {e}", listener.addr);
                 }
             }
-            stream = door.accept() => {
-                tokio::task::spawn_local(connection(hall.clone(), member, stream, post.clone()));
+            stream = listener.accept() => {
+                tokio::task::spawn_local(connection(state.clone(), member, stream, member_handle.clone()));
             }
         }
     }
 }
 
-/// One connection, until its peer ends it or its member's process does.
-async fn connection(hall: Rc<Hall>, member: usize, stream: TcpStream, post: Rc<Post>) {
-    let mut pulse = post.pulse.subscribe();
-    let born = *pulse.borrow_and_update();
-    let mut wire = Wire::new(stream);
-    let ticket = Cell::new(None);
-    let ledger = hall.world.borrow().is_ledger(member);
-    let taken = hall.toll.borrow_mut().opened(hall.clock.now(), member, ledger);
+/// Serves one connection until its peer or its member's process ends it.
+async fn connection(state: Rc<SiteState>, member: usize, stream: TcpStream, member_handle: Rc<MemberHandle>) {
+    let mut epochs = member_handle.epochs.subscribe();
+    let opened_in = *epochs.borrow_and_update();
+    let mut http = HttpConnection::new(stream);
+    let attempt_id = Cell::new(None);
+    let origin = state.world.borrow().is_origin(member);
+    let taken = state.connection_load.borrow_mut().opened(state.clock.now(), member, origin);
     let reset = tokio::select! {
         biased;
-        () = until_reset(&mut pulse, born) => true,
+        () = wait_for_reset(&mut epochs, opened_in) => true,
         ended = async {
             match taken {
-                true => serve(&hall, member, &mut wire, &post, born, &ticket).await,
-                false => turn_away(&hall, member, &mut wire).await,
+                true => serve(&state, member, &mut http, &member_handle, opened_in, &attempt_id).await,
+                false => reject_connection(&state, member, &mut http).await,
             }
         } => ended.is_err(),
     };
-    if let Some(ticket) = ticket.take() {
-        hall.toll.borrow_mut().out(member, ledger, false);
-        hall.quit(ticket);
+    if let Some(attempt_id) = attempt_id.take() {
+        state.connection_load.borrow_mut().in_flight(member, origin, false);
+        state.cancel(attempt_id);
     }
-    hall.toll.borrow_mut().closed(member);
+    state.connection_load.borrow_mut().closed(member);
     if reset {
-        wire.reset();
+        http.reset();
     }
 }
 
-async fn until_reset(pulse: &mut watch::Receiver<Pulse>, born: Pulse) {
+async fn wait_for_reset(epochs: &mut watch::Receiver<ConnectionEpochs>, opened_in: ConnectionEpochs) {
     loop {
-        if pulse.borrow_and_update().resets != born.resets || pulse.changed().await.is_err() {
+        if epochs.borrow_and_update().resets != opened_in.resets || epochs.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// A connection past what the machine takes: its first request is turned away, and it is closed.
-async fn turn_away(hall: &Rc<Hall>, member: usize, wire: &mut Wire) -> io::Result<()> {
-    let Some(asked) = wire.request().await? else { return Ok(()) };
-    let Some(request) = asked.id.as_deref().and_then(request_id) else { return Ok(()) };
-    let attempt = hall.ticket();
-    hall.recorder.note(Seen::Reached { request, member, attempt });
-    wire.body(asked.framing, |_| {}).await?;
-    hall.recorder.note(Seen::Arrived { request, attempt });
+/// Rejects the first request of a connection past its member's limits, and closes it.
+async fn reject_connection(
+    state: &Rc<SiteState>,
+    member: usize,
+    http: &mut HttpConnection,
+) -> io::Result<()> {
+    let Some(head) = http.read_request().await? else { return Ok(()) };
+    let Some(request) = head.correlation_id.as_deref().and_then(request_id) else { return Ok(()) };
+    let attempt = state.next_attempt_id();
+    state.recorder.note(Observation::Reached { request, member, attempt });
+    http.read_body(head.framing, |_| {}).await?;
+    state.recorder.note(Observation::Arrived { request, attempt });
     let (status, digest, never_ran, sound) = (503, xxh3_64(&[]), true, true);
-    hall.recorder.note(Seen::Made { request, attempt, status, digest, never_ran, sound });
+    state.recorder.note(Observation::Made { request, attempt, status, digest, never_ran, sound });
     let head = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nConnection: close\r\n";
-    wire.write(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).await
+    http.write(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).await
 }
 
-/// A read at a member, in the model's terms: class and key stand in the path.
-fn ask(hall: &Hall, member: usize, ticket: Ticket, request: u64, asked: &Asked) -> Ask {
-    let path = asked.path.split('?').next().unwrap_or("");
+/// A request at a member as an attempt of the model; class and key are in the path.
+fn attempt_of(
+    state: &SiteState,
+    member: usize,
+    attempt_id: AttemptId,
+    request: u64,
+    head: &RequestHead,
+) -> Attempt {
+    let path = head.path.split('?').next().unwrap_or("");
     let mut parts = path.trim_start_matches('/').split('/');
     let class = parts.next().unwrap_or("");
-    let class = hall.day.load.classes.iter().position(|c| c.name == class);
+    let class = state.day.load.classes.iter().position(|c| c.name == class);
     let key = parts.next_back().unwrap_or("");
     let key = u64::from_str_radix(key, 16).unwrap_or_else(|_| xxh3_64(key.as_bytes()));
-    let repeat = asked.repeat.as_ref().map(|r| xxh3_64(r.as_bytes()));
-    Ask { ticket, member, request, class, key, write: asked.method == "PUT", repeat }
+    let idempotency_key = head.idempotency_key.as_ref().map(|r| xxh3_64(r.as_bytes()));
+    Attempt { attempt_id, member, request, class, key, write: head.method == "PUT", idempotency_key }
 }
 
 /// A request's id: sixteen hex digits.
@@ -112,67 +137,67 @@
 }
 
 async fn serve(
-    hall: &Rc<Hall>,
+    state: &Rc<SiteState>,
     member: usize,
-    wire: &mut Wire,
-    post: &Post,
-    born: Pulse,
-    open: &Cell<Option<Ticket>>,
+    http: &mut HttpConnection,
+    member_handle: &MemberHandle,
+    opened_in: ConnectionEpochs,
+    open: &Cell<Option<AttemptId>>,
 ) -> io::Result<()> {
-    while let Some(asked) = wire.request().await? {
-        let Some(request) = asked.id.as_deref().and_then(request_id) else {
-            hall.recorder.note(Seen::Stray { member });
+    while let Some(head) = http.read_request().await? {
+        let Some(request) = head.correlation_id.as_deref().and_then(request_id) else {
+            state.recorder.note(Observation::Stray { member });
             let (status, text) =
-                if asked.id.is_some() { ("400 Bad Request", "id") } else { ("404 Not Found", "") };
-            wire.write(
+                if head.correlation_id.is_some() { ("400 Bad Request", "id") } else { ("404 Not Found", "") };
+            http.write(
                 format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{text}", text.len()).as_bytes(),
             )
             .await?;
             continue;
         };
-        let attempt = hall.ticket();
-        let first = hall.clock.now().saturating_sub(wire.first.elapsed().as_nanos() as u64);
-        hall.recorder.note_at(first, Seen::Reached { request, member, attempt });
-        wire.body(asked.framing, |_| {}).await?;
-        hall.recorder.note(Seen::Arrived { request, attempt });
-        let dead = || post.pulse.borrow().deaths != born.deaths;
-        if dead() || *post.process.borrow() == Process::Silent {
+        let attempt = state.next_attempt_id();
+        let first = state.clock.now().saturating_sub(http.first_byte_at.elapsed().as_nanos() as u64);
+        state.recorder.note_at(first, Observation::Reached { request, member, attempt });
+        http.read_body(head.framing, |_| {}).await?;
+        state.recorder.note(Observation::Arrived { request, attempt });
+        let dead = || member_handle.epochs.borrow().silences != opened_in.silences;
+        if dead() || *member_handle.process.borrow() == Process::Silent {
             // A machine that has gone silent may have run what it got; it never says.
-            wire.ended().await;
+            http.closed().await;
             return Ok(());
         }
-        let ask = ask(hall, member, attempt, request, &asked);
-        let ledger = hall.world.borrow().is_ledger(member);
-        if ledger {
-            hall.ledger_asks.set(hall.ledger_asks.get() + 1);
+        let parsed = attempt_of(state, member, attempt, request, &head);
+        let origin = state.world.borrow().is_origin(member);
+        if origin {
+            state.origin_requests.set(state.origin_requests.get() + 1);
         }
-        hall.toll.borrow_mut().out(member, ledger, true);
+        state.connection_load.borrow_mut().in_flight(member, origin, true);
         open.set(Some(attempt));
-        let answered = hall.arrive(ask);
+        let answered = state.arrive(parsed);
         let answered = tokio::select! {
             biased;
             answered = answered => answered.ok(),
-            () = wire.ended() => return Ok(()),
+            () = http.closed() => return Ok(()),
         };
         if open.take().is_some() {
-            hall.toll.borrow_mut().out(member, ledger, false);
+            state.connection_load.borrow_mut().in_flight(member, origin, false);
         }
-        let Some((reply, manner)) = answered.filter(|_| !dead()) else {
-            wire.ended().await;
+        let Some((reply, delivery)) = answered.filter(|_| !dead()) else {
+            http.closed().await;
             return Ok(());
         };
-        answer(hall, &ask, reply, manner, wire).await?;
+        respond(state, &parsed, reply, delivery, http).await?;
     }
     Ok(())
 }
 
-/// The value that a node gives for a request: no two answers are alike.
-fn value(hall: &Hall, ask: &Ask, version: u32) -> Vec<u8> {
-    let length = hall.catalogue.length(ask.key);
-    let Ask { ticket, request, key, .. } = *ask;
+/// The value that a node returns for a request; no two responses are alike.
+fn value(state: &SiteState, attempt: &Attempt, version: u32) -> Vec<u8> {
+    let length = state.key_space.value_length(attempt.key);
+    let Attempt { attempt_id, request, key, .. } = *attempt;
     let line = format!(
-        "{} {request:016x} {key:016x} v{version} #{ticket}\n",
-        hall.world.borrow().name(ask.member).0
+        "{} {request:016x} {key:016x} v{version} #{attempt_id}\n",
+        state.world.borrow().name(attempt.member).0
     );
     let mut value = Vec::with_capacity(length + line.len());
     while value.len() < length {
@@ -182,46 +207,71 @@
     value
 }
 
-async fn answer(hall: &Hall, ask: &Ask, reply: Reply, manner: Manner, wire: &mut Wire) -> io::Result<()> {
+async fn respond(
+    state: &SiteState,
+    attempt: &Attempt,
+    reply: Reply,
+    delivery: Delivery,
+    http: &mut HttpConnection,
+) -> io::Result<()> {
     let count = |counter: &Cell<u64>| counter.set(counter.get() + 1);
     let (status, reason, extra, body) = match reply {
         Reply::Served { hit, version } => {
             if hit {
-                count(&hall.hits);
+                count(&state.hits);
             }
-            (200, "OK", "", value(hall, ask, version))
+            (200, "OK", "", value(state, attempt, version))
         }
         Reply::Miss => {
-            count(&hall.misses);
+            count(&state.misses);
             (404, "Not Found", "", Vec::new())
         }
         Reply::Error => (500, "Internal Server Error", "", Vec::new()),
-        Reply::Full => {
-            hall.toll.borrow_mut().full(hall.world.borrow().is_ledger(ask.member));
+        Reply::Rejected => {
+            state.connection_load.borrow_mut().rejected(state.world.borrow().is_origin(attempt.member));
             (503, "Service Unavailable", "X-Unprocessed: 1\r\n", Vec::new())
         }
     };
-    let sound = matches!(manner, Manner::Plain | Manner::Pieces(_));
-    let (request, attempt) = (ask.request, ask.ticket);
-    let never_ran = matches!(reply, Reply::Miss | Reply::Full);
-    hall.recorder.note(Seen::Made { request, attempt, status, digest: xxh3_64(&body), never_ran, sound });
-    let head = |length: u64| format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{extra}\r\n");
-    let whole = || [head(body.len() as u64).as_bytes(), &body].concat();
-    match manner {
-        Manner::Plain => wire.write(&whole()).await,
-        Manner::Pieces(size) => {
+    let sound = matches!(delivery, Delivery::Whole | Delivery::Fragmented(_));
+    let (request, attempt) = (attempt.request, attempt.attempt_id);
+    let never_ran = matches!(reply, Reply::Miss | Reply::Rejected);
+    state.recorder.note(Observation::Made {
+        request,
+        attempt,
+        status,
+        digest: xxh3_64(&body),
+        never_ran,
+        sound,
+    });
+    let head = format!("HTTP/1.1 {status} {reason}\r\n{extra}");
+    write_response(http, &head, &body, delivery, attempt).await
+}
+
+/// Writes a response as the model wants it delivered; `head` lacks the length and the empty line.
+async fn write_response(
+    http: &mut HttpConnection,
+    head: &str,
+    body: &[u8],
+    delivery: Delivery,
+    attempt: AttemptId,
+) -> io::Result<()> {
+    let head = |length: u64| format!("{head}Content-Length: {length}\r\n\r\n");
+    let whole = || [head(body.len() as u64).as_bytes(), body].concat();
+    match delivery {
+        Delivery::Whole => http.write(&whole()).await,
+        Delivery::Fragmented(size) => {
             for piece in whole().chunks(size) {
-                wire.write(piece).await?;
-                tokio::time::sleep(PIECE_PAUSE).await;
+                http.write(piece).await?;
+                tokio::time::sleep(FRAGMENT_PAUSE).await;
             }
             Ok(())
         }
-        Manner::Cut => {
-            wire.write(head(body.len() as u64).as_bytes()).await?;
-            wire.write(&body[..body.len() / 2]).await?;
+        Delivery::Truncated => {
+            http.write(head(body.len() as u64).as_bytes()).await?;
+            http.write(&body[..body.len() / 2]).await?;
             Err(io::ErrorKind::ConnectionAborted.into())
         }
-        Manner::Spoilt => {
+        Delivery::Malformed => {
             let noise: &[u8] = match attempt % 3 {
                 0 => b"\x00\xff\xfe noise that is no answer\r\n\r\n",
                 1 => b"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\nnothing",
@@ -229,18 +279,18 @@
                     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"
                 }
             };
-            wire.write(noise).await?;
-            wire.ended().await;
+            http.write(noise).await?;
+            http.closed().await;
             Ok(())
         }
-        Manner::Oversize => {
-            wire.write(head(3 << 30).as_bytes()).await?;
+        Delivery::Oversize => {
+            http.write(head(3 << 30).as_bytes()).await?;
             let mut sent = 0;
-            while sent < OVERSIZE_MOST {
-                wire.write(&body).await?;
+            while sent < MAX_OVERSIZE_BYTES {
+                http.write(body).await?;
                 sent += body.len();
             }
-            wire.ended().await;
+            http.closed().await;
             Ok(())
         }
     }
--- /dev/null
+++ b/crates/lab-site/src/state.rs
@@ -0,0 +1,324 @@
+//! The state that the tasks of a site share on its one thread: the model, pending replies, and what is counted.
+
+use crate::listener::MemberListener;
+use aniseyoke_lab_audit::{Observation, Recorder};
+use aniseyoke_lab_day::clock::{Clock, Nanos};
+use aniseyoke_lab_day::{Day, Member};
+use aniseyoke_lab_world::connection_load::ConnectionLoad;
+use aniseyoke_lab_world::{
+    Attempt, AttemptId, Delivery, Effect, Endpoint, EndpointState, KeySpace, Process, Reply, World,
+};
+use hdrhistogram::Histogram;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch, Notify};
+
+/// Counters by which the connections of one member learn that they are to be reset, or are dead.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ConnectionEpochs {
+    /// Connections opened at a lower count are reset.
+    pub resets: u64,
+    /// Connections opened at a lower count are dead: read, and never answered.
+    pub silences: u64,
+}
+
+/// One member at its address: what its connections follow.
+pub struct MemberHandle {
+    pub addr: SocketAddr,
+    pub epochs: watch::Sender<ConnectionEpochs>,
+    pub process: watch::Sender<Process>,
+}
+
+/// Starts the task that accepts the connections of one member.
+pub type SpawnMember = fn(Rc<SiteState>, usize, MemberListener, Rc<MemberHandle>);
+
+/// All that the tasks of a site share.
+pub struct SiteState {
+    pub day: Day,
+    pub clock: Clock,
+    pub key_space: KeySpace,
+    pub recorder: Recorder,
+    pub world: RefCell<World>,
+    pub members: RefCell<Vec<Rc<MemberHandle>>>,
+    spawn_member: SpawnMember,
+    waiting: RefCell<HashMap<AttemptId, Waiting>>,
+    last_attempt_id: Cell<AttemptId>,
+    wake: Notify,
+    /// The list's current version.
+    pub list_version: watch::Sender<u64>,
+    /// Whether discovery is up.
+    pub discovery: watch::Sender<bool>,
+    /// Proxies that are to be restarted.
+    proxy_restarts: mpsc::Sender<usize>,
+    /// What was asked of the site beyond its day.
+    pub options: super::SiteOptions,
+    /// Calls at discovery for each second from the opening.
+    pub list_calls: RefCell<Vec<u64>>,
+    /// Of those, rejected.
+    pub list_rejected: RefCell<Vec<u64>>,
+    /// Connections and attempts at members.
+    pub connection_load: RefCell<ConnectionLoad>,
+    /// How late the model's events were handled, in microseconds.
+    pub lateness: RefCell<Histogram<u64>>,
+    /// Fetches and writes that reached the origin.
+    pub origin_requests: Cell<u64>,
+    /// Reads served from a node's cache.
+    pub hits: Cell<u64>,
+    /// Reads that a node missed.
+    pub misses: Cell<u64>,
+}
+
+struct Waiting {
+    request: u64,
+    answer: oneshot::Sender<(Reply, Delivery)>,
+}
+
+/// Calls at discovery are counted for this many seconds.
+const MAX_LIST_SECONDS: usize = 86_400;
+
+/// Members of a site at most, over a day.
+const MAX_MEMBERS: usize = 4096;
+
+impl SiteState {
+    /// A site before it opens.
+    pub fn new(
+        day: &Day,
+        clock: Clock,
+        recorder: Recorder,
+        proxy_restarts: mpsc::Sender<usize>,
+        options: super::SiteOptions,
+        spawn_member: SpawnMember,
+    ) -> Rc<Self> {
+        let key_space = KeySpace::new(day);
+        let world = World::new(day, &key_space);
+        let list_version = watch::Sender::new(world.endpoint_list().version());
+        Rc::new(SiteState {
+            day: day.clone(),
+            clock,
+            key_space,
+            recorder,
+            world: RefCell::new(world),
+            members: RefCell::default(),
+            spawn_member,
+            waiting: RefCell::default(),
+            last_attempt_id: Cell::new(0),
+            wake: Notify::new(),
+            list_version,
+            discovery: watch::Sender::new(true),
+            proxy_restarts,
+            connection_load: RefCell::new(ConnectionLoad::new(options.connection_limits)),
+            options,
+            list_calls: RefCell::default(),
+            list_rejected: RefCell::default(),
+            lateness: RefCell::new(Histogram::new_with_bounds(1, 60_000_000, 2).expect("sound bounds")),
+            origin_requests: Cell::new(0),
+            hits: Cell::new(0),
+            misses: Cell::new(0),
+        })
+    }
+
+    /// Opens the listeners of all members.
+    ///
+    /// # Errors
+    /// If the system has no addresses left.
+    pub fn open_members(self: &Rc<Self>) -> io::Result<()> {
+        let members = self.world.borrow().members();
+        (0..members).try_for_each(|m| self.open_member(m))
+    }
+
+    fn open_member(self: &Rc<Self>, member: usize) -> io::Result<()> {
+        let listener = MemberListener::new()?;
+        let process = watch::Sender::new(Process::Up);
+        let member_handle = Rc::new(MemberHandle {
+            addr: listener.addr,
+            epochs: watch::Sender::new(ConnectionEpochs::default()),
+            process,
+        });
+        self.members.borrow_mut().push(member_handle.clone());
+        (self.spawn_member)(self.clone(), member, listener, member_handle);
+        Ok(())
+    }
+
+    /// Begins the day.
+    pub fn begin(self: &Rc<Self>) {
+        self.drive_model(|world, now, _| world.begin(now));
+    }
+
+    /// An entry of the list in discovery's form; none for a member without an address.
+    pub fn member(&self, endpoint: Endpoint) -> Option<Member> {
+        let world = self.world.borrow();
+        let (id, kind) = world.name(endpoint.member);
+        Some(Member {
+            id: id.to_owned(),
+            addr: self.members.borrow().get(endpoint.member)?.addr,
+            kind: kind.to_owned(),
+            state: endpoint.state.name(),
+            started_ms: endpoint.started.map_or(0, |at| self.clock.unix_ms(at)),
+        })
+    }
+
+    /// Counts a call at discovery; false if it is past what discovery answers this second.
+    pub fn admit_list_call(&self) -> bool {
+        let second = (self.clock.now() / aniseyoke_lab_day::clock::SECOND) as usize;
+        let count = |counts: &RefCell<Vec<u64>>| {
+            let mut counts = counts.borrow_mut();
+            if second < MAX_LIST_SECONDS {
+                if counts.len() <= second {
+                    counts.resize(second + 1, 0);
+                }
+                counts[second] += 1;
+            }
+            counts.get(second).copied().unwrap_or(0)
+        };
+        let calls = count(&self.list_calls);
+        let taken = self.options.max_list_calls_per_second.is_none_or(|max| calls <= max);
+        if !taken {
+            count(&self.list_rejected);
+        }
+        taken
+    }
+
+    /// An id for a new attempt.
+    pub fn next_attempt_id(&self) -> AttemptId {
+        self.last_attempt_id.set(self.last_attempt_id.get() + 1);
+        self.last_attempt_id.get()
+    }
+
+    /// Hands an attempt to the model; the receiver gets its reply, if there ever is one.
+    pub fn arrive(self: &Rc<Self>, attempt: Attempt) -> oneshot::Receiver<(Reply, Delivery)> {
+        let (answer, answered) = oneshot::channel();
+        self.waiting.borrow_mut().insert(attempt.attempt_id, Waiting { request: attempt.request, answer });
+        self.drive_model(|world, now, out| world.arrive(now, attempt, out));
+        answered
+    }
+
+    /// The proxy has cancelled an attempt.
+    pub fn cancel(self: &Rc<Self>, attempt_id: AttemptId) {
+        self.drive_model(|world, _, out| world.cancel(attempt_id, out));
+        self.waiting.borrow_mut().remove(&attempt_id);
+    }
+
+    fn drive_model(self: &Rc<Self>, act: impl FnOnce(&mut World, Nanos, &mut Vec<Effect>)) {
+        let mut effects = Vec::new();
+        let sooner = {
+            let mut world = self.world.borrow_mut();
+            let before = world.next_due();
+            act(&mut world, self.clock.now(), &mut effects);
+            world.next_due() < before || before.is_none()
+        };
+        if sooner {
+            self.wake.notify_one();
+        }
+        for effect in effects {
+            self.carry_out(effect);
+        }
+    }
+
+    /// Handles the model's own events when they are due, for as long as the site is open.
+    pub async fn drive(self: Rc<Self>) {
+        loop {
+            let due = self.world.borrow().next_due();
+            let now = self.clock.now();
+            match due {
+                Some(due) if due <= now => {
+                    let late = (now - due) / 1000;
+                    self.lateness.borrow_mut().saturating_record(late.max(1));
+                    self.drive_model(|world, now, out| world.tick(now, out));
+                }
+                Some(due) => {
+                    let due = tokio::time::Instant::from_std(self.clock.instant(due));
+                    tokio::select! {
+                        () = tokio::time::sleep_until(due) => {}
+                        () = self.wake.notified() => {}
+                    }
+                }
+                None => self.wake.notified().await,
+            }
+        }
+    }
+
+    /// Hands recorded evidence to the auditor now and then.
+    pub async fn flush_evidence(self: Rc<Self>) {
+        loop {
+            tokio::time::sleep(Duration::from_millis(50)).await;
+            self.recorder.flush();
+        }
+    }
+
+    fn carry_out(self: &Rc<Self>, effect: Effect) {
+        let note = |seen| self.recorder.note(seen);
+        let members = |member: usize| self.members.borrow().get(member).cloned();
+        match effect {
+            Effect::Reply { attempt_id, reply, delivery } => {
+                if let Some(waiting) = self.waiting.borrow_mut().remove(&attempt_id) {
+                    // A connection that has just ended wants no answer.
+                    let _ = waiting.answer.send((reply, delivery));
+                }
+            }
+            Effect::Executed(attempt_id) => {
+                if let Some(waiting) = self.waiting.borrow().get(&attempt_id) {
+                    note(Observation::Ran { request: waiting.request, attempt: attempt_id });
+                }
+            }
+            Effect::Cancelled(attempt_id) => {
+                if let Some(waiting) = self.waiting.borrow_mut().remove(&attempt_id) {
+                    let (request, attempt) = (waiting.request, attempt_id);
+                    let (status, digest, never_ran, sound) = (0, 0, true, false);
+                    note(Observation::Made { request, attempt, status, digest, never_ran, sound });
+                }
+            }
+            Effect::Joined(member) => {
+                let opened = self.members.borrow().len() < MAX_MEMBERS && self.open_member(member).is_ok();
+                if !opened {
+                    tracing::error!("no address for member {member}");
+                }
+            }
+            Effect::Process(member, process) => {
+                let Some(member_handle) = members(member) else { return };
+                member_handle.process.send_replace(process);
+                member_handle.epochs.send_modify(|epochs| match process {
+                    Process::Down => epochs.resets += 1,
+                    Process::Silent => epochs.silences += 1,
+                    Process::Up => {}
+                });
+            }
+            Effect::HalfOpen(member) => {
+                if let Some(member_handle) = members(member) {
+                    member_handle.epochs.send_modify(|epochs| epochs.silences += 1);
+                }
+            }
+            Effect::NodeOverloaded(member) => note(Observation::Fell { member }),
+            Effect::OriginOverloaded(cold_part) => note(Observation::Stopped { cold_part }),
+            Effect::Listed(endpoint) => {
+                note(Observation::Listed { member: endpoint.member, standing: endpoint.state });
+                let version = self.world.borrow().endpoint_list().version();
+                self.list_version.send_replace(version);
+            }
+            Effect::Discovery(up) => drop(self.discovery.send_replace(up)),
+            // Whoever runs the trial has gone if this fails.
+            Effect::RestartProxy(proxy) => drop(self.proxy_restarts.try_send(proxy)),
+        }
+    }
+
+    /// Records what an answer of discovery tells a proxy; a member that a full list lacks is told to be gone.
+    pub fn record_notified(&self, proxy: usize, endpoints: &[Endpoint], full: bool) {
+        for endpoint in endpoints {
+            self.recorder.note(Observation::Told {
+                proxy,
+                member: endpoint.member,
+                standing: endpoint.state,
+            });
+        }
+        if full {
+            let members = self.world.borrow().members();
+            let lacking = (0..members).filter(|m| endpoints.iter().all(|l| l.member != *m));
+            for member in lacking {
+                self.recorder.note(Observation::Told { proxy, member, standing: EndpointState::Gone });
+            }
+        }
+    }
+}
--- a/crates/lab-trial/src/lib.rs
+++ b/crates/lab-trial/src/lib.rs
@@ -1,41 +1,45 @@
-//! One day from start to end: the site opens, the proxies start, the load runs, proxies are restarted as the day says,
-//! everything is looked at, and all of it ends.
+//! A trial: one day from start to end. The site opens, the proxies start, the load runs, proxies are restarted as the day
+//! says, everything is audited, and all of it ends.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
+mod error;
 mod proxies;
 mod recovery;
 mod report;
 mod sweep;
 
+pub use error::TrialError;
 pub use recovery::Recovery;
 pub use report::Report;
 pub use sweep::{plot, sweep, Curve, Point};
 
-use aniseyoke_lab_audit::{Evidence, Recorder, Seen};
-use aniseyoke_lab_day::clock::{Clock, MS};
+use aniseyoke_lab_audit::{Evidence, Observation, Recorder};
+use aniseyoke_lab_day::clock::{Clock, Nanos, MILLISECOND};
 use aniseyoke_lab_day::{proxy_config, Day};
-use aniseyoke_lab_load::{outcome_lines, Load, Percentiles};
-use aniseyoke_lab_process::{raise_descriptors, Subject};
-use aniseyoke_lab_site::{Counts, Front, Site};
+use aniseyoke_lab_load::Load;
+use aniseyoke_lab_process::{raise_descriptor_limit, ProxyLauncher};
+use aniseyoke_lab_site::{LoadBalancer, Site};
 use proxies::Proxies;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Clients hold at most this part of the proxies' descriptors.
-const CLIENTS_PART: usize = 3;
-/// So many real proxies a trial on one machine can bear.
-const PROXIES_MOST: usize = 64;
-/// The looks at health, and at what the proxies use.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A trial in which a hundredth of the events came later than this is void, in milliseconds.
-const LATE_MOST_MS: f64 = 25.0;
+/// Clients use at most one in this many of the proxies' descriptors.
+const CLIENTS_DIVISOR: usize = 3;
+/// Real proxies of a trial at most.
+const MAX_PROXIES: usize = 64;
+/// How often health and usage of the proxies are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The load begins this long after all proxies are healthy.
+const START_DELAY: Nanos = 50 * MILLISECOND;
 
-/// What a trial may be told beside its day.
+/// Options of a trial beside its day.
 #[derive(Default)]
 pub struct Options<'a> {
     /// Set to end the trial early; what has happened so far is reported.
     pub stop: Arc<AtomicBool>,
-    /// Called about ten times a second with the part of the load that has been released.
+    /// Called about ten times a second with the fraction of the load that has been released.
     pub progress: Option<Box<dyn Fn(f64) + 'a>>,
 }
 
@@ -43,114 +47,71 @@
 ///
 /// # Errors
 /// If it could not be played: the system lacks something, or a proxy did not start.
-pub fn run(day: &Day, subject: &dyn Subject, options: &Options<'_>) -> Result<Report, String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    runtime.block_on(play(day, subject, options))
+pub fn run(day: &Day, launcher: &dyn ProxyLauncher, options: &Options<'_>) -> Result<Report, TrialError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    runtime.map_err(TrialError::Runtime)?.block_on(play(day, launcher, options))
 }
 
-async fn play(day: &Day, subject: &dyn Subject, options: &Options<'_>) -> Result<Report, String> {
-    if day.site.proxy.count > PROXIES_MOST {
-        let count = day.site.proxy.count;
-        return Err(format!(
-            "site.proxy.count: {count} processes are too many for a trial ({PROXIES_MOST}); `sim` plays them"
-        ));
+async fn play(day: &Day, launcher: &dyn ProxyLauncher, options: &Options<'_>) -> Result<Report, TrialError> {
+    if day.site.proxy.count > MAX_PROXIES {
+        return Err(TrialError::TooManyProxies { count: day.site.proxy.count, max: MAX_PROXIES });
     }
-    raise_descriptors();
+    raise_descriptor_limit();
     let clock = Clock::start();
     let (out, auditor) = aniseyoke_lab_audit::start(day);
-    let (site_out, load_out, own_out) = (out.clone(), out.clone(), out);
+    let (site_out, load_out) = (out.clone(), out.clone());
     let mut site =
-        Site::open(day, clock, move || Recorder::new(clock, site_out)).map_err(|e| format!("site: {e}"))?;
-    let configs: Vec<_> = site
-        .discovery
-        .iter()
-        .enumerate()
-        .map(|(me, addr)| proxy_config(day, me, *addr, &site.known[me]))
+        Site::open(day, clock, move || Recorder::new(clock, site_out)).map_err(TrialError::Site)?;
+    let configs: Vec<_> = (site.discovery.iter().enumerate())
+        .map(|(index, addr)| proxy_config(day, index, *addr, &site.initial_lists[index]))
         .collect();
-    let folder = tempfile::tempdir().map_err(|e| format!("a folder: {e}"))?;
-    let note = |seen| {
-        let batch = vec![Evidence { at: clock.now(), seen }];
-        // An auditor that has ended wants no more.
-        let _ = own_out.send(batch);
-    };
-    let mut proxies = Proxies::start(day, subject, configs, folder.path())?;
-    let front = Arc::new(Front::new(&proxies.addrs(), day.site.proxy.notice));
-    proxies.until_well().await?;
-    let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_PART).max(1);
-    let from = clock.now() + 50 * MS;
+    let folder = tempfile::tempdir().map_err(TrialError::Folder)?;
+    let mut proxies = Proxies::start(day, launcher, configs, folder.path())?;
+    let load_balancer = Arc::new(LoadBalancer::new(&proxies.addrs(), day.site.proxy.detection_delay));
+    proxies.wait_until_healthy().await?;
+    let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
+    let from = clock.now() + START_DELAY;
     let recorder = move || Recorder::new(clock, load_out);
-    let load = Load::start(day, clock, from, front.clone(), connections, recorder)
-        .map_err(|e| format!("load: {e}"))?;
+    let load = Load::start(day, clock, from, load_balancer.clone(), connections, recorder)
+        .map_err(TrialError::Load)?;
     site.begin();
-    let wanted = day.load.rate * day.length.as_secs_f64();
-    while !load.over() {
-        tokio::time::sleep(LOOK_EVERY).await;
-        while let Ok(proxy) = site.orders.try_recv() {
+    let record = |observed| {
+        // An auditor that has ended wants no more.
+        let _ = out.send(vec![Evidence { at: clock.now(), observed }]);
+    };
+    follow(day, &load, &mut site, &mut proxies, &load_balancer, options, &record).await;
+    let seconds = (clock.now() - from) as f64 / 1e9;
+    let stats = load.finish();
+    let (usage, crashes) = proxies.end().await;
+    let counts = site.close();
+    drop(out);
+    let audit = auditor.join().map_err(|_| TrialError::AuditorPanicked)?;
+    Ok(report::report(day, seconds, stats, &counts, usage, crashes, audit))
+}
+
+/// Restarts, polls and checks the proxies until the load has ended.
+async fn follow(
+    day: &Day,
+    load: &Load,
+    site: &mut Site,
+    proxies: &mut Proxies<'_>,
+    load_balancer: &LoadBalancer,
+    options: &Options<'_>,
+    record: &dyn Fn(Observation),
+) {
+    let expected = day.load.rate * day.length.as_secs_f64();
+    while !load.finished() {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        while let Ok(proxy) = site.proxy_restarts.try_recv() {
             proxies.restart(proxy);
         }
-        proxies.look(
-            &front,
-            |crashed| note(Seen::Crashed { proxy: crashed }),
-            |started| note(Seen::Started { proxy: started }),
-        );
-        proxies.health(&front).await;
+        proxies.poll(load_balancer, record);
+        proxies.update_health(load_balancer).await;
         if options.stop.load(Ordering::Relaxed) {
             load.progress.stop.store(true, Ordering::Relaxed);
         }
         if let Some(progress) = &options.progress {
-            progress((load.progress.released.load(Ordering::Relaxed) as f64 / wanted).min(1.0));
+            progress((load.progress.released.load(Ordering::Relaxed) as f64 / expected).min(1.0));
         }
     }
-    let seconds = (clock.now() - from) as f64 / 1e9;
-    let tally = load.finish();
-    let (usage, crashes) = proxies.end().await;
-    let counts = site.close();
-    drop(own_out);
-    let verdict = auditor.join().map_err(|_| "the auditor broke".to_owned())?;
-    let (all, classes, tenants) = outcome_lines(&tally);
-    let Counts { lateness, ledger_asks, hits, misses, .. } = counts;
-    let cpu: f64 = usage.iter().map(|u| u.cpu_s).sum();
-    let requests = all.requests.max(1) as f64;
-    let mut report = Report {
-        day: day.name.clone(),
-        seed: day.seed,
-        seconds: seconds.min(day.length.as_secs_f64()),
-        void: None,
-        classes,
-        tenants,
-        tries: tally.tries as f64 / requests,
-        hits: hits as f64 / (hits + misses).max(1) as f64,
-        ledger: ledger_asks as f64 / requests,
-        proxies: usage,
-        cpu_us: cpu * 1e6 / tally.tries.max(1) as f64,
-        load_late: (&tally.lateness).into(),
-        site_late: (&lateness).into(),
-        idle_closed: tally.idle_closed,
-        recoveries: recovery::recoveries(day, &tally.seconds),
-        timeline: tally.seconds,
-        audit: verdict,
-        crashes,
-        all,
-    };
-    report.void = void(report.all.requests, tally.not_sent, &report.site_late, &report.load_late);
-    Ok(report)
 }
-
-/// Why a trial's figures count for nothing. Danger: a lab that is late itself makes any proxy look slow.
-fn void(requests: u64, not_sent: u64, site: &Percentiles, load: &Percentiles) -> Option<String> {
-    let late = |who: &str, p: &Percentiles| {
-        (p.p99_ms > LATE_MOST_MS)
-            .then(|| format!("the {who} ran late: {:.1} ms at the 99th percentile", p.p99_ms))
-    };
-    if requests == 0 {
-        return Some("no request was made".into());
-    }
-    if not_sent > 0 {
-        return Some(format!("{not_sent} arrivals were not sent, since too many were out"));
-    }
-    late("site", site).or(late("load", load))
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/lab-trial/src/recovery.rs
+++ b/crates/lab-trial/src/recovery.rs
@@ -1,24 +1,25 @@
-//! How long a site takes to answer well again once a trouble has ended.
+//! How long a site takes to recover once a fault has ended.
 
-use aniseyoke_lab_day::{Day, TroubleKind};
+use aniseyoke_lab_day::{Day, Fault, FaultKind};
+use aniseyoke_lab_load::Goodput;
 use serde::Serialize;
 use std::fmt;
 
-/// Answering well: this part of the worth asked for is answered within its aim...
-const WELL: f64 = 0.95;
-/// ...over so many seconds together, so that a lucky second does not count.
-const OVER: usize = 2;
+/// Recovered: this fraction of the weight offered is served within the latency objective...
+const RECOVERED_GOODPUT: f64 = 0.95;
+/// ...over this many seconds together, so that a lucky second does not count.
+const RECOVERED_SECONDS: usize = 2;
 
-/// What came after one trouble.
+/// The recovery after one fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// The trouble.
-    pub kind: TroubleKind,
+    /// The fault.
+    pub kind: FaultKind,
     /// When it ended, in seconds from the start of the load.
     pub ended_s: f64,
     /// The lowest goodput of any second from its start to its end.
     pub lowest: f64,
-    /// Seconds from its end until the site answered well; none: it did not before the day ended.
+    /// Seconds from its end until the site had recovered; none if it had not when the day ended.
     pub after_s: Option<f64>,
 }
 
@@ -33,32 +34,24 @@
     }
 }
 
-fn goodput(seconds: &[(f64, f64)]) -> f64 {
-    let (good, asked) = seconds.iter().fold((0.0, 0.0), |(g, a), (good, asked)| (g + good, a + asked));
-    if asked > 0.0 {
-        good / asked
-    } else {
-        1.0
-    }
-}
-
-/// What came after each trouble of a day, by its worth by the second (answered within its aim, asked for).
-pub fn recoveries(day: &Day, seconds: &[(f64, f64)]) -> Vec<Recovery> {
+/// The recovery after each fault of a day, by the goodput of each second.
+pub fn recoveries(day: &Day, seconds: &[Goodput]) -> Vec<Recovery> {
     // The last second is a part of one.
     let seconds = &seconds[..seconds.len().saturating_sub(1)];
-    let of = |t: &aniseyoke_lab_day::Trouble| {
+    let of = |t: &Fault| {
         let (start, end) = (t.at.as_secs_f64(), (t.at + t.length).as_secs_f64());
         let (first, last) = (start as usize, (end.ceil() as usize).min(seconds.len()));
         if first >= last {
             return None;
         }
-        let lowest = seconds[first..last].iter().map(|s| goodput(&[*s])).fold(1.0, f64::min);
-        let well = |at: &usize| goodput(&seconds[*at..at + OVER]) >= WELL;
-        let again = (last..(seconds.len() + 1).saturating_sub(OVER)).find(well);
+        let lowest = seconds[first..last].iter().map(|s| s.ratio()).fold(1.0, f64::min);
+        let recovered =
+            |at: &usize| Goodput::sum(&seconds[*at..at + RECOVERED_SECONDS]).ratio() >= RECOVERED_GOODPUT;
+        let again = (last..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS)).find(recovered);
         let after_s = again.map(|at| (at - last) as f64);
         Some(Recovery { kind: t.kind, ended_s: end, lowest, after_s })
     };
-    day.troubles.iter().filter_map(of).collect()
+    day.faults.iter().filter_map(of).collect()
 }
 
 #[cfg(test)]
--- a/crates/lab-trial/src/sweep.rs
+++ b/crates/lab-trial/src/sweep.rs
@@ -1,8 +1,10 @@
 //! Goodput against offered load: one day at several multiples of its rate, before one or more builds of the proxy.
 
 use super::report::Report;
-use super::{run, Options, Subject};
+use super::{run, Options, TrialError};
 use aniseyoke_lab_day::Day;
+use aniseyoke_lab_load::Goodput;
+use aniseyoke_lab_process::ProxyLauncher;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::path::Path;
@@ -12,11 +14,11 @@
 pub struct Point {
     /// The multiple of the day's rate.
     pub times: f64,
-    /// Worth asked for, a second.
+    /// Priority weight offered, a second.
     pub offered: f64,
-    /// Worth answered within its aim, a second.
+    /// Priority weight served within the latency objective, a second.
     pub good: f64,
-    /// Part of the requests that ended refused.
+    /// Fraction of the requests that ended rejected.
     pub refused: f64,
     /// Latency of what was served at the 99th percentile, in milliseconds.
     pub p99_ms: f64,
@@ -27,19 +29,19 @@
 /// The trials of one build.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
-    /// What it is of.
+    /// The name of the build.
     pub name: String,
     /// In the order of their multiples.
     pub points: Vec<Point>,
 }
 
 impl Curve {
-    /// The highest worth a second that was answered in time.
+    /// The highest weight a second that was served in time.
     pub fn peak(&self) -> f64 {
         self.points.iter().map(|p| p.good).fold(0.0, f64::max)
     }
 
-    /// The least part of the peak that is left at any load beyond the one of the peak.
+    /// The least fraction of the peak that is left at any load beyond that of the peak.
     pub fn held(&self) -> f64 {
         let peak = self.peak();
         let at = self.points.iter().position(|p| p.good == peak).unwrap_or(0);
@@ -47,12 +49,11 @@
     }
 }
 
-fn point(times: f64, report: &Report) -> Result<Point, String> {
+fn point(times: f64, report: &Report) -> Result<Point, TrialError> {
     if let Some(why) = &report.void {
-        return Err(format!("the trial at {times} times is void: {why}"));
+        return Err(TrialError::Void { times, why: why.clone() });
     }
-    let (good, offered) =
-        report.timeline.iter().fold((0.0, 0.0), |(g, a), (good, asked)| (g + good, a + asked));
+    let Goodput { good, offered } = Goodput::sum(&report.timeline);
     let refused = report.all.outcomes.get("refused").copied().unwrap_or(0) as f64;
     Ok(Point {
         times,
@@ -71,28 +72,28 @@
 pub fn sweep(
     name: &str,
     day: &Day,
-    subject: &dyn Subject,
+    launcher: &dyn ProxyLauncher,
     times: &[f64],
     options: &Options<'_>,
-) -> Result<Curve, String> {
+) -> Result<Curve, TrialError> {
     let mut points = Vec::new();
     for times in times {
         let mut day = day.clone();
         day.load.rate *= times;
-        points.push(point(*times, &run(&day, subject, options)?)?);
+        points.push(point(*times, &run(&day, launcher, options)?)?);
     }
     Ok(Curve { name: name.to_owned(), points })
 }
 
-/// Draws curves into an SVG file: worth answered in time against worth asked for, both a second.
+/// Draws curves into an SVG file: weight served in time against weight offered, both a second.
 ///
 /// # Errors
 /// If the file can't be written.
-pub fn plot(title: &str, curves: &[Curve], file: &Path) -> Result<(), String> {
+pub fn plot(title: &str, curves: &[Curve], file: &Path) -> Result<(), TrialError> {
     let all = || curves.iter().flat_map(|c| &c.points);
     let widest = all().map(|p| p.offered).fold(1.0, f64::max) * 1.05;
     let highest = all().map(|p| p.good).fold(1.0, f64::max) * 1.15;
-    let draw = || -> Result<(), Box<dyn std::error::Error>> {
+    let draw = || -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let root = SVGBackend::new(file, (720, 420)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
@@ -124,7 +125,7 @@
         root.present()?;
         Ok(())
     };
-    draw().map_err(|e| format!("{}: {e}", file.display()))
+    draw().map_err(|source| TrialError::Plot { path: file.to_owned(), source })
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/lab-world/src/apply.rs
@@ -0,0 +1,108 @@
+//! Applies faults and overload to the members: processes end and restart, and discovery lists it some time later.
+
+use super::*;
+use aniseyoke_lab_day::clock::unit_fraction;
+
+impl World {
+    pub(super) fn set_process(&mut self, member: usize, process: Process, out: &mut Vec<Effect>) {
+        if self.members[member].process != process {
+            self.members[member].process = process;
+            out.push(Effect::Process(member, process));
+        }
+    }
+
+    /// A machine's process ends, or goes silent, and loses its work and its cache.
+    fn stop_process(&mut self, now: Nanos, member: usize, process: Process, out: &mut Vec<Effect>) {
+        self.members[member].machine.stop(now);
+        self.members[member].machine.forecast += 1;
+        self.members[member].cache.clear();
+        self.in_progress.retain(|_, w| w.attempt.member != member);
+        self.set_process(member, process, out);
+    }
+
+    pub(super) fn overload(&mut self, now: Nanos, member: usize, out: &mut Vec<Effect>) {
+        let cold_fraction = self.members[member].machine.cold_fraction();
+        self.stop_process(now, member, Process::Down, out);
+        if member == self.origin {
+            out.push(Effect::OriginOverloaded(cold_fraction));
+            self.schedule(now + nanos(self.day.site.origin.outage), InternalEvent::OriginRestart);
+        } else {
+            out.push(Effect::NodeOverloaded(member));
+            self.list(now, member, EndpointState::Gone, 1);
+        }
+    }
+
+    /// Has discovery list a change, some time later.
+    fn list(&mut self, now: Nanos, member: usize, state: EndpointState, salt: u64) {
+        let delays = &self.day.site.discovery;
+        let drawn = unit_fraction(mix(self.day.seed, 0x115 + salt, member as u64 ^ now));
+        let (least, most) = (nanos(delays.min_lag), nanos(delays.max_lag));
+        let lag = least + ((most - least) as f64 * drawn) as Nanos;
+        let started = self.members[member].started;
+        self.schedule(now + lag, InternalEvent::Publish(Endpoint { member, state, started }));
+    }
+
+    pub(super) fn apply(&mut self, now: Nanos, event: FaultEvent, out: &mut Vec<Effect>) {
+        match event {
+            FaultEvent::Crash(member) => {
+                self.stop_process(now, member, Process::Down, out);
+                self.list(now, member, EndpointState::Gone, 2);
+            }
+            FaultEvent::Silence(member) => {
+                self.stop_process(now, member, Process::Silent, out);
+                let endpoint =
+                    Endpoint { member, state: EndpointState::Gone, started: self.members[member].started };
+                self.schedule(
+                    now + nanos(self.day.site.discovery.silent_lag),
+                    InternalEvent::Publish(endpoint),
+                );
+            }
+            FaultEvent::Restart(member) => {
+                if self.members[member].process == Process::Silent {
+                    // What stood open is reset once the machine is back.
+                    self.set_process(member, Process::Down, out);
+                }
+                self.members[member].started = Some(now);
+                self.members[member].machine.restart(now);
+                self.set_process(member, Process::Up, out);
+                self.list(now, member, EndpointState::Ready, 3);
+            }
+            FaultEvent::Drain(member) => self.list(now, member, EndpointState::Draining, 4),
+            FaultEvent::Replace(member) => {
+                self.stop_process(now, member, Process::Down, out);
+                self.list(now, member, EndpointState::Gone, 5);
+                let next = self.members.len();
+                let mut successor = self.node(next, self.kind_of(member.min(self.day.site.cache.count - 1)));
+                successor.started = Some(now);
+                successor.machine.restart(now);
+                self.members.push(successor);
+                out.push(Effect::Joined(next));
+                self.list(now, next, EndpointState::Ready, 6);
+            }
+            FaultEvent::Slow(member, factor) => {
+                self.members[member].machine.set_speed_factor(now, factor);
+                self.forecast(now, member);
+            }
+            FaultEvent::HalfOpen(member) => out.push(Effect::HalfOpen(member)),
+            FaultEvent::Responses(n, on) => {
+                self.response_faults.retain(|other| *other != n);
+                if on {
+                    self.response_faults.push(n);
+                }
+            }
+            FaultEvent::Discovery(up) => out.push(Effect::Discovery(up)),
+            FaultEvent::Misreport(members) => self.misreport(members, out),
+            FaultEvent::RestartProxy(n) => out.push(Effect::RestartProxy(n)),
+        }
+    }
+
+    /// Lists these members as draining, and tells of every member if that changed the list.
+    fn misreport(&mut self, members: Vec<usize>, out: &mut Vec<Effect>) {
+        let before = self.endpoint_list.version();
+        self.endpoint_list.misreport(members);
+        if self.endpoint_list.version() != before {
+            let entries = (0..self.members.len()).filter_map(|m| self.endpoint_list.entry(m));
+            out.extend(entries.map(Effect::Listed));
+        }
+    }
+}
--- a/crates/lab-world/src/connection_load.rs
+++ b/crates/lab-world/src/connection_load.rs
@@ -1,41 +1,46 @@
-//! What each member's machine is met with: connections opened and held, attempts out, against what it bears; and what it
-//! turns away past that.
+//! Connections and attempts in flight at each member, against the limits of cache nodes, and what was rejected past those.
 
 use aniseyoke_lab_day::clock::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// What a cache node takes of connections, of all proxies together; past that it answers that it did nothing and closes.
+/// The connections that a cache node accepts of all proxies together. Past that it rejects a connection's first request
+/// and closes it.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Bears {
-    /// Connections that it holds; no limit if not given.
+pub struct ConnectionLimits {
+    /// Connections open at once; no limit if not given.
     pub connections: Option<u64>,
-    /// Connections that it takes a second; no limit if not given.
+    /// Connections opened in a second; no limit if not given.
     pub opens_per_second: Option<u64>,
 }
 
-/// What all members of a kind were met with.
+/// Connections and attempts at all members of a kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Met {
+pub struct MemberLoad {
     /// Connections opened, for each second from the site's opening.
     pub opened: Vec<u64>,
-    /// The most that any one member was opened in a second, for each second.
-    pub opened_most: Vec<u64>,
-    /// The most connections that any one member held.
-    pub held_most: u64,
-    /// The most attempts out at any one member.
-    pub out_most: u64,
-    /// Connections turned away for being past what a node takes, for each second.
-    pub turned: Vec<u64>,
-    /// Attempts turned away for lack of slots and room.
-    pub full: u64,
+    /// The most opened at any one member, for each second.
+    #[serde(rename = "opened_most")]
+    pub max_opened: Vec<u64>,
+    /// The most connections open at once at any one member.
+    #[serde(rename = "held_most")]
+    pub max_open: u64,
+    /// The most attempts in flight at any one member.
+    #[serde(rename = "out_most")]
+    pub max_in_flight: u64,
+    /// Connections rejected for being past a node's limits, for each second.
+    #[serde(rename = "turned")]
+    pub rejected_connections: Vec<u64>,
+    /// Attempts rejected since slots and queue were full.
+    #[serde(rename = "full")]
+    pub rejected_attempts: u64,
 }
 
 /// Seconds that are counted.
-const SECONDS_MOST: usize = 86_400;
+const MAX_SECONDS: usize = 86_400;
 
 fn at(counts: &mut Vec<u64>, second: usize) -> &mut u64 {
-    let second = second.min(SECONDS_MOST);
+    let second = second.min(MAX_SECONDS);
     if counts.len() <= second {
         counts.resize(second + 1, 0);
     }
@@ -43,78 +48,79 @@
 }
 
 #[derive(Clone, Copy, Default)]
-struct Member {
-    held: u64,
-    out: u64,
+struct MemberCounts {
+    open: u64,
+    in_flight: u64,
     second: usize,
     opened: u64,
 }
 
-/// The count.
-pub struct Toll {
-    bears: Bears,
-    members: Vec<Member>,
-    /// Of cache nodes, and of the ledger.
-    met: [Met; 2],
+/// Counts connections and attempts in flight at each member.
+pub struct ConnectionLoad {
+    limits: ConnectionLimits,
+    members: Vec<MemberCounts>,
+    /// At cache nodes, and at the origin.
+    load: [MemberLoad; 2],
 }
 
-impl Toll {
-    /// Nothing yet, of nodes that take so much.
-    pub fn new(bears: Bears) -> Self {
-        Toll { bears, members: Vec::new(), met: [Met::default(), Met::default()] }
+impl ConnectionLoad {
+    /// Nothing counted yet, of nodes with these limits.
+    pub fn new(limits: ConnectionLimits) -> Self {
+        ConnectionLoad { limits, members: Vec::new(), load: [MemberLoad::default(), MemberLoad::default()] }
     }
 
-    fn member(&mut self, member: usize) -> &mut Member {
+    fn member(&mut self, member: usize) -> &mut MemberCounts {
         if self.members.len() <= member {
-            self.members.resize(member + 1, Member::default());
+            self.members.resize(member + 1, MemberCounts::default());
         }
         &mut self.members[member]
     }
 
-    /// A connection has come to a member; false if it is past what the member takes.
-    pub fn opened(&mut self, now: Nanos, member: usize, ledger: bool) -> bool {
-        let (second, bears) = ((now / SECOND) as usize, self.bears);
-        let of = self.member(member);
-        if of.second != second {
-            (of.second, of.opened) = (second, 0);
+    /// A connection was opened to a member; false if it is past the member's limits.
+    pub fn opened(&mut self, now: Nanos, member: usize, origin: bool) -> bool {
+        let (second, limits) = ((now / SECOND) as usize, self.limits);
+        let counts = self.member(member);
+        if counts.second != second {
+            (counts.second, counts.opened) = (second, 0);
         }
-        of.opened += 1;
-        of.held += 1;
-        let Member { held, opened, .. } = *of;
-        let over = |limit: Option<u64>, is: u64| limit.is_some_and(|most| is > most);
-        let turned = !ledger && (over(bears.connections, held) || over(bears.opens_per_second, opened));
-        let met = &mut self.met[usize::from(ledger)];
-        *at(&mut met.opened, second) += 1;
-        let most = at(&mut met.opened_most, second);
-        *most = opened.max(*most);
-        met.held_most = met.held_most.max(held);
-        *at(&mut met.turned, second) += u64::from(turned);
-        !turned
+        counts.opened += 1;
+        counts.open += 1;
+        let MemberCounts { open, opened, .. } = *counts;
+        let over = |limit: Option<u64>, value: u64| limit.is_some_and(|max| value > max);
+        let rejected_connections =
+            !origin && (over(limits.connections, open) || over(limits.opens_per_second, opened));
+        let load = &mut self.load[usize::from(origin)];
+        *at(&mut load.opened, second) += 1;
+        let max = at(&mut load.max_opened, second);
+        *max = opened.max(*max);
+        load.max_open = load.max_open.max(open);
+        *at(&mut load.rejected_connections, second) += u64::from(rejected_connections);
+        !rejected_connections
     }
 
-    /// It has ended.
+    /// A connection to a member has ended.
     pub fn closed(&mut self, member: usize) {
-        let of = self.member(member);
-        of.held = of.held.saturating_sub(1);
+        let counts = self.member(member);
+        counts.open = counts.open.saturating_sub(1);
     }
 
-    /// An attempt is out at a member, or no more.
-    pub fn out(&mut self, member: usize, ledger: bool, comes: bool) {
-        let of = self.member(member);
-        of.out = if comes { of.out + 1 } else { of.out.saturating_sub(1) };
-        let out = of.out;
-        let met = &mut self.met[usize::from(ledger)];
-        met.out_most = met.out_most.max(out);
+    /// An attempt at a member starts, or ends.
+    pub fn in_flight(&mut self, member: usize, origin: bool, starts: bool) {
+        let counts = self.member(member);
+        counts.in_flight = if starts { counts.in_flight + 1 } else { counts.in_flight.saturating_sub(1) };
+        let in_flight = counts.in_flight;
+        let load = &mut self.load[usize::from(origin)];
+        load.max_in_flight = load.max_in_flight.max(in_flight);
     }
 
-    /// An attempt was turned away for lack of room.
-    pub fn full(&mut self, ledger: bool) {
-        self.met[usize::from(ledger)].full += 1;
+    /// An attempt was rejected since slots and queue were full.
+    pub fn rejected(&mut self, origin: bool) {
+        self.load[usize::from(origin)].rejected_attempts += 1;
     }
 
-    /// What cache nodes and the ledger were met with.
-    pub fn met(&self) -> [Met; 2] {
-        self.met.clone()
+    /// What was counted at cache nodes, and at the origin.
+    pub fn load(&self) -> [MemberLoad; 2] {
+        self.load.clone()
     }
 }
 
--- a/crates/lab-world/src/value.rs
+++ b/crates/lab-world/src/key_space.rs
@@ -1,33 +1,33 @@
-//! What follows from the day's seed alone: keys by popularity, the work of a request, the length of an answer.
+//! What follows from the day's seed alone: keys by popularity, the work of a request, the length of a value.
 
-use aniseyoke_lab_day::clock::{mix, part, Nanos};
+use aniseyoke_lab_day::clock::{mix, unit_fraction, Nanos};
 use aniseyoke_lab_day::Day;
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
 
 /// The keys of a day.
 #[derive(Clone, Debug)]
-pub struct Catalogue {
+pub struct KeySpace {
     seed: u64,
     mean_length: u64,
     zipf: Zipf<f64>,
 }
 
 /// No value is longer than this multiple of the mean.
-const LONGEST: f64 = 12.0;
+const MAX_LENGTH_FACTOR: f64 = 12.0;
 /// No work is more than this multiple of the mean.
-const HARDEST: f64 = 25.0;
-/// How far the lengths of values are apart (sigma of the log-normal).
+const MAX_WORK_FACTOR: f64 = 25.0;
+/// Sigma of the log-normal lengths of values.
 const LENGTH_SIGMA: f64 = 0.6;
 
-impl Catalogue {
-    /// The catalogue of a day.
+impl KeySpace {
+    /// The keys of a day.
     ///
     /// # Panics
     /// Never for a day that was read: its keys and exponent are checked there.
     pub fn new(day: &Day) -> Self {
         let zipf = Zipf::new(day.load.keys as f64, day.load.zipf).expect("checked with the day");
-        Catalogue { seed: day.seed, mean_length: day.load.answer_bytes, zipf }
+        KeySpace { seed: day.seed, mean_length: day.load.response_bytes, zipf }
     }
 
     /// The key of a rank; 0 is the most popular.
@@ -41,8 +41,8 @@
     }
 
     /// The length of the value of a key, in bytes.
-    pub fn length(&self, key: u64) -> usize {
-        let factor = log_normal(mix(self.seed, 0x1e4, key), LENGTH_SIGMA).min(LONGEST);
+    pub fn value_length(&self, key: u64) -> usize {
+        let factor = log_normal(mix(self.seed, 0x1e4, key), LENGTH_SIGMA).min(MAX_LENGTH_FACTOR);
         (self.mean_length as f64 * factor).max(64.0) as usize
     }
 }
@@ -51,13 +51,13 @@
 pub fn work(day: &Day, request: u64, class: usize) -> Nanos {
     let class = &day.load.classes[class];
     let sigma = (1.0 + class.work_spread * class.work_spread).ln().sqrt();
-    let factor = log_normal(mix(day.seed, 0x304, request), sigma).min(HARDEST);
+    let factor = log_normal(mix(day.seed, 0x304, request), sigma).min(MAX_WORK_FACTOR);
     (class.work.as_nanos() as f64 * factor).max(1000.0) as Nanos
 }
 
 /// A log-normal value of mean 1, from one mixed number (Box and Muller).
 fn log_normal(mixed: u64, sigma: f64) -> f64 {
-    let (u, v) = (part(mixed).max(1e-12), part(mix(mixed, 1, 2)));
+    let (u, v) = (unit_fraction(mixed).max(1e-12), unit_fraction(mix(mixed, 1, 2)));
     let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
     (sigma * normal - sigma * sigma / 2.0).exp()
 }
--- a/crates/lab-world/src/value/tests.rs
+++ b/crates/lab-world/src/key_space/tests.rs
@@ -5,18 +5,18 @@
 #[test]
 fn work_has_the_mean_that_the_class_states_and_follows_from_the_request_alone() {
     let day = Day::open("quiet").expect("built in");
-    let mean = (0..20_000).map(|r| work(&day, r, 0) as f64).sum::<f64>() / 20_000.0;
-    let told = day.load.classes[0].work.as_nanos() as f64;
-    assert!((mean / told - 1.0).abs() < 0.05, "{mean} against {told}");
+    let mean = (0..20_000).map(|rank| work(&day, rank, 0) as f64).sum::<f64>() / 20_000.0;
+    let stated = day.load.classes[0].work.as_nanos() as f64;
+    assert!((mean / stated - 1.0).abs() < 0.05, "{mean} against {stated}");
     assert_eq!(work(&day, 7, 0), work(&day, 7, 0));
 }
 
 #[test]
 fn a_few_keys_draw_most_requests() {
     let day = Day::open("quiet").expect("built in");
-    let catalogue = Catalogue::new(&day);
+    let key_space = KeySpace::new(&day);
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let top: Vec<u64> = (0..day.load.keys / 100).map(|r| catalogue.key(r)).collect();
-    let drawn = (0..2000).filter(|_| top.contains(&catalogue.draw(&mut rng))).count();
+    let top: Vec<u64> = (0..day.load.keys / 100).map(|rank| key_space.key(rank)).collect();
+    let drawn = (0..2000).filter(|_| top.contains(&key_space.draw(&mut rng))).count();
     assert!(drawn > 800, "{drawn} of 2000 for the most popular hundredth");
 }
