--- a/crates/lab-rig/src/board.rs
+++ b/crates/lab-rig/src/board.rs
@@ -106,7 +106,8 @@
     HalfOpen,
     /// Bandwidth is limited in each direction of a connection.
     Bandwidth,
-    /// The two sets hear nothing of each other (a black hole both ways) until it ends.
+    /// Nothing passes between the two sets until it is cleared: open connections are silent both ways, and the handshakes
+    /// of new ones stay unanswered.
     Partition,
 }
 
@@ -162,6 +163,8 @@
     pub half_open_before: u64,
     /// Whether nothing passes.
     pub silent: bool,
+    /// Whether the handshakes of new connections stay unanswered.
+    pub unreachable: bool,
 }
 
 impl LinkEffect {
@@ -202,7 +205,8 @@
                     effect.reset_before = effect.reset_before.max(fault.injected_at);
                 }
                 Fault::HalfOpen => effect.half_open_before = effect.half_open_before.max(fault.injected_at),
-                Fault::BlackHole | Fault::Partition => effect.silent = true,
+                Fault::BlackHole => effect.silent = true,
+                Fault::Partition => (effect.silent, effect.unreachable) = (true, true),
                 Fault::Bandwidth => effect.rate = Some(effect.rate.map_or(fault.rate, |r| r.min(fault.rate))),
             }
         }
--- a/crates/lab-rig/src/lib.rs
+++ b/crates/lab-rig/src/lib.rs
@@ -2,6 +2,7 @@
 //! (`docs/design-rig.md`).
 //!
 //! - [`board`]: the ends of links, faults, and the board of the active faults; no I/O.
+//! - [`handshakes`]: a listening socket that can stop answering handshakes.
 //! - [`plan`]: an experiment's file and the schedule that a seed makes of it.
 //! - [`play`]: one experiment from start to end.
 //! - [`outcome`]: what an experiment came to.
@@ -15,6 +16,7 @@
 
 pub mod board;
 pub mod error;
+pub mod handshakes;
 pub mod outcome;
 pub mod plan;
 pub mod play;
--- a/crates/lab-rig/src/relay.rs
+++ b/crates/lab-rig/src/relay.rs
@@ -1,6 +1,7 @@
 //! A relay on one link: accepts the connections of one end for the other and carries their bytes, under the active faults.
 
 use super::board::{FaultSet, LinkEffect, LinkEnd};
+use super::handshakes::HandshakeListener;
 use aniseyoke_lab_day::clock::mix;
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -36,7 +37,7 @@
     pub reset: AtomicU64,
     /// Connections held silent for a while, or for good.
     pub held: AtomicU64,
-    /// Of those, given up by their callers before the silence ended: nothing of them reaches the target.
+    /// Of those, given up by their callers before the silence ended: nothing that was held of them reaches the target.
     pub given_up: AtomicU64,
     /// Connections whose target could not be reached.
     pub unreached: AtomicU64,
@@ -92,35 +93,62 @@
     let counts = Arc::new(RelayCounters::default());
     let shared = counts.clone();
     handle.spawn(async move {
-        let listener = match TcpListener::from_std(listener) {
-            Ok(listener) => listener,
-            Err(e) => return tracing::error!("relay {addr}: {e}"),
-        };
-        let mut number = 0u64;
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    number += 1;
-                    let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, addr.port().into(), number));
-                    RelayCounters::add(&shared.taken, 1);
-                    tokio::spawn(carry(stream, link, faults.clone(), rng, shared.clone()));
-                }
-                Err(e) => {
-                    tracing::warn!("relay {addr}: {e}");
-                    sleep(Duration::from_millis(10)).await;
-                }
-            }
+        match TcpListener::from_std(listener).and_then(HandshakeListener::new) {
+            Ok(listener) => accept_connections(listener, link, faults, seed, shared).await,
+            Err(e) => tracing::error!("relay {addr}: {e}"),
         }
     });
     Ok(Relay { addr, counts })
 }
 
+/// Accepts connections for as long as the board exists, while the link's far end is reachable.
+async fn accept_connections(
+    mut listener: HandshakeListener,
+    link: Link,
+    mut faults: watch::Receiver<Arc<FaultSet>>,
+    seed: u64,
+    counts: Arc<RelayCounters>,
+) {
+    let addr = listener.addr();
+    let mut number = 0u64;
+    loop {
+        let unreachable = faults.borrow_and_update().effect(link.from, link.to).unreachable;
+        if let Err(e) = listener.set_answering(!unreachable) {
+            tracing::warn!("relay {addr}: {e}");
+        }
+        let accepted = tokio::select! {
+            accepted = listener.accept(), if !unreachable => accepted,
+            changed = faults.changed() => match changed {
+                Ok(()) => continue,
+                Err(_) => return,
+            },
+        };
+        match accepted {
+            Ok(stream) => {
+                number += 1;
+                let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, addr.port().into(), number));
+                RelayCounters::add(&counts.taken, 1);
+                tokio::spawn(carry(stream, link, faults.clone(), rng, counts.clone()));
+            }
+            Err(e) => {
+                tracing::warn!("relay {addr}: {e}");
+                sleep(Duration::from_millis(10)).await;
+            }
+        }
+    }
+}
+
 /// Whether a caller has closed its connection meanwhile.
 async fn given_up(stream: &TcpStream) -> bool {
     let writable = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
     writable.is_ok_and(|ready| ready.is_read_closed() || ready.is_write_closed())
 }
 
+/// Whether the kernel says that a connection's peer has reset it.
+fn was_reset(stream: &TcpStream) -> bool {
+    !matches!(socket2::SockRef::from(stream).take_error(), Ok(None))
+}
+
 fn reset(stream: &TcpStream) {
     // A socket that is gone already needs no reset.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
@@ -250,10 +278,16 @@
                 Ok(n) => n,
                 Err(ended) => return ended,
             };
-            let effect = match self.hold(&mut faults).await {
-                Some(effect) => effect,
+            let (effect, held) = match self.hold(&mut faults).await {
+                Some(held) => held,
                 None => return Ended::Reset,
             };
+            // Danger: over a real link, bytes that are not acknowledged are sent again until their sender resets the
+            // connection, and never after that; the relay has acknowledged what it holds.
+            if held && was_reset(read.as_ref()) {
+                RelayCounters::add(&self.counts.given_up, 1);
+                return Ended::Reset;
+            }
             // Both directions draw on one budget; it never goes below nothing.
             let take = |left: u64| Some(left.saturating_sub(n as u64));
             let left = self.budget.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).unwrap_or(0);
@@ -314,9 +348,9 @@
         }
     }
 
-    /// Waits while the link is silent; the effect after that, or none if the connection is to be reset. A half-open
-    /// connection never comes back.
-    async fn hold(&self, faults: &mut watch::Receiver<Arc<FaultSet>>) -> Option<LinkEffect> {
+    /// Waits while the link is silent; the effect after that and whether it was silent, or none if the connection is to be
+    /// reset. A half-open connection never comes back.
+    async fn hold(&self, faults: &mut watch::Receiver<Arc<FaultSet>>) -> Option<(LinkEffect, bool)> {
         let mut counted = false;
         loop {
             let effect = faults.borrow_and_update().effect(self.link.from, self.link.to);
@@ -324,7 +358,7 @@
                 return None;
             }
             if !effect.silent && !effect.half_open(self.opened_at) {
-                return Some(effect);
+                return Some((effect, counted));
             }
             if !counted {
                 RelayCounters::add(&self.counts.held, 1);
