--- a/crates/lab-capacity/src/slopes/mod.rs
+++ b/crates/lab-capacity/src/slopes/mod.rs
@@ -24,7 +24,7 @@
 
 /// The fewest points of a fit; the one kept out comes beside them.
 const MIN_POINTS: usize = 4;
-/// The largest size is at least so many times the smallest.
+/// The largest size is at least this many times the smallest.
 const MIN_SIZE_RATIO: f64 = 10.0;
 
 /// What a fit was tried on.
--- a/crates/lab-memcached-server/src/lib.rs
+++ b/crates/lab-memcached-server/src/lib.rs
@@ -1,5 +1,8 @@
-//! A memcached server's own behaviour, without I/O or clock: what each operation does to the values kept, and what it
-//! answers. The laboratory's nodes of that protocol stand on it, and client libraries of others are tried against it.
+//! A stand-in memcached server for the binary protocol. [`Store`] is its behavior without I/O or clock: what each operation
+//! does to the stored values, and its response. [`Server`] serves it on sockets; third-party client libraries are tested
+//! against it.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 mod server;
 
@@ -10,31 +13,31 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// A span of time to live above this, in seconds, is a moment of Unix time: 30 days.
+/// A span of time to live above this, in seconds, is a Unix time: 30 days.
 const MAX_RELATIVE_EXPIRY: u32 = 60 * 60 * 24 * 30;
-/// The time to live of a counter that must be there already.
+/// The time to live by which a counter must exist already.
 const NO_INITIAL_VALUE: u32 = u32::MAX;
 
-/// A value kept.
+/// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Item {
     value: Bytes,
     flags: u32,
-    /// When it goes, as Unix time in seconds; none: never.
+    /// When it expires, as Unix time in seconds; never if none.
     expires_at: Option<u64>,
     cas: u64,
 }
 
-/// An answer.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// What became of the request.
+    /// The status of the request.
     pub status: Status,
     /// Flags, where a value is given back.
     pub extras: Extras,
     /// The key, where it is asked for.
     pub key: Bytes,
-    /// The value, or words.
+    /// The value, or a text.
     pub value: Bytes,
     /// The version of the value.
     pub cas: u64,
@@ -51,7 +54,7 @@
     }
 }
 
-/// All values of a server.
+/// All stored values of a server.
 pub struct Store {
     items: LruCache<Bytes, Item>,
     max_value_bytes: usize,
@@ -61,7 +64,7 @@
 }
 
 impl Store {
-    /// Keeps so many values of at most so many bytes; the one that was not used for longest goes first.
+    /// Stores this many values of at most `max_value_bytes`; the least recently used goes first.
     pub fn new(items: NonZeroUsize, max_value_bytes: usize) -> Self {
         Store { items: LruCache::new(items), max_value_bytes, next_cas: 1, mutations: 0 }
     }
@@ -96,7 +99,7 @@
         Response::ok(cas)
     }
 
-    /// Does what a request asks. `now` is Unix time in seconds. Operations about the connection are the caller's.
+    /// Applies a request. `now` is Unix time in seconds. Operations on the connection are the caller's.
     pub fn apply(&mut self, now: u64, head: &Head, value: Bytes) -> Response {
         let Some(opcode) = head.operation() else { return Response::status_only(Status::Unknown) };
         if value.len() > self.max_value_bytes {
--- a/crates/lab-memcached-server/src/server.rs
+++ b/crates/lab-memcached-server/src/server.rs
@@ -1,4 +1,4 @@
-//! A keeper on a socket: a memcached server for the binary protocol, as far as clients see one.
+//! A [`Store`] on a socket: a memcached server for the binary protocol, as far as clients can tell.
 
 use super::{Response, Store};
 use aniseyoke_memcached::decode::Bad;
@@ -18,7 +18,7 @@
 /// Answers are written once so much of them waits, or nothing more has come, in bytes.
 const WRITE_THRESHOLD: usize = 64 << 10;
 
-/// A keeper that clients connect to.
+/// A server that clients connect to.
 pub struct Server {
     store: RefCell<Store>,
     limits: Limits,
@@ -26,7 +26,7 @@
     users: BTreeMap<String, String>,
 }
 
-/// What one connection has shown and sent.
+/// The state of one connection.
 struct Session {
     user: Option<String>,
     out: Vec<u8>,
@@ -44,7 +44,7 @@
 }
 
 impl Server {
-    /// A server over a keeper whose values are at most so many bytes.
+    /// A server of a store whose values are at most `max_value_bytes` long.
     pub fn new(store: Store, max_value_bytes: usize, users: BTreeMap<String, String>) -> Rc<Self> {
         let limits = Limits { value: max_value_bytes, ..Limits::default() };
         Rc::new(Server { store: RefCell::new(store), limits, users })
--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -59,7 +59,7 @@
         self.schedule_after(delay, SimEvent::AttemptArrival(attempt_id));
     }
 
-    /// Opens the connection that an attempt needs, or has it wait for leave.
+    /// Opens the connection that an attempt needs, or has it wait for a permit.
     pub(super) fn open_connection(&mut self, attempt_id: AttemptId) {
         let now = self.now;
         let Some(attempt) = self.in_flight.get(&attempt_id) else { return };
@@ -81,7 +81,7 @@
         self.schedule_after(delay, SimEvent::AttemptArrival(attempt_id));
     }
 
-    /// An attempt's last byte reaches its node.
+    /// An attempt's last byte arrives at its member.
     pub(super) fn attempt_arrived(&mut self, attempt_id: AttemptId) {
         let Some(attempt) = self.in_flight.get_mut(&attempt_id) else { return };
         let (proxy, request, member, new_connection) =
@@ -123,7 +123,7 @@
         self.effects = effects;
     }
 
-    /// An answer, or the end of the connection, has come back to the proxy.
+    /// A response, or the end of the connection, has reached the proxy.
     pub(super) fn attempt_replied(&mut self, attempt_id: AttemptId, reply: AttemptReply) {
         let Some(attempt) = self.in_flight.get(&attempt_id).filter(|o| !o.dead) else { return };
         let (proxy, member, origin) = (attempt.proxy, attempt.member, attempt.origin);
@@ -169,7 +169,7 @@
         self.end_attempt_as(attempt_id, status, (status == Status::Miss).then_some(false));
     }
 
-    /// Takes an attempt off the books and tells the module.
+    /// Ends an attempt and tells the module.
     pub(super) fn end_attempt_as(&mut self, attempt_id: AttemptId, status: Status, hit: Option<bool>) {
         let Some(attempt) = self.in_flight.remove(&attempt_id) else { return };
         if attempt.reached {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// A member's process has died: what is out there breaks, idle connections are gone.
+    /// A member's process has died: attempts in flight there are reset, idle connections are gone.
     pub(super) fn reset_member(&mut self, member: usize) {
         let server = self.server(member);
         self.proxies.iter_mut().for_each(|h| drop(h.idle.remove(&server)));
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A write has run. One that must not run twice counts for its client's request, whatever try it was.
+    /// A write was executed; counts one that is not idempotent for its client's request, whichever attempt it was.
     pub(super) fn write_executed(&mut self, attempt_id: AttemptId) {
         let Some(number) = self.non_idempotent_request(attempt_id) else { return };
         let executions = self.executions.entry(number).or_insert(0);
--- a/crates/lab-sim/src/counts.rs
+++ b/crates/lab-sim/src/counts.rs
@@ -1,4 +1,4 @@
-//! What is counted of a day: how each try ended and why, where attempts ended and how, second by second.
+//! What is counted: how each client's attempt ended and why, and the proxies' attempts by member, second by second.
 
 use super::{Ramped, SimEvent};
 use aniseyoke_lab_day::Day;
@@ -6,37 +6,37 @@
 use aniseyoke_lab_world::connection_load::MemberLoad;
 use serde::Serialize;
 
-/// How a try ended, as its proxy saw it.
+/// How a client's attempt ended, as its proxy saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// A node had it, in time.
+    /// A node served it from its cache, in time.
     Hit,
-    /// The origin gave or took it, in time.
+    /// The origin served it, in time.
     Fetched,
     /// Served past the latency objective.
     Late,
     /// Refused before anything was sent.
     #[serde(rename = "unsent")]
     RejectedUnsent,
-    /// Its node lacked the key, and nothing was sent to the origin.
+    /// Its node missed, and nothing was sent to the origin.
     #[serde(rename = "ledger-shut")]
     OriginNotAsked,
     /// A node gave no answer in time.
     #[serde(rename = "node-silent")]
     NodeTimeout,
-    /// A node turned it away, failed, or was not to be reached.
+    /// A node rejected it, failed, or could not be reached.
     #[serde(rename = "node-bad")]
     NodeFailed,
     /// The origin gave no answer in time.
     #[serde(rename = "ledger-silent")]
     OriginTimeout,
-    /// The origin turned it away, failed, or was not to be reached.
+    /// The origin rejected it, failed, or could not be reached.
     #[serde(rename = "ledger-bad")]
     OriginFailed,
     /// No final answer before its time was over.
     Unanswered,
-    /// Its client left.
+    /// Its client disconnected.
     Left,
 }
 
@@ -77,16 +77,16 @@
 /// One second of the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Tries that ended, by cause, in the order of [`CAUSES`].
+    /// Clients' attempts that ended, by cause, in the order of [`CAUSES`].
     pub causes: [u64; CAUSES.len()],
-    /// First tries and all tries that came to proxies.
+    /// First attempts that clients sent.
     pub first: u64,
-    /// See `first`.
+    /// All attempts that clients sent.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Attempts sent to warm nodes, to cold ones, and to the origin.
+    /// Proxies' attempts at warm nodes, cold ones, and the origin.
     pub sent: [u64; 3],
-    /// Attempts that their proxies stopped waiting for, in the same order.
+    /// Of those, timed out, in the same order.
     pub timed_out: [u64; 3],
     /// Connections opened to nodes and the origin.
     pub opened: u64,
@@ -95,33 +95,33 @@
 /// Everything that was counted from the start of what is reported.
 #[derive(Clone, Debug)]
 pub struct Counts {
-    /// Outcomes of the day's own requests, over all their tries.
+    /// Outcomes of the day's own requests, over all their attempts.
     pub stats: LoadStats,
-    /// The same of the crowd's.
+    /// Outcomes of the crowd's requests.
     pub crowd: LoadStats,
     /// By second.
     pub seconds: Vec<Second>,
     /// Connections that carried more than one attempt.
     pub reused: u64,
-    /// Cold nodes that fell, and stops of the origin.
+    /// Cold nodes that went down, overloaded.
     pub node_overloads: u64,
-    /// See `fell`.
+    /// Times that the origin went down, overloaded.
     pub origin_overloads: u64,
-    /// Requests of a class that must not run twice that did.
+    /// Requests that are not idempotent and were executed twice.
     pub executed_twice: u64,
     /// Attempts sent to a node over two seconds after its proxy was told that it drains or is gone.
     pub drain_violations: u64,
     /// Final answers beyond one for a request, which a proxy must never give.
     pub answered_twice: u64,
-    /// Calls at the list service, for each second from the start, warming included; refused ones among them.
+    /// Calls at the list service, for each second from the start, warm-up included; rejected ones among them.
     pub list_calls: Vec<u64>,
-    /// Of those, refused.
+    /// Of those, rejected.
     pub list_rejected: u64,
     /// Connections and attempts at nodes and at the origin, for each second from the start; connections held are not known here.
     pub load: [MemberLoad; 2],
-    /// What cold nodes got, against what the settings allow them.
+    /// What cold nodes got, compared with what the settings allow them.
     pub slow_start: Ramped,
-    /// What happened in all, warming included.
+    /// Events of the simulation, warm-up included.
     pub events: u64,
 }
 
@@ -160,7 +160,7 @@
         self.seconds.get_mut(second?)
     }
 
-    /// The worth served in time over the worth asked for, of requests due in these seconds.
+    /// The weight served in time over the weight offered, of requests due in these seconds.
     pub fn goodput(&self, seconds: std::ops::Range<usize>) -> f64 {
         Goodput::sum(self.stats.seconds.get(seconds).unwrap_or_default()).ratio()
     }
@@ -172,7 +172,7 @@
         (after < seconds).then_some(after)
     }
 
-    /// What of the day's own requests ended well, and what not.
+    /// The day's own requests: those served in time, and all.
     pub fn served(&self) -> (u64, u64) {
         (self.stats.all.count(Outcome::Served), self.stats.all.requests())
     }
--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -1,9 +1,11 @@
 //! Simulated time: the real decision module, one instance for each proxy, over the model of the site, without sockets. Whole
 //! fleets of hundreds of proxies fit in one process, and a day follows from its file, seed and sizes alone.
 //!
-//! What is left out against a trial on sockets: the proxies' own cost in time, bytes and their pieces, the front's notice of dead
-//! proxies (none dies here), discovery's own load, limits that an operator file sets, and what connections cost a node. A new
-//! connection costs a round trip.
+//! Left out, compared with a trial on sockets: the proxies' own cost in time, bytes and their fragments, the load balancer's
+//! detection of dead proxies (none dies here), discovery's own load, limits that an operator file sets, and what connections
+//! cost a node. A new connection costs a round trip.
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 mod attempts;
 mod client;
@@ -33,20 +35,20 @@
 use std::iter::Peekable;
 use std::time::Duration;
 
-/// How a day is played in simulated time.
+/// How a day is simulated.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// So long before what is reported the day's load runs with a origin that has room for all, so that caches fill.
+    /// The day's load runs this long before what is reported, with an origin that is fast enough for all of it, so that caches fill.
     pub warm_up: Duration,
     /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight; 0: evenly.
     pub unevenness: f64,
-    /// The part of all tries that comes to the first proxy beside its share of the rest; below 1.
+    /// The fraction of all attempts that goes to the first proxy beside its share of the rest; below 1.
     pub first_proxy_fraction: f64,
-    /// Clients beside the day's own.
+    /// Clients beside the day's own, if any.
     pub crowd: Option<Crowd>,
-    /// The list service; none: proxies hear of each change at once, and calls are not counted.
+    /// The list service; without it proxies get each change at once, and calls are not counted.
     pub list: Option<ListService>,
-    /// Connections a second that all proxies together open to a node and to the origin; none: as many as they like.
+    /// Connections a second that all proxies together may open to a node and to the origin; no limit if none.
     pub connection_rates: Option<(f64, f64)>,
 }
 
@@ -63,33 +65,33 @@
     }
 }
 
-/// First tries beside the day's own, all of one tenant and class.
+/// Requests beside the day's own, all of one tenant and class.
 #[derive(Clone, Debug)]
 pub struct Crowd {
     /// From when, counted from the start of what is reported.
     pub at: Duration,
     /// For how long.
     pub length: Duration,
-    /// A second, over all proxies.
+    /// Requests a second, over all proxies.
     pub rate: f64,
-    /// The part of the proxies that they come to.
+    /// The fraction of the proxies that they are sent to.
     pub proxies: f64,
     /// The tenant, as the day numbers them.
     pub tenant: usize,
-    /// They come again by themselves this often after a bad answer, at once and heeding no advice.
+    /// They retry at most this often after a failed attempt, at once and ignoring `Retry-After`.
     pub retries: u32,
 }
 
-/// The origin is so many times as quick while caches fill.
+/// The origin's speed is multiplied by this while caches fill.
 const WARM_UP_ORIGIN_SPEED: f64 = 20.0;
-/// The way between any two machines, at least and at most.
+/// The delay between any two machines, at least and at most.
 const NETWORK_DELAY: (Nanos, Nanos) = (MILLISECOND / 5, MILLISECOND / 2);
-/// A connection that nobody answers is given up after this time.
+/// An unanswered connection attempt is given up after this time.
 const CONNECT_TIMEOUT: Nanos = 250 * MILLISECOND;
-/// Proxies differ in what clients send them by at most this factor from the mean.
+/// A proxy gets at most this many times the mean of what clients send, and at least this fraction.
 const MAX_UNEVENNESS: f64 = 6.0;
 
-/// What will happen at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
     /// The day's next request is due.
@@ -126,7 +128,7 @@
     OpenConnection(AttemptId),
 }
 
-/// What comes back of an attempt.
+/// How an attempt ended, as its proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum AttemptReply {
     Served { hit: bool },
@@ -137,7 +139,7 @@
     Reset,
 }
 
-/// One attempt that is out.
+/// An attempt in flight.
 struct InFlightAttempt {
     proxy: u32,
     request: u64,
@@ -147,10 +149,10 @@
     /// Over a connection that was opened for it.
     new_connection: bool,
     reached: bool,
-    /// Nothing comes back over its connection any more.
+    /// Its connection is half-open: nothing comes back over it.
     dead: bool,
     origin: bool,
-    /// It waits for a permit to open its connection until then at most; none: it waits for none.
+    /// When its wait for a permit to open a connection ends; none if it needs no permit.
     permit_by: Option<Nanos>,
 }
 
@@ -166,7 +168,7 @@
     /// When what is reported begins.
     reported_from: Nanos,
     proxies: Vec<SimProxy>,
-    /// Sums of the proxies' weights, by which clients are dealt.
+    /// Cumulated weights of the proxies, by which attempts are spread.
     weights: Vec<f64>,
     /// The requests that have not ended, by slot.
     clients: Vec<ClientRequest>,
@@ -178,7 +180,7 @@
     executions: FxHashMap<u64, u32>,
     /// Members by the id that the module knows them by.
     members_by_server: FxHashMap<u64, usize>,
-    /// For when the model was last put into the queue.
+    /// The due time of the model's event that was last queued.
     world_due: Option<Nanos>,
     effects: Vec<Effect>,
     connection_load: ConnectionLoad,
@@ -237,7 +239,7 @@
         sim
     }
 
-    /// What the day asks for that is not played here, by the names of its file.
+    /// The parts of a day that are not simulated, by the names in its file.
     pub fn left_out(day: &Day) -> Vec<&'static str> {
         use aniseyoke_lab_day::FaultKind::{DiscoveryDown, Pieces, ProxyRoll};
         let fault = |kind| day.faults.iter().any(|t| t.kind == kind);
@@ -254,7 +256,7 @@
         all.into_iter().filter(|(there, _)| *there).map(|(_, name)| name).collect()
     }
 
-    /// A number in [0, 1) that follows from the seed and from how many were drawn before.
+    /// A number in [0, 1) that follows from the seed and the count of earlier ones.
     fn draw(&mut self) -> f64 {
         self.draws += 1;
         unit_fraction(mix(self.day.seed, 0xd4a5, self.draws))
--- a/crates/lab-sim/src/list_service.rs
+++ b/crates/lab-sim/src/list_service.rs
@@ -1,21 +1,21 @@
-//! The list service in simulated time: each proxy's calls and watches as its discovery makes them, counted, refused past
-//! what the service takes, and failed while it is down.
+//! The list service in simulated time: each proxy's calls and watches as its discovery makes them, counted, rejected past
+//! the service's limit, and failed while it is down.
 
 use super::*;
 use aniseyoke_decision::api::{Event, ListKind};
 use aniseyoke_pace::polls::Rules;
 use aniseyoke_pace::{Place, Polls};
 
-/// The list service, and how it is asked.
+/// The list service, and how proxies call it.
 #[derive(Clone, Debug, Default)]
 pub struct ListService {
-    /// Proxies ask in their own slots.
+    /// Whether proxies call in their own slots.
     pub paced: bool,
-    /// Calls a second that it answers; past that it refuses.
+    /// Calls a second that it answers; past that it rejects.
     pub max_per_second: Option<u64>,
-    /// What its refusals advise.
+    /// The `Retry-After` of its rejections.
     pub retry_after: Duration,
-    /// It is down for so long from the start.
+    /// It is down for this long from the start.
     pub down: Duration,
 }
 
@@ -30,9 +30,9 @@
 #[derive(Default)]
 pub struct ListCaller {
     polls: Option<Polls>,
-    /// A call is out, or waits for its slot.
+    /// Whether a call is in flight, or waits for its slot.
     busy: bool,
-    /// A watch is held; its number.
+    /// The number of the watch that is held, if any.
     watch: Option<u32>,
     watches: u32,
 }
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy: the decision module and what the core keeps beside it, for simulated time.
+//! One simulated proxy: the decision module, and the state that the core keeps beside it.
 
 use super::list_service::ListCaller;
 use super::Options;
@@ -19,18 +19,19 @@
     pub ended: bool,
 }
 
-/// A request that its proxy has taken.
+/// A request that its proxy has accepted.
 pub struct PendingRequest {
-    /// The client's place, and which of its tries this is.
+    /// The client's slot.
     pub client: u32,
+    /// Which of the client's attempts it is.
     pub attempt_number: u32,
     pub arrived: Nanos,
     pub deadline: Nanos,
     pub class: usize,
-    /// It has had its final answer.
+    /// Whether it has had its final response.
     pub answered: bool,
     pub attempts: Vec<ProxyAttempt>,
-    /// How its last attempt to end did so, and whether that was at the origin.
+    /// How the attempt that ended last did so, and whether that was at the origin.
     pub last: Option<(Status, bool)>,
 }
 
@@ -41,14 +42,14 @@
     pub next: RequestId,
     /// Idle connections to each server, by the time since which they are idle, and whether they carried two attempts.
     pub idle: FxHashMap<ServerId, Vec<(Nanos, bool)>>,
-    /// Since when a server is told as draining or gone.
+    /// When each server was first listed as draining or gone.
     pub listed_down_since: FxHashMap<ServerId, Nanos>,
     /// The version of the list that it has.
     pub version: u64,
     pub subscribed: bool,
     /// Its side of the list service.
     pub caller: ListCaller,
-    /// Leave to open connections, with what all proxies open a second to a node and to the origin, where that is limited.
+    /// Permits to open connections, with the rates of all proxies to a node and to the origin, where these are limited.
     pub opens: Option<(Opens, (f64, f64))>,
     started: FxHashMap<ServerId, Nanos>,
     origin_kind: u32,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Gives the module an event; what it says is left in `actions`.
+    /// Gives the module an event; its actions are left in `actions`.
     pub fn feed(&mut self, now: Nanos, event: Event) {
         if let Event::List { kind, entries } = &event {
             self.update_permits(now, *kind, entries);
@@ -93,7 +94,7 @@
         self.balancer.handle(now, event, &mut self.actions);
     }
 
-    /// Permits to open connections follow the list.
+    /// Adapts the permits to open connections to the list.
     fn update_permits(&mut self, now: Nanos, kind: ListKind, entries: &[Entry]) {
         let Some((opens, (node, origin))) = &mut self.opens else { return };
         if matches!(kind, ListKind::Full | ListKind::Cached) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes a request: its number, and the time left as the module is told.
+    /// Accepts a request; its id, and the time left as the module is told.
     pub fn accept(
         &mut self,
         now: Nanos,
@@ -137,12 +138,12 @@
         (id, left)
     }
 
-    /// How long a request that the module leaves unanswered is kept.
+    /// After this time a request that the module leaves unanswered is ended.
     pub fn deadline(patience: Nanos) -> Nanos {
         patience - margin(patience) / 2
     }
 
-    /// An idle connection to a server; none if one has to be opened.
+    /// Takes an idle connection to a server, with whether it carried two attempts; none if one has to be opened.
     pub fn connection(&mut self, now: Nanos, server: ServerId) -> Option<bool> {
         // The proxy leaves the last quarter of the time to its node, whose clock runs apart.
         let idle = self.conn_idle / 4 * 3;
@@ -155,12 +156,12 @@
         None
     }
 
-    /// Whether a send to a server breaks the rule on drains.
+    /// Whether sending to a server now breaks the rule on drains.
     pub fn violates_drain(&self, now: Nanos, server: ServerId) -> bool {
         self.listed_down_since.get(&server).is_some_and(|at| now > at + 2 * SECOND + 50 * MILLISECOND)
     }
 
-    /// Drops a request that has had its answer and has no attempt out.
+    /// Drops a request that has had its response and has no attempt in flight.
     pub fn remove_if_done(&mut self, id: RequestId) {
         if self.pending.get(&id).is_some_and(|p| p.answered && p.attempts.iter().all(|a| a.ended)) {
             self.pending.remove(&id);
--- a/crates/lab-sim/src/queue.rs
+++ b/crates/lab-sim/src/queue.rs
@@ -1,11 +1,11 @@
-//! What will happen, in the order of its time; what is due at once happens in the order in which it was put in.
+//! Events in order of their time; those due at the same time in the order in which they were queued.
 
 use super::SimEvent;
 use aniseyoke_lab_day::clock::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The queue of a simulation.
+/// The event queue of a simulation.
 #[derive(Default)]
 pub struct Queue {
     heap: BinaryHeap<Reverse<(Nanos, u64, SimEvent)>>,
@@ -24,7 +24,7 @@
         self.heap.pop().map(|Reverse((at, _, event))| (at, event))
     }
 
-    /// How much was ever put in.
+    /// The number of events ever queued.
     pub fn put(&self) -> u64 {
         self.put
     }
--- a/crates/lab-sim/src/run.rs
+++ b/crates/lab-sim/src/run.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Plays the day to its end, until all that was asked has ended.
+    /// Plays the day until every request has ended.
     pub fn run(mut self) -> Counts {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
@@ -49,7 +49,7 @@
         self.counts
     }
 
-    /// Nothing more is asked, and nobody waits.
+    /// Whether the day is over and every request has ended.
     fn finished(&self, next: SimEvent) -> bool {
         let ended = self.now > self.reported_from + nanos(self.day.length);
         ended && !next.is_load() && self.clients.len() == self.free_clients.len()
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Lets the model do what is due, and passes on what comes of it.
+    /// Lets the model handle what is due, and applies its effects.
     fn advance_model(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         self.world.tick(self.now, &mut effects);
@@ -125,7 +125,7 @@
             Effect::Executed(attempt_id) => self.write_executed(attempt_id),
             Effect::Process(member, Process::Down) => self.reset_member(member),
             Effect::HalfOpen(member) => {
-                // What is out there gets no answer; idle connections are found dead.
+                // Attempts in flight get no reply; idle connections are found dead.
                 let server = self.server(member);
                 self.proxies.iter_mut().for_each(|h| drop(h.idle.remove(&server)));
                 let there = self.in_flight.values_mut().filter(|o| o.member == member && o.reached);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// A proxy hears what has changed in the list since it last did.
+    /// Gives a proxy the changes of the list since its version.
     pub(super) fn deliver_list(&mut self, proxy: u32) {
         let since = self.proxies[proxy as usize].version;
         let (kind, endpoints) =
@@ -183,7 +183,7 @@
         self.feed(proxy, Event::List { kind, entries });
     }
 
-    /// Gives a proxy's module an event, and does what it says.
+    /// Gives a proxy's module an event, and performs its actions.
     pub(super) fn feed(&mut self, proxy: u32, event: Event) {
         self.proxies[proxy as usize].feed(EPOCH + self.now, event);
         let mut actions = std::mem::take(&mut self.proxies[proxy as usize].actions);
@@ -210,7 +210,7 @@
         }
     }
 
-    /// A client's try comes to a proxy.
+    /// A client's attempt arrives at a proxy.
     pub(super) fn arrive(&mut self, proxy: u32, slot: u32, patience: Nanos) {
         let client = &self.clients[slot as usize];
         let arrival = client.arrival;
@@ -241,7 +241,7 @@
         self.members_by_server.get(&server).copied()
     }
 
-    /// The module's final answer to a request.
+    /// The module's final response to a request.
     pub(super) fn answer(&mut self, proxy: u32, id: u64, outcome: ClientOutcome, wait: Option<Duration>) {
         let Some(pending) = self.proxies[proxy as usize].pending.get_mut(&id) else { return };
         if std::mem::replace(&mut pending.answered, true) {
@@ -261,14 +261,14 @@
         self.counts.at(second).into_iter().for_each(|s| s.causes[at] += 1);
     }
 
-    /// Ends what is out for a request that is over.
+    /// Ends the attempts in flight of a request that is over.
     pub(super) fn end_attempts(&mut self, proxy: u32, id: u64) {
         let attempts = self.proxies[proxy as usize].pending.get(&id).map_or(0, |p| p.attempts.len());
         (0..attempts).for_each(|number| self.cancel_attempt(proxy, id, number));
         self.proxies[proxy as usize].remove_if_done(id);
     }
 
-    /// Nothing more is done for a request: its client has gone, or its time is over.
+    /// Ends a request whose client has disconnected or whose time is over.
     fn abandon(&mut self, proxy: u32, id: u64, cause: Cause) -> bool {
         let Some(pending) = self.proxies[proxy as usize].pending.get_mut(&id) else { return false };
         if std::mem::replace(&mut pending.answered, true) {
@@ -290,7 +290,7 @@
     }
 }
 
-/// Why a request was given up, by how its last attempt ended.
+/// Why a request failed, by how its last attempt ended.
 fn failure_cause(pending: &PendingRequest) -> Cause {
     match pending.last {
         None => Cause::RejectedUnsent,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,6 @@
 //! The laboratory's command line.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 mod cli;
 mod pass_through;
