--- a/crates/lab-memcached-server/src/tests.rs
+++ b/crates/lab-memcached-server/src/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use aniseyoke_memcached::{Extras, Head, Opcode, Status};
 
 const NOW: u64 = 1_800_000_000;
 
--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -94,6 +94,17 @@
         Ok(ProxyProcesses::start(program, configs, &folder.join("proxies"))?)
     }
 
+    /// Starts the day's load; returns the time at which it begins as well.
+    fn start_load(&self, day: &Day, load_balancer: Arc<LoadBalancer>) -> Result<(Nanos, Load), RigError> {
+        let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
+        let (clock, evidence) = (self.clock, self.evidence.clone());
+        let from = clock.now() + START_DELAY;
+        let recorder = move || Recorder::new(clock, evidence);
+        let load =
+            Load::start(day, clock, from, load_balancer, connections, recorder).map_err(RigError::Load)?;
+        Ok((from, load))
+    }
+
     /// Closes site and relays and waits for the auditor; nobody else may hold a sender of evidence any more.
     fn close(self) -> Result<(SiteCounts, RelayTotals, Verdict), RigError> {
         let counts = self.site.close();
@@ -127,21 +138,14 @@
     let load_balancer = Arc::new(LoadBalancer::new(&addrs, day.site.proxy.detection_delay));
     wait_until_healthy(&addrs).await?;
     let watch = ReadinessWatch::start().map_err(RigError::Watch)?;
-    let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
-    let (clock, evidence) = (environment.clock, environment.evidence.clone());
-    let from = clock.now() + START_DELAY;
-    let load_evidence = evidence.clone();
-    let recorder = move || Recorder::new(clock, load_evidence);
-    let load = Load::start(day, clock, from, load_balancer.clone(), connections, recorder)
-        .map_err(RigError::Load)?;
-    let board = environment.board.clone();
+    let (from, load) = environment.start_load(day, load_balancer.clone())?;
     let mut experiment = Experiment {
-        clock,
-        board,
+        clock: environment.clock,
+        board: environment.board.clone(),
         processes,
         load_balancer,
         watch,
-        evidence,
+        evidence: environment.evidence.clone(),
         steps_done: Vec::new(),
         crashes: Vec::new(),
     };
--- a/crates/lab-sim/src/queue.rs
+++ b/crates/lab-sim/src/queue.rs
@@ -9,14 +9,14 @@
 #[derive(Default)]
 pub struct Queue {
     heap: BinaryHeap<Reverse<(Nanos, u64, SimEvent)>>,
-    put: u64,
+    pushed: u64,
 }
 
 impl Queue {
     /// Puts something in.
     pub fn push(&mut self, at: Nanos, event: SimEvent) {
-        self.put += 1;
-        self.heap.push(Reverse((at, self.put, event)));
+        self.pushed += 1;
+        self.heap.push(Reverse((at, self.pushed, event)));
     }
 
     /// Takes what is due next, with its time.
@@ -25,7 +25,7 @@
     }
 
     /// The number of events ever queued.
-    pub fn put(&self) -> u64 {
-        self.put
+    pub fn pushed(&self) -> u64 {
+        self.pushed
     }
 }
--- a/crates/lab-sim/src/run.rs
+++ b/crates/lab-sim/src/run.rs
@@ -43,7 +43,7 @@
             self.handle(event);
             self.advance_model();
         }
-        self.counts.events = self.queue.put();
+        self.counts.events = self.queue.pushed();
         self.counts.load = self.connection_load.load();
         self.counts.slow_start = self.ramp.found();
         self.counts
--- a/crates/lab-sim/src/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn every_try_ends_once_with_one_cause() {
+fn every_attempt_ends_once_with_one_cause() {
     let mut day = Day::open("join").expect("built in").sized(60, 30).expect("sound").squeezed(0.4);
     day.load.misbehaving.abort_waiting = 0.1;
     let counts = play(&day, None);
@@ -58,9 +58,9 @@
     assert!(sum(&counts, |s| s.sent[1]) > 0, "cold nodes are asked");
 }
 
-/// Danger: tries of clients that lose patience had usual ones refused unsent, in the whole fleet at once.
+/// Danger: attempts of clients that lose patience had usual ones refused unsent, in the whole fleet at once.
 #[test]
-fn a_release_among_hasty_clients_leaves_most_usual_ones_served() {
+fn a_release_among_impatient_clients_leaves_most_usual_ones_served() {
     let mut day = Day::open("join").expect("built in").sized(60, 40).expect("sound").squeezed(0.5);
     day.faults.push(fault(FaultKind::Slow, 0.125, Some(0.5)));
     let counts = play(&day, None);
@@ -71,7 +71,7 @@
 
 /// Danger: an attempt whose connection goes dead without a word must end by its proxy's own clock, and no later answer count.
 #[test]
-fn tries_end_once_whatever_becomes_of_their_nodes() {
+fn attempts_end_once_whatever_becomes_of_their_nodes() {
     for kind in [FaultKind::HalfOpen, FaultKind::Silence, FaultKind::Crash, FaultKind::Cut] {
         let mut day = still(20, 10, 8);
         day.faults = vec![fault(kind, 0.3, None)];
@@ -103,7 +103,7 @@
     };
     let counts = play(&day, Some(crowd));
     let (before, during, after) = (counts.goodput(0..3), counts.goodput(4..8), counts.goodput(10..14));
-    // Three times what they bear comes as first tries: a third of it fits, and refusing costs some of that.
+    // Three times what they bear comes as first attempts: a third of it fits, and refusing costs some of that.
     assert!(before > 0.85 && during > 0.25, "{before}, then {during}");
     assert!(after > 0.95, "{after} two seconds after they stopped");
 }
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn thin_proxies_and_one_with_much_serve_alike_where_nothing_is_wrong() {
+fn proxies_with_little_load_and_one_with_much_serve_alike_where_nothing_is_wrong() {
     // One request a second at each of 300 proxies, and 200 more at one of them.
     for (nodes, first_proxy_fraction) in [(12, 0.0), (20, 0.4)] {
         let mut day = still(300, nodes, 10);
--- a/crates/lab-world/src/connection_load/tests.rs
+++ b/crates/lab-world/src/connection_load/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_past_a_nodes_limits_is_turned_away_and_counted() {
+fn what_is_past_a_nodes_limits_is_rejected_and_counted() {
     let limits = ConnectionLimits { connections: Some(3), opens_per_second: Some(2) };
     let mut counters = ConnectionLoad::new(limits);
     let accepted: Vec<bool> = (0..3).map(|_| counters.opened(0, 1, false)).collect();
--- a/crates/lab-world/src/endpoint_list/tests.rs
+++ b/crates/lab-world/src/endpoint_list/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn lies_are_told_as_changes_and_taken_back() {
+fn misreports_are_listed_as_changes_and_taken_back() {
     let mut list = EndpointList::new(2);
     list.misreport(vec![0]);
     assert_eq!(list.since(1), Some(vec![endpoint(0, EndpointState::Draining)]));
--- a/crates/lab-world/src/machine/tests.rs
+++ b/crates/lab-world/src/machine/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn slots_then_room_then_turned_away_and_waiting_work_can_be_given_up() {
+fn slots_then_queue_then_rejection_and_queued_work_can_be_cancelled() {
     let mut machine = Machine::new(spec());
     assert_eq!(machine.admit(0, 1, 10, false), Admitted::Started);
     assert_eq!(machine.admit(0, 2, 10, false), Admitted::Queued);
--- a/crates/lab-world/src/tests.rs
+++ b/crates/lab-world/src/tests.rs
@@ -128,7 +128,7 @@
 
 /// Danger: an origin that cannot be overloaded would hide every thundering herd.
 #[test]
-fn the_ledger_stops_under_a_flood_of_misses_at_a_cold_node_and_returns() {
+fn the_origin_goes_down_under_a_flood_of_misses_at_a_cold_node_and_returns() {
     let mut driver = Driver::new(|day| {
         let fault = "kind = \"crash\"\nat = \"1s\"\nfor = \"1s\"\nnodes = [0]";
         day.faults.push(toml::from_str(fault).expect("a fault"));
--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_ledger_that_misses_at_a_cold_node_push_over_is_caught() {
+fn an_origin_that_misses_at_a_cold_node_push_over_is_caught() {
     let day = day(|text| {
         with_crash(text)
             .replace("cores = 4", "cores = 0.5\nstop_after = \"1s\"\nroom = 100000\nslots = 500")
