--- a/crates/lab-audit/src/lib.rs
+++ b/crates/lab-audit/src/lib.rs
@@ -19,7 +19,7 @@
 /// Batches that may wait for the auditor.
 const MAX_WAITING: usize = 4096;
 /// Violations that are kept with their history; the rest are counted.
-const MAX_KEPT: usize = 20;
+const MAX_VIOLATIONS: usize = 20;
 /// A day fails if more than one in this many requests of disconnected clients is forwarded late.
 const FORWARDED_AFTER_ABORT_DIVISOR: u64 = 4;
 /// Attempts of a day that may begin late for disconnected clients.
@@ -83,7 +83,7 @@
 
     fn add(&mut self, violation: Violation) {
         *self.broken.entry(violation.rule).or_default() += 1;
-        if self.violations.len() < MAX_KEPT {
+        if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(violation);
         }
     }
@@ -173,7 +173,7 @@
         self.verdict.proxy_faulted += u64::from(findings.proxy_faulted);
         for (rule, what) in findings.repeated_after_kill {
             *self.verdict.repeated_after_kill.entry(rule).or_default() += 1;
-            if self.verdict.violations_after_kill.len() < MAX_KEPT {
+            if self.verdict.violations_after_kill.len() < MAX_VIOLATIONS {
                 let history = history_lines(&history);
                 self.verdict.violations_after_kill.push(Violation { rule, what, history });
             }
--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -352,11 +352,11 @@
             let notified = self.notified.get(&(proxy, member)).and_then(|t| t.unavailable_since(e.at));
             // What has been listed for long counts as notified, unless the proxy has got something newer.
             let listed = self.listed.get(&member).and_then(|t| t.unavailable_since(e.at));
-            let heard = |since: Nanos| {
+            let notified_since = |since: Nanos| {
                 let newer = |(at, _): &(Nanos, EndpointState)| at + NOTIFIED_WITHIN >= since && *at <= e.at;
                 self.notified.get(&(proxy, member)).is_some_and(|t| t.0.iter().any(newer))
             };
-            let listed = listed.filter(|since| !heard(*since));
+            let listed = listed.filter(|since| !notified_since(*since));
             let since = notified.or(listed);
             if since.is_some_and(|since| e.at > since + DRAIN_GRACE + SLACK) {
                 let late = (e.at - since.unwrap_or(0)) as f64 / 1e9;
--- a/crates/lab-capacity/src/slopes/proxy.rs
+++ b/crates/lab-capacity/src/slopes/proxy.rs
@@ -192,7 +192,7 @@
         let kinds: Vec<String> = day.site.cache.kinds.iter().map(|k| k.name.clone()).collect();
         let service = Hosted::start(1).map_err(MeasureError::Service)?;
         let (stop, stopped) = oneshot::channel::<()>();
-        let (tell, progress) = channel();
+        let (send_opened, opened_receiver) = channel();
         let at = service.addr;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -201,7 +201,7 @@
         let stand_ins = move || {
             tokio::task::LocalSet::new().block_on(&runtime, async move {
                 // Whoever opens the testbed waits for this, and drops the other end to close it.
-                let _ = tell.send(open_stand_ins(nodes, &kinds, changes, at).await);
+                let _ = send_opened.send(open_stand_ins(nodes, &kinds, changes, at).await);
                 let _ = stopped.await;
             });
         };
@@ -209,7 +209,7 @@
             .name("stand-ins".into())
             .spawn(stand_ins)
             .map_err(MeasureError::Runtime)?;
-        let opened = progress.recv().map_err(|_| MeasureError::StandInsPanicked)?;
+        let opened = opened_receiver.recv().map_err(|_| MeasureError::StandInsPanicked)?;
         let StandIns { discovery, known, list_server, services, control } =
             opened.map_err(|source| MeasureError::StandIns { nodes, source })?;
         let folder = tempfile::tempdir().map_err(MeasureError::Folder)?;
@@ -226,9 +226,9 @@
         Ok(testbed)
     }
 
-    fn wait_until(&self, what: &str, met: impl Fn() -> bool) -> Result<(), MeasureError> {
+    fn wait_until(&self, what: &str, condition: impl Fn() -> bool) -> Result<(), MeasureError> {
         let until = Instant::now() + TIMEOUT;
-        while !met() {
+        while !condition() {
             if Instant::now() > until {
                 let last_lines = self.proxy.last_lines();
                 return Err(MeasureError::ProxyTimeout { what: what.to_owned(), last_lines });
--- a/crates/lab-capacity/src/tests.rs
+++ b/crates/lab-capacity/src/tests.rs
@@ -101,8 +101,8 @@
         (r#"terms = [{ run = "r", figure = "f", paper = "p" }]"#, "a term is"),
         ("limit = [\"l\"]\nterms = [{ paper = \"p\" }]", "no figure l"),
     ] {
-        let told = worked(rest).expect_err(rest).to_string();
-        assert!(told.contains(why), "{rest}: {told}");
+        let text = worked(rest).expect_err(rest).to_string();
+        assert!(text.contains(why), "{rest}: {text}");
     }
 }
 
@@ -128,14 +128,14 @@
         ("<!-- table:a -->\n<!-- end -->\n<!-- table:a -->\n<!-- end -->\n", "two places"),
         ("<!-- table:a -->\n<!-- table:a -->\n<!-- end -->\n", "line 1 is not closed"),
     ] {
-        let told = fill(bad, &tables).expect_err(bad).to_string();
-        assert!(told.contains(why), "{bad}: {told}");
+        let text = fill(bad, &tables).expect_err(bad).to_string();
+        assert!(text.contains(why), "{bad}: {text}");
     }
 }
 
 #[test]
 fn numbers_are_short() {
-    let told: Vec<String> =
+    let text: Vec<String> =
         [0.0, 0.0123456, 1.5, 43.5, 123.4, 2046.0, 1234567.0, 2.6e6, 1.234e-5, -3.25, -20460.0]
             .map(format_short)
             .into();
@@ -152,5 +152,5 @@
         "-3.25",
         "-20,460",
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(text, wanted);
 }
--- a/crates/lab-day/src/check.rs
+++ b/crates/lab-day/src/check.rs
@@ -35,12 +35,8 @@
         self.require(value.is_finite() && value > 0.0, key, format_args!("{value} is not above 0"));
     }
 
-    fn count(&mut self, value: usize, least: usize, most: usize, key: &str) {
-        self.require(
-            (least..=most).contains(&value),
-            key,
-            format_args!("{value} is not within {least} to {most}"),
-        );
+    fn count(&mut self, value: usize, min: usize, max: usize, key: &str) {
+        self.require((min..=max).contains(&value), key, format_args!("{value} is not within {min} to {max}"));
     }
 
     fn shares_add_up(&mut self, shares: impl Iterator<Item = f64>, key: &str) {
--- a/crates/lab-memcached-server/src/lib.rs
+++ b/crates/lab-memcached-server/src/lib.rs
@@ -213,8 +213,9 @@
         if head.cas != 0 && head.cas != item.cas {
             return Response::status_only(Status::Exists);
         }
-        let told = std::str::from_utf8(&item.value).ok().and_then(|text| text.trim_end().parse::<u64>().ok());
-        let Some(before) = told else { return Response::status_only(Status::NotNumber) };
+        let number =
+            std::str::from_utf8(&item.value).ok().and_then(|text| text.trim_end().parse::<u64>().ok());
+        let Some(before) = number else { return Response::status_only(Status::NotNumber) };
         // Up it wraps, down it stops at nothing.
         let after = match opcode {
             Opcode::Increment => before.wrapping_add(delta),
--- a/crates/lab-memcached-server/tests/clients.rs
+++ b/crates/lab-memcached-server/tests/clients.rs
@@ -14,17 +14,17 @@
 fn server(users: &[(&str, &str)]) -> SocketAddr {
     let users: BTreeMap<String, String> =
         users.iter().map(|(name, password)| ((*name).to_owned(), (*password).to_owned())).collect();
-    let (tell, told) = std::sync::mpsc::channel();
+    let (send_addr, response) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async move {
             let store = Store::new(NonZeroUsize::new(1000).expect("not 0"), MAX_VALUE_BYTES);
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-            tell.send(listener.local_addr().expect("an address")).expect("awaited");
+            send_addr.send(listener.local_addr().expect("an address")).expect("awaited");
             Server::new(store, MAX_VALUE_BYTES, users).serve(listener).await
         });
     });
-    told.recv().expect("started")
+    response.recv().expect("started")
 }
 
 fn client(addr: SocketAddr, user: &str) -> memcache::Client {
@@ -87,28 +87,31 @@
 }
 
 /// What a client hears that writes these bytes, until its connection ends.
-fn heard(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+fn response_to(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("connected");
     stream.set_read_timeout(Some(Duration::from_secs(30))).expect("a time-out");
     stream.write_all(bytes).expect("written");
-    let mut heard = Vec::new();
-    stream.read_to_end(&mut heard).expect("until its end");
-    heard
+    let mut response_to = Vec::new();
+    stream.read_to_end(&mut response_to).expect("until its end");
+    response_to
 }
 
 #[test]
 fn the_text_protocol_and_wrong_lengths_get_one_error_and_a_close() {
     let addr = server(&[]);
-    let told = String::from_utf8(heard(addr, b"get k\r\n")).expect("a text");
-    assert!(told.starts_with("ERROR ") && told.ends_with("\r\n") && told.contains("binary"), "{told:?}");
+    let response = String::from_utf8(response_to(addr, b"get k\r\n")).expect("a text");
+    assert!(
+        response.starts_with("ERROR ") && response.ends_with("\r\n") && response.contains("binary"),
+        "{response:?}"
+    );
     let mut lying = vec![0x80, 0x01, 0, 9, 8, 0, 0, 0, 0, 0, 0, 4];
     lying.extend([0; 12]);
-    assert_eq!(heard(addr, &lying)[6..8], [0, 4], "invalid");
+    assert_eq!(response_to(addr, &lying)[6..8], [0, 4], "invalid");
     let mut huge = vec![0x80, 0x01, 0, 3, 8, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 5];
     huge.extend([0; 8]);
-    let told = heard(addr, &huge);
+    let response = response_to(addr, &huge);
     assert_eq!(
-        (&told[6..8], &told[12..16]),
+        (&response[6..8], &response[12..16]),
         (&[0, 3][..], &[0, 0, 0, 5][..]),
         "too large, with the client's mark"
     );
--- a/crates/lab-rig/src/outcome.rs
+++ b/crates/lab-rig/src/outcome.rs
@@ -113,9 +113,9 @@
 fn member_lines(outcome: &Outcome) -> String {
     let mut text = String::new();
     for (who, load) in [("a node", &outcome.nodes), ("the ledger", &outcome.origin)] {
-        let (all, most) = (load.opened.iter().sum::<u64>(), load.max_opened.iter().max().unwrap_or(&0));
+        let (all, max) = (load.opened.iter().sum::<u64>(), load.max_opened.iter().max().unwrap_or(&0));
         text += &format!(
-            "{who}: {most} connections a second at most ({all} in all), {} held at once, {} attempts out, {} of them turned away for lack of room, {} connections turned away\n",
+            "{who}: {max} connections a second at most ({all} in all), {} held at once, {} attempts out, {} of them turned away for lack of room, {} connections turned away\n",
             load.max_open,
             load.max_in_flight,
             load.rejected_attempts,
--- a/crates/lab-rig/src/report.rs
+++ b/crates/lab-rig/src/report.rs
@@ -31,17 +31,17 @@
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     root.fill(&WHITE)?;
     let values = || rows.iter().flat_map(|r| r.seconds.iter().copied());
-    let (most, length) =
+    let (max, length) =
         (values().fold(1.0, f64::max), rows.iter().map(|r| r.seconds.len()).max().unwrap_or(1));
     let mut chart = ChartBuilder::on(root)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(from..from + length as f64, 0.0..most * 1.05)?;
+        .build_cartesian_2d(from..from + length as f64, 0.0..max * 1.05)?;
     chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw()?;
     for at in marks {
-        chart.draw_series(LineSeries::new([(*at, 0.0), (*at, most * 1.05)], RED.mix(0.25)))?;
+        chart.draw_series(LineSeries::new([(*at, 0.0), (*at, max * 1.05)], RED.mix(0.25)))?;
     }
     for (n, series) in rows.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
@@ -86,7 +86,7 @@
     let marks: Vec<f64> = outcome.steps.iter().map(|(at, _)| *at).take(MAX_MARKS).collect();
     let list = [series("calls", &outcome.list_asks), series("refused", &outcome.list_refused)];
     let opened = [series("all nodes", &outcome.nodes.opened), series("the ledger", &outcome.origin.opened)];
-    let most = [
+    let max = [
         series("busiest node", &outcome.nodes.max_opened),
         series("turned away, all", &outcome.nodes.rejected_connections),
     ];
@@ -94,7 +94,7 @@
         plot("requests by how they ended", outcome.began_s, &outcomes, &marks)?,
         plot("calls at the list service", 0.0, &list, &marks)?,
         plot("connections opened", 0.0, &opened, &marks)?,
-        plot("connections opened at one node", 0.0, &most, &marks)?,
+        plot("connections opened at one node", 0.0, &max, &marks)?,
     ];
     let mut page = String::new();
     let name = escape_html(name);
--- a/crates/lab-scale/src/children.rs
+++ b/crates/lab-scale/src/children.rs
@@ -18,7 +18,7 @@
 /// Lines of a child that are kept, the last ones.
 const MAX_LAST_LINES: usize = 20;
 /// A child tells its addresses within this time.
-const TELLS_WITHIN: Duration = Duration::from_secs(30);
+const ADDRESSES_WITHIN: Duration = Duration::from_secs(30);
 
 /// A line that a child wrote.
 pub struct Line {
@@ -51,7 +51,7 @@
 /// All children.
 pub struct Children {
     all: Vec<Child>,
-    told: SyncSender<Line>,
+    line_sender: SyncSender<Line>,
     lines: Receiver<Line>,
     log: std::fs::File,
 }
@@ -62,9 +62,9 @@
     /// # Errors
     /// If the log can't be created.
     pub fn new(log: &Path) -> Result<Children, ScaleError> {
-        let (told, lines) = std::sync::mpsc::sync_channel(10_000);
+        let (line_sender, lines) = std::sync::mpsc::sync_channel(10_000);
         let log = std::fs::File::create(log).map_err(FileError::at(log))?;
-        Ok(Children { all: Vec::new(), told, lines, log })
+        Ok(Children { all: Vec::new(), line_sender, lines, log })
     }
 
     /// Starts another child; its number.
@@ -97,29 +97,29 @@
     /// # Errors
     /// If it can't be started.
     pub fn start(&mut self, n: usize) -> Result<(), ScaleError> {
-        let one = &mut self.all[n];
-        let mut command = (one.command)();
+        let child = &mut self.all[n];
+        let mut command = (child.command)();
         kill_with_parent(&mut command);
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-        let mut child =
-            command.spawn().map_err(|source| ScaleError::Child { name: one.name.clone(), source })?;
-        let start = one.starts;
-        one.starts += 1;
-        one.expected_down = false;
-        one.stdin = child.stdin.take();
-        for reads in [
-            child.stdout.take().map(|r| Box::new(r) as Box<dyn Read + Send>),
-            child.stderr.take().map(|r| Box::new(r) as Box<dyn Read + Send>),
+        let mut process =
+            command.spawn().map_err(|source| ScaleError::Child { name: child.name.clone(), source })?;
+        let start = child.starts;
+        child.starts += 1;
+        child.expected_down = false;
+        child.stdin = process.stdin.take();
+        for output in [
+            process.stdout.take().map(|r| Box::new(r) as Box<dyn Read + Send>),
+            process.stderr.take().map(|r| Box::new(r) as Box<dyn Read + Send>),
         ] {
-            let (Some(reads), told) = (reads, self.told.clone()) else { continue };
+            let (Some(output), line_sender) = (output, self.line_sender.clone()) else { continue };
             let listen = move || {
-                let mut reads = BufReader::new(reads);
+                let mut output = BufReader::new(output);
                 let mut line = Vec::new();
-                while reads.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
+                while output.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
                     let text = String::from_utf8_lossy(&line).trim_end().to_owned();
                     line = Vec::new();
                     // At its end the run wants no more lines.
-                    if told.send(Line { child: n, start, at: now(), text }).is_err() {
+                    if line_sender.send(Line { child: n, start, at: now(), text }).is_err() {
                         return;
                     }
                 }
@@ -127,7 +127,7 @@
             let thread = std::thread::Builder::new().stack_size(128 << 10);
             thread.spawn(listen).map_err(ScaleError::Thread)?;
         }
-        one.process = Some(child);
+        child.process = Some(process);
         Ok(())
     }
 
@@ -136,16 +136,16 @@
         use std::fmt::Write as _;
         match self.lines.recv_timeout(within) {
             Ok(line) => {
-                let one = &mut self.all[line.child];
+                let child = &mut self.all[line.child];
                 // Messages of hosts on standard output are no log lines.
                 if !line.text.starts_with('{') {
-                    one.last.push_back(line.text.clone());
-                    if one.last.len() > MAX_LAST_LINES {
-                        one.last.pop_front();
+                    child.last.push_back(line.text.clone());
+                    if child.last.len() > MAX_LAST_LINES {
+                        child.last.pop_front();
                     }
                     let mut text = String::new();
                     let at = line.at as f64 / 1e9;
-                    let _ = writeln!(text, "{at:12.3} {}[{}] {}", one.name, line.start, line.text);
+                    let _ = writeln!(text, "{at:12.3} {}[{}] {}", child.name, line.start, line.text);
                     // A full disk loses lines of the log, not the run.
                     let _ = self.log.write_all(text.as_bytes());
                 }
@@ -161,7 +161,7 @@
     /// If a child wrote none in time or ended.
     pub fn addrs(&mut self, of: &[usize], words: &[&str]) -> Result<Vec<Vec<SocketAddr>>, ScaleError> {
         let mut found = vec![vec![None; words.len()]; of.len()];
-        let until = Instant::now() + TELLS_WITHIN;
+        let until = Instant::now() + ADDRESSES_WITHIN;
         loop {
             if found.iter().flatten().all(Option::is_some) {
                 return Ok(found.into_iter().map(|f| f.into_iter().flatten().collect()).collect());
@@ -175,9 +175,9 @@
             }
             let lacks = of.iter().zip(&found).find(|(_, f)| f.iter().any(Option::is_none)).map(|(n, _)| *n);
             if let Some(n) = lacks.filter(|n| Instant::now() > until || !self.runs(*n)) {
-                let one = &self.all[n];
-                let last_lines = one.last.iter().cloned().collect();
-                return Err(ScaleError::NoAddress { name: one.name.clone(), last_lines });
+                let child = &self.all[n];
+                let last_lines = child.last.iter().cloned().collect();
+                return Err(ScaleError::NoAddress { name: child.name.clone(), last_lines });
             }
         }
     }
@@ -190,42 +190,42 @@
     /// Kills a child; that does not count as a crash.
     pub fn kill(&mut self, n: usize) {
         self.update_usage(n);
-        let one = &mut self.all[n];
-        one.expected_down = true;
-        one.past_cpu_s += one.used.cpu_s;
-        one.used.cpu_s = 0.0;
-        if let Some(mut child) = one.process.take() {
+        let child = &mut self.all[n];
+        child.expected_down = true;
+        child.past_cpu_s += child.used.cpu_s;
+        child.used.cpu_s = 0.0;
+        if let Some(mut process) = child.process.take() {
             // One that has ended meanwhile needs no signal.
-            let _ = (child.kill(), child.wait());
+            let _ = (process.kill(), process.wait());
         }
     }
 
     /// Children that have crashed since the last call, with their last lines.
     pub fn ended(&mut self) -> Vec<String> {
         let mut ended = Vec::new();
-        for one in &mut self.all {
-            let Some(child) = one.process.as_mut() else { continue };
-            if let Ok(Some(status)) = child.try_wait() {
-                let last: Vec<&str> = one.last.iter().map(String::as_str).collect();
-                ended.push(format!("{} ended by itself, {status}:\n  {}", one.name, last.join("\n  ")));
-                one.process = None;
+        for child in &mut self.all {
+            let Some(process) = child.process.as_mut() else { continue };
+            if let Ok(Some(status)) = process.try_wait() {
+                let last: Vec<&str> = child.last.iter().map(String::as_str).collect();
+                ended.push(format!("{} ended by itself, {status}:\n  {}", child.name, last.join("\n  ")));
+                child.process = None;
             }
         }
         ended
     }
 
     fn update_usage(&mut self, n: usize) {
-        let one = &mut self.all[n];
-        if let Some(usage) = one.process.as_ref().and_then(|c| Usage::of_process(c.id())) {
-            one.used.merge(usage);
+        let child = &mut self.all[n];
+        if let Some(usage) = child.process.as_ref().and_then(|c| Usage::of_process(c.id())) {
+            child.used.merge(usage);
         }
     }
 
     /// The usage of a child so far, over all of its processes.
     pub fn used(&mut self, n: usize) -> Usage {
         self.update_usage(n);
-        let one = &self.all[n];
-        Usage { cpu_s: one.past_cpu_s + one.used.cpu_s, ..one.used }
+        let child = &self.all[n];
+        Usage { cpu_s: child.past_cpu_s + child.used.cpu_s, ..child.used }
     }
 
     /// The number of children.
@@ -243,23 +243,23 @@
     /// # Errors
     /// If it takes none.
     pub fn write(&mut self, n: usize, line: &str) -> Result<(), ScaleError> {
-        let one = &mut self.all[n];
-        let stdin = one.stdin.as_mut().ok_or_else(|| ScaleError::NoInput(one.name.clone()))?;
+        let child = &mut self.all[n];
+        let stdin = child.stdin.as_mut().ok_or_else(|| ScaleError::NoInput(child.name.clone()))?;
         let written = writeln!(stdin, "{line}").and_then(|()| stdin.flush());
-        written.map_err(|source| ScaleError::Child { name: one.name.clone(), source })
+        written.map_err(|source| ScaleError::Child { name: child.name.clone(), source })
     }
 }
 
 impl Drop for Children {
     fn drop(&mut self) {
-        for one in &mut self.all {
-            if let Some(child) = one.process.as_mut() {
-                let _ = child.kill();
+        for child in &mut self.all {
+            if let Some(process) = child.process.as_mut() {
+                let _ = process.kill();
             }
         }
-        for one in &mut self.all {
-            if let Some(child) = one.process.as_mut() {
-                let _ = child.wait();
+        for child in &mut self.all {
+            if let Some(process) = child.process.as_mut() {
+                let _ = process.wait();
             }
         }
     }
--- a/crates/lab-scale/src/descriptors/tests.rs
+++ b/crates/lab-scale/src/descriptors/tests.rs
@@ -12,10 +12,11 @@
     let rig = descriptor_needs(&plan, 1)[0].1;
     assert_eq!(rig, 64 + 3 * 7 + 20 + 10 + 900 + 2 * 22);
     assert_eq!(shortfalls(&plan, 1, 2000), Vec::<String>::new());
-    let told = shortfalls(&plan, 1, 1060);
-    assert_eq!(told.len(), 1, "{told:?}");
+    let shortfalls_found = shortfalls(&plan, 1, 1060);
+    assert_eq!(shortfalls_found.len(), 1, "{shortfalls_found:?}");
     assert!(
-        told[0].starts_with("the control service needs 1066 descriptors") && told[0].ends_with("6 short")
+        shortfalls_found[0].starts_with("the control service needs 1066 descriptors")
+            && shortfalls_found[0].ends_with("6 short")
     );
 }
 
--- a/crates/lab-scale/src/figures.rs
+++ b/crates/lab-scale/src/figures.rs
@@ -22,7 +22,7 @@
 
 /// How long something that was published took to be in force everywhere.
 #[derive(Clone, Copy, Debug)]
-pub struct Took {
+pub struct TimeToInForce {
     /// When it was due, from the start of the schedule, in seconds.
     pub due_s: f64,
     /// How long it took from when it was due, in milliseconds; none if it is not in force everywhere.
@@ -61,12 +61,19 @@
     }
 
     /// Adds the figures of the times to in force everywhere, of purges or of versions.
-    pub fn times(&mut self, what: &str, took: &[Took], published: &[Published], due: usize, limit: Duration) {
+    pub fn times(
+        &mut self,
+        what: &str,
+        times: &[TimeToInForce],
+        published: &[Published],
+        due: usize,
+        limit: Duration,
+    ) {
         if due == 0 {
             return;
         }
         let limit = Some(limit.as_secs_f64() * 1e3);
-        let not_done = took.iter().filter(|t| t.ms.is_none()).count();
+        let not_done = times.iter().filter(|t| t.ms.is_none()).count();
         self.add(format!("{what}.due"), Some(due as f64), "", None);
         self.add(format!("{what}.made"), Some(published.len() as f64), "", None);
         self.add(format!("{what}.not_done_everywhere"), Some(not_done as f64), "", None);
@@ -76,11 +83,11 @@
         let answered: Vec<f64> =
             published.iter().map(|m| m.answered_at.saturating_sub(m.called_at) as f64 / 1e6).collect();
         self.add(format!("{what}.answered.p99"), quantile(&answered, 0.99), "ms", None);
-        let faults = took.iter().any(|t| t.under_fault);
+        let faults = times.iter().any(|t| t.under_fault);
         let all = [("", None), (".no_fault", Some(false)), (".under_fault", Some(true))];
         for (kind, wanted) in all.into_iter().take(if faults { 3 } else { 1 }) {
-            let of = |t: &&Took| wanted.is_none_or(|wanted| wanted == t.under_fault);
-            let ms: Vec<f64> = took.iter().filter(of).filter_map(|t| t.ms).collect();
+            let of = |t: &&TimeToInForce| wanted.is_none_or(|wanted| wanted == t.under_fault);
+            let ms: Vec<f64> = times.iter().filter(of).filter_map(|t| t.ms).collect();
             let name = format!("{what}.done_everywhere{kind}");
             self.add(format!("{name}.count"), Some(ms.len() as f64), "", None);
             for (tail, part) in [("p50", 0.5), ("p99", 0.99), ("most", 1.0)] {
--- a/crates/lab-scale/src/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -122,11 +122,11 @@
     let mut first = String::new();
     std::io::stdin().read_line(&mut first).map_err(ScaleError::Stdio)?;
     let spec: HostSpec = serde_json::from_str(&first).map_err(ScaleError::FirstLine)?;
-    let (tell, orders) = mpsc::channel(MAX_ORDERS);
+    let (order_sender, orders) = mpsc::channel(MAX_ORDERS);
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             match serde_json::from_str::<HostOrder>(&line) {
-                Ok(order) if tell.blocking_send(order).is_ok() => {}
+                Ok(order) if order_sender.blocking_send(order).is_ok() => {}
                 Ok(_) => return,
                 Err(e) => eprintln!("hollow: `{line}`: {e}"),
             }
--- a/crates/lab-scale/src/link/tests.rs
+++ b/crates/lab-scale/src/link/tests.rs
@@ -22,11 +22,11 @@
     }
     let mut received = [0; 5];
     far.read_exact(&mut received).expect("read");
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     assert_eq!(received, [0, 1, 2, 3, 4]);
-    assert!(took >= delay, "{took:?}");
+    assert!(elapsed >= delay, "{elapsed:?}");
     // One after the other they would take five times as long.
-    assert!(took < delay * 4, "{took:?}");
+    assert!(elapsed < delay * 4, "{elapsed:?}");
 }
 
 #[test]
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -23,7 +23,7 @@
 const TICK: Duration = Duration::from_millis(250);
 const CONNECT_WITHIN: Duration = Duration::from_secs(3);
 /// Its relay accepts a frame within this time.
-const TAKES_WITHIN: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest frame that it reads, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Bytes read at once.
@@ -388,7 +388,7 @@
     async fn send(&mut self, frame: &FromProxy) {
         let Some(stream) = &mut self.stream else { return };
         let bytes = encode(frame).unwrap_or_default();
-        match timeout(TAKES_WITHIN, stream.write_all(&bytes)).await {
+        match timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await {
             Ok(Ok(())) => self.count(bytes.len(), true),
             _ => self.lost(),
         }
--- a/crates/lab-scale/src/plan/tests.rs
+++ b/crates/lab-scale/src/plan/tests.rs
@@ -59,21 +59,21 @@
         ],
         ..Schedule::default()
     };
-    let met = |s: u64| plan.under_fault(&schedule, Duration::from_secs(s), Duration::from_secs(2));
-    assert_eq!([met(17), met(18), met(22)], [false, true, true]);
-    assert!(met(59), "what is never started again lasts");
+    let under_fault = |s: u64| plan.under_fault(&schedule, Duration::from_secs(s), Duration::from_secs(2));
+    assert_eq!([under_fault(17), under_fault(18), under_fault(22)], [false, true, true]);
+    assert!(under_fault(59), "what is never started again lasts");
 }
 
 #[test]
 fn faults_of_a_file_are_told_all_at_once_with_their_places() {
     let bad = PLAN.replace("which = [3]", "which = [4]").replace("pick = 2", "pick = 17");
-    let told = Plan::parse("p.toml", &bad).expect_err("faults").problems;
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told[0].starts_with("p.toml:22:1: pick = 17: from 1 to 16"), "{told:?}");
-    assert!(told[1].starts_with("p.toml:29:1: 4: there are 4, from 0"), "{told:?}");
+    let problems = Plan::parse("p.toml", &bad).expect_err("faults").problems;
+    assert_eq!(problems.len(), 2, "{problems:?}");
+    assert!(problems[0].starts_with("p.toml:22:1: pick = 17: from 1 to 16"), "{problems:?}");
+    assert!(problems[1].starts_with("p.toml:29:1: 4: there are 4, from 0"), "{problems:?}");
     let one = |from: &str, to: &str| {
-        let told = Plan::parse("p.toml", &PLAN.replace(from, to)).expect_err("a fault").problems;
-        told[0].clone()
+        let problems = Plan::parse("p.toml", &PLAN.replace(from, to)).expect_err("a fault").problems;
+        problems[0].clone()
     };
     assert!(one("regions = 4", "regions = 0").starts_with("p.toml:4:11: regions = 0"));
     assert!(one("\"1m\"", "\"90m\"").starts_with("p.toml:2:10: length: more than nothing"));
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -117,8 +117,8 @@
 
 /// The number of a version that a proxy's line says is in force.
 pub fn in_force(line: &str) -> Option<u64> {
-    let (_, told) = line.split_once("version ")?;
-    let (stamp, _) = told.split_once(" is in force")?;
+    let (_, rest) = line.split_once("version ")?;
+    let (stamp, _) = rest.split_once(" is in force")?;
     stamp.split_once('.')?.1.parse().ok()
 }
 
--- a/crates/lab-scale/src/report.rs
+++ b/crates/lab-scale/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a run: figures as JSON, a table, and a plot.
 
 use super::error::ScaleError;
-use super::figures::{Figure, Figures, Took};
+use super::figures::{Figure, Figures, TimeToInForce};
 use super::member::Traffic;
 use super::plan::Plan;
 use super::play::Outcome;
@@ -39,7 +39,7 @@
     /// Its figures.
     pub scale: Scale,
     /// Purges, and versions.
-    pub took: [Vec<Took>; 2],
+    pub times: [Vec<TimeToInForce>; 2],
     /// What went wrong, a line each.
     pub problems: Vec<String>,
 }
@@ -59,11 +59,11 @@
     let done = purges.iter().chain(&changes).all(|t| t.ms.is_some());
     let all_published = (outcome.purges.len(), outcome.changes.len()) == outcome.due;
     let complete = done && all_published && outcome.problems.is_empty() && outcome.hollow.faults == 0;
-    let took = [purges, changes];
-    let figures = figures(plan, outcome, complete, &took);
+    let times = [purges, changes];
+    let figures = figures(plan, outcome, complete, &times);
     let seconds = outcome.seconds;
     let scale = Scale { name: name.to_owned(), plan: file.to_owned(), seed, seconds, figures: figures.0 };
-    Judgement { complete, scale, took, problems: problems(outcome) }
+    Judgement { complete, scale, times, problems: problems(outcome) }
 }
 
 /// How long each of what was published took to be in force everywhere; `done` says when it was.
@@ -73,8 +73,8 @@
     published: &[Published],
     limit: Duration,
     done: &dyn Fn(u64) -> Option<u64>,
-) -> Vec<Took> {
-    let one = |m: &Published| Took {
+) -> Vec<TimeToInForce> {
+    let one = |m: &Published| TimeToInForce {
         due_s: m.due.as_secs_f64(),
         ms: done(m.number).map(|at| at.saturating_sub(m.due_at) as f64 / 1e6),
         under_fault: plan.under_fault(&outcome.schedule, m.due, limit),
@@ -115,7 +115,12 @@
     problems
 }
 
-fn figures(plan: &Plan, outcome: &Outcome, complete: bool, [purges, changes]: &[Vec<Took>; 2]) -> Figures {
+fn figures(
+    plan: &Plan,
+    outcome: &Outcome,
+    complete: bool,
+    [purges, changes]: &[Vec<TimeToInForce>; 2],
+) -> Figures {
     let limits = plan.limits;
     let mut figures = Figures(Vec::new());
     figures.add("run.complete", Some(f64::from(u8::from(complete))), "", None);
@@ -210,17 +215,18 @@
 /// # Errors
 /// If it can't be drawn or written.
 pub fn plot(judgement: &Judgement, file: &Path) -> Result<(), ScaleError> {
-    let each_second = |took: &[Took]| {
-        let mut most: std::collections::BTreeMap<u64, f64> = std::collections::BTreeMap::new();
-        for t in took {
+    let each_second = |times: &[TimeToInForce]| {
+        let mut slowest: std::collections::BTreeMap<u64, f64> = std::collections::BTreeMap::new();
+        for t in times {
             if let Some(ms) = t.ms {
-                let at = most.entry(t.due_s as u64).or_default();
+                let at = slowest.entry(t.due_s as u64).or_default();
                 *at = at.max(ms);
             }
         }
-        most.into_iter().map(|(s, ms)| (s as f64, ms)).collect::<Vec<_>>()
+        slowest.into_iter().map(|(s, ms)| (s as f64, ms)).collect::<Vec<_>>()
     };
-    let series = [("purges", each_second(&judgement.took[0])), ("changes", each_second(&judgement.took[1]))];
+    let series =
+        [("purges", each_second(&judgement.times[0])), ("changes", each_second(&judgement.times[1]))];
     let all = || series.iter().flat_map(|s| &s.1);
     let widest = all().map(|p| p.0).fold(1.0, f64::max) * 1.02;
     let highest = all().map(|p| p.1).fold(1.0, f64::max) * 1.15;
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -228,10 +228,10 @@
 
 /// The duration of a swap that a line of a proxy's log tells, in microseconds.
 fn swap_duration_us(line: &str) -> Option<f64> {
-    let (_, told) = line.split_once("swapped in ")?;
-    let unit = told.find(|c: char| c != '.' && !c.is_ascii_digit())?;
-    let number: f64 = told[..unit].parse().ok()?;
-    let in_us = match &told[unit..] {
+    let (_, rest) = line.split_once("swapped in ")?;
+    let unit = rest.find(|c: char| c != '.' && !c.is_ascii_digit())?;
+    let number: f64 = rest[..unit].parse().ok()?;
+    let in_us = match &rest[unit..] {
         "ns" => 1e-3,
         "µs" => 1.0,
         "ms" => 1e3,
--- a/crates/lab-scale/src/versions/tests.rs
+++ b/crates/lab-scale/src/versions/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn the_span_of_a_swap_is_read_in_every_unit() {
     let read =
-        |told: &str| swap_duration_us(&format!("aniseyoke: version 1.2 is in force, swapped in {told}"));
-    let close = |told: &str, us: f64| read(told).is_some_and(|found| (found - us).abs() < 1e-6);
+        |text: &str| swap_duration_us(&format!("aniseyoke: version 1.2 is in force, swapped in {text}"));
+    let close = |text: &str, us: f64| read(text).is_some_and(|found| (found - us).abs() < 1e-6);
     assert!(close("950ns", 0.95) && close("87.5µs", 87.5) && close("1.25ms", 1250.0) && close("2s", 2e6));
     assert_eq!((read("soon"), swap_duration_us("something else")), (None, None));
 }
--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -104,8 +104,8 @@
         attempt.reached = true;
         let origin = attempt.origin;
         self.connection_load.in_flight(member, origin, true);
-        if let Some((born, allowed)) = self.world.slow_start_budget(member, self.now) {
-            self.ramp.arrived(self.now, member, born, allowed);
+        if let Some((started, allowed)) = self.world.slow_start_budget(member, self.now) {
+            self.ramp.arrived(self.now, member, started, allowed);
         }
         let Some(pending) = self.proxies[proxy as usize].pending.get(&request) else { return };
         let client = &self.clients[pending.client as usize];
--- a/crates/lab-sim/src/list_service.rs
+++ b/crates/lab-sim/src/list_service.rs
@@ -73,7 +73,7 @@
             calls.resize(second + 1, 0);
         }
         calls[second] += 1;
-        let over = service.max_per_second.is_some_and(|most| calls[second] > most);
+        let over = service.max_per_second.is_some_and(|max| calls[second] > max);
         let sim_proxy = &mut self.proxies[proxy as usize];
         sim_proxy.caller.polls.iter_mut().for_each(|p| p.polled(now));
         let delay = self.network_delay();
@@ -111,11 +111,11 @@
     pub(super) fn list_changed(&mut self) {
         for proxy in 0..self.proxies.len() as u32 {
             let sim_proxy = &mut self.proxies[proxy as usize];
-            let hears = match self.options.list {
+            let wakes = match self.options.list {
                 Some(_) => sim_proxy.caller.watch.take().is_some(),
                 None => sim_proxy.subscribed,
             };
-            if hears {
+            if wakes {
                 let delay = self.network_delay();
                 self.schedule_after(delay, SimEvent::ListAnswer(proxy));
             }
--- a/crates/lab-world/src/lib.rs
+++ b/crates/lab-world/src/lib.rs
@@ -156,7 +156,7 @@
 /// Misses, and idempotency keys, that are remembered; beyond that the oldest are forgotten.
 const MAX_REMEMBERED: usize = 1 << 17;
 /// A miss is remembered for this long; the origin's reply is stored where it missed.
-const MISS_KEPT: Nanos = 10 * aniseyoke_lab_day::clock::SECOND;
+const MISS_RETENTION: Nanos = 10 * aniseyoke_lab_day::clock::SECOND;
 /// A value is stored at this many of the nodes that missed, the first ones.
 const STORED_AT: usize = 2;
 
--- a/crates/lab-world/src/serve.rs
+++ b/crates/lab-world/src/serve.rs
@@ -63,7 +63,7 @@
     }
 
     pub(super) fn record_miss(&mut self, now: Nanos, attempt: &Attempt) {
-        while self.misses_order.front().is_some_and(|(at, _)| at + MISS_KEPT < now)
+        while self.misses_order.front().is_some_and(|(at, _)| at + MISS_RETENTION < now)
             || self.misses_order.len() > MAX_REMEMBERED
         {
             let Some((_, old)) = self.misses_order.pop_front() else { break };
--- a/crates/lab-world/src/tests.rs
+++ b/crates/lab-world/src/tests.rs
@@ -19,7 +19,7 @@
         Driver { world, now: 0, attempt_id: 0 }
     }
 
-    fn ask(
+    fn attempt(
         &mut self,
         member: usize,
         request: u64,
@@ -30,9 +30,9 @@
         self.attempt_id += 1;
         let class = Some(if write { 2 } else { 0 });
         let mut out = Vec::new();
-        let ask =
+        let attempt =
             Attempt { attempt_id: self.attempt_id, member, request, class, key, write, idempotency_key };
-        self.world.arrive(self.now, ask, &mut out);
+        self.world.arrive(self.now, attempt, &mut out);
         out
     }
 
@@ -62,15 +62,15 @@
 fn a_miss_is_stored_where_it_missed_and_a_write_voids_it() {
     let mut driver = Driver::new(|_| {});
     let origin = driver.world.origin;
-    driver.ask(3, 1, NEW_KEY, false, None);
+    driver.attempt(3, 1, NEW_KEY, false, None);
     assert_eq!(Driver::replies(&driver.pass(SECOND)), [Reply::Miss]);
-    driver.ask(origin, 1, NEW_KEY, false, None);
+    driver.attempt(origin, 1, NEW_KEY, false, None);
     assert_eq!(Driver::replies(&driver.pass(5 * SECOND)), [Reply::Served { hit: false, version: 0 }]);
-    driver.ask(3, 2, NEW_KEY, false, None);
+    driver.attempt(3, 2, NEW_KEY, false, None);
     assert_eq!(Driver::replies(&driver.pass(5 * SECOND)), [Reply::Served { hit: true, version: 0 }]);
-    driver.ask(origin, 3, NEW_KEY, true, Some(9));
+    driver.attempt(origin, 3, NEW_KEY, true, Some(9));
     assert_eq!(Driver::replies(&driver.pass(5 * SECOND)), [Reply::Served { hit: false, version: 1 }]);
-    driver.ask(3, 4, NEW_KEY, false, None);
+    driver.attempt(3, 4, NEW_KEY, false, None);
     assert_eq!(Driver::replies(&driver.pass(SECOND)), [Reply::Miss]);
 }
 
@@ -79,11 +79,11 @@
     let mut driver = Driver::new(|_| {});
     let origin = driver.world.origin;
     let executed = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Executed(_))).count();
-    assert_eq!(executed(&driver.ask(origin, 1, 5, true, Some(9))), 1);
+    assert_eq!(executed(&driver.attempt(origin, 1, 5, true, Some(9))), 1);
     driver.pass(5 * SECOND);
-    assert_eq!(executed(&driver.ask(origin, 1, 5, true, Some(9))), 0);
+    assert_eq!(executed(&driver.attempt(origin, 1, 5, true, Some(9))), 0);
     driver.pass(2 * SECOND);
-    assert_eq!(executed(&driver.ask(origin, 1, 5, true, Some(9))), 1);
+    assert_eq!(executed(&driver.attempt(origin, 1, 5, true, Some(9))), 1);
 }
 
 #[test]
@@ -93,16 +93,16 @@
         day.faults.push(toml::from_str(fault).expect("a fault"));
     });
     let popular = KeySpace::new(&driver.world.day).key(0);
-    driver.ask(2, 1, popular, false, None);
+    driver.attempt(2, 1, popular, false, None);
     assert_eq!(Driver::replies(&driver.pass(900 * MILLISECOND)).len(), 1);
     let effects = driver.pass(200 * MILLISECOND);
     assert!(effects.contains(&Effect::Process(2, Process::Silent)), "{effects:?}");
-    driver.ask(2, 2, popular, false, None);
+    driver.attempt(2, 2, popular, false, None);
     assert_eq!(Driver::replies(&driver.pass(2 * SECOND)), []);
     let effects = driver.pass(SECOND);
     assert!(effects.ends_with(&[Effect::Process(2, Process::Down), Effect::Process(2, Process::Up)]));
     assert!(driver.world.is_cold(2, driver.now));
-    driver.ask(2, 3, popular, false, None);
+    driver.attempt(2, 3, popular, false, None);
     assert_eq!(Driver::replies(&driver.pass(SECOND)), [Reply::Miss]);
 }
 
@@ -139,9 +139,9 @@
     let origin = driver.world.origin;
     let mut seen = Vec::new();
     for request in 0..2000 {
-        seen.extend(driver.ask(0, request, 1000 + request, false, None));
+        seen.extend(driver.attempt(0, request, 1000 + request, false, None));
         seen.extend(driver.pass(4 * MILLISECOND));
-        seen.extend(driver.ask(origin, request, 1000 + request, false, None));
+        seen.extend(driver.attempt(origin, request, 1000 + request, false, None));
         if seen.iter().any(|e| matches!(e, Effect::OriginOverloaded(_))) {
             break;
         }
@@ -161,7 +161,7 @@
         let mut driver = Driver::new(|day| day.faults = Day::open("chuseok").expect("built in").faults);
         let mut all = Vec::new();
         for request in 0..3000 {
-            all.extend(driver.ask(request as usize % 10, request, request % 400, false, None));
+            all.extend(driver.attempt(request as usize % 10, request, request % 400, false, None));
             all.extend(driver.pass(7 * MILLISECOND));
         }
         format!("{all:?}")
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -40,8 +40,8 @@
     let file = copy.path().join("CAPACITY.md");
     let text = std::fs::read_to_string(&file).expect("the page");
     std::fs::write(&file, text.replacen("| predicted |", "| measured |", 1)).expect("written");
-    let told = differs(copy.path()).expect("worked out").expect("found out");
-    assert!(told.contains("CAPACITY.md:"), "{told}");
+    let difference = differs(copy.path()).expect("worked out").expect("found out");
+    assert!(difference.contains("CAPACITY.md:"), "{difference}");
     std::fs::write(&file, page(copy.path()).expect("worked out")).expect("written");
     assert_eq!(differs(copy.path()).expect("worked out"), None);
 }
--- a/crates/lab/tests/rig.rs
+++ b/crates/lab/tests/rig.rs
@@ -41,14 +41,14 @@
     let mut pids = vec![BTreeSet::new(); 8];
     for line in text.lines() {
         let Some(who) = line.split_whitespace().nth(1) else { continue };
-        let Some((me, pid)) =
+        let Some((index, pid)) =
             who.strip_prefix('p').and_then(|w| w.strip_suffix(']')).and_then(|w| w.split_once('['))
         else {
             continue;
         };
-        if let (Ok(me), Ok(pid)) = (me.parse::<usize>(), pid.parse::<u32>()) {
-            if me < pids.len() {
-                pids[me].insert(pid);
+        if let (Ok(index), Ok(pid)) = (index.parse::<usize>(), pid.parse::<u32>()) {
+            if index < pids.len() {
+                pids[index].insert(pid);
             }
         }
     }
@@ -105,8 +105,8 @@
     let (half, nine_in_ten, most) = (restarted.p50_s, restarted.p90_s, restarted.most_s);
     assert!(half.is_some() && half <= nine_in_ten && nine_in_ten <= most, "{table}");
     assert!(nine_in_ten.is_some_and(|s| s > 0.0 && s < 10.0), "{table}");
-    let told = serde_json::to_value(&outcome).expect("JSON");
-    assert_eq!(told["restarted"]["p90_s"].as_f64(), nine_in_ten, "{told}");
+    let json = serde_json::to_value(&outcome).expect("JSON");
+    assert_eq!(json["restarted"]["p90_s"].as_f64(), nine_in_ten, "{json}");
     assert!(table.contains("started again: 8 ready, 0 not"), "{table}");
 }
 
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -25,8 +25,8 @@
     let plan = small();
     let run =
         lab(&["scale", "--plan", plan.to_str().expect("a path"), "--out", out.to_str().expect("a path")]);
-    let told = format!("{}{}", text(&run.stdout), text(&run.stderr));
-    assert!(run.status.success(), "{told}");
+    let output = format!("{}{}", text(&run.stdout), text(&run.stderr));
+    assert!(run.status.success(), "{output}");
     let json = std::fs::read_to_string(out.join("scale.json")).expect("scale.json");
     let scale: Value = serde_json::from_str(&json).expect("JSON");
     let value = |name: &str| {
@@ -35,14 +35,14 @@
         found.unwrap_or_else(|| panic!("no figure {name}"))["value"].as_f64().expect("a number")
     };
     assert_eq!((scale["name"].as_str(), scale["seed"].as_u64()), (Some("scale-small"), Some(1)));
-    assert_eq!(value("run.complete"), 1.0, "{told}");
-    assert_eq!(value("purge.made"), value("purge.due"), "{told}");
+    assert_eq!(value("run.complete"), 1.0, "{output}");
+    assert_eq!(value("purge.made"), value("purge.due"), "{output}");
     assert!(value("purge.due") > 150.0);
-    assert_eq!(value("purge.not_done_everywhere"), 0.0, "{told}");
-    assert_eq!(value("change.not_done_everywhere"), 0.0, "{told}");
+    assert_eq!(value("purge.not_done_everywhere"), 0.0, "{output}");
+    assert_eq!(value("change.not_done_everywhere"), 0.0, "{output}");
     assert_eq!((value("change.made"), value("real.count")), (6.0, 3.0));
     // A cut of three seconds is seen, as is what every member got.
-    assert!(value("purge.done_everywhere.most") >= 1000.0, "{told}");
+    assert!(value("purge.done_everywhere.most") >= 1000.0, "{output}");
     assert!(value("hollow_proxy.control.bytes.mean") > 0.0 && value("hollow_proxy.list.bytes.mean") > 0.0);
     assert!(value("real.core.most") > 0.0 && value("site_relay.memory.most") > 0.0);
     let plot = std::fs::read_to_string(out.join("scale.svg")).expect("scale.svg");
@@ -62,11 +62,11 @@
     command.args(["-c", script, env!("CARGO_BIN_EXE_aniseyoke-lab"), "scale", "--plan"]).arg(small());
     command.arg("--out").arg(folder.path().join("out"));
     let run = command.output().expect("run");
-    let told = text(&run.stderr);
-    assert_eq!(run.status.code(), Some(2), "{told}");
+    let output = text(&run.stderr);
+    assert_eq!(run.status.code(), Some(2), "{output}");
     assert!(
-        told.contains("the rig needs ") && told.contains("may have 150") && told.contains(" short"),
-        "{told}"
+        output.contains("the rig needs ") && output.contains("may have 150") && output.contains(" short"),
+        "{output}"
     );
 }
 
--- a/crates/lab/tests/versions.rs
+++ b/crates/lab/tests/versions.rs
@@ -16,20 +16,20 @@
 
 /// What a proxy said of the versions that it was sent.
 #[derive(Default)]
-struct Heard {
+struct Replies {
     taken: AtomicUsize,
     refused: AtomicUsize,
 }
 
 /// Speaks the protocol as another team would write it: versions in any order, some broken, some twice.
-fn serve(mut stream: TcpStream, heard: &Heard, stop: &AtomicBool) {
+fn serve(mut stream: TcpStream, replies: &Replies, stop: &AtomicBool) {
     stream.set_read_timeout(Some(Duration::from_millis(30))).expect("a time-out");
     let stamp = |number| Stamp { epoch: 1, number };
     let limits =
         |n: u64| json!({ "limits": { "node": { "start": 4.0 + n as f64 }, "queue": { "most": n % 40 } } });
     let full =
         |v: &Version| FromService::Full { stamp: v.stamp, digest: v.digest.clone(), body: v.body.clone() };
-    let mut came = Vec::new();
+    let mut received = Vec::new();
     for n in 1.. {
         if stop.load(Ordering::Relaxed) {
             return;
@@ -53,13 +53,13 @@
         let mut part = [0; 4096];
         match stream.read(&mut part) {
             Ok(0) => return,
-            Ok(length) => came.extend_from_slice(&part[..length]),
+            Ok(length) => received.extend_from_slice(&part[..length]),
             Err(_) => {}
         }
-        while let Ok(Some(frame)) = aniseyoke_control::frame::decode::<FromProxy>(&mut came, 1 << 16) {
+        while let Ok(Some(frame)) = aniseyoke_control::frame::decode::<FromProxy>(&mut received, 1 << 16) {
             match frame {
-                FromProxy::Taken { .. } => heard.taken.fetch_add(1, Ordering::Relaxed),
-                FromProxy::Refused { .. } => heard.refused.fetch_add(1, Ordering::Relaxed),
+                FromProxy::Taken { .. } => replies.taken.fetch_add(1, Ordering::Relaxed),
+                FromProxy::Refused { .. } => replies.refused.fetch_add(1, Ordering::Relaxed),
                 _ => 0,
             };
         }
@@ -70,12 +70,12 @@
 fn every_request_has_one_final_answer_while_versions_come_in_any_order() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let addr = listener.local_addr().expect("an address");
-    let (heard, stop) = (Arc::<Heard>::default(), Arc::<AtomicBool>::default());
-    let (hears, stops) = (heard.clone(), stop.clone());
+    let (replies, stop) = (Arc::<Replies>::default(), Arc::<AtomicBool>::default());
+    let (replies_of_thread, stop_of_thread) = (replies.clone(), stop.clone());
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (hears, stops) = (hears.clone(), stops.clone());
-            std::thread::spawn(move || serve(stream, &hears, &stops));
+            let (replies_of_thread, stop_of_thread) = (replies_of_thread.clone(), stop_of_thread.clone());
+            std::thread::spawn(move || serve(stream, &replies_of_thread, &stop_of_thread));
         }
     });
     let folder = tempfile::tempdir().expect("a folder");
@@ -88,7 +88,7 @@
     let report = run(&day, &program, &Options::default()).expect("played");
     stop.store(true, Ordering::Relaxed);
     assert!(report.audit.clean() && report.crashes.is_empty(), "{}", report.text());
-    let (taken, refused) = (heard.taken.load(Ordering::Relaxed), heard.refused.load(Ordering::Relaxed));
+    let (taken, refused) = (replies.taken.load(Ordering::Relaxed), replies.refused.load(Ordering::Relaxed));
     assert!(taken > 10 && refused > 10, "{taken} taken, {refused} refused");
 }
 
