--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -74,6 +74,15 @@
         Ok(Environment { clock, board, relays, site, log, evidence, auditor })
     }
 
+    /// Injects the faults that are active before the proxies start.
+    fn inject_before_start(&self, steps: &[(Duration, Step)]) {
+        for (_, step) in steps {
+            if let Step::InjectBeforeStart(fault) = step {
+                self.board.inject(fault.clone());
+            }
+        }
+    }
+
     /// Starts all proxies of the plan.
     fn start_proxies(
         &self,
@@ -128,11 +137,7 @@
     raise_descriptor_limit();
     let mut environment = Environment::open(plan, day, seed, folder)?;
     let Schedule { steps } = plan.schedule(seed);
-    for (_, step) in &steps {
-        if let Step::InjectBeforeStart(fault) = step {
-            environment.board.inject(fault.clone());
-        }
-    }
+    environment.inject_before_start(&steps);
     let processes = environment.start_proxies(plan, day, program, folder)?;
     let addrs: Vec<_> = (0..processes.len()).filter_map(|index| processes.addr(index)).collect();
     let load_balancer = Arc::new(LoadBalancer::new(&addrs, day.site.proxy.detection_delay));
