--- a/crates/lab-memcached-server/src/lib.rs
+++ b/crates/lab-memcached-server/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use server::Server;
 
-use aniseyoke_memcached::{Extras, Head, Opcode, Status};
+use aniseyoke_memcached::{Extras, Header, Opcode, Status};
 use bytes::Bytes;
 use lru::LruCache;
 use std::num::NonZeroUsize;
@@ -100,17 +100,17 @@
     }
 
     /// Applies a request. `now` is Unix time in seconds. Operations on the connection are the caller's.
-    pub fn apply(&mut self, now: u64, head: &Head, value: Bytes) -> Response {
+    pub fn apply(&mut self, now: u64, head: &Header, value: Bytes) -> Response {
         let Some(opcode) = head.operation() else { return Response::status_only(Status::Unknown) };
         if value.len() > self.max_value_bytes {
             return Response::status_only(Status::TooLarge);
         }
-        match (opcode.loud(), head.extras) {
+        match (opcode.without_quiet(), head.extras) {
             (Opcode::Get | Opcode::GetK, _) => self.read(now, head, opcode, None),
-            (Opcode::Gat | Opcode::GatK, Extras::Expires(expires)) => {
+            (Opcode::Gat | Opcode::GatK, Extras::Expiration(expires)) => {
                 self.read(now, head, opcode, Some(Self::expires_at(now, expires)))
             }
-            (Opcode::Touch, Extras::Expires(expires)) => {
+            (Opcode::Touch, Extras::Expiration(expires)) => {
                 let expires_at = Self::expires_at(now, expires);
                 match self.get(now, &head.key) {
                     Some(item) => {
@@ -126,10 +126,10 @@
                 .store_value(
                     now,
                     head,
-                    opcode.loud(),
+                    opcode.without_quiet(),
                     Item { value, flags, expires_at: Self::expires_at(now, expires), cas: 0 },
                 ),
-            (Opcode::Append | Opcode::Prepend, _) => self.extend(now, head, opcode.loud(), &value),
+            (Opcode::Append | Opcode::Prepend, _) => self.extend(now, head, opcode.without_quiet(), &value),
             (Opcode::Delete, _) => match self.get(now, &head.key).map(|i| i.cas) {
                 None => Response::status_only(Status::NotFound),
                 Some(cas) if head.cas != 0 && head.cas != cas => Response::status_only(Status::Exists),
@@ -139,8 +139,8 @@
                     Response::ok(0)
                 }
             },
-            (Opcode::Increment | Opcode::Decrement, Extras::Count { delta, initial, expires }) => {
-                self.count(now, head, opcode.loud(), (delta, initial, expires))
+            (Opcode::Increment | Opcode::Decrement, Extras::Counter { delta, initial, expires }) => {
+                self.count(now, head, opcode.without_quiet(), (delta, initial, expires))
             }
             (Opcode::Flush, _) => {
                 self.items.clear();
@@ -153,8 +153,8 @@
         }
     }
 
-    fn read(&mut self, now: u64, head: &Head, opcode: Opcode, new_expiry: Option<Option<u64>>) -> Response {
-        let key = if opcode.answers_with_key() { head.key.clone() } else { Bytes::new() };
+    fn read(&mut self, now: u64, head: &Header, opcode: Opcode, new_expiry: Option<Option<u64>>) -> Response {
+        let key = if opcode.returns_key() { head.key.clone() } else { Bytes::new() };
         let Some(item) = self.get(now, &head.key) else {
             return Response { key, ..Response::status_only(Status::NotFound) };
         };
@@ -170,7 +170,7 @@
         }
     }
 
-    fn store_value(&mut self, now: u64, head: &Head, opcode: Opcode, item: Item) -> Response {
+    fn store_value(&mut self, now: u64, head: &Header, opcode: Opcode, item: Item) -> Response {
         match (self.get(now, &head.key).map(|i| i.cas), opcode) {
             (Some(_), Opcode::Add) => Response::status_only(Status::Exists),
             (None, Opcode::Replace) => Response::status_only(Status::NotFound),
@@ -180,7 +180,7 @@
         }
     }
 
-    fn extend(&mut self, now: u64, head: &Head, opcode: Opcode, more: &[u8]) -> Response {
+    fn extend(&mut self, now: u64, head: &Header, opcode: Opcode, more: &[u8]) -> Response {
         let Some(item) = self.get(now, &head.key).cloned() else {
             return Response::status_only(Status::NotStored);
         };
@@ -197,7 +197,7 @@
     fn count(
         &mut self,
         now: u64,
-        head: &Head,
+        head: &Header,
         opcode: Opcode,
         (delta, initial, expires): (u64, u64, u32),
     ) -> Response {
--- a/crates/lab-memcached-server/src/server.rs
+++ b/crates/lab-memcached-server/src/server.rs
@@ -1,8 +1,10 @@
 //! A [`Store`] on a socket: a memcached server for the binary protocol, as far as clients can tell.
 
 use super::{Response, Store};
-use aniseyoke_memcached::decode::Bad;
-use aniseyoke_memcached::{encode, meaning, sasl, Decoder, Fault, Head, Limits, Opcode, Part, Side, Status};
+use aniseyoke_memcached::decode::InvalidRequest;
+use aniseyoke_memcached::{
+    encode, sasl, semantics, Decoder, Direction, Header, Limits, Opcode, Part, ProtocolError, Status,
+};
 use bytes::{Bytes, BytesMut};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,11 +37,12 @@
 }
 
 impl Session {
-    fn answer(&mut self, to: &Head, response: &Response) {
+    fn answer(&mut self, to: &Header, response: &Response) {
         let Response { status, extras, key, value, cas } = response;
-        let head = Head { extras: *extras, key: key.clone(), cas: *cas, ..Head::answer_to(to, *status) };
+        let head =
+            Header { extras: *extras, key: key.clone(), cas: *cas, ..Header::response_to(to, *status) };
         // Keys come from packets and values are bounded, so that the format has room for them.
-        let _ = encode::packet(Side::Answer, &head, value, &mut self.out);
+        let _ = encode::packet(Direction::Response, &head, value, &mut self.out);
     }
 }
 
@@ -72,14 +75,14 @@
 
     async fn serve_connection(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut decoder = Decoder::new(Side::Request, self.limits);
+        let mut decoder = Decoder::new(Direction::Request, self.limits);
         let mut session = Session { user: None, out: Vec::new(), closing: false };
         let (mut input, mut value) = (BytesMut::with_capacity(READ_SIZE), BytesMut::new());
-        let mut request: Option<(Head, Option<Bad>)> = None;
+        let mut request: Option<(Header, Option<InvalidRequest>)> = None;
         while !session.closing {
             match decoder.next(&mut input) {
-                Ok(Some(Part::Head(head))) => request = Some((head, None)),
-                Ok(Some(Part::Bad(head, bad))) => request = Some((head, Some(bad))),
+                Ok(Some(Part::Header(head))) => request = Some((head, None)),
+                Ok(Some(Part::Invalid(head, bad))) => request = Some((head, Some(bad))),
                 Ok(Some(Part::Value(part))) => value.extend_from_slice(&part),
                 Ok(Some(Part::End)) => {
                     if let Some((head, bad)) = request.take() {
@@ -108,10 +111,10 @@
         stream.shutdown().await
     }
 
-    fn apply(&self, session: &mut Session, head: &Head, bad: Option<Bad>, value: Bytes) {
+    fn apply(&self, session: &mut Session, head: &Header, bad: Option<InvalidRequest>, value: Bytes) {
         let (opcode, status) = match (head.operation(), bad) {
             (Some(opcode), None) => (opcode, None),
-            (_, Some(Bad::Unknown)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
+            (_, Some(InvalidRequest::UnknownOpcode)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
             (Some(opcode), Some(_)) => (opcode, Some(Status::Invalid)),
         };
         let open_to_all =
@@ -122,11 +125,12 @@
         }
         match opcode {
             Opcode::SaslList => {
-                let value = Bytes::from_static(sasl::PLAIN);
+                let value = Bytes::from_static(sasl::PLAIN_MECHANISM);
                 session.answer(head, &Response { value, ..Response::ok(0) });
             }
             Opcode::SaslAuth | Opcode::SaslStep => {
-                let credentials = sasl::plain(&value).filter(|_| &head.key[..] == sasl::PLAIN);
+                let credentials =
+                    sasl::parse_plain(&value).filter(|_| &head.key[..] == sasl::PLAIN_MECHANISM);
                 let user =
                     credentials.filter(|p| self.users.get(p.user).is_some_and(|right| right == p.password));
                 session.user = user.map(|p| p.user.to_owned());
@@ -138,16 +142,16 @@
             Opcode::Stat => self.stat(session, head),
             _ => {
                 let response = self.store.borrow_mut().apply(unix_seconds(), head, value);
-                if meaning::answered(opcode, response.status) {
+                if semantics::has_response(opcode, response.status) {
                     session.answer(head, &response);
                 }
-                session.closing = opcode.loud() == Opcode::Quit;
+                session.closing = opcode.without_quiet() == Opcode::Quit;
             }
         }
     }
 
     /// A packet for each figure, and one without a key behind them.
-    fn stat(&self, session: &mut Session, head: &Head) {
+    fn stat(&self, session: &mut Session, head: &Header) {
         let figures = [("pid", std::process::id().to_string()), ("cmd_ran", self.mutations().to_string())];
         for (name, figure) in figures {
             let (key, value) = (Bytes::from_static(name.as_bytes()), Bytes::from(figure));
@@ -158,17 +162,17 @@
 }
 
 /// The last word on a connection from which nothing more can be read.
-fn send_last_error(session: &mut Session, fault: Fault) {
+fn send_last_error(session: &mut Session, fault: ProtocolError) {
     match fault {
-        Fault::Text => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
-        Fault::Large { opaque, opcode, .. } => {
-            let head = Head { opcode, opaque, ..Head::request(Opcode::Noop) };
+        ProtocolError::TextProtocol => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
+        ProtocolError::ValueTooLarge { opaque, opcode, .. } => {
+            let head = Header { opcode, opaque, ..Header::request(Opcode::Noop) };
             session.answer(&head, &Response::status_only(Status::TooLarge));
         }
-        Fault::Lengths { .. } => {
-            session.answer(&Head::request(Opcode::Noop), &Response::status_only(Status::Invalid))
+        ProtocolError::InconsistentLengths { .. } => {
+            session.answer(&Header::request(Opcode::Noop), &Response::status_only(Status::Invalid))
         }
-        Fault::Magic(_) | Fault::Answer => {}
+        ProtocolError::UnknownMagic(_) | ProtocolError::InvalidResponse => {}
     }
 }
 
--- a/crates/lab-memcached-server/src/tests.rs
+++ b/crates/lab-memcached-server/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use aniseyoke_memcached::{Extras, Head, Opcode, Status};
+use aniseyoke_memcached::{Extras, Header, Opcode, Status};
 
 const NOW: u64 = 1_800_000_000;
 
@@ -7,11 +7,11 @@
     Store::new(NonZeroUsize::new(100).expect("not 0"), 50)
 }
 
-fn head(opcode: Opcode, key: &'static str, extras: Extras) -> Head {
-    Head { key: Bytes::from_static(key.as_bytes()), extras, ..Head::request(opcode) }
+fn head(opcode: Opcode, key: &'static str, extras: Extras) -> Header {
+    Header { key: Bytes::from_static(key.as_bytes()), extras, ..Header::request(opcode) }
 }
 
-fn store_value(opcode: Opcode, key: &'static str, expires: u32) -> Head {
+fn store_value(opcode: Opcode, key: &'static str, expires: u32) -> Header {
     head(opcode, key, Extras::Store { flags: 7, expires })
 }
 
@@ -30,12 +30,12 @@
         (first.status, k.apply(NOW, &store_value(Opcode::Add, "k", 0), one()).status),
         (Status::Ok, Status::Exists)
     );
-    let bound = Head { cas: first.cas + 9, ..store_value(Opcode::Set, "k", 0) };
+    let bound = Header { cas: first.cas + 9, ..store_value(Opcode::Set, "k", 0) };
     assert_eq!(k.apply(NOW, &bound, one()).status, Status::Exists);
     assert_eq!(value(&mut k, NOW + 9, "k"), Some("1".into()));
     assert_eq!(value(&mut k, NOW + 10, "k"), None);
     assert_eq!(
-        k.apply(NOW, &Head { cas: 5, ..store_value(Opcode::Set, "k", 0) }, one()).status,
+        k.apply(NOW, &Header { cas: 5, ..store_value(Opcode::Set, "k", 0) }, one()).status,
         Status::NotFound
     );
     let timestamp = (NOW + 5) as u32;
@@ -51,7 +51,7 @@
 #[test]
 fn counters_wrap_upwards_stop_at_nothing_and_begin_where_they_are_told() {
     let mut k = store();
-    let count = |opcode, delta, expires| head(opcode, "n", Extras::Count { delta, initial: 5, expires });
+    let count = |opcode, delta, expires| head(opcode, "n", Extras::Counter { delta, initial: 5, expires });
     let read = |response: Response| (response.status, response.value.to_vec());
     let is = |n: u64| (Status::Ok, n.to_be_bytes().to_vec());
     let must = count(Opcode::Increment, 1, u32::MAX);
@@ -76,10 +76,10 @@
     k.apply(NOW, &add(Opcode::PrependQ), Bytes::from_static(b"a"));
     assert_eq!(value(&mut k, NOW, "k"), Some("abc".into()));
     assert_eq!(
-        k.apply(NOW, &head(Opcode::Touch, "k", Extras::Expires(100)), Bytes::new()).status,
+        k.apply(NOW, &head(Opcode::Touch, "k", Extras::Expiration(100)), Bytes::new()).status,
         Status::Ok
     );
-    let response = k.apply(NOW + 50, &head(Opcode::GatK, "k", Extras::Expires(1)), Bytes::new());
+    let response = k.apply(NOW + 50, &head(Opcode::GatK, "k", Extras::Expiration(1)), Bytes::new());
     assert_eq!(
         (response.extras, &response.key[..], &response.value[..]),
         (Extras::Flags(7), &b"k"[..], &b"abc"[..])
--- a/crates/lab-scale/src/list_polls.rs
+++ b/crates/lab-scale/src/list_polls.rs
@@ -3,8 +3,8 @@
 use super::member::{SharedState, Traffic};
 use super::now;
 use aniseyoke_lab_day::clock::SECOND;
-use aniseyoke_pace::polls::Rules;
-use aniseyoke_pace::{Place, Polls};
+use aniseyoke_pace::PollRules;
+use aniseyoke_pace::{FleetPosition, PollSchedule};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,20 +18,25 @@
 /// The longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 4096;
 
-/// Polls until its task is aborted; `place` is the proxy's number, and how many proxies there are.
+/// PollSchedule until its task is aborted; `place` is the proxy's number, and how many proxies there are.
 pub async fn poll_list(n: usize, place: (u32, u32), every: u64, addr: SocketAddr, shared: Rc<SharedState>) {
-    let rules =
-        Rules { every, back_off_most: 10 * SECOND, answer: SECOND, answer_most: 8 * SECOND }.bounded();
+    let rules = PollRules {
+        interval: every,
+        max_backoff: 10 * SECOND,
+        answer_timeout: SECOND,
+        max_answer_timeout: 8 * SECOND,
+    }
+    .bounded();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
-    let mut polls = Polls::new(rules, Place::new(place.0, place.1), unix, now());
+    let mut polls = PollSchedule::new(rules, FleetPosition::new(place.0, place.1), unix, now());
     let (mut stream, mut version) = (None, None);
     loop {
         let at = now();
-        sleep(Duration::from_nanos(polls.due(at).saturating_sub(at))).await;
+        sleep(Duration::from_nanos(polls.next_poll(at).saturating_sub(at))).await;
         let at = now();
-        polls.polled(at);
-        let hold = version.map_or(0, |_| polls.hold(at));
-        let within = Duration::from_nanos(polls.limit(at, hold));
+        polls.poll_started(at);
+        let hold = version.map_or(0, |_| polls.watch_duration(at));
+        let within = Duration::from_nanos(polls.call_timeout(at, hold));
         match timeout(within, call(stream.take(), addr, version, hold / 1_000_000)).await {
             Ok(Ok(Polled { stream: open, version: polled, traffic })) => {
                 (stream, version) = (Some(open), polled.or(version));
@@ -41,7 +46,7 @@
                 shared.list_polls[n].set(sum);
             }
             Ok(Err(_)) => polls.failed(now()),
-            Err(_) => polls.late(now()),
+            Err(_) => polls.timed_out(now()),
         }
     }
 }
--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -84,7 +84,7 @@
         Ok((found[0][0], found[0][1]))
     }
 
-    /// Opens a link to the root for each region that is far or will be cut off.
+    /// ConnectionPermits a link to the root for each region that is far or will be cut off.
     fn open_links(&mut self, root: SocketAddr, link_runtime: &link::LinkRuntime) -> Result<(), ScaleError> {
         for (region, linked) in layout::linked(self.plan, self.seed).into_iter().enumerate() {
             let delay = layout::delay(self.plan, self.seed, region);
@@ -195,7 +195,7 @@
                 seed: self.seed,
                 purging: self.purging(),
                 join_ms: plan.join.0.as_millis() as u64,
-                poll_interval: aniseyoke_pace::polls::Rules::every_by(poll_within),
+                poll_interval: aniseyoke_pace::PollRules::default_interval(poll_within),
                 members: of(Role::Proxy).chain(of(Role::Node)).collect(),
             };
             let lab = programs.lab.clone();
--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -67,7 +67,7 @@
             (attempt.proxy, attempt.member, attempt.origin, attempt.permit_by.unwrap_or(now));
         let server = self.server(member);
         if let Some((opens, _)) = &mut self.proxies[proxy as usize].opens {
-            if let Err(wait) = opens.take(EPOCH + now, server) {
+            if let Err(wait) = opens.try_acquire(EPOCH + now, server) {
                 if now + wait > by {
                     return self.end_attempt(attempt_id, Status::Moot);
                 }
--- a/crates/lab-sim/src/list_service.rs
+++ b/crates/lab-sim/src/list_service.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 use aniseyoke_decision::api::{Event, ListKind};
-use aniseyoke_pace::polls::Rules;
-use aniseyoke_pace::{Place, Polls};
+use aniseyoke_pace::PollRules;
+use aniseyoke_pace::{FleetPosition, PollSchedule};
 
 /// The list service, and how proxies call it.
 #[derive(Clone, Debug, Default)]
@@ -29,7 +29,7 @@
 /// One proxy's side of it.
 #[derive(Default)]
 pub struct ListCaller {
-    polls: Option<Polls>,
+    polls: Option<PollSchedule>,
     /// Whether a call is in flight, or waits for its slot.
     busy: bool,
     /// The number of the watch that is held, if any.
@@ -40,14 +40,14 @@
 impl ListCaller {
     /// Proxy `me` of a day.
     pub fn new(day: &Day, index: usize, service: Option<&ListService>) -> Self {
-        let slot = Place::new(index as u32, day.site.proxy.count as u32);
-        let rules = Rules {
-            every: Rules::every_by(nanos(day.site.discovery.poll_within)),
-            back_off_most: MAX_BACK_OFF,
-            answer: ANSWER_TIMEOUT.0,
-            answer_most: ANSWER_TIMEOUT.1,
+        let slot = FleetPosition::new(index as u32, day.site.proxy.count as u32);
+        let rules = PollRules {
+            interval: PollRules::default_interval(nanos(day.site.discovery.poll_within)),
+            max_backoff: MAX_BACK_OFF,
+            answer_timeout: ANSWER_TIMEOUT.0,
+            max_answer_timeout: ANSWER_TIMEOUT.1,
         };
-        let polls = service.filter(|s| s.paced).map(|_| Polls::new(rules, slot, 0, 0));
+        let polls = service.filter(|s| s.paced).map(|_| PollSchedule::new(rules, slot, 0, 0));
         ListCaller { polls, ..ListCaller::default() }
     }
 }
@@ -59,7 +59,7 @@
         if restarted && std::mem::replace(&mut caller.busy, true) {
             return;
         }
-        let at = caller.polls.as_ref().map_or(now, |polls| polls.due(now));
+        let at = caller.polls.as_ref().map_or(now, |polls| polls.next_poll(now));
         self.queue.push(at, SimEvent::ListCall(proxy));
     }
 
@@ -75,7 +75,7 @@
         calls[second] += 1;
         let over = service.max_per_second.is_some_and(|max| calls[second] > max);
         let sim_proxy = &mut self.proxies[proxy as usize];
-        sim_proxy.caller.polls.iter_mut().for_each(|p| p.polled(now));
+        sim_proxy.caller.polls.iter_mut().for_each(|p| p.poll_started(now));
         let delay = self.network_delay();
         if now < nanos(service.down) {
             return self.schedule_after(delay, SimEvent::ListFailure(proxy, false));
@@ -90,7 +90,8 @@
         }
         let must = nanos(self.day.site.discovery.poll_within) / 2;
         let caller = &mut sim_proxy.caller;
-        let hold = caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.hold(now));
+        let hold =
+            caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.watch_duration(now));
         caller.watches += 1;
         caller.watch = Some(caller.watches);
         let number = caller.watches;
@@ -126,7 +127,7 @@
     pub(super) fn list_answered(&mut self, proxy: u32) {
         self.deliver_list(proxy);
         if self.options.list.is_some() {
-            self.proxies[proxy as usize].caller.polls.iter_mut().for_each(Polls::answered);
+            self.proxies[proxy as usize].caller.polls.iter_mut().for_each(PollSchedule::answered);
             self.call_list(proxy, false);
         }
     }
@@ -139,7 +140,7 @@
         caller.busy = false;
         if let Some(polls) = &mut caller.polls {
             match refused {
-                true => polls.refused(now, after),
+                true => polls.rejected(now, after),
                 false => polls.failed(now),
             }
         }
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -8,7 +8,7 @@
 use aniseyoke_lab_day::clock::mix;
 use aniseyoke_lab_day::clock::{Nanos, MILLISECOND, SECOND};
 use aniseyoke_lab_day::{module_settings, Day};
-use aniseyoke_pace::{Opens, Place};
+use aniseyoke_pace::{ConnectionPermits, FleetPosition};
 use rustc_hash::FxHashMap;
 
 /// An attempt as its proxy sees it.
@@ -50,7 +50,7 @@
     /// Its side of the list service.
     pub caller: ListCaller,
     /// Permits to open connections, with the rates of all proxies to a node and to the origin, where these are limited.
-    pub opens: Option<(Opens, (f64, f64))>,
+    pub opens: Option<(ConnectionPermits, (f64, f64))>,
     started: FxHashMap<ServerId, Nanos>,
     origin_kind: u32,
     conn_idle: Nanos,
@@ -60,11 +60,11 @@
 impl SimProxy {
     pub fn new(day: &Day, index: usize, options: &Options) -> Self {
         let settings = module_settings(day, index);
-        let slot = Place::new(settings.me, settings.proxies);
+        let slot = FleetPosition::new(settings.me, settings.proxies);
         let seed = mix(day.seed, 0x5eed, index as u64);
         SimProxy {
             caller: ListCaller::new(day, index, options.list.as_ref()),
-            opens: options.connection_rates.map(|rates| (Opens::new(slot, 0, 0), rates)),
+            opens: options.connection_rates.map(|rates| (ConnectionPermits::new(slot, 0, 0), rates)),
             started: FxHashMap::default(),
             origin_kind: day.site.cache.kinds.len() as u32,
             conn_idle: settings.conn_idle,
@@ -104,10 +104,14 @@
             let restarted =
                 self.started.insert(entry.server, entry.started).is_some_and(|s| s != entry.started);
             if restarted || entry.state == State::Gone {
-                opens.gone(entry.server);
+                opens.remove_node(entry.server);
             }
             if entry.state != State::Gone {
-                opens.listed(now, entry.server, if entry.kind == self.origin_kind { *origin } else { *node });
+                opens.add_node(
+                    now,
+                    entry.server,
+                    if entry.kind == self.origin_kind { *origin } else { *node },
+                );
             }
         }
     }
