--- a/crates/lab/src/rig/handshakes.rs
+++ b/crates/lab-rig/src/handshakes.rs
@@ -1,8 +1,8 @@
-//! A listening socket that may stop answering handshakes, as a machine does that can't be reached: a caller's SYN is lost,
-//! its machine sends it again after 1 s, 3 s and so on, and nothing that the caller would write is sent at all.
+//! A listening socket that can stop answering handshakes, like an unreachable machine: a caller's SYN is lost, its machine
+//! sends it again after 1 s, 3 s and so on, and nothing that the caller would write is sent at all.
 //!
-//! The kernel drops SYNs without a word where the queue of connections to be accepted is full. So the queue is made as
-//! short as may be, one, and filled by a connection of our own.
+//! The kernel drops SYNs silently when the queue of connections to be accepted is full. So the queue is shortened to one,
+//! and filled with a connection of the relay's own.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
@@ -12,25 +12,25 @@
 /// Connections that may wait to be accepted while handshakes are answered.
 const BACKLOG: i32 = 1024;
 /// The shortest queue that the kernel has holds one connection.
-const SHORTEST_BACKLOG: i32 = 0;
+const MIN_BACKLOG: i32 = 0;
 
 /// A listener, and the connection that fills its queue while it answers no handshake.
-pub struct Handshakes {
+pub struct HandshakeListener {
     listener: TcpListener,
     addr: SocketAddr,
-    answers: bool,
-    /// Kept until it is accepted, so that its port is no caller's.
+    answering: bool,
+    /// Kept until it is accepted, so that no caller gets its port.
     filler: Option<Socket>,
 }
 
-impl Handshakes {
+impl HandshakeListener {
     /// A listener that answers handshakes.
     ///
     /// # Errors
     /// If the system does not tell the listener's address.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         let addr = listener.local_addr()?;
-        Ok(Handshakes { listener, addr, answers: true, filler: None })
+        Ok(HandshakeListener { listener, addr, answering: true, filler: None })
     }
 
     /// Where it listens.
@@ -38,25 +38,25 @@
         self.addr
     }
 
-    /// From here on answers handshakes, or leaves them unanswered. Connections whose handshake is over by then stay.
+    /// Answers handshakes from now on, or leaves them unanswered. Connections whose handshake is complete stay.
     ///
     /// # Errors
     /// If the system refuses.
-    pub fn set_answers(&mut self, answers: bool) -> io::Result<()> {
-        if answers == self.answers {
+    pub fn set_answering(&mut self, answering: bool) -> io::Result<()> {
+        if answering == self.answering {
             return Ok(());
         }
-        if answers {
-            // Where callers had filled the queue themselves, the filler never came about, and is not to be accepted.
+        if answering {
+            // If callers had filled the queue themselves, the filler was never established, and must not be accepted.
             self.filler.take_if(|filler| filler.peer_addr().is_err());
             SockRef::from(&self.listener).listen(BACKLOG)?;
         } else {
-            SockRef::from(&self.listener).listen(SHORTEST_BACKLOG)?;
+            SockRef::from(&self.listener).listen(MIN_BACKLOG)?;
             if self.filler.is_none() {
-                self.filler = Some(begin_connecting(self.addr)?);
+                self.filler = Some(start_connecting(self.addr)?);
             }
         }
-        self.answers = answers;
+        self.answering = answering;
         Ok(())
     }
 
@@ -76,8 +76,8 @@
     }
 }
 
-/// A connection that comes about at once if the listener's queue has a place for it.
-fn begin_connecting(addr: SocketAddr) -> io::Result<Socket> {
+/// A connection that is established at once if the listener's queue has room for it.
+fn start_connecting(addr: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     match socket.connect(&addr.into()) {
