--- /dev/null
+++ b/crates/lab-scale/src/play.rs
@@ -0,0 +1,469 @@
+//! A run: everything starts, purges and versions are published, faults are played by the schedule, what is not yet in force
+//! is waited for, and the outcome is collected.
+
+mod start;
+
+use super::children::{Children, Line};
+use super::error::ScaleError;
+use super::host::{HostMessage, HostOrder, MemberReport};
+use super::layout;
+use super::link::{self, Link};
+use super::plan::{Plan, Role, Schedule, Step};
+use super::publish::{self, PublishLog, Published};
+use super::tally::CompletionTally;
+use super::{descriptors, now};
+use crate::versions;
+use aniseyoke_lab_audit::Recorder;
+use aniseyoke_lab_day::clock::Clock;
+use aniseyoke_lab_day::Day;
+use aniseyoke_lab_process::Usage;
+use aniseyoke_lab_site::Site;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// All members are up and have the first version within this time of the last start.
+const UP_WITHIN: Duration = Duration::from_secs(60);
+/// Nothing happens for this long before the schedule starts.
+const QUIET_TIME: Duration = Duration::from_secs(2);
+/// A host reports within this time.
+const REPORTS_WITHIN: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Routes of a version at least.
+const MIN_ROUTES: u64 = 1;
+
+/// The programs of a run.
+#[derive(Clone, Debug)]
+pub struct Programs {
+    /// The proxy.
+    pub proxy: PathBuf,
+    /// The control service and its relays.
+    pub control: PathBuf,
+    /// The laboratory, for hosts of hollow members.
+    pub lab: PathBuf,
+}
+
+/// What a child used over the schedule.
+#[derive(Clone, Copy, Debug)]
+pub struct Used {
+    /// Processor time, in seconds.
+    pub cpu_s: f64,
+    /// The most memory over its run, in MB.
+    pub memory_mb: f64,
+}
+
+/// The outcome of a run.
+pub struct Outcome {
+    /// How long the schedule and the wait after it took, in seconds.
+    pub seconds: f64,
+    /// Children started.
+    pub processes: usize,
+    /// What the hollow members counted.
+    pub hollow: MemberReport,
+    /// When each version was in force at the real proxies.
+    pub real: CompletionTally,
+    /// Purges published, in the order of their answers.
+    pub purges: Vec<Published>,
+    /// Versions published, in the same way.
+    pub changes: Vec<Published>,
+    /// Purges and versions that were due.
+    pub due: (usize, usize),
+    /// Calls that failed and were retried, and the last reason.
+    pub retries: (usize, String),
+    /// What each child used, by kind.
+    pub used: BTreeMap<&'static str, Vec<Used>>,
+    /// Faults as they were played, with seconds from the start of the schedule.
+    pub played: Vec<(f64, String)>,
+    /// Children that crashed, and what else went wrong.
+    pub problems: Vec<String>,
+    /// The schedule.
+    pub schedule: Schedule,
+}
+
+struct Run<'a> {
+    plan: &'a Plan,
+    seed: u64,
+    children: Children,
+    root: usize,
+    regions: Vec<usize>,
+    sites: Vec<usize>,
+    reals: Vec<usize>,
+    hosts: Vec<usize>,
+    /// By region; none where a region is neither far nor ever cut off, whose members and relays connect without one.
+    links: Vec<Option<Link>>,
+    real: CompletionTally,
+    /// Real proxies that were started again and have reported no version since.
+    restarted: Vec<bool>,
+    host_progress: Vec<HostProgress>,
+    reports: Vec<Option<MemberReport>>,
+    /// Children that crashed, and what else went wrong.
+    problems: Vec<String>,
+}
+
+/// What hosts tell of their members.
+#[derive(Clone, Copy, Debug, Default)]
+struct HostProgress {
+    /// Members that are up.
+    up: usize,
+    /// All members have the purges through this number...
+    purges: u64,
+    /// ...and the versions through this one.
+    versions: u64,
+}
+
+/// The number of a version that a proxy's line says is in force.
+pub fn in_force(line: &str) -> Option<u64> {
+    let (_, rest) = line.split_once("version ")?;
+    let (stamp, _) = rest.split_once(" is in force")?;
+    stamp.split_once('.')?.1.parse().ok()
+}
+
+/// Plays an experiment; `folder` takes the children's folders and log, `progress` is called with what is going on and how
+/// far it is.
+///
+/// # Errors
+/// If descriptors are short, or something could not be started.
+pub fn run(
+    plan: &Plan,
+    seed: u64,
+    programs: &Programs,
+    folder: &Path,
+    stop: &AtomicBool,
+    progress: &dyn Fn(&str, f64),
+) -> Result<Outcome, ScaleError> {
+    descriptors::raise_limit(plan, seed)?;
+    let clock = Clock::start();
+    let open = |day: &Day| Site::open(day, clock, move || Recorder::discarding(clock));
+    let day = Day::open("quiet")?.sized(plan.real().max(1), *plan.listed.get_ref())?;
+    let site = open(&day).map_err(ScaleError::Site)?;
+    // Thousands that poll one discovery would keep real proxies from theirs.
+    let hollow_site = match *plan.polled.get_ref() {
+        0 => None,
+        nodes => Some(open(&day.clone().sized(1, nodes)?).map_err(ScaleError::HollowSite)?),
+    };
+    let links = link::LinkRuntime::start().map_err(ScaleError::Links)?;
+    let mut run = Run::new(plan, seed, Children::new(&folder.join("processes.log"))?);
+    progress("control service and relays", 0.0);
+    let addrs = run.start_control(programs, folder, &links)?;
+    progress("real proxies", 0.0);
+    run.start_real(programs, folder, &day, &site, &addrs.services)?;
+    progress("hollow members", 0.0);
+    let discovery = hollow_site.as_ref().map(|site| site.discovery[0]);
+    run.start_hosts(programs, &day, discovery, &addrs.services)?;
+    run.wait_until_up(addrs.operators, &day, progress)?;
+    let outcome = run.play(addrs.operators, &day, stop, progress);
+    site.close();
+    hollow_site.map(Site::close);
+    outcome
+}
+
+impl<'a> Run<'a> {
+    fn new(plan: &'a Plan, seed: u64, children: Children) -> Self {
+        let hosts = *plan.hosts.get_ref();
+        Run {
+            plan,
+            seed,
+            children,
+            root: 0,
+            regions: Vec::new(),
+            sites: Vec::new(),
+            reals: Vec::new(),
+            hosts: Vec::new(),
+            links: Vec::new(),
+            real: CompletionTally::new(plan.real()),
+            restarted: vec![false; plan.real()],
+            host_progress: vec![HostProgress::default(); hosts],
+            reports: vec![None; hosts],
+            problems: Vec::new(),
+        }
+    }
+
+    fn purging(&self) -> bool {
+        self.plan.purges.per_second > 0.0
+    }
+
+    /// Handles a line of a child.
+    fn take(&mut self, line: &Line) {
+        if let Some(host) = self.hosts.iter().position(|n| *n == line.child) {
+            match serde_json::from_str::<HostMessage>(&line.text) {
+                Ok(HostMessage::Progress { up, purges, versions }) => {
+                    self.host_progress[host] = HostProgress { up, purges, versions };
+                }
+                Ok(HostMessage::Report(report)) => self.reports[host] = Some(*report),
+                Err(_) => {}
+            }
+        } else if let Some(real) = self.reals.iter().position(|n| *n == line.child) {
+            if let Some(number) = in_force(&line.text) {
+                match std::mem::replace(&mut self.restarted[real], false) {
+                    true => self.real.excused(real, number),
+                    false => self.real.reached(real, number, line.at),
+                }
+            }
+        }
+    }
+
+    /// Handles the lines of children for this long.
+    fn take_lines(&mut self, within: Duration) {
+        let until = Instant::now() + within;
+        loop {
+            let left = until.saturating_duration_since(Instant::now());
+            match self.children.next(left) {
+                Some(line) => self.take(&line),
+                None => return,
+            }
+            if left.is_zero() {
+                return;
+            }
+        }
+    }
+
+    /// The progress of all members, hollow and real.
+    fn progress(&self) -> HostProgress {
+        let all = |number: fn(&HostProgress) -> u64| self.host_progress.iter().map(number).min().unwrap_or(0);
+        HostProgress {
+            up: self.host_progress.iter().map(|host| host.up).sum(),
+            purges: all(|host| host.purges),
+            versions: all(|host| host.versions).min(self.real.everywhere()),
+        }
+    }
+
+    /// Waits until all members are connected and have the first version.
+    fn wait_until_up(
+        &mut self,
+        operators: SocketAddr,
+        day: &Day,
+        progress: &dyn Fn(&str, f64),
+    ) -> Result<(), ScaleError> {
+        let hollow = self.plan.hollow();
+        let until = Instant::now() + UP_WITHIN;
+        let first = publish::version(self.version_body(day, 0));
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = runtime.map_err(ScaleError::Runtime)?;
+        let published = runtime.block_on(aniseyoke_control::service::call(operators, &first));
+        published.map_err(|e| ScaleError::Control(e.to_string()))?;
+        loop {
+            self.take_lines(POLL_INTERVAL);
+            let HostProgress { up, versions, .. } = self.progress();
+            progress("members join", up as f64 / hollow.max(1) as f64);
+            if up == hollow && versions >= 1 {
+                return Ok(());
+            }
+            let ended = self.children.ended();
+            if !ended.is_empty() {
+                return Err(ScaleError::Crashed(ended));
+            }
+            if Instant::now() > until {
+                let (lacking, real) = (self.real.lacking(1).count(), self.plan.real());
+                let seconds = UP_WITHIN.as_secs();
+                return Err(ScaleError::NotUp { seconds, up, hollow, versions, lacking, real });
+            }
+        }
+    }
+
+    fn version_body(&self, day: &Day, change: u64) -> serde_json::Value {
+        versions::version_body(day, self.plan.changes.routes.max(MIN_ROUTES), change)
+    }
+
+    fn children_by_kind(&self) -> Vec<(&'static str, Vec<usize>)> {
+        vec![
+            ("root", vec![self.root]),
+            ("region_relay", self.regions.clone()),
+            ("site_relay", self.sites.clone()),
+            ("real", self.reals.clone()),
+            ("host", self.hosts.clone()),
+        ]
+    }
+
+    fn usage(&mut self) -> Vec<Usage> {
+        (0..self.children.len()).map(|n| self.children.used(n)).collect()
+    }
+
+    fn order(&mut self, host: usize, order: HostOrder) {
+        let line = serde_json::to_string(&order).unwrap_or_default();
+        if let Err(why) = self.children.write(self.hosts[host], &line) {
+            self.problems.push(why.to_string());
+        }
+    }
+
+    /// The host of a hollow member, and its number there.
+    fn host_of(&self, role: Role, n: usize) -> (usize, usize) {
+        let hosts = *self.plan.hosts.get_ref();
+        let (host, at) = (n % hosts, n / hosts);
+        let proxies = (host..self.plan.count(Role::Proxy)).step_by(hosts).len();
+        (host, if role == Role::Node { proxies + at } else { at })
+    }
+
+    /// Carries a step out; what was done, in words.
+    fn carry_out(&mut self, step: Step) -> String {
+        let child = |run: &Self, role, n: usize| match role {
+            Role::RegionRelay => run.regions[n],
+            Role::SiteRelay => run.sites[n],
+            _ => run.reals[n],
+        };
+        match step {
+            Step::Kill(role @ (Role::Proxy | Role::Node), n) => {
+                let (host, member) = self.host_of(role, n);
+                self.order(host, HostOrder::Kill(member));
+            }
+            Step::Start(role @ (Role::Proxy | Role::Node), n) => {
+                let (host, member) = self.host_of(role, n);
+                self.order(host, HostOrder::Start(member));
+            }
+            Step::Kill(role, n) => {
+                let child = child(self, role, n);
+                self.children.kill(child);
+            }
+            Step::Start(role, n) => {
+                if role == Role::Real {
+                    self.restarted[n] = true;
+                }
+                let child = child(self, role, n);
+                if let Err(why) = self.children.start(child) {
+                    self.problems.push(why.to_string());
+                }
+            }
+            Step::Cut(region) => self.links[region].iter().for_each(|link| link.cut(true)),
+            Step::Heal(region) => self.links[region].iter().for_each(|link| link.cut(false)),
+        }
+        match step {
+            Step::Kill(role, n) => format!("{} killed", layout::name(role, n)),
+            Step::Start(role, n) => format!("{} started again", layout::name(role, n)),
+            Step::Cut(region) => format!("region {region} cut off"),
+            Step::Heal(region) => format!("region {region} healed"),
+        }
+    }
+
+    /// Plays the schedule, waits for what is not in force yet, and collects the outcome.
+    fn play(
+        mut self,
+        operators: SocketAddr,
+        day: &Day,
+        stop: &AtomicBool,
+        progress: &dyn Fn(&str, f64),
+    ) -> Result<Outcome, ScaleError> {
+        let schedule = self.plan.schedule(self.seed);
+        self.take_lines(QUIET_TIME);
+        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Mark));
+        let before = self.usage();
+        let log = Arc::new(PublishLog::default());
+        let start = now();
+        let publishers = self.start_publishers(&schedule, &log, operators, start, day)?;
+        let played = self.follow(&schedule, &log, start, stop, progress);
+        let seconds = Duration::from_nanos(now() - start).as_secs_f64();
+        let after = self.usage();
+        log.stop.store(true, Ordering::Relaxed);
+        self.collect_reports();
+        for publisher in publishers {
+            // Each ends once its call in flight has its answer.
+            publisher.join().map_err(|_| ScaleError::PublisherPanicked)?;
+        }
+        let mut used = BTreeMap::new();
+        for (kind, of) in self.children_by_kind() {
+            let one = |n: &usize| Used {
+                cpu_s: after[*n].cpu_s - before[*n].cpu_s,
+                memory_mb: after[*n].memory_mb,
+            };
+            used.insert(kind, of.iter().map(one).collect());
+        }
+        let mut hollow = MemberReport::default();
+        self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.join(report));
+        let why = log.why.lock().map(|why| why.clone()).unwrap_or_default();
+        Ok(Outcome {
+            seconds,
+            processes: self.children.len(),
+            hollow,
+            real: std::mem::take(&mut self.real),
+            purges: PublishLog::published(&log.purges),
+            changes: PublishLog::published(&log.changes),
+            due: (schedule.purges.len(), schedule.changes.len()),
+            retries: (log.retries.load(Ordering::Relaxed), why),
+            used,
+            played,
+            problems: std::mem::take(&mut self.problems),
+            schedule,
+        })
+    }
+
+    /// Starts the publishers of purges and of versions.
+    fn start_publishers(
+        &self,
+        schedule: &Schedule,
+        log: &Arc<PublishLog>,
+        operators: SocketAddr,
+        start: u64,
+        day: &Day,
+    ) -> Result<Vec<JoinHandle<()>>, ScaleError> {
+        let mut publishers = Vec::new();
+        let count = self.plan.purges.publishers;
+        for publisher in 0..count {
+            let due = schedule.purges.iter().skip(publisher).step_by(count).copied().collect();
+            let call = Box::new(move |n| publish::purge(publisher, n));
+            publishers.push(publish::start(log.clone(), operators, start, due, call));
+        }
+        let bodies: Vec<_> = (1..=schedule.changes.len()).map(|n| self.version_body(day, n as u64)).collect();
+        let call = Box::new(move |n: usize| publish::version(bodies[n].clone()));
+        publishers.push(publish::start(log.clone(), operators, start, schedule.changes.clone(), call));
+        publishers.into_iter().collect::<Result<_, _>>().map_err(ScaleError::Runtime)
+    }
+
+    /// Carries the schedule out until everything that was published is in force, or the time is over; the faults as they
+    /// were played, with seconds from the start.
+    fn follow(
+        &mut self,
+        schedule: &Schedule,
+        log: &PublishLog,
+        start: u64,
+        stop: &AtomicBool,
+        progress: &dyn Fn(&str, f64),
+    ) -> Vec<(f64, String)> {
+        let elapsed = || Duration::from_nanos(now() - start);
+        let (length, settle) = (self.plan.length(), self.plan.settle.0);
+        let mut played = Vec::new();
+        let mut steps = schedule.steps.iter().copied().peekable();
+        loop {
+            self.take_lines(POLL_INTERVAL);
+            while let Some((_, step)) = steps.next_if(|(at, _)| *at <= elapsed()) {
+                let what = self.carry_out(step);
+                tracing::info!("{:8.3} s  {what}", elapsed().as_secs_f64());
+                played.push((elapsed().as_secs_f64(), what));
+            }
+            let crashed = self.children.ended();
+            self.problems.extend(crashed);
+            let (purges, changes) = (PublishLog::published(&log.purges), PublishLog::published(&log.changes));
+            let HostProgress { up, purges: everywhere, versions } = self.progress();
+            let (made, due, published) = (purges.len(), schedule.purges.len(), changes.len() + 1);
+            let what =
+                format!("{up} up, purges {everywhere}/{made} of {due}, versions {versions}/{published}");
+            progress(&what, elapsed().as_secs_f64() / length.as_secs_f64());
+            let newest =
+                |published: &[Published], least| published.iter().map(|m| m.number).max().unwrap_or(least);
+            let all_made = made == due && changes.len() == schedule.changes.len();
+            let done = all_made && everywhere >= newest(&purges, 0) && versions >= newest(&changes, 1);
+            let over = elapsed() >= length && steps.peek().is_none();
+            if (over && done) || elapsed() > length + settle || stop.load(Ordering::Relaxed) {
+                return played;
+            }
+        }
+    }
+
+    /// Collects the report of every host.
+    fn collect_reports(&mut self) {
+        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Report));
+        let until = Instant::now() + REPORTS_WITHIN;
+        while self.reports.iter().any(Option::is_none) && Instant::now() < until {
+            self.take_lines(POLL_INTERVAL);
+        }
+        for (host, report) in self.reports.iter().enumerate() {
+            if report.is_none() {
+                self.problems.push(format!("host-{host} told nothing at the end"));
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -24,7 +24,7 @@
 /// A larger file is not read, in bytes: such a list takes less. Danger: a proxy may have 32 MB for everything.
 const FILE_MOST: u64 = 4 << 20;
 
-/// What stands in the file. Its time is the wall clock's at the writing; see [`judge`] for what a step of that clock does.
+/// What stands in the file. Its time is the wall clock's at the writing; see [`check_age`] for what a step of that clock does.
 #[derive(Serialize, Deserialize)]
 struct Kept {
     site: String,
