--- a/crates/faults-preload/src/engine.rs
+++ b/crates/faults-preload/src/engine.rs
@@ -196,10 +196,13 @@
 fn applies(about: &About, subject: Subject<'_>) -> bool {
     match (about, subject) {
         (About::Any, _) => true,
-        (About::Sockets | About::LocalPort(_) | About::PeerPort(_), Subject::Path(_)) => false,
+        (About::Sockets | About::LocalPort(_) | About::Arrived(_) | About::PeerPort(_), Subject::Path(_)) => {
+            false
+        }
         (About::Sockets, Subject::Descriptor(fd)) => local_port(fd).is_some_and(|port| port > 0),
         (About::Sockets, _) => true,
         (About::LocalPort(port), Subject::Descriptor(fd)) => local_port(fd) == Some(*port),
+        (About::Arrived(port), Subject::Descriptor(fd)) => local_port(fd) == Some(*port) && readable(fd),
         (About::PeerPort(port), Subject::Descriptor(fd)) => peer_port(fd) == Some(*port),
         (About::PeerPort(port), Subject::Connection(to)) => *port == to,
         (About::Files(prefix), Subject::Path(path)) => {
@@ -223,6 +226,13 @@
     }
 }
 
+/// Whether a read of a socket would return at once with bytes or its end.
+fn readable(fd: c_int) -> bool {
+    let mut asked = libc::pollfd { fd, events: libc::POLLIN, revents: 0 };
+    // SAFETY: one entry, which lives for the call; it doesn't wait.
+    unsafe { libc::poll(&raw mut asked, 1, 0) == 1 && asked.revents & libc::POLLIN != 0 }
+}
+
 type NameOf = unsafe extern "C" fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t) -> c_int;
 
 /// A socket's own port; 0 for one that has none; nothing for what is no socket.
