--- a/crates/benchlink/src/adapter.rs
+++ b/crates/benchlink/src/adapter.rs
@@ -1,7 +1,7 @@
 //! Hosts one decision module for each instance, and drives them by the messages on the wire. Instances share nothing.
 
 use crate::wire::{self, Message, WireError};
-use aniseyoke_decision::api::{Action, Columns, Entry, Event, ListKind, Nanos, ServerId};
+use aniseyoke_decision::api::{Action, Entry, Event, ListKind, Nanos, ReportColumns, ServerId};
 use aniseyoke_decision::Balancer;
 use rustc_hash::FxHashMap;
 use std::any::Any;
@@ -119,7 +119,7 @@
     now: Nanos,
     balancers: FxHashMap<String, Balancer>,
     /// The columns of each instance's load reports.
-    columns: FxHashMap<String, Columns>,
+    columns: FxHashMap<String, ReportColumns>,
     /// Names of servers, for the wire alone; no decision depends on them.
     names: FxHashMap<ServerId, String>,
     pages: [Option<Vec<Entry>>; PAGES],
@@ -155,7 +155,7 @@
             Message::PageStart { number, count } => self.begin_page(number, count)?,
             Message::PageEntry(..) => return Err(MessageError::StrayEntry),
             Message::InstanceStart { instance, seed, settings } => {
-                self.columns.insert(instance.clone(), settings.report);
+                self.columns.insert(instance.clone(), settings.report_columns);
                 self.balancers.insert(instance, Balancer::new(*settings, seed));
             }
             Message::InstanceStop(instance) => {
@@ -164,12 +164,12 @@
             }
             Message::EndpointList { instance, kind, page } => {
                 let entries = self.entries(kind, page)?;
-                self.event(&instance, Event::List { kind, entries });
+                self.event(&instance, Event::EndpointList { kind, entries });
             }
             Message::Outcome { instance, outcome, load_report } => {
                 if let Some(load) = self.columns.get(&instance).and_then(|columns| columns.load(&load_report))
                 {
-                    self.event(&instance, Event::Load { server: outcome.server, load });
+                    self.event(&instance, Event::LoadReport { server: outcome.server, load });
                 }
                 self.event(&instance, Event::Outcome(outcome));
             }
--- a/crates/benchlink/src/wire/fields.rs
+++ b/crates/benchlink/src/wire/fields.rs
@@ -125,12 +125,12 @@
         Ok(match self.text("reason")? {
             "done" => Status::Ok,
             "err" => Status::Error,
-            "busy" => Status::Full,
+            "busy" => Status::Rejected,
             "etimedout" => Status::Timeout,
             "econnrefused" => Status::ConnectFailed,
             "econnreset" => Status::Reset,
             "ecanceled" => Status::Cancelled,
-            "skipped" => Status::Moot,
+            "skipped" => Status::NotSent,
             "enoent" => Status::Miss,
             value => return Err(unknown("reason", value)),
         })
--- a/crates/benchlink/src/wire/parse.rs
+++ b/crates/benchlink/src/wire/parse.rs
@@ -37,7 +37,7 @@
         }
         "expired" => {
             let instance = fields.instance()?;
-            Ok(Message::Event { instance, event: Event::Expired(fields.number("corr")?) })
+            Ok(Message::Event { instance, event: Event::ClientLeft(fields.number("corr")?) })
         }
         "sampled" => health_check(fields),
         "peer" => gossip(fields),
@@ -79,7 +79,7 @@
 
 fn first_byte(fields: &mut Fields<'_>) -> Result<Message, WireError> {
     let instance = fields.instance()?;
-    let event = Event::First(fields.number("corr")?);
+    let event = Event::AnswerBegun(fields.number("corr")?);
     let _attempt: u64 = fields.number("n")?;
     let (_server, _elapsed) = (fields.text("node")?, fields.text("elapsed_ns")?);
     Ok(Message::Event { instance, event })
--- a/crates/benchlink/src/wire/write.rs
+++ b/crates/benchlink/src/wire/write.rs
@@ -12,10 +12,10 @@
             writeln!(reply, "deliver {instance} {id} {} {timeout}", name(server))
         }
         Action::Cancel { id, attempt } => writeln!(reply, "abandon {instance} {id} {attempt}"),
-        Action::Refuse { id, retry_after } => writeln!(reply, "bounce {instance} {id} {retry_after}"),
+        Action::Reject { id, retry_after } => writeln!(reply, "bounce {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(reply, "abort {instance} {id}"),
         Action::Timer { token, delay } => writeln!(reply, "arm {instance} {token} {delay}"),
-        Action::Close(server) => writeln!(reply, "close {instance} {}", name(server)),
+        Action::CloseIdle(server) => writeln!(reply, "close {instance} {}", name(server)),
         Action::Subscribe => writeln!(reply, "stream_changes {instance} 1"),
     };
 }
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -136,12 +136,12 @@
     );
     assert_eq!(settings.classes[1].only.zones, Some(vec![]), "an empty list allows none");
     assert_eq!(
-        (settings.classes[1].effect, settings.classes[1].group),
-        (Effect::Unsafe, Group::Cell),
+        (settings.classes[1].idempotency, settings.classes[1].group),
+        (Idempotency::NonIdempotent, Group::Cell),
         "the strictest"
     );
     assert_eq!(settings.classes[2].only.zones, None);
-    assert_eq!((settings.let_go, settings.marks_retry), (500, true));
+    assert_eq!((settings.drain_close_within, settings.clients_mark_retries), (500, true));
 }
 
 #[test]
@@ -150,10 +150,10 @@
     let actions = [
         Action::Send { id: 1, server: server_id("node_a"), timeout: 80 },
         Action::Cancel { id: 1, attempt: 0 },
-        Action::Refuse { id: 2, retry_after: 5 },
+        Action::Reject { id: 2, retry_after: 5 },
         Action::Fail { id: 3 },
         Action::Timer { token: 4, delay: 6 },
-        Action::Close(server_id("node_a")),
+        Action::CloseIdle(server_id("node_a")),
         Action::Subscribe,
     ];
     for a in &actions {
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -7,7 +7,7 @@
 pub use contradictions::Contradiction;
 pub use start::{List, Opening};
 
-use aniseyoke_core::limits::Rules;
+use aniseyoke_core::limits::LimitsConfig;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     /// Limits of requests in flight at nodes, and queues of requests that wait for capacity; off where it is not named.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
-    pub limits: Option<Rules>,
+    pub limits: Option<LimitsConfig>,
     /// Services that publish versions of this configuration; off where it is not named. Set in the file or the
     /// environment alone.
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/crates/config/src/model/contradictions.rs
+++ b/crates/config/src/model/contradictions.rs
@@ -25,9 +25,11 @@
     /// All contradictions between the keys.
     pub fn contradictions(&self) -> Vec<Contradiction> {
         let mut found = Vec::new();
-        if let Some(rules) = &self.limits {
-            let faults = rules.faults().into_iter();
-            found.extend(faults.map(|fault| Contradiction::new(format!("limits.{}", fault.key), fault.why)));
+        if let Some(limits) = &self.limits {
+            let errors = limits.validate().into_iter();
+            found.extend(
+                errors.map(|error| Contradiction::new(format!("limits.{}", error.key), error.reason)),
+            );
         }
         if self.control.as_ref().is_some_and(|control| control.services.is_empty()) {
             found.push(Contradiction::new("control.services", "no service is named"));
--- a/crates/lab-capacity/src/slopes/control.rs
+++ b/crates/lab-capacity/src/slopes/control.rs
@@ -3,9 +3,9 @@
 use super::emulated_proxy::EmulatedProxy;
 use super::{Family, Quantity, Setup};
 use crate::MeasureError;
-use aniseyoke_control::frame::{FromOperator, ToOperator};
+use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
+use aniseyoke_control::operators::call;
 use aniseyoke_control::rollout::Plan;
-use aniseyoke_control::service::call;
 use aniseyoke_lab_process::{kill_with_parent, Usage};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -264,15 +264,15 @@
 
     /// Publishes; returns the time before the call.
     fn publish(&self, routes: u64, changed: u64) -> Result<Instant, MeasureError> {
-        let publish = FromOperator::Publish { body: version_body(routes, changed), plan: Plan::default() };
+        let publish = OperatorRequest::Publish { body: version_body(routes, changed), plan: Plan::default() };
         let at = Instant::now();
         let answer = self.calls.block_on(call(self.service.operators, &publish));
         match answer.map_err(|why| MeasureError::Control(why.to_string()))? {
-            ToOperator::Published { .. } => Ok(at),
-            ToOperator::No { why } => Err(MeasureError::Control(why)),
-            ToOperator::Status { .. } | ToOperator::Purging { .. } | ToOperator::Purges { .. } => {
-                Err(MeasureError::UnexpectedAnswer)
-            }
+            OperatorResponse::Published { .. } => Ok(at),
+            OperatorResponse::Rejected { reason: why } => Err(MeasureError::Control(why)),
+            OperatorResponse::Status { .. }
+            | OperatorResponse::PurgeAccepted { .. }
+            | OperatorResponse::PurgeStatus { .. } => Err(MeasureError::UnexpectedAnswer),
         }
     }
 
--- a/crates/lab-capacity/src/slopes/emulated_proxy.rs
+++ b/crates/lab-capacity/src/slopes/emulated_proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy as the control service sees it: it takes each version as soon as its last byte has arrived and parses none of
 //! it, since thousands of parsers on one machine would be measured instead.
 
-use aniseyoke_control::frame::{encode, FromProxy, FRAME_MOST, HEAD, PROTOCOL};
+use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL};
 use aniseyoke_control::Stamp;
 use std::collections::BTreeMap;
 use std::io;
@@ -42,7 +42,7 @@
     pub bytes: Arc<AtomicU64>,
 }
 
-fn encoded(frame: &FromProxy) -> io::Result<Vec<u8>> {
+fn encoded(frame: &ProxyMessage) -> io::Result<Vec<u8>> {
     encode(frame).map_err(|e| io::Error::other(e.to_string()))
 }
 
@@ -51,12 +51,12 @@
     pub async fn run(&self) -> io::Result<()> {
         let mut stream = TcpStream::connect(self.service).await?;
         stream.set_nodelay(true)?;
-        let hello = FromProxy::Hello {
+        let hello = ProxyMessage::Hello {
             protocol: PROTOCOL,
             instance: format!("proxy-{}", self.index),
             boot: 1,
             labels: BTreeMap::new(),
-            frame_most: FRAME_MOST,
+            max_frame_bytes: MAX_FRAME_BYTES,
             running: None,
             purges: None,
         };
@@ -75,10 +75,10 @@
     async fn read(&self, mut stream: OwnedReadHalf, received: mpsc::Sender<Received>) -> io::Result<()> {
         let mut buffer = vec![0; READ_SIZE];
         loop {
-            let mut head = [0; HEAD];
+            let mut head = [0; HEADER_BYTES];
             stream.read_exact(&mut head).await?;
             let length = u32::from_be_bytes(head) as usize;
-            self.bytes.fetch_add((HEAD + length) as u64, Ordering::Relaxed);
+            self.bytes.fetch_add((HEADER_BYTES + length) as u64, Ordering::Relaxed);
             let (mut left, mut stamp) = (length, None);
             while left > 0 {
                 let wanted = left.min(buffer.len());
@@ -107,11 +107,11 @@
             Some((due, stamp)) = received.recv() => {
                 tokio::time::sleep_until(due).await;
                 running = Some(stamp);
-                FromProxy::Taken { stamp }
+                ProxyMessage::Ack { stamp }
             }
             _ = reports.tick() => match running {
-                Some(stamp) => FromProxy::Report { stamp, served: 1000, refused: 1, failed: 0 },
-                None => FromProxy::Alive,
+                Some(stamp) => ProxyMessage::Report { stamp, served: 1000, rejected: 1, failed: 0 },
+                None => ProxyMessage::Heartbeat,
             },
         };
         stream.write_all(&encoded(&frame)?).await?;
--- a/crates/lab-capacity/src/slopes/proxy.rs
+++ b/crates/lab-capacity/src/slopes/proxy.rs
@@ -222,7 +222,7 @@
         let proxy = program.start(0, &config, &folder.path().join("proxy"))?;
         let testbed =
             ProxyTestbed { day, service, proxy, list_server, control, _folder: folder, _stand_ins: stop };
-        testbed.wait_until("it found no service", || !testbed.service.rows().is_empty())?;
+        testbed.wait_until("it found no service", || !testbed.service.statuses().is_empty())?;
         Ok(testbed)
     }
 
@@ -251,7 +251,7 @@
     /// Publishes a version and waits until the proxy runs it.
     fn publish(&self, routes: u64, changed: u64) -> Result<Stamp, MeasureError> {
         let stamp = self.publish_only(routes, changed)?;
-        let runs = || self.service.rows().iter().any(|row| row.running == Some(stamp));
+        let runs = || self.service.statuses().iter().any(|row| row.running == Some(stamp));
         self.wait_until(&format!("it does not run version {stamp}"), runs)?;
         Ok(stamp)
     }
--- a/crates/lab-day/src/settings.rs
+++ b/crates/lab-day/src/settings.rs
@@ -75,15 +75,15 @@
 /// The settings of the decision module of proxy `index`, for simulated time, in which nodes report their load.
 pub fn module_settings(day: &Day, index: usize) -> Settings {
     let class = |c: &super::Class| api::Class {
-        aim: nanos(c.latency_objective),
+        latency_objective: nanos(c.latency_objective),
         deadline: nanos(c.deadline),
-        effect: match c.idempotency {
-            Idempotency::Idempotent => api::Effect::Safe,
-            Idempotency::WithKey => api::Effect::Keyed,
-            Idempotency::NotIdempotent => api::Effect::Unsafe,
+        idempotency: match c.idempotency {
+            Idempotency::Idempotent => api::Idempotency::Idempotent,
+            Idempotency::WithKey => api::Idempotency::WithKey,
+            Idempotency::NotIdempotent => api::Idempotency::NonIdempotent,
         },
         dedup_window: nanos(day.site.origin.dedup_window),
-        worth: c.weight,
+        priority_weight: c.weight,
         ..api::Class::default()
     };
     let tenant = |t: &super::Tenant| api::Tenant { quota_rps: day.load.rate * t.share * QUOTA_HEADROOM };
@@ -93,22 +93,22 @@
         tenants: day.load.tenants.iter().map(tenant).collect(),
         proxies: day.site.proxy.count as u32,
         me: index as u32,
-        must_ask: true,
-        aside: true,
+        subscribes: true,
+        cache_aside: true,
         origin_kind: Some(cache.kinds.len() as u32),
-        over_share_worth: 0.05,
-        worth_by_work: true,
+        over_quota_weight: 0.05,
+        weight_by_work: true,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        cancellation: true,
+        hedging: true,
         max_retry_after: 2_000_000_000,
-        conn_idle: 30_000_000_000,
-        handshake_price: 0.02,
-        cold_from: cache.initial_capacity,
-        cold: nanos(cache.warm_up),
-        fall_multiple: cache.overload_multiple,
-        fall: nanos(cache.overload_window),
-        must_ask_in: nanos(day.site.discovery.poll_within),
+        idle_timeout: 30_000_000_000,
+        handshake_cost: 0.02,
+        slow_start_from: cache.initial_capacity,
+        slow_start_time: nanos(cache.warm_up),
+        overload_multiple: cache.overload_multiple,
+        overload_window: nanos(cache.overload_window),
+        poll_within: nanos(day.site.discovery.poll_within),
         ..Settings::default()
     }
 }
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -243,7 +243,7 @@
         let first = publish::version(self.version_body(day, 0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(ScaleError::Runtime)?;
-        let published = runtime.block_on(aniseyoke_control::service::call(operators, &first));
+        let published = runtime.block_on(aniseyoke_control::operators::call(operators, &first));
         published.map_err(|e| ScaleError::Control(e.to_string()))?;
         loop {
             self.take_lines(POLL_INTERVAL);
--- a/crates/lab-scale/src/publish.rs
+++ b/crates/lab-scale/src/publish.rs
@@ -1,9 +1,9 @@
 //! Publishers of purges and versions: each is published at its time, whatever became of the ones before.
 
 use super::now;
-use aniseyoke_control::frame::{FromOperator, ToOperator};
+use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
+use aniseyoke_control::operators::call;
 use aniseyoke_control::rollout::Plan;
-use aniseyoke_control::service::call;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -47,7 +47,7 @@
 }
 
 /// The call that publishes the `n`th of what is due.
-pub type Call = Box<dyn Fn(usize) -> FromOperator + Send>;
+pub type Call = Box<dyn Fn(usize) -> OperatorRequest + Send>;
 
 impl PublishLog {
     /// The purges, or the versions, so far.
@@ -56,13 +56,15 @@
     }
 
     /// Calls until the call is answered, or the publishers are to end.
-    async fn publish(&self, operators: SocketAddr, publish: &FromOperator, due: Duration, due_at: u64) {
+    async fn publish(&self, operators: SocketAddr, publish: &OperatorRequest, due: Duration, due_at: u64) {
         let called_at = now();
         let published = |number| Published { number, due, due_at, called_at, answered_at: now() };
         while !self.stop.load(Ordering::Relaxed) {
             match timeout(ANSWERS_WITHIN, call(operators, publish)).await {
-                Ok(Ok(ToOperator::Purging { through, .. })) => return add(&self.purges, published(through)),
-                Ok(Ok(ToOperator::Published { stamp })) => {
+                Ok(Ok(OperatorResponse::PurgeAccepted { through, .. })) => {
+                    return add(&self.purges, published(through))
+                }
+                Ok(Ok(OperatorResponse::Published { stamp })) => {
                     return add(&self.changes, published(stamp.number))
                 }
                 Ok(Ok(other)) => self.failed(format!("{other:?}")),
@@ -107,8 +109,8 @@
 }
 
 /// The `n`th purge of a publisher, as a call.
-pub fn purge(publisher: usize, n: usize) -> FromOperator {
-    FromOperator::Purge {
+pub fn purge(publisher: usize, n: usize) -> OperatorRequest {
+    OperatorRequest::Purge {
         publisher: format!("publisher-{publisher}"),
         sequence: n as u64 + 1,
         keys: vec![format!("object-{publisher}-{n}")],
@@ -116,6 +118,6 @@
 }
 
 /// A version, as a call.
-pub fn version(body: Value) -> FromOperator {
-    FromOperator::Publish { body, plan: Plan::default() }
+pub fn version(body: Value) -> OperatorRequest {
+    OperatorRequest::Publish { body, plan: Plan::default() }
 }
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -1,8 +1,8 @@
 //! Real proxies behind one control service: how long a version takes from publishing to in force at all of them, how long
 //! the swap blocks each one's serving thread, and the latency that a client of one of them observes.
 
+use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::Hosted;
-use aniseyoke_control::publisher::Row;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
 use aniseyoke_lab_audit::Recorder;
@@ -253,14 +253,14 @@
 ) -> Result<Histogram<u64>, VersionsError> {
     let until = Instant::now() + WITHIN;
     loop {
-        let rows = service.rows();
-        let run: Vec<&Row> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
+        let rows = service.statuses();
+        let run: Vec<&ProxyStatus> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
         if run.len() == proxies {
             let mut took = histogram();
-            run.iter().filter_map(|r| r.took).for_each(|ns| took.saturating_record(ns / 1000));
+            run.iter().filter_map(|r| r.ack_latency).for_each(|ns| took.saturating_record(ns / 1000));
             return Ok(took);
         }
-        if let Some((_, why)) = rows.iter().filter_map(|r| r.refused.as_ref()).find(|r| r.0 == stamp) {
+        if let Some((_, why)) = rows.iter().filter_map(|r| r.rejected.as_ref()).find(|r| r.0 == stamp) {
             return Err(VersionsError::Rejected { stamp, why: why.clone() });
         }
         if Instant::now() > until {
@@ -333,9 +333,9 @@
 
 fn wait_until_connected(service: &Hosted, proxies: usize) -> Result<(), VersionsError> {
     let until = Instant::now() + WITHIN;
-    while service.rows().len() < proxies {
+    while service.statuses().len() < proxies {
         if Instant::now() > until {
-            return Err(VersionsError::NotConnected { connected: service.rows().len() });
+            return Err(VersionsError::NotConnected { connected: service.statuses().len() });
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -40,7 +40,7 @@
             },
         );
         if is_answered(sim_proxy, id) || left == 0 {
-            return self.end_attempt(attempt_id, Status::Moot);
+            return self.end_attempt(attempt_id, Status::NotSent);
         }
         if idle_connection == Some(false) {
             self.counts.reused += 1;
@@ -69,7 +69,7 @@
         if let Some((opens, _)) = &mut self.proxies[proxy as usize].opens {
             if let Err(wait) = opens.try_acquire(EPOCH + now, server) {
                 if now + wait > by {
-                    return self.end_attempt(attempt_id, Status::Moot);
+                    return self.end_attempt(attempt_id, Status::NotSent);
                 }
                 return self.schedule_after(wait, SimEvent::OpenConnection(attempt_id));
             }
@@ -130,14 +130,14 @@
         if !origin && !matches!(reply, AttemptReply::ConnectFailed | AttemptReply::Reset) {
             if let Some(load) = self.world.load(self.now, member) {
                 let server = self.server(member);
-                self.feed(proxy, Event::Load { server, load });
+                self.feed(proxy, Event::LoadReport { server, load });
             }
         }
         match reply {
             AttemptReply::Served { hit } => self.served(attempt_id, hit),
             AttemptReply::Miss => self.end_attempt(attempt_id, Status::Miss),
             AttemptReply::Error => self.end_attempt(attempt_id, Status::Error),
-            AttemptReply::Rejected => self.end_attempt(attempt_id, Status::Full),
+            AttemptReply::Rejected => self.end_attempt(attempt_id, Status::Rejected),
             AttemptReply::ConnectFailed => self.end_attempt(attempt_id, Status::ConnectFailed),
             AttemptReply::Reset => self.end_attempt(attempt_id, Status::Reset),
         }
@@ -176,7 +176,7 @@
             self.connection_load.in_flight(attempt.member, attempt.origin, false);
         }
         let (proxy, id, index) = (attempt.proxy, attempt.request, attempt.index);
-        let usable = matches!(status, Status::Ok | Status::Miss | Status::Error | Status::Full);
+        let usable = matches!(status, Status::Ok | Status::Miss | Status::Error | Status::Rejected);
         if !usable {
             let mut effects = std::mem::take(&mut self.effects);
             self.world.cancel(attempt_id, &mut effects);
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use super::list_service::ListCaller;
 use super::Options;
-use aniseyoke_core::margin;
+use aniseyoke_core::deadline_margin;
 use aniseyoke_decision::api::{Action, Entry, Event, ListKind, RequestId, ServerId, State, Status};
 use aniseyoke_decision::Balancer;
 use aniseyoke_lab_day::clock::mix;
@@ -60,14 +60,14 @@
 impl SimProxy {
     pub fn new(day: &Day, index: usize, options: &Options) -> Self {
         let settings = module_settings(day, index);
-        let slot = FleetPosition::new(settings.me, settings.proxies);
+        let slot = FleetPosition::new(settings.proxy_index, settings.proxies);
         let seed = mix(day.seed, 0x5eed, index as u64);
         SimProxy {
             caller: ListCaller::new(day, index, options.list.as_ref()),
             opens: options.connection_rates.map(|rates| (ConnectionPermits::new(slot, 0, 0), rates)),
             started: FxHashMap::default(),
             origin_kind: day.site.cache.kinds.len() as u32,
-            conn_idle: settings.conn_idle,
+            conn_idle: settings.idle_timeout,
             balancer: Balancer::new(settings, seed),
             pending: FxHashMap::default(),
             next: 1,
@@ -81,7 +81,7 @@
 
     /// Gives the module an event; its actions are left in `actions`.
     pub fn feed(&mut self, now: Nanos, event: Event) {
-        if let Event::List { kind, entries } = &event {
+        if let Event::EndpointList { kind, entries } = &event {
             self.update_permits(now, *kind, entries);
             for entry in entries {
                 if entry.state == State::Ready {
@@ -127,7 +127,7 @@
     ) -> (RequestId, Nanos) {
         let id = self.next;
         self.next += 1;
-        let left = patience - margin(patience);
+        let left = patience - deadline_margin(patience);
         let pending = PendingRequest {
             client,
             attempt_number,
@@ -144,7 +144,7 @@
 
     /// After this time a request that the module leaves unanswered is ended.
     pub fn deadline(patience: Nanos) -> Nanos {
-        patience - margin(patience) / 2
+        patience - deadline_margin(patience) / 2
     }
 
     /// Takes an idle connection to a server, with whether it carried two attempts; none if one has to be opened.
--- a/crates/lab-sim/src/run.rs
+++ b/crates/lab-sim/src/run.rs
@@ -21,7 +21,7 @@
             self.proxies[p].version = self.world.endpoint_list().version();
             let entries =
                 self.world.endpoint_list().all().into_iter().map(|endpoint| self.entry(endpoint)).collect();
-            self.feed(p as u32, Event::List { kind: ListKind::Cached, entries });
+            self.feed(p as u32, Event::EndpointList { kind: ListKind::Cached, entries });
         }
         if let Some(first) = self.arrivals.peek() {
             let due = first.due;
@@ -180,7 +180,7 @@
         self.proxies[proxy as usize].version = self.world.endpoint_list().version();
         self.proxies[proxy as usize].subscribed = true;
         let entries = endpoints.into_iter().map(|endpoint| self.entry(endpoint)).collect();
-        self.feed(proxy, Event::List { kind, entries });
+        self.feed(proxy, Event::EndpointList { kind, entries });
     }
 
     /// Gives a proxy's module an event, and performs its actions.
@@ -199,12 +199,12 @@
         match action {
             Action::Send { id, server, timeout } => self.send(proxy, id, server, timeout),
             Action::Cancel { id, attempt } => self.cancel_attempt(proxy, id, attempt as usize),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(proxy, id, ClientOutcome::Refused, Some(Duration::from_nanos(retry_after)));
             }
             Action::Fail { id } => self.answer(proxy, id, ClientOutcome::Failed, None),
             Action::Timer { token, delay } => self.schedule_after(delay, SimEvent::Timer(proxy, token)),
-            Action::Close(server) => drop(self.proxies[proxy as usize].idle.remove(&server)),
+            Action::CloseIdle(server) => drop(self.proxies[proxy as usize].idle.remove(&server)),
             Action::Subscribe if self.options.list.is_some() => self.call_list(proxy, true),
             Action::Subscribe => self.schedule_after(LIST_DELAY, SimEvent::ListAnswer(proxy)),
         }
@@ -276,7 +276,7 @@
         }
         let arrived = pending.arrived;
         self.count(arrived, cause);
-        self.feed(proxy, Event::Expired(id));
+        self.feed(proxy, Event::ClientLeft(id));
         self.end_attempts(proxy, id);
         true
     }
--- a/crates/memcached/src/mapping.rs
+++ b/crates/memcached/src/mapping.rs
@@ -7,7 +7,7 @@
 
 use crate::semantics::{class_allows, repeat_effect, RepeatEffect};
 use crate::{Header, Opcode};
-use aniseyoke_decision::api::Effect;
+use aniseyoke_decision::api::Idempotency;
 use std::collections::HashMap;
 use strum::VariantArray;
 
@@ -104,7 +104,7 @@
 pub struct RequestMapping {
     rules: Vec<ClassRule>,
     tenants: TenantRules,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     retry_bit: bool,
 }
 
@@ -141,7 +141,7 @@
     }
 
     /// Adds what is wrong with the rule, which has this index.
-    fn check(&self, rule: usize, effects: &[Effect], errors: &mut Vec<MappingError>) {
+    fn check(&self, rule: usize, effects: &[Idempotency], errors: &mut Vec<MappingError>) {
         let Some(class_effect) = effects.get(self.class) else {
             errors.push(MappingError::UnknownClass { rule, class: self.class });
             return;
@@ -169,7 +169,7 @@
     pub fn new(
         rules: Vec<ClassRule>,
         tenants: TenantRules,
-        effects: &[Effect],
+        effects: &[Idempotency],
         retry_bit: bool,
     ) -> Result<Self, Vec<MappingError>> {
         let mut errors = Vec::new();
@@ -194,7 +194,7 @@
         let class = self.rules.iter().find(matches).ok_or(Unmapped::NoClass)?.class;
         // Danger: an idempotent class would execute a request that is bound to a version a second time, and tell its client
         // that its own first attempt was somebody else's change.
-        let class_effect = self.effects.get(class).copied().unwrap_or(Effect::Unsafe);
+        let class_effect = self.effects.get(class).copied().unwrap_or(Idempotency::NonIdempotent);
         if !class_allows(class_effect, repeat_effect(operation, header.cas)) {
             return Err(Unmapped::BoundToVersion);
         }
--- a/crates/memcached/src/mapping/tests.rs
+++ b/crates/memcached/src/mapping/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use bytes::Bytes;
 
-const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Unsafe, Effect::Keyed];
+const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::WithKey];
 
 fn rule(operations: &[Opcode], prefix: &str, class: usize) -> ClassRule {
     ClassRule { operations: operations.to_vec(), prefix: prefix.into(), class }
--- a/crates/memcached/src/semantics.rs
+++ b/crates/memcached/src/semantics.rs
@@ -4,7 +4,7 @@
 //! that: a counter must not be in a class of idempotent requests. Whoever maps operations to classes asks here.
 
 use crate::{Opcode, Status};
-use aniseyoke_decision::api::{self, Effect};
+use aniseyoke_decision::api::{self, Idempotency};
 
 /// What it would mean to execute an operation a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,8 +34,8 @@
 
 /// Whether an operation may be in a class of this effect. Nodes that deduplicate requests with idempotency keys repeat the
 /// first response, so that a second attempt does no harm there.
-pub fn class_allows(effect: Effect, repeat: RepeatEffect) -> bool {
-    effect != Effect::Safe || repeat == RepeatEffect::Harmless
+pub fn class_allows(effect: Idempotency, repeat: RepeatEffect) -> bool {
+    effect != Idempotency::Idempotent || repeat == RepeatEffect::Harmless
 }
 
 /// What a response of a node means.
@@ -66,7 +66,7 @@
         ) => Outcome::Final,
         // Rejected before it was looked at: it was not executed.
         Some(Status::Busy | Status::Temporary | Status::NoMemory | Status::WrongBucket) => {
-            Outcome::Failed(api::Status::Full)
+            Outcome::Failed(api::Status::Rejected)
         }
         // A mistake of the operators; it was not executed, and the node can't be used.
         Some(Status::AuthError | Status::AuthContinue) => Outcome::Failed(api::Status::ConnectFailed),
--- a/crates/memcached/src/semantics/tests.rs
+++ b/crates/memcached/src/semantics/tests.rs
@@ -10,14 +10,17 @@
         .copied()
         .filter(|o| {
             !o.is_quiet()
-                && class_allows(Effect::Safe, repeat_effect(*o, 0))
+                && class_allows(Idempotency::Idempotent, repeat_effect(*o, 0))
                 && o.key() == opcode::Presence::Required
         })
         .collect();
     use Opcode::*;
     assert_eq!(allowed, [Get, Set, Replace, GetK, Touch, Gat, SaslAuth, SaslStep, GatK]);
-    assert!(Opcode::VARIANTS.iter().copied().all(|o| class_allows(Effect::Unsafe, repeat_effect(o, 9))));
-    assert!(!class_allows(Effect::Safe, repeat_effect(SetQ, 1)), "it is bound to a version");
+    assert!(Opcode::VARIANTS
+        .iter()
+        .copied()
+        .all(|o| class_allows(Idempotency::NonIdempotent, repeat_effect(o, 9))));
+    assert!(!class_allows(Idempotency::Idempotent, repeat_effect(SetQ, 1)), "it is bound to a version");
     assert!(Opcode::VARIANTS
         .iter()
         .copied()
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -2,10 +2,10 @@
 
 use super::paced::{Held, Source};
 use crate::config::{Config, Member, Members};
-use crate::keeping::Keeping;
-use crate::wall::unix_ms;
+use crate::background_writer::BackgroundWriter;
+use crate::wall_clock::unix_millis;
 use aniseyoke_config::model::List;
-use aniseyoke_control::sealed::{Disk, Found, Sealed};
+use aniseyoke_control::checksummed_file::{ChecksummedFile, Disk, Loaded};
 use aniseyoke_pace::retained_list::{check_age, ListMetadata};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
     version: Option<u64>,
     written: Option<Instant>,
     anew: Duration,
-    keeping: Keeping<Kept>,
+    keeping: BackgroundWriter<Kept>,
 }
 
 /// What a list has to be of to be used here: the site, and the names that its entries use.
@@ -83,16 +83,16 @@
         tracing::warn!("{name}: the kept list is not used: {length} bytes are more than {FILE_MOST}");
         return None;
     }
-    let kept: Kept = match Sealed::new(Disk, file.to_owned(), MAGIC).find() {
-        Ok(Found::Nothing) => return None,
-        Ok(Found::Whole(payload)) => match serde_json::from_slice(&payload) {
+    let kept: Kept = match ChecksummedFile::new(Disk, file.to_owned(), MAGIC).load() {
+        Ok(Loaded::Missing) => return None,
+        Ok(Loaded::Intact(payload)) => match serde_json::from_slice(&payload) {
             Ok(kept) => kept,
             Err(e) => {
                 tracing::warn!("{name}: the kept list can't be read and is not used: {e}");
                 return None;
             }
         },
-        Ok(Found::Damaged { why, aside }) => {
+        Ok(Loaded::Damaged { reason: why, quarantined: aside }) => {
             let aside = aside.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
             tracing::warn!("{name}: the kept list is damaged, not used and {aside}: {why}");
             return None;
@@ -105,7 +105,7 @@
     let label =
         ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
     let known = config.known.as_ref().map(|known| known.version);
-    match check_age(&label, site, known, unix_ms(), fresh_for) {
+    match check_age(&label, site, known, unix_millis(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
             let seconds = age.as_secs();
@@ -130,11 +130,11 @@
         list: Option<&Members>,
     ) -> Result<Self, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let mut store = Sealed::new(Disk, file, MAGIC);
+        let mut store = ChecksummedFile::new(Disk, file, MAGIC);
         let mut failing = false;
         let write = move |kept: Kept| {
             let payload = serde_json::to_vec(&kept).map_err(std::io::Error::from);
-            let done = payload.and_then(|payload| store.keep(&payload));
+            let done = payload.and_then(|payload| store.save(&payload));
             match (&done, failing) {
                 (Err(e), false) => {
                     tracing::warn!("{}: the list could not be kept: {e}", store.path().display());
@@ -144,7 +144,7 @@
             }
             failing = done.is_err();
         };
-        let keeping = Keeping::start(write).map_err(|e| format!("no thread: {e}"))?;
+        let keeping = BackgroundWriter::start(write).map_err(|e| format!("no thread: {e}"))?;
         Ok(Keeper { site, entries: list.map(by_id), version: None, written: None, anew, keeping })
     }
 
@@ -173,7 +173,7 @@
         self.written = Some(Instant::now());
         let list =
             Members { version: members.version, full: true, servers: entries.values().cloned().collect() };
-        self.keeping.keep(Kept { site: self.site.clone(), at_ms: unix_ms(), list });
+        self.keeping.write(Kept { site: self.site.clone(), at_ms: unix_millis(), list });
     }
 }
 
--- a/crates/proxy/src/discovery/paced.rs
+++ b/crates/proxy/src/discovery/paced.rs
@@ -3,7 +3,7 @@
 use super::kept::Keeper;
 use super::Fault;
 use crate::config::Members;
-use crate::wall::unix;
+use crate::wall_clock::unix_time;
 use aniseyoke_config::model::List;
 use aniseyoke_pace::PollRules;
 use aniseyoke_pace::{FleetPosition, Nanos, PollSchedule};
@@ -102,7 +102,7 @@
             );
         }
     }
-    PollSchedule::new(counts, place, nanos(unix()), 0)
+    PollSchedule::new(counts, place, nanos(unix_time()), 0)
 }
 
 impl Paced {
--- a/crates/proxy/src/drain.rs
+++ b/crates/proxy/src/drain.rs
@@ -71,21 +71,21 @@
     #[test]
     fn a_process_that_stops_goes_on_draining_after_the_call_back() {
         let drain = Drain::default();
-        assert!(drain.call(true) && !drain.call(true) && drain.on());
-        drain.stop();
-        assert!(drain.call(false) && !drain.call(false));
-        assert!(drain.on() && drain.stopping());
+        assert!(drain.set_ordered(true) && !drain.set_ordered(true) && drain.is_active());
+        drain.begin_shutdown();
+        assert!(drain.set_ordered(false) && !drain.set_ordered(false));
+        assert!(drain.is_active() && drain.is_shutting_down());
     }
 
     #[test]
     fn idle_connections_stay_for_the_gentle_time_after_both_their_last_use_and_the_call() {
         let drain = Drain::default();
         let now = Instant::now();
-        assert!(!drain.ends(now, now + 9 * GENTLE));
-        drain.call(true);
+        assert!(!drain.closes_idle(now, now + 9 * GENTLE));
+        drain.set_ordered(true);
         let called = drain.since().expect("called");
-        assert!(!drain.ends(now, called + GENTLE));
-        assert!(drain.ends(now, called + GENTLE + Duration::from_millis(1)));
-        assert!(!drain.ends(called + GENTLE, called + 2 * GENTLE));
+        assert!(!drain.closes_idle(now, called + GENTLE));
+        assert!(drain.closes_idle(now, called + GENTLE + Duration::from_millis(1)));
+        assert!(!drain.closes_idle(called + GENTLE, called + 2 * GENTLE));
     }
 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -17,10 +17,10 @@
 use crate::opening::Opening;
 use crate::peers::Peers;
 use crate::socket::Descriptors;
-use crate::state::Store;
+use crate::operator_orders::OrderStore;
 use crate::upstream::Upstreams;
 use crate::{admin, handover, Engine};
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api;
 use client::Client;
 use hyper::header::HeaderValue;
@@ -72,7 +72,7 @@
 /// What the operator sets beyond the platform's settings.
 pub struct Beyond {
     /// What the core is to work by.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<EngineConfig>,
     /// When the list service may be asked, where that is limited.
     pub paced: Option<Paced>,
     /// What is told of the list then.
@@ -99,7 +99,7 @@
     mut hangup: Signal,
 ) -> Result<(), String> {
     let listen = config.listen;
-    let inherited = handover::inherited(listen)?;
+    let inherited = handover::inherited(listen).map_err(|error| error.to_string())?;
     let handed = inherited.is_some();
     let listener = match inherited {
         Some(inherited) => TcpListener::from_std(inherited),
@@ -114,11 +114,11 @@
     let own = OWN_DESCRIPTORS + door;
     let memory = config.memory.saturating_sub(OWN_MEMORY + door_memory + beyond.reserve);
     let places = Places { sockets: config.sockets, own, memory };
-    let others = living.others();
+    let others = living.other_claims();
     let descriptors = Descriptors::new(places.part(&others));
     let budget = Budget::new(places.held(&others));
     let settings = config.settings.clone();
-    let (connect_timeout, conn_idle) = (config.connect_timeout, settings.conn_idle);
+    let (connect_timeout, conn_idle) = (config.connect_timeout, settings.idle_timeout);
     let upstreams =
         Upstreams::new(descriptors.clone(), budget.clone(), connect_timeout, conn_idle, beyond.opening);
     let (watch, asked) = mpsc::unbounded_channel();
@@ -127,7 +127,7 @@
     // discovery that is down. A process that takes over asks for the whole list.
     let version = config.known.as_ref().filter(|_| !handed).map(|known| known.version);
     let (addr, names) = (config.discovery, Rc::new(config.names));
-    let discovery = Discovery::new(addr, version, settings.must_ask_in, names.clone(), beyond.paced);
+    let discovery = Discovery::new(addr, version, settings.poll_within, names.clone(), beyond.paced);
     let known = config.known.as_ref().map_or_else(Vec::new, |known| names.entries(known));
     let engine = Engine::new(beyond.plan, config.seed, &known, upstreams.clone(), watch);
     let engine = engine.map_err(|fault| fault.to_string())?;
@@ -185,7 +185,7 @@
             crowded.thin();
         }
     });
-    let control = Control::new(engine.clone(), drain, Store::open(dir), beyond.about, beyond.held);
+    let control = Control::new(engine.clone(), drain, OrderStore::open(dir), beyond.about, beyond.held);
     if let Some(mgmt) = mgmt {
         let control = control.clone();
         let act = move |call| {
@@ -226,9 +226,9 @@
 
     /// Takes no more descriptors than the other processes of this proxy leave; one that stops takes ever fewer.
     fn share(&self, places: &Places, living: &Peers) {
-        let others = living.others();
+        let others = living.other_claims();
         let mut most = places.part(&others);
-        if self.drain.stopping() && !others.is_empty() {
+        if self.drain.is_shutting_down() && !others.is_empty() {
             most = most.min(self.descriptors.used() + CLAIM_MORE);
             living.claim(most + places.own);
         }
@@ -245,7 +245,7 @@
     /// Waits until this process can serve as well as the one that it takes over from.
     async fn until_told(&self) {
         let start = Instant::now();
-        while !(self.engine.can_serve() && (self.engine.told() || start.elapsed() > TOLD_WITHIN)) {
+        while !(self.engine.can_serve() && (self.engine.list_received() || start.elapsed() > TOLD_WITHIN)) {
             sleep(TOLD_AGAIN).await;
         }
         tracing::info!("handover: clients are let in");
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -4,8 +4,8 @@
 use super::Server;
 use crate::upload::{self, Fault};
 use crate::upstream::{Job, TIME_LEFT};
-use aniseyoke_core::Asked;
-use aniseyoke_decision::api::{self, Effect, Nanos};
+use aniseyoke_core::IncomingRequest;
+use aniseyoke_decision::api::{self, Idempotency, Nanos};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -24,7 +24,7 @@
         &self,
         request: Request<Incoming>,
         mut came: Instant,
-    ) -> Result<Asked<Job>, (StatusCode, &'static str)> {
+    ) -> Result<IncomingRequest<Job>, (StatusCode, &'static str)> {
         let (head, body) = request.into_parts();
         let mut parts = head.uri.path().strip_prefix('/').unwrap_or("").split('/');
         let name = parts.next().unwrap_or("");
@@ -53,7 +53,7 @@
             return Err((StatusCode::BAD_REQUEST, "no X-Correlation-Id, or a bad one"));
         }
         let key_of_repeats = only(&IDEMPOTENCY_KEY, "more than one Idempotency-Key")?;
-        if write && settings.effect == Effect::Keyed && key_of_repeats.is_none_or(|k| k.is_empty()) {
+        if write && settings.idempotency == Idempotency::WithKey && key_of_repeats.is_none_or(|k| k.is_empty()) {
             return Err((StatusCode::BAD_REQUEST, "no Idempotency-Key"));
         }
         let body = upload::read(body, write, &self.budget).await.map_err(|fault| match fault {
@@ -84,7 +84,7 @@
         // The body is passed on with the length that it has.
         headers.remove(header::CONTENT_LENGTH);
         let job = Job { method: head.method, uri, headers, body, waiter: None };
-        Ok(Asked { request, job, came: came.into_std() })
+        Ok(IncomingRequest { request, job, received_at: came.into_std() })
     }
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,22 +11,20 @@
 pub mod drain;
 pub mod front;
 mod handover;
-mod keeping;
+mod background_writer;
 mod last_look;
 mod opening;
 pub mod operator;
 mod peers;
 mod plan;
 mod relay;
-#[cfg(test)]
-mod scratch;
 mod serve;
 mod socket;
-mod state;
+mod operator_orders;
 mod upload;
 mod upstream;
 mod versions;
-mod wall;
+mod wall_clock;
 
 use http_body_util::Full;
 use hyper::body::Bytes;
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -4,7 +4,7 @@
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Features, Overlay as Said, Pool as Part, Route};
 use aniseyoke_config::ConfigError;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api::{server_id, Pool, Settings};
 use aniseyoke_routes::overlay::{NodeOverride, NodeSelector, Overlay};
 use aniseyoke_routes::{RouteRule, Routing, RoutingTable};
@@ -92,15 +92,15 @@
     if !features.retries {
         settings.max_attempts = 1;
     }
-    settings.second_copies &= features.second_copies;
-    settings.cancel &= features.cancelling;
+    settings.hedging &= features.second_copies;
+    settings.cancellation &= features.cancelling;
 }
 
 /// Lays what the operator sets over what the platform says.
 ///
 /// # Errors
 /// All that names a tenant, class, zone or kind that the platform does not, with the place that says so.
-pub fn plan(resolved: &Resolved, platform: &Config) -> Result<Plan, Vec<ConfigError>> {
+pub fn plan(resolved: &Resolved, platform: &Config) -> Result<EngineConfig, Vec<ConfigError>> {
     let operator = &resolved.operator;
     let mut settings = platform.settings.clone();
     let Names { classes, tenants, zones, kinds } = &platform.names;
@@ -143,7 +143,7 @@
         told.collect::<Vec<_>>()
     })?;
     let routing = Routing { table, overlay: Overlay::new(remarks) };
-    Ok(Plan { settings, limits: operator.limits.clone(), routing })
+    Ok(EngineConfig { settings, limits: operator.limits.clone(), routing })
 }
 
 #[cfg(test)]
@@ -164,7 +164,7 @@
         }
     }"#;
 
-    fn planned(text: &str) -> Result<Plan, Vec<ConfigError>> {
+    fn planned(text: &str) -> Result<EngineConfig, Vec<ConfigError>> {
         let platform = Config::parse(PLATFORM, |_| None).expect("sound");
         let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
         plan(&resolved, &platform)
@@ -208,7 +208,7 @@
         let caps = |text: &str| {
             let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
             let s = plan(&resolved, &platform).expect("sound").settings;
-            (s.max_attempts, s.cancel, s.second_copies)
+            (s.max_attempts, s.cancellation, s.hedging)
         };
         assert_eq!(caps(""), (4, true, false));
         assert_eq!(caps("[features]\nretries = false\ncancelling = false"), (1, false, false));
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::front::Beyond;
 use crate::opening::Opening;
 use crate::versions::{last_good, reserve, Below, InForce, Serving, Subscription};
-use crate::{front, operator, wall};
+use crate::{front, operator, wall_clock};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::Version;
@@ -48,7 +48,7 @@
     let resolved = operator::read(file.as_deref()).map_err(|faults| told(&faults))?;
     let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log))
         .map_err(|e| one(e.to_string()))?;
-    wall::start().map_err(one)?;
+    wall_clock::init().map_err(|error| one(error.to_string()))?;
     let platform = Config::from_env().map_err(one)?;
     let source = file.as_deref().map(operator::source).transpose().map_err(|fault| told(&[fault]))?;
     let below = Arc::new(Below { platform, file: source });
@@ -69,11 +69,11 @@
     let (each_second, again, swapped) = (log.clone(), log.clone(), log);
     let about = Rc::new(RefCell::new(about(&resolved, file.as_deref(), last.as_deref())));
     let platform = below.clone();
-    let place = FleetPosition::new(plan.settings.me, plan.settings.proxies);
+    let place = FleetPosition::new(plan.settings.proxy_index, plan.settings.proxies);
     let paced = resolved.operator.list.as_ref().map(|rules| {
         let (held, keeper) = discovery::begin(rules, &mut config);
         // Danger: what is pushed counts as told at once; to wait for a slot then is to use nodes that have been taken away.
-        let polls = (!config.pushed).then(|| discovery::polls(rules, plan.settings.must_ask_in, place));
+        let polls = (!config.pushed).then(|| discovery::polls(rules, plan.settings.poll_within, place));
         if polls.is_none() {
             tracing::info!("list: the platform pushes its lists, so that calls are not paced");
         }
@@ -96,7 +96,7 @@
             let (orders, ordered) = mpsc::channel(1);
             let no_thread = |e: std::io::Error| format!("no thread for versions: {e}");
             let subscription =
-                Subscription::new(&control, below, orders, engine.tally()).map_err(no_thread)?;
+                Subscription::new(&control, below, orders, engine.counters()).map_err(no_thread)?;
             let serving = Serving { engine, in_force, log: swapped, about: told_about };
             tokio::task::spawn_local(serving.run(ordered));
             subscription.start(control, at, last).map_err(no_thread)
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -7,7 +7,7 @@
 use super::socket::{Descriptors, Io, Presence, Socket, Waiter};
 use super::upload::{Payload, Sending};
 use super::{BODY_MOST, BUFFER_MOST, LARGEST};
-use aniseyoke_core::Fleet;
+use aniseyoke_core::Transport;
 use aniseyoke_decision::api::{Entry, Load, Nanos, ServerId, State, Status};
 use aniseyoke_sockets::{connect, ConnectError};
 use http_body_util::BodyExt;
@@ -86,17 +86,17 @@
         path.split_once('/').map_or("", |(_, key)| key).as_bytes()
     }
 
-    fn comes(&self) -> bool {
+    fn body_pending(&self) -> bool {
         self.body.upload().is_some()
     }
 
-    fn on_taken(&self, then: impl FnOnce() + 'static) {
+    fn on_body_received(&self, then: impl FnOnce() + 'static) {
         if let Some(upload) = self.body.upload() {
             upload.on_taken(then);
         }
     }
 
-    async fn taken(job: Weak<Job>) {
+    async fn body_received(job: Weak<Job>) {
         // Danger: a wait that holds the job itself would hold the body's connection as well.
         let Some(upload) = job.upgrade().map(|job| job.body.upload().cloned()) else { return };
         if let Some(upload) = upload {
@@ -109,7 +109,7 @@
 pub type Reply = Response<Outgoing>;
 
 /// What came of an attempt.
-type Ended = aniseyoke_core::Ended<Reply>;
+type Ended = aniseyoke_core::AttemptOutcome<Reply>;
 
 /// The caller's hold on an attempt while it is out.
 #[derive(Default)]
@@ -122,8 +122,8 @@
     idle: Notify,
 }
 
-impl aniseyoke_core::Tether for Tether {
-    fn bar(&self) {
+impl aniseyoke_core::AttemptHandle for Tether {
+    fn forbid_writing(&self) {
         self.barred.set(true);
         let written = |s: &Rc<Socket>| s.whole();
         if self.socket.borrow().as_ref().is_some_and(written) {
@@ -138,7 +138,7 @@
     }
 
     /// Danger: the task that writes it may run before the one that is aborted.
-    fn cut(&self) {
+    fn abort(&self) {
         self.barred.set(true);
         if let Some(socket) = self.socket.take() {
             socket.close();
@@ -146,7 +146,7 @@
     }
 
     /// Danger: the process may be held up right behind the last look at the clock, and write that much later.
-    fn only_within(&self, since: std::time::Instant, time: Duration) {
+    fn forbid_writing_after(&self, since: std::time::Instant, time: Duration) {
         self.until.set(Some(Instant::from_std(since) + time.saturating_sub(HELD_UP_MOST)));
     }
 }
@@ -209,12 +209,12 @@
     opening: Option<RefCell<Opening>>,
 }
 
-impl Fleet for Upstreams {
+impl Transport for Upstreams {
     type Job = Job;
     type Reply = Reply;
-    type Tether = Tether;
+    type Handle = Tether;
 
-    fn update(&self, whole: bool, entries: &[(Entry, Option<SocketAddr>)]) {
+    fn update_endpoints(&self, whole: bool, entries: &[(Entry, Option<SocketAddr>)]) {
         if let Some(opening) = &self.opening {
             opening.borrow_mut().update(whole, entries.iter().map(|(entry, _)| entry));
         }
@@ -243,7 +243,7 @@
         }
     }
 
-    fn ban(&self, server: ServerId, out: bool) {
+    fn set_banned(&self, server: ServerId, out: bool) {
         let mut banned = self.banned.borrow_mut();
         if out {
             banned.insert(server);
@@ -336,7 +336,7 @@
         };
         tokio::select! {
             biased;
-            () = tether.idle.notified() => Status::Moot.into(),
+            () = tether.idle.notified() => Status::NotSent.into(),
             ended = self.exchange(server, job, due, wait, tether) => ended,
             () = over => {
                 let written = tether.socket.borrow().as_ref().is_some_and(|s| s.whole());
@@ -358,19 +358,19 @@
         loop {
             // Danger: a wait for a permit must come before the body is taken up: what an attempt has read of an upload is
             // gone with it.
-            let Some(idle) = self.permit(server, due, wait).await else { return Status::Moot.into() };
+            let Some(idle) = self.permit(server, due, wait).await else { return Status::NotSent.into() };
             let mut asked_at = Instant::now();
-            let Ok(asked) = job.waits(tether).await else { return Status::Moot.into() };
+            let Ok(asked) = job.waits(tether).await else { return Status::NotSent.into() };
             let idle = idle.filter(|idle| !asked || idle.clean());
-            let Some(body) = job.body.send() else { return Status::Moot.into() };
-            let Some((addr, epoch)) = self.open_to(server) else { return Status::Moot.into() };
+            let Some(body) = job.body.send() else { return Status::NotSent.into() };
+            let Some((addr, epoch)) = self.open_to(server) else { return Status::NotSent.into() };
             let (mut connection, reused) = match idle.or_else(|| self.newest(server)) {
                 Some(connection) => (connection, true),
                 None => match self.connect(addr).await {
                     Ok(connection) => {
                         asked_at = Instant::now();
                         if job.waits(tether).await.is_err() {
-                            return Status::Moot.into();
+                            return Status::NotSent.into();
                         }
                         (connection, false)
                     }
@@ -386,7 +386,7 @@
             // Danger: while the connection came up the node may have been told to drain or have restarted, or
             // the request may have had its answer. Nothing may be written then.
             if tether.shut(Instant::now()) || self.epoch(server) != Some(epoch) {
-                return Status::Moot.into();
+                return Status::NotSent.into();
             }
             let (pool, look_at) = (Rc::downgrade(self), Rc::downgrade(tether));
             let waiter = job.waiter.clone();
@@ -404,13 +404,13 @@
                     withheld += 1;
                     let now = Instant::now();
                     if withheld > WITHHELD_MOST || now >= due || tether.shut(now) {
-                        return Status::Moot.into();
+                        return Status::NotSent.into();
                     }
                     continue;
                 }
                 // The client's own failure says nothing of the node.
                 if upload.is_some_and(|u| u.failed()) {
-                    return Status::Moot.into();
+                    return Status::NotSent.into();
                 }
                 // Danger: after its last byte the request may have run, and is not for this side to repeat.
                 if connection.socket.whole() {
@@ -548,7 +548,7 @@
                 Some(permit) => break permit,
                 None if self.yield_idle() => tokio::task::yield_now().await,
                 // Danger: to call this a failed connection would blame the node for our own shortage.
-                None => return Err(Status::Moot),
+                None => return Err(Status::NotSent),
             }
         };
         let make_room = || {
@@ -560,7 +560,7 @@
             // Danger: as above.
             Ok(Err(ConnectError::Local(e))) => {
                 tracing::warn!("no socket for {addr}: {e}");
-                return Err(Status::Moot);
+                return Err(Status::NotSent);
             }
             Ok(Err(ConnectError::Remote(_))) | Err(_) => return Err(Status::ConnectFailed),
         };
@@ -624,7 +624,7 @@
     match head.status {
         StatusCode::OK => Status::Ok,
         StatusCode::NOT_FOUND => Status::Miss,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Status::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Status::Rejected,
         _ => Status::Error,
     }
 }
--- a/crates/proxy/src/versions/below.rs
+++ b/crates/proxy/src/versions/below.rs
@@ -4,13 +4,13 @@
 use crate::config::Config;
 use crate::operator;
 use crate::plan::plan;
-use crate::wall::unix_ms;
+use crate::wall_clock::unix_millis;
 use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Control, Operator};
 use aniseyoke_config::ConfigError;
-use aniseyoke_control::store::{Disk, Found, Kept, Store};
+use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use std::sync::Arc;
 
 /// The layers below a control service's: the file, the environment, and the platform's settings under them.
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, Plan), Vec<ConfigError>> {
+    pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, EngineConfig), Vec<ConfigError>> {
         let mut layers: Vec<Layer> = self.file.clone().into_iter().collect();
         layers.extend(environment(operator::variables()));
         if let Some(version) = version {
@@ -41,16 +41,16 @@
 /// The last good version, if the folder has one that still can be put in force.
 pub fn last_good(control: &Control, below: &Below) -> Option<Version> {
     let mut store = Store::new(Disk, control.dir.as_ref()?.join(KEPT));
-    match store.find() {
-        Ok(Found::Nothing) => None,
-        Ok(Found::Damaged { why, aside }) => {
+    match store.load() {
+        Ok(Loaded::Missing) => None,
+        Ok(Loaded::Damaged { reason: why, quarantined: aside }) => {
             let aside = aside.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
             tracing::warn!("the last good version is damaged and {aside}: {why}");
             None
         }
-        Ok(Found::Good(Kept { version, at_ms })) => match below.with(Some(&version)) {
+        Ok(Loaded::Valid(StoredVersion { version, at_ms })) => match below.with(Some(&version)) {
             Ok(_) => {
-                let age = std::time::Duration::from_secs(unix_ms().saturating_sub(at_ms) / 1000);
+                let age = std::time::Duration::from_secs(unix_millis().saturating_sub(at_ms) / 1000);
                 let age = humantime::format_duration(age);
                 tracing::info!(
                     "version {} from disk is in force, {age} old and stale until a service says so",
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -2,18 +2,18 @@
 //! keeps it on disk.
 
 use super::serving::{Order, Ready};
-use super::{frame_most, Below, InForce, KEPT};
+use super::{max_frame_bytes, Below, InForce, KEPT};
 use crate::config::Names;
-use crate::keeping::Keeping;
+use crate::background_writer::BackgroundWriter;
 use crate::operator::log_levels;
-use crate::wall::{unix, unix_ms};
+use crate::wall_clock::{unix_millis, unix_time};
 use aniseyoke_config::model::Control;
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::client::{follow, Host};
-use aniseyoke_control::follower::{Follower, Identity, Times};
-use aniseyoke_control::store::{Disk, Found, Kept, Store};
+use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
+use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
-use aniseyoke_core::{Plan, Tally};
+use aniseyoke_core::{EngineConfig, RequestCounters};
 use aniseyoke_decision::api::Entry;
 use aniseyoke_routes::review::{review, Breakage, Configuration};
 use std::net::SocketAddr;
@@ -24,9 +24,9 @@
 pub struct Subscription {
     below: Arc<Below>,
     orders: mpsc::Sender<Order>,
-    tally: Arc<Tally>,
+    tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
-    keeping: Option<Keeping<Kept>>,
+    keeping: Option<BackgroundWriter<StoredVersion>>,
 }
 
 impl Subscription {
@@ -38,17 +38,17 @@
         control: &Control,
         below: Arc<Below>,
         orders: mpsc::Sender<Order>,
-        tally: Arc<Tally>,
+        tally: Arc<RequestCounters>,
     ) -> std::io::Result<Self> {
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
-            Keeping::start(move |kept: Kept| {
+            BackgroundWriter::start(move |kept: StoredVersion| {
                 let stamp = kept.version.stamp;
                 // Another process of this proxy may have kept a later one.
-                if matches!(store.find(), Ok(Found::Good(before)) if before.version.stamp > stamp) {
+                if matches!(store.load(), Ok(Loaded::Valid(before)) if before.version.stamp > stamp) {
                     return;
                 }
-                if let Err(e) = store.keep(&kept) {
+                if let Err(e) = store.save(&kept) {
                     tracing::error!("version {stamp} could not be kept on disk: {e}");
                 }
             })
@@ -66,16 +66,16 @@
         at: SocketAddr,
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
-        let frame_most = frame_most(self.below.platform.memory);
-        let boot = u64::try_from(unix().as_nanos()).unwrap_or(u64::MAX);
+        let max_frame_bytes = max_frame_bytes(self.below.platform.memory);
+        let boot = u64::try_from(unix_time().as_nanos()).unwrap_or(u64::MAX);
         let instance = control.instance.unwrap_or_else(|| at.to_string());
-        let identity = Identity { instance, boot, labels: control.labels, frame_most };
+        let identity = Identity { instance, boot, labels: control.labels, max_frame_bytes };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
         let follows = move || {
             let running = running.map(Arc::unwrap_or_clone);
             let follower = Follower::new(identity, control.services.len(), running, Times::default(), boot);
-            let services = follow(follower, control.services, frame_most, self);
+            let services = follow(follower, control.services, max_frame_bytes, self);
             tokio::task::LocalSet::new().block_on(&runtime, services);
         };
         std::thread::Builder::new().name("versions".into()).spawn(follows).map(drop)
@@ -90,11 +90,11 @@
 }
 
 /// Reads a version and judges it against what runs.
-fn read(below: &Below, now: &Plan, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
+fn read(below: &Below, now: &EngineConfig, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
     let told = |faults: Vec<ConfigError>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let (resolved, plan) = below.with(Some(&version)).map_err(told)?;
     let side = |plan| -> Configuration<'_> {
-        let Plan { settings, routing, .. }: &Plan = plan;
+        let EngineConfig { settings, routing, .. }: &EngineConfig = plan;
         Configuration { settings, routing }
     };
     let harm = review(side(now), side(&plan), nodes);
@@ -123,7 +123,7 @@
 }
 
 impl Host for Subscription {
-    async fn apply(&self, version: Version) -> Result<(), Vec<String>> {
+    async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         let (now, nodes) = self.ask(Order::Look).await?;
         let below = self.below.clone();
@@ -135,16 +135,17 @@
         Ok(())
     }
 
-    fn keep(&self, version: Version) {
-        let at_ms = unix_ms();
-        self.keeping.iter().for_each(|k| k.keep(Kept { version: version.clone(), at_ms }));
+    fn persist(&self, version: Version) {
+        let at_ms = unix_millis();
+        self.keeping.iter().for_each(|k| k.write(StoredVersion { version: version.clone(), at_ms }));
     }
 
-    fn say(&self, what: &str) {
+    fn warn(&self, what: &str) {
         tracing::warn!("{what}");
     }
 
-    fn answered(&self) -> [u64; 3] {
-        self.tally.take()
+    fn take_request_counts(&self) -> RequestCounts {
+        let counts = self.tally.take();
+        RequestCounts { served: counts.served, rejected: counts.rejected, failed: counts.failed }
     }
 }
--- a/crates/proxy/tests/versions.rs
+++ b/crates/proxy/tests/versions.rs
@@ -2,10 +2,10 @@
 
 mod rig;
 
+use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::Hosted;
-use aniseyoke_control::publisher::Row;
 use aniseyoke_control::rollout::Plan;
-use aniseyoke_control::store::{Disk, Kept, Store};
+use aniseyoke_control::store::{Disk, Store, StoredVersion};
 use aniseyoke_control::{Stamp, Version};
 use rig::*;
 use serde_json::{json, Value};
@@ -28,17 +28,17 @@
         self.0.publish(body, Plan::default()).expect("published").0
     }
 
-    fn row(&self) -> Option<Row> {
-        self.0.rows().into_iter().next()
+    fn row(&self) -> Option<ProxyStatus> {
+        self.0.statuses().into_iter().next()
     }
 
     fn runs(&self, stamp: Stamp) {
         until("it runs", || self.row().is_some_and(|r| r.running == Some(stamp)));
-        assert!(self.row().is_some_and(|r| r.took.is_some()), "it was told so");
+        assert!(self.row().is_some_and(|r| r.ack_latency.is_some()), "it was told so");
     }
 
     fn refusal(&self, stamp: Stamp) -> String {
-        let refused = || self.row().and_then(|r| r.refused).filter(|(s, _)| *s == stamp);
+        let refused = || self.row().and_then(|r| r.rejected).filter(|(s, _)| *s == stamp);
         until("it is turned down", || refused().is_some());
         refused().expect("told").1.join("; ")
     }
@@ -89,7 +89,7 @@
     let mut proxy = site.start(&[relay.addr]);
     let door = proxy.door();
     let first = control.publish(json!({}));
-    until("it came through the relay", || relay.rows().first().is_some_and(|r| r.running == Some(first)));
+    until("it came through the relay", || relay.statuses().first().is_some_and(|r| r.running == Some(first)));
     for body in [one_at_a_time(), json!({})] {
         let stamp = control.publish(body);
         control.runs(stamp);
@@ -181,8 +181,8 @@
 #[test]
 fn a_damaged_version_on_disk_is_put_aside_and_a_service_with_a_later_epoch_is_followed() {
     let site = Site::new();
-    let kept = Kept { version: Version::new(Stamp { epoch: 1, number: 900 }, &json!({})), at_ms: 1 };
-    Store::new(Disk, site.kept()).keep(&kept).expect("kept");
+    let kept = StoredVersion { version: Version::new(Stamp { epoch: 1, number: 900 }, &json!({})), at_ms: 1 };
+    Store::new(Disk, site.kept()).save(&kept).expect("kept");
     let mut bytes = std::fs::read(site.kept()).expect("there");
     bytes[100] ^= 1;
     std::fs::write(site.kept(), &bytes).expect("written");
@@ -198,7 +198,7 @@
     // The version is kept by a thread of its own after it is in force: the proxy is ended only once it is on disk.
     until("the later one is kept", || {
         let mut store = Store::new(Disk, site.kept());
-        matches!(store.find(), Ok(aniseyoke_control::store::Found::Good(k)) if k.version.stamp == stamp)
+        matches!(store.load(), Ok(aniseyoke_control::store::Loaded::Valid(k)) if k.version.stamp == stamp)
     });
     drop((proxy, service));
     let proxy = site.start(&[old.addr()]);
--- a/crates/routes/src/review.rs
+++ b/crates/routes/src/review.rs
@@ -37,7 +37,7 @@
 
 impl Configuration<'_> {
     fn is_origin(&self, entry: &Entry) -> bool {
-        self.settings.aside && self.settings.origin_kind == Some(entry.kind)
+        self.settings.cache_aside && self.settings.origin_kind == Some(entry.kind)
     }
 }
 
--- a/crates/routes/src/review/tests.rs
+++ b/crates/routes/src/review/tests.rs
@@ -84,7 +84,7 @@
 
 #[test]
 fn the_origin_does_not_count_as_a_node_of_a_class() {
-    let aside = |s: Settings| Settings { aside: true, origin_kind: Some(9), ..s };
+    let aside = |s: Settings| Settings { cache_aside: true, origin_kind: Some(9), ..s };
     let (now, then) = (aside(settings(&[])), aside(settings(&[3])));
     let mut all = nodes();
     all.push(Entry { server: 9, zone: 3, kind: 9, ..Entry::default() });
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -37,7 +37,7 @@
 
 impl Default for Parser {
     fn default() -> Self {
-        let settings = Settings { conn_idle: DEFAULT_CONN_IDLE, ..Settings::default() };
+        let settings = Settings { idle_timeout: DEFAULT_CONN_IDLE, ..Settings::default() };
         Parser { settings, origin_kind: -1, retry_after_allowed: true }
     }
 }
@@ -75,40 +75,40 @@
         match setting.path {
             "zone" => setting.read_into(&mut settings.zone),
             "n_instances" => setting.read_into(&mut settings.proxies),
-            "self_index" => setting.read_into(&mut settings.me),
+            "self_index" => setting.read_into(&mut settings.proxy_index),
             "discovery" => {
-                settings.must_ask = setting.value == "subscribe";
+                settings.subscribes = setting.value == "subscribe";
                 Ok(())
             }
             "family_info.mode" => {
-                settings.aside = setting.value == "aside";
+                settings.cache_aside = setting.value == "aside";
                 Ok(())
             }
             "family_info.origin_kind" => setting.read_into(&mut self.origin_kind),
             "report.columns" => {
-                settings.report = report_columns(setting.value);
+                settings.report_columns = report_columns(setting.value);
                 Ok(())
             }
-            "over_share_worth" => setting.read_into(&mut settings.over_share_worth),
+            "over_share_worth" => setting.read_into(&mut settings.over_quota_weight),
             "worth_by" => {
-                settings.worth_by_work = setting.value == "work";
+                settings.weight_by_work = setting.value == "work";
                 Ok(())
             }
             "caps.attempts_cap" => setting.read_into(&mut settings.max_attempts),
-            "caps.cancelling" => setting.read_into(&mut settings.cancel),
-            "caps.second_copies" => setting.read_into(&mut settings.second_copies),
+            "caps.cancelling" => setting.read_into(&mut settings.cancellation),
+            "caps.second_copies" => setting.read_into(&mut settings.hedging),
             "caps.retry_after" => setting.read_into(&mut self.retry_after_allowed),
             "caps.max_retry_after_ns" => setting.read_into(&mut settings.max_retry_after),
-            "caps.conn_idle_ns" => setting.read_into(&mut settings.conn_idle),
-            "deductions.handshake" => setting.read_into(&mut settings.handshake_price),
-            "deductions.cross_zone" => setting.read_into(&mut settings.cross_zone_price),
-            "client_habits.marks_retry" => setting.read_into(&mut settings.marks_retry),
-            "rules.cold_from" => setting.read_into(&mut settings.cold_from),
-            "rules.cold_ns" => setting.read_into(&mut settings.cold),
-            "rules.fall_multiple" => setting.read_into(&mut settings.fall_multiple),
-            "rules.fall_ns" => setting.read_into(&mut settings.fall),
-            "rules.let_go_in_ns" => setting.read_into(&mut settings.let_go),
-            "rules.must_ask_in_ns" => setting.read_into(&mut settings.must_ask_in),
+            "caps.conn_idle_ns" => setting.read_into(&mut settings.idle_timeout),
+            "deductions.handshake" => setting.read_into(&mut settings.handshake_cost),
+            "deductions.cross_zone" => setting.read_into(&mut settings.cross_zone_cost),
+            "client_habits.marks_retry" => setting.read_into(&mut settings.clients_mark_retries),
+            "rules.cold_from" => setting.read_into(&mut settings.slow_start_from),
+            "rules.cold_ns" => setting.read_into(&mut settings.slow_start_time),
+            "rules.fall_multiple" => setting.read_into(&mut settings.overload_multiple),
+            "rules.fall_ns" => setting.read_into(&mut settings.overload_window),
+            "rules.let_go_in_ns" => setting.read_into(&mut settings.drain_close_within),
+            "rules.must_ask_in_ns" => setting.read_into(&mut settings.poll_within),
             _ => Ok(()),
         }
     }
@@ -130,20 +130,20 @@
 
 fn apply_to_class(class: &mut Class, field: &str, setting: &Setting<'_>) -> Result<(), SettingsError> {
     match field {
-        "promise_ns" => setting.read_into(&mut class.aim)?,
+        "promise_ns" => setting.read_into(&mut class.latency_objective)?,
         "deadline_ns" => setting.read_into(&mut class.deadline)?,
         "dedup_window_ns" => setting.read_into(&mut class.dedup_window)?,
-        "late_value" => setting.read_into(&mut class.late_value)?,
-        "value" => setting.read_into(&mut class.worth)?,
+        "late_value" => setting.read_into(&mut class.late_weight)?,
+        "value" => setting.read_into(&mut class.priority_weight)?,
         "allowed_in" => class.only.zones = Some(setting.numbers()?),
         "allowed_on" => class.only.kinds = Some(setting.numbers()?),
         "stream" => setting.read_into(&mut class.stream)?,
         "effect" => {
-            class.effect = match setting.value {
-                "safe" => Effect::Safe,
-                "keyed" => Effect::Keyed,
+            class.idempotency = match setting.value {
+                "safe" => Idempotency::Idempotent,
+                "keyed" => Idempotency::WithKey,
                 // An unknown effect is held to the strictest rule.
-                _ => Effect::Unsafe,
+                _ => Idempotency::NonIdempotent,
             }
         }
         "group" => {
@@ -159,7 +159,7 @@
 }
 
 /// Which columns of a load report mean what.
-fn report_columns(names: &str) -> Columns {
+fn report_columns(names: &str) -> ReportColumns {
     let position = |name| names.split(',').position(|column| column == name);
-    Columns { busy: position("load_share"), rate: position("tps") }
+    ReportColumns { busy: position("load_share"), rate: position("tps") }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings as the platform writes them, and what is wrong with some.
 
-use aniseyoke_decision::api::{Effect, Group};
+use aniseyoke_decision::api::{Group, Idempotency};
 use aniseyoke_settings::{parse_settings, SettingsError, DEFAULT_CONN_IDLE};
 
 #[test]
@@ -19,10 +19,10 @@
         "an.unknown.path=1",
     ];
     let settings = parse_settings(pairs).expect("sound");
-    assert_eq!((settings.proxies, settings.me, settings.must_ask), (3, 2, true));
-    assert_eq!((settings.report.rate, settings.report.busy), (Some(0), Some(1)));
+    assert_eq!((settings.proxies, settings.proxy_index, settings.subscribes), (3, 2, true));
+    assert_eq!((settings.report_columns.rate, settings.report_columns.busy), (Some(0), Some(1)));
     let class = &settings.classes[1];
-    assert_eq!((class.effect, class.group), (Effect::Keyed, Group::Zone));
+    assert_eq!((class.idempotency, class.group), (Idempotency::WithKey, Group::Zone));
     assert_eq!(class.only.zones, Some(vec![0, 2]));
     assert_eq!(settings.tenants[0].quota_rps, 12.5);
 }
@@ -30,7 +30,7 @@
 #[test]
 fn idle_time_origin_and_retry_after_have_defaults() {
     let settings = parse_settings([]).expect("sound");
-    assert_eq!((settings.conn_idle, settings.origin_kind), (DEFAULT_CONN_IDLE, None));
+    assert_eq!((settings.idle_timeout, settings.origin_kind), (DEFAULT_CONN_IDLE, None));
     let pairs = [
         "caps.conn_idle_ns=0",
         "family_info.origin_kind=4",
@@ -38,7 +38,7 @@
         "caps.retry_after=false",
     ];
     let settings = parse_settings(pairs).expect("sound");
-    assert_eq!((settings.conn_idle, settings.origin_kind, settings.max_retry_after), (0, Some(4), 0));
+    assert_eq!((settings.idle_timeout, settings.origin_kind, settings.max_retry_after), (0, Some(4), 0));
 }
 
 #[test]
