--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -5,7 +5,7 @@
 
 pub use start::{List, Opening};
 
-use aniseyoke_core::limits::Rules;
+use aniseyoke_core::limits::LimitsConfig;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     /// What may be out at nodes, and who waits for room there; off where it is not named.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
-    pub limits: Option<Rules>,
+    pub limits: Option<LimitsConfig>,
     /// Services that publish versions of this configuration; off where it is not named. Set in the file or the
     /// environment alone.
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/crates/config/src/model/faults.rs
+++ b/crates/config/src/model/faults.rs
@@ -10,8 +10,8 @@
     /// All that contradicts itself: a key each, and why.
     pub fn faults(&self) -> Vec<(String, String)> {
         let mut faults = Vec::new();
-        if let Some(rules) = &self.limits {
-            faults.extend(rules.faults().into_iter().map(|f| (format!("limits.{}", f.key), f.why)));
+        if let Some(limits) = &self.limits {
+            faults.extend(limits.validate().into_iter().map(|e| (format!("limits.{}", e.key), e.reason)));
         }
         if self.control.as_ref().is_some_and(|c| c.services.is_empty()) {
             faults.push(("control.services".into(), "no service is named".into()));
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,16 +1,16 @@
-//! All that the core works by and that may be exchanged as a whole while it runs.
+//! The configuration that the engine works by. It may be exchanged as a unit while the engine runs.
 
-use crate::limits::Rules;
+use crate::limits::LimitsConfig;
 use aniseyoke_decision::api::Settings;
 use aniseyoke_routes::Routing;
 
-/// What the core works by.
+/// The configuration that the engine works by.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
-    /// The platform's settings with the operators' word laid over them.
+pub struct EngineConfig {
+    /// The platform's settings, with the operator's overrides applied.
     pub settings: Settings,
-    /// What may be out at nodes; none: whatever the module sends goes out at once.
-    pub limits: Option<Rules>,
-    /// Which requests go where, and what is said of nodes.
+    /// Concurrency limits and queues; `None`: whatever the decision module sends is started at once.
+    pub limits: Option<LimitsConfig>,
+    /// Which requests go to which pool, and the operator's overlay on the endpoint list.
     pub routing: Routing,
 }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,30 +1,55 @@
-//! What became of requests, counted where they are answered and looked at from other threads.
+//! Counters of requests by outcome, incremented where requests are answered and read from other threads.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It had an answer from a node.
+pub enum RequestOutcome {
+    /// It was answered by a node.
     Served,
-    /// It was refused.
-    Refused,
+    /// It was rejected and never executed.
+    Rejected,
     /// It failed.
     Failed,
 }
 
-/// Counts of requests by their fate.
+/// Requests by outcome, over some time.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestCounts {
+    /// Requests answered by a node.
+    pub served: u64,
+    /// Requests rejected and never executed.
+    pub rejected: u64,
+    /// Requests that failed.
+    pub failed: u64,
+}
+
+/// Counters of requests by outcome.
 #[derive(Debug, Default)]
-pub struct Tally([AtomicU64; 3]);
+pub struct RequestCounters {
+    served: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
+}
 
-impl Tally {
-    /// One more.
-    pub fn count(&self, fate: Fate) {
-        self.0[fate as usize].fetch_add(1, Ordering::Relaxed);
+impl RequestCounters {
+    /// Counts one request.
+    pub fn increment(&self, outcome: RequestOutcome) {
+        let counter = match outcome {
+            RequestOutcome::Served => &self.served,
+            RequestOutcome::Rejected => &self.rejected,
+            RequestOutcome::Failed => &self.failed,
+        };
+        counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests served, refused and failed since the last call.
-    pub fn take(&self) -> [u64; 3] {
-        [0, 1, 2].map(|n: usize| self.0[n].swap(0, Ordering::Relaxed))
+    /// Returns what was counted since the last call and starts again from zero.
+    pub fn take(&self) -> RequestCounts {
+        let take = |counter: &AtomicU64| counter.swap(0, Ordering::Relaxed);
+        RequestCounts {
+            served: take(&self.served),
+            rejected: take(&self.rejected),
+            failed: take(&self.failed),
+        }
     }
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -2,12 +2,12 @@
 //! the module's actions come out. Each request gets one final answer.
 
 use crate::clock::{margin, Clock};
+use crate::config::EngineConfig;
+use crate::counters::{RequestCounters, RequestOutcome};
+use crate::endpoint_list::EndpointList;
 use crate::fleet::{Ended, Fleet, Job, Tether};
-use crate::limits::{self, Limits, Verdict};
-use crate::listed::Listed;
-use crate::listing::Listing;
-use crate::plan::Plan;
-use crate::tally::{Fate, Tally};
+use crate::limits::{Admission, AdmissionRequest, CompletedAttempt, Limits, LimitsConfigError, QueueAction};
+use crate::seen_servers::SeenServers;
 use crate::ticket::{Answer, Ticket};
 use aniseyoke_decision::api::*;
 use aniseyoke_decision::Balancer;
@@ -83,9 +83,9 @@
     /// None where the module alone bounds what is out.
     limits: Option<Limits>,
     /// What is in force.
-    plan: Arc<Plan>,
+    plan: Arc<EngineConfig>,
     /// The list as discovery tells it.
-    listing: Listing,
+    listing: EndpointList,
 }
 
 /// The owner of the module, of requests, attempts and timers, over a node side.
@@ -94,9 +94,9 @@
     core: RefCell<Core<F>>,
     fleet: Rc<F>,
     watch: mpsc::UnboundedSender<()>,
-    listed: RefCell<Listed>,
+    listed: RefCell<SeenServers>,
     /// Requests served, refused and failed.
-    answered: Arc<Tally>,
+    answered: Arc<RequestCounters>,
     /// Discovery has told a list since the start.
     told: Cell<bool>,
     myself: Weak<Engine<F>>,
@@ -108,12 +108,12 @@
     /// # Errors
     /// If the plan's limits contradict themselves.
     pub fn new(
-        plan: Arc<Plan>,
+        plan: Arc<EngineConfig>,
         seed: u64,
         known: &[(Entry, Option<SocketAddr>)],
         fleet: Rc<F>,
         watch: mpsc::UnboundedSender<()>,
-    ) -> Result<Rc<Self>, limits::Fault> {
+    ) -> Result<Rc<Self>, LimitsConfigError> {
         let rules = plan.limits.clone();
         let limits = rules.map(|rules| Limits::new(rules, &plan.settings)).transpose()?;
         let engine = Rc::new_cyclic(|myself| Engine {
@@ -124,7 +124,7 @@
                 pending: FxHashMap::default(),
                 limits,
                 plan,
-                listing: Listing::default(),
+                listing: EndpointList::default(),
             }),
             fleet,
             watch,
@@ -148,13 +148,13 @@
     }
 
     /// Counts what becomes of requests; other threads may look.
-    pub fn tally(&self) -> Arc<Tally> {
+    pub fn tally(&self) -> Arc<RequestCounters> {
         self.answered.clone()
     }
 
     /// What waits for room at nodes, and how many attempts were turned away there; none where nothing is limited.
     pub fn queued(&self) -> Option<(usize, u64)> {
-        self.core.borrow().limits.as_ref().map(|l| (l.waiting(), l.turned()))
+        self.core.borrow().limits.as_ref().map(|l| (l.waiting(), l.rejected()))
     }
 
     /// A request has come; its answer comes from the ticket.
@@ -239,7 +239,7 @@
         if let Some(response) = ended.answer {
             if let Some(answer) = pending.answer.take() {
                 let _ = answer.send(Answer::Served(response));
-                self.answered.count(Fate::Served);
+                self.answered.increment(RequestOutcome::Served);
                 first = true;
             }
         }
@@ -254,7 +254,7 @@
     fn waited(&self, id: RequestId, number: usize) {
         let core = &mut *self.core.borrow_mut();
         let now = self.clock.now();
-        if core.limits.as_mut().is_some_and(|l| l.overdue(now, (id, number))) {
+        if core.limits.as_mut().is_some_and(|l| l.wait_expired(now, (id, number))) {
             let mut events = VecDeque::new();
             self.settle(core, id, number, Status::Full, None, &mut events);
             self.feed_all(core, events);
@@ -326,14 +326,14 @@
         }
         let Some(limits) = core.limits.as_mut() else { return self.start(core, id, number) };
         let (class, tenant, deadline) = (pending.class, pending.tenant, now.saturating_add(wait));
-        let mut steps = Vec::new();
-        let wanted = limits::Wanted { attempt: (id, number), server, class, tenant, deadline };
-        match limits.wanted(now, wanted, &mut steps) {
-            Verdict::Go => self.start(core, id, number),
-            Verdict::Wait(wait) => self.later(wait, move |engine| engine.waited(id, number)),
-            Verdict::Turned => self.settle(core, id, number, Status::Full, None, events),
+        let mut actions = Vec::new();
+        let request = AdmissionRequest { attempt: (id, number), server, class, tenant, deadline };
+        match limits.admit(now, request, &mut actions) {
+            Admission::Admitted => self.start(core, id, number),
+            Admission::Queued(wait) => self.later(wait, move |engine| engine.waited(id, number)),
+            Admission::Rejected => self.settle(core, id, number, Status::Full, None, events),
         }
-        self.follow(core, steps, events);
+        self.act_on_queue(core, actions, events);
     }
 
     /// Starts an attempt that has room.
@@ -360,11 +360,13 @@
     }
 
     /// Does what follows for attempts that wait.
-    fn follow(&self, core: &mut Core<F>, steps: Vec<limits::Step>, events: &mut VecDeque<Event>) {
-        for step in steps {
-            match step {
-                limits::Step::Start((id, number)) => self.start(core, id, number),
-                limits::Step::Turn((id, number)) => self.settle(core, id, number, Status::Full, None, events),
+    fn act_on_queue(&self, core: &mut Core<F>, actions: Vec<QueueAction>, events: &mut VecDeque<Event>) {
+        for action in actions {
+            match action {
+                QueueAction::Start((id, number)) => self.start(core, id, number),
+                QueueAction::Reject((id, number)) => {
+                    self.settle(core, id, number, Status::Full, None, events)
+                }
             }
         }
     }
@@ -389,11 +391,11 @@
         let outcome = Outcome { id, attempt: number as u32, server, status, elapsed, last, hit };
         events.push_back(Event::Outcome(outcome));
         if let (At::Node { since, .. }, Some(limits)) = (at, core.limits.as_mut()) {
-            let (elapsed, mut steps) = (now.saturating_sub(since), Vec::new());
-            let done = limits::Done { server, class, status, elapsed, hit };
-            let room = limits.done(now, done, &mut steps);
-            events.extend(room.map(|room| Event::Room { server, room }));
-            self.follow(core, steps, events);
+            let (elapsed, mut actions) = (now.saturating_sub(since), Vec::new());
+            let completed = CompletedAttempt { server, class, status, elapsed, cache_hit: hit };
+            let limit = limits.attempt_completed(now, completed, &mut actions);
+            events.extend(limit.map(|room| Event::Room { server, room }));
+            self.act_on_queue(core, actions, events);
         }
         Self::forget(core, id);
     }
@@ -410,7 +412,7 @@
                 Status::Cancelled
             }
             At::Queue => {
-                core.limits.as_mut().map(|l| l.leave(now, (id, number)));
+                core.limits.as_mut().map(|l| l.cancel(now, (id, number)));
                 Status::Moot
             }
             At::Over => return,
@@ -429,7 +431,7 @@
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let Some(sender) = pending.answer.take() else { return };
         let refused = matches!(answer, Answer::Refused(_));
-        self.answered.count(if refused { Fate::Refused } else { Fate::Failed });
+        self.answered.increment(if refused { RequestOutcome::Rejected } else { RequestOutcome::Failed });
         // A client that has just gone needs none.
         let _ = sender.send(answer);
         self.close(core, id, events);
--- a/crates/core/src/engine/news.rs
+++ b/crates/core/src/engine/news.rs
@@ -4,19 +4,19 @@
 use std::borrow::Cow;
 
 /// An entry of the list, and where to connect; no address: one that can't be read.
-type Listed = (Entry, Option<SocketAddr>);
+type ListedEntry = (Entry, Option<SocketAddr>);
 
 impl<F: Fleet> Engine<F> {
     /// News of the list.
-    pub fn list(&self, kind: ListKind, entries: &[Listed]) {
+    pub fn list(&self, kind: ListKind, entries: &[ListedEntry]) {
         self.told.set(self.told.get() || matches!(kind, ListKind::Full | ListKind::Delta));
         entries.iter().for_each(|(e, _)| self.listed.borrow_mut().add(e.server));
         let core = &mut *self.core.borrow_mut();
         if kind != ListKind::Failed {
-            core.listing.take(kind != ListKind::Delta, entries);
+            core.listing.apply(kind != ListKind::Delta, entries);
         }
         let overlay = &core.plan.routing.overlay;
-        let laid: Cow<'_, [Listed]> = match overlay.is_empty() {
+        let laid: Cow<'_, [ListedEntry]> = match overlay.is_empty() {
             true => entries.into(),
             false => entries.iter().map(|(e, addr)| (overlay.laid(e), *addr)).collect(),
         };
@@ -26,19 +26,19 @@
     }
 
     /// Tells node side, limits and module of entries as operators want them.
-    fn tell(&self, core: &mut Core<F>, kind: ListKind, laid: &[Listed], events: &mut VecDeque<Event>) {
+    fn tell(&self, core: &mut Core<F>, kind: ListKind, laid: &[ListedEntry], events: &mut VecDeque<Event>) {
         if kind != ListKind::Failed {
             self.fleet.update(!matches!(kind, ListKind::Delta | ListKind::Overlay), laid);
         }
         let entries: Vec<Entry> = laid.iter().map(|(e, _)| e.clone()).collect();
         if let Some(limits) = core.limits.as_mut() {
-            entries.iter().for_each(|e| limits.listed(e));
+            entries.iter().for_each(|e| limits.update_endpoint(e));
         }
         events.push_back(Event::List { kind, entries });
     }
 
     /// What is in force.
-    pub fn plan(&self) -> Arc<Plan> {
+    pub fn plan(&self) -> Arc<EngineConfig> {
         self.core.borrow().plan.clone()
     }
 
@@ -54,34 +54,38 @@
     ///
     /// # Errors
     /// Why it can't be taken over; nothing is changed then.
-    pub fn retune(&self, plan: Arc<Plan>) -> Result<Arc<Plan>, String> {
+    pub fn retune(&self, plan: Arc<EngineConfig>) -> Result<Arc<EngineConfig>, String> {
         let core = &mut *self.core.borrow_mut();
         let known = |s: &Settings| (s.classes.len(), s.tenants.len());
         if known(&plan.settings) != known(&core.plan.settings) {
             return Err("classes or tenants are others in number".into());
         }
         let mut events = VecDeque::new();
-        let (fault, settings) = (|fault: limits::Fault| fault.to_string(), &plan.settings);
+        let (fault, settings) = (|fault: LimitsConfigError| fault.to_string(), &plan.settings);
         match (core.limits.as_mut(), plan.limits.clone()) {
-            (Some(limits), Some(rules)) => limits.retune(rules, settings).map_err(fault)?,
+            (Some(limits), Some(rules)) => limits.reconfigure(rules, settings).map_err(fault)?,
             (None, Some(rules)) => {
                 let mut limits = Limits::new(rules, settings).map_err(fault)?;
                 // Danger: limits that come late would take the origin for a node until the list is told again.
-                core.listing.entries().for_each(|(e, _)| limits.listed(e));
+                core.listing.entries().for_each(|(e, _)| limits.update_endpoint(e));
                 core.limits = Some(limits);
             }
             (_, None) => {
                 if let Some(limits) = core.limits.take() {
-                    let (waiting, nodes) = limits.release();
-                    waiting.into_iter().for_each(|(id, number)| self.start(core, id, number));
-                    events
-                        .extend(nodes.into_iter().map(|server| Event::Room { server, room: f64::INFINITY }));
+                    let released = limits.release();
+                    released.waiting.into_iter().for_each(|(id, number)| self.start(core, id, number));
+                    events.extend(
+                        released
+                            .servers
+                            .into_iter()
+                            .map(|server| Event::Room { server, room: f64::INFINITY }),
+                    );
                 }
             }
         }
         core.balancer.retune(plan.settings.clone());
         let old = std::mem::replace(&mut core.plan, plan);
-        let changed = core.listing.changed(&old.routing.overlay, &core.plan.routing.overlay);
+        let changed = core.listing.changed_by(&old.routing.overlay, &core.plan.routing.overlay);
         if !changed.is_empty() {
             self.tell(core, ListKind::Overlay, &changed, &mut events);
         }
@@ -91,7 +95,7 @@
 
     /// Whether an id was ever listed.
     pub fn listed(&self, id: &str) -> bool {
-        self.listed.borrow().knows(server_id(id))
+        self.listed.borrow().contains(server_id(id))
     }
 
     /// Operators take a server out, or give it back.
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -1,7 +1,8 @@
 //! The engine over a fleet whose nodes answer when the test says so.
 
 use super::*;
-use crate::limits::{Bounds, QueueRules, Rules};
+use crate::counters::RequestCounts;
+use crate::limits::{ConcurrencyBounds, LimitsConfig, QueueConfig};
 use std::future::Future;
 use tokio::task::LocalSet;
 
@@ -74,16 +75,19 @@
     }
 }
 
-fn plan(settings: Settings, limits: Option<Rules>) -> Arc<Plan> {
-    Arc::new(Plan { settings, limits, ..Plan::default() })
+fn plan(settings: Settings, limits: Option<LimitsConfig>) -> Arc<EngineConfig> {
+    Arc::new(EngineConfig { settings, limits, ..EngineConfig::default() })
 }
 
 /// An engine over one node with room for one attempt and a queue for one more.
 fn engine(fleet: &Rc<Held>) -> Rc<Engine<Held>> {
-    let one = Bounds { floor: 1.0, start: 1.0, ceiling: 1.0, ..Bounds::default() };
-    let queue =
-        QueueRules { most: 1, interval: Duration::from_millis(200), target: Duration::from_millis(200) };
-    let rules = Rules { node: one, queue, ..Rules::default() };
+    let one = ConcurrencyBounds { floor: 1.0, start: 1.0, ceiling: 1.0, ..ConcurrencyBounds::default() };
+    let queue = QueueConfig {
+        max_length: 1,
+        interval: Duration::from_millis(200),
+        target: Duration::from_millis(200),
+    };
+    let rules = LimitsConfig { node: one, queue, ..LimitsConfig::default() };
     let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() };
     let entry = Entry { server: server_id("a"), weight: 1.0, ..Entry::default() };
@@ -175,11 +179,14 @@
         fleet.end(1, Status::Ok);
         assert!(matches!(second.answer().await, Answer::Served(())));
         // They come back while the first is still out.
-        engine.retune(plan(settings.clone(), Some(Rules::default()))).expect("sound");
+        engine.retune(plan(settings.clone(), Some(LimitsConfig::default()))).expect("sound");
         fleet.end(0, Status::Ok);
         assert!(matches!(first.answer().await, Answer::Served(())));
-        assert_eq!((engine.queued(), engine.tally().take()), (Some((0, 0)), [2, 0, 0]));
-        let bad = Rules { over_share_part: 7.0, ..Rules::default() };
+        assert_eq!(
+            (engine.queued(), engine.tally().take()),
+            (Some((0, 0)), RequestCounts { served: 2, ..RequestCounts::default() })
+        );
+        let bad = LimitsConfig { over_quota_fraction: 7.0, ..LimitsConfig::default() };
         assert!(engine.retune(plan(settings, Some(bad))).is_err_and(|why| why.contains("over_share_part")));
         assert!(engine.retune(plan(Settings::default(), None)).is_err(), "classes are the platform's matter");
         assert_eq!(engine.queued(), Some((0, 0)), "nothing has changed");
--- a/crates/core/src/limits/concurrency.rs
+++ b/crates/core/src/limits/concurrency.rs
@@ -1,140 +1,157 @@
-//! What may be out at one node at once: a limit that follows what the node shows.
+//! An adaptive concurrency limit for one node.
 //!
-//! A gradient against the node's own baseline decides between growth and shrinkage while it answers, in the manner of
-//! TCP Vegas (Brakmo and Peterson 1995); what it turns away or leaves unanswered cuts the limit once for a round trip,
-//! as congestion does (Jacobson 1988), and half of the limit before is regained by doubling.
+//! While the node answers, the limit grows or shrinks by the gradient between the node's recent latency and its own
+//! baseline, in the manner of TCP Vegas (Brakmo and Peterson 1995). Rejections and time-outs cut it once per round trip,
+//! as congestion does in TCP (Jacobson 1988); half of the limit before the cut is regained by slow start (doubling).
 
-use super::Bounds;
+use super::ConcurrencyBounds;
 use aniseyoke_decision::api::{Nanos, Status};
 
-/// The weight of one answer in the short mean of times, and in the long one.
-const SHORT_GAIN: f64 = 0.1;
-const LONG_GAIN: f64 = 0.01;
-/// The weight of one answer in the baseline, while little is out.
-const BASE_GAIN: f64 = 0.05;
-/// Room is in use from this part on; what is not in use proves nothing.
-const USED: f64 = 0.5;
-/// The part left after a round trip with time-outs or places refused.
-const CUT: f64 = 0.7;
-/// The part of its way to the gradient's aim that the limit goes with one answer.
+/// Weight of one answer in the short-term moving average of latency.
+const SHORT_TERM_GAIN: f64 = 0.1;
+/// Weight of one answer in the long-term moving average of latency.
+const LONG_TERM_GAIN: f64 = 0.01;
+/// Weight of one answer in the baseline, while the node is lightly loaded.
+const BASELINE_GAIN: f64 = 0.05;
+/// The limit counts as utilized from this fraction on; a limit that is not utilized tells nothing about capacity.
+const UTILIZED_FRACTION: f64 = 0.5;
+/// Multiplicative decrease: the fraction of the limit that is left after a round trip with time-outs or rejections.
+const DECREASE_FACTOR: f64 = 0.7;
+/// The fraction of the distance to the gradient's target that the limit moves with one answer.
 const SHRINK_GAIN: f64 = 0.1;
-/// The part of attempts left unanswered or turned away past which they speak of a jam, and its gain. Danger: on a poor
-/// network some answers get lost; taken for a jam, two in a hundred hold the room at its floor.
-const LOST: f64 = 0.15;
-const LOST_GAIN: f64 = 0.1;
-/// Answers before the baseline counts for anything.
-const ANSWERS: f64 = 10.0;
-
-/// The limit of one node.
-pub struct Concurrency {
-    bounds: Bounds,
+/// The gradient never aims below this fraction of the limit.
+const LEAST_GRADIENT: f64 = 0.5;
+/// Slow start ends at this fraction of the limit before a cut.
+const SLOW_START_FRACTION: f64 = 0.5;
+/// The loss rate (attempts timed out or rejected) above which losses count as congestion. Danger: on a poor network
+/// some answers are lost; counted as congestion, two in a hundred hold the limit at its floor.
+const CONGESTION_LOSS_RATE: f64 = 0.15;
+/// Weight of one attempt in the moving average of the loss rate.
+const LOSS_RATE_GAIN: f64 = 0.1;
+/// Answers needed before the baseline is relied on.
+const MIN_SAMPLES: f64 = 10.0;
+
+/// The concurrency limit of one node, with the count of attempts in flight there.
+pub struct ConcurrencyLimit {
+    bounds: ConcurrencyBounds,
     limit: f64,
-    /// Below this it doubles with each round trip.
-    threshold: f64,
-    /// Times as multiples of what is usual for their class over all nodes: lately, for longer, and when little is out.
-    short: f64,
-    long: f64,
-    base: f64,
-    answers: f64,
-    /// The part left unanswered or turned away, lately.
-    lost: f64,
-    out: u32,
-    cut_at: Nanos,
+    /// Slow start: below this limit it doubles with each round trip.
+    slow_start_threshold: f64,
+    /// Short-term average of latency, as a multiple of what is typical for the request's class over all nodes.
+    short_term: f64,
+    /// Long-term average of latency, in the same unit.
+    long_term: f64,
+    /// Latency while the node is lightly loaded, in the same unit.
+    baseline: f64,
+    samples: f64,
+    /// Moving average of the fraction of attempts that timed out or were rejected.
+    loss_rate: f64,
+    in_flight: u32,
+    last_decrease_at: Nanos,
 }
 
-impl Concurrency {
-    /// A limit with nothing seen yet.
-    pub fn new(bounds: Bounds) -> Self {
-        let (limit, threshold) = (bounds.start, bounds.ceiling);
-        let (short, long, base) = (1.0, 1.0, 1.0);
-        Concurrency {
+impl ConcurrencyLimit {
+    /// A limit at the start value of its bounds, with nothing learnt yet.
+    pub fn new(bounds: ConcurrencyBounds) -> Self {
+        ConcurrencyLimit {
             bounds,
-            limit,
-            threshold,
-            short,
-            long,
-            base,
-            answers: 0.0,
-            lost: 0.0,
-            out: 0,
-            cut_at: 0,
+            limit: bounds.start,
+            slow_start_threshold: bounds.ceiling,
+            short_term: 1.0,
+            long_term: 1.0,
+            baseline: 1.0,
+            samples: 0.0,
+            loss_rate: 0.0,
+            in_flight: 0,
+            last_decrease_at: 0,
         }
     }
 
-    /// Other bounds hold from now on; what was learned stays within them.
-    pub fn retune(&mut self, bounds: Bounds) {
+    /// Applies other bounds from now on; the limit learnt so far is clamped to them.
+    pub fn reconfigure(&mut self, bounds: ConcurrencyBounds) {
         self.bounds = bounds;
         self.set(self.limit);
     }
 
-    /// Attempts that may be out at once.
-    pub fn room(&self) -> f64 {
+    /// Attempts that may be in flight at once.
+    pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Attempts that are out.
-    pub fn out(&self) -> u32 {
-        self.out
+    /// Attempts in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// Whether one more may go, for who may use this part of the room.
-    pub fn has_room(&self, part: f64) -> bool {
-        f64::from(self.out) + 1.0 <= (self.limit * part).max(1.0)
+    /// Whether one more attempt may start, for a caller that may use this fraction of the limit.
+    pub fn has_capacity(&self, fraction: f64) -> bool {
+        f64::from(self.in_flight) + 1.0 <= (self.limit * fraction).max(1.0)
     }
 
-    /// Whether so little is out that answers take as long as the work does.
-    pub fn at_ease(&self) -> bool {
-        !self.used() || self.limit <= self.bounds.floor.max(0.5 * self.bounds.start)
+    /// Whether so little is in flight that latency shows the work alone, without queueing at the node.
+    pub fn is_lightly_loaded(&self) -> bool {
+        !self.is_utilized() || self.limit <= self.bounds.floor.max(0.5 * self.bounds.start)
     }
 
-    fn used(&self) -> bool {
-        f64::from(self.out) >= USED * self.limit
+    fn is_utilized(&self) -> bool {
+        f64::from(self.in_flight) >= UTILIZED_FRACTION * self.limit
     }
 
-    /// One more is out.
-    pub fn started(&mut self) {
-        self.out += 1;
+    /// Counts an attempt that starts.
+    pub fn attempt_started(&mut self) {
+        self.in_flight += 1;
     }
 
-    /// One less is out. `ratio`: the time of a real answer as a multiple of what is usual for its class; none for
-    /// errors, misses and what has not come. Danger: a node that fails at once would else look like the fastest.
-    pub fn ended(&mut self, now: Nanos, status: Status, elapsed: Nanos, ratio: Option<f64>) {
-        let (used, at_ease) = (self.used(), self.at_ease());
-        self.out = self.out.saturating_sub(1);
+    /// Counts an attempt that ended, and adapts the limit. `latency_ratio` is the latency of a real answer as a multiple of
+    /// what is typical for its class; `None` for errors, misses and missing answers. Danger: a node that fails at once
+    /// would otherwise look like the fastest.
+    pub fn attempt_ended(&mut self, now: Nanos, status: Status, elapsed: Nanos, latency_ratio: Option<f64>) {
+        let (was_utilized, was_lightly_loaded) = (self.is_utilized(), self.is_lightly_loaded());
+        self.in_flight = self.in_flight.saturating_sub(1);
         let lost = matches!(status, Status::Timeout | Status::Full);
-        if lost || ratio.is_some() {
-            self.lost += LOST_GAIN * (f64::from(u8::from(lost)) - self.lost);
+        if lost || latency_ratio.is_some() {
+            self.loss_rate += LOSS_RATE_GAIN * (f64::from(u8::from(lost)) - self.loss_rate);
         }
-        if let Some(ratio) = ratio {
-            self.answered(ratio, used, at_ease);
-        } else if lost && self.lost > LOST && now.saturating_sub(elapsed) >= self.cut_at {
-            // All that was out when the jam was met counts once.
-            self.threshold = (self.limit * 0.5).max(self.bounds.floor);
-            self.set(self.limit * CUT);
-            self.cut_at = now;
+        if let Some(ratio) = latency_ratio {
+            self.record_latency(ratio, was_lightly_loaded);
+            if was_utilized {
+                self.follow_gradient();
+            }
+        } else if lost && self.loss_rate > CONGESTION_LOSS_RATE {
+            self.decrease(now, now.saturating_sub(elapsed));
         }
     }
 
-    fn answered(&mut self, ratio: f64, used: bool, at_ease: bool) {
-        self.answers += 1.0;
-        // The first answers make the means; later ones move them.
-        let gain = |usual: f64| usual.max(1.0 / self.answers);
-        self.short += gain(SHORT_GAIN) * (ratio - self.short);
-        self.long += gain(LONG_GAIN) * (ratio - self.long);
-        // Danger: a baseline that follows what is seen under load calls any load usual, and the room grows for ever.
-        if at_ease {
-            self.base += gain(BASE_GAIN) * (ratio - self.base);
-        } else {
-            self.base = self.base.min(self.long);
-        }
-        if !used {
+    /// Cuts the limit after congestion; all attempts that were in flight when it was last cut count once.
+    fn decrease(&mut self, now: Nanos, attempt_started_at: Nanos) {
+        if attempt_started_at < self.last_decrease_at {
             return;
         }
-        let gradient = self.bounds.tolerance * self.base / self.short.max(f64::MIN_POSITIVE);
-        if gradient < 1.0 && self.answers > ANSWERS {
-            let aim = self.limit * gradient.max(0.5);
-            self.set(self.limit + SHRINK_GAIN * (aim - self.limit) / self.limit.sqrt());
-        } else if self.limit < self.threshold {
+        self.slow_start_threshold = (self.limit * SLOW_START_FRACTION).max(self.bounds.floor);
+        self.set(self.limit * DECREASE_FACTOR);
+        self.last_decrease_at = now;
+    }
+
+    fn record_latency(&mut self, ratio: f64, lightly_loaded: bool) {
+        self.samples += 1.0;
+        // The first answers make the averages; later ones move them.
+        let gain = |usual: f64| usual.max(1.0 / self.samples);
+        self.short_term += gain(SHORT_TERM_GAIN) * (ratio - self.short_term);
+        self.long_term += gain(LONG_TERM_GAIN) * (ratio - self.long_term);
+        // Danger: a baseline that follows what is seen under load accepts any load as normal, and the limit grows for ever.
+        if lightly_loaded {
+            self.baseline += gain(BASELINE_GAIN) * (ratio - self.baseline);
+        } else {
+            self.baseline = self.baseline.min(self.long_term);
+        }
+    }
+
+    fn follow_gradient(&mut self) {
+        let gradient = self.bounds.tolerance * self.baseline / self.short_term.max(f64::MIN_POSITIVE);
+        if gradient < 1.0 && self.samples > MIN_SAMPLES {
+            let target = self.limit * gradient.max(LEAST_GRADIENT);
+            self.set(self.limit + SHRINK_GAIN * (target - self.limit) / self.limit.sqrt());
+        } else if self.limit < self.slow_start_threshold {
             self.set(self.limit + 1.0);
         } else {
             self.set(self.limit + 1.0 / self.limit.sqrt());
@@ -145,8 +162,8 @@
         self.limit = limit.clamp(self.bounds.floor, self.bounds.ceiling);
     }
 
-    /// A new process answers there: the way up begins anew, and so does the baseline. What is out stays out.
-    pub fn restarted(&mut self) {
-        *self = Concurrency { out: self.out, ..Concurrency::new(self.bounds) };
+    /// Forgets what was learnt, since a new process runs at the node; attempts in flight stay counted.
+    pub fn node_restarted(&mut self) {
+        *self = ConcurrencyLimit { in_flight: self.in_flight, ..ConcurrencyLimit::new(self.bounds) };
     }
 }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,309 +1,297 @@
-//! What a node, the origin and a tenant may have out at once, and who waits for room.
+//! Concurrency limits, the queue of each node, and tenants' quotas.
 //!
-//! Nothing here reads a clock or a socket: the caller hands in the time, says what it sends and how that ended, and is
-//! told what to do ([`Verdict`], [`Step`]). No server is chosen here either. The decision module is told of each
-//! node's room by `Event::Room` and chooses by it; what it has sent to a node that has no room left waits here, at that
-//! node's [`Queue`], for a bounded time, and is given back as never run when its time or its turn is over.
+//! Nothing here reads a clock or a socket: the caller passes the time, asks for admission of each attempt, reports how the
+//! attempt ended, and does what it is told ([`Admission`], [`QueueAction`]). No server is chosen here either: the decision
+//! module hears each node's limit by `Event::Room` and chooses by it. What it sends to a node without capacity waits in that
+//! node's [`Queue`] for a bounded time, and is given back as rejected and never executed when it does not get its turn.
 
 mod concurrency;
+mod config;
+mod latency;
+mod messages;
 mod queue;
-mod rules;
-mod shares;
+mod quotas;
 
-pub use concurrency::Concurrency;
-pub use queue::{Full, Queue, Standing};
-pub use rules::{Bounds, Fault, QueueRules, Rules};
-pub use shares::Shares;
+pub use concurrency::ConcurrencyLimit;
+pub use config::{ConcurrencyBounds, LimitsConfig, LimitsConfigError, QueueConfig};
+pub use messages::{Admission, AdmissionRequest, AttemptId, CompletedAttempt, QueueAction, Released};
+pub use queue::{Eligible, Queue, QueueFull, QueuePriority};
+pub use quotas::TenantQuotas;
 
-use aniseyoke_decision::api::{Entry, Nanos, RequestId, ServerId, Settings, State, Status};
+use aniseyoke_decision::api::{Entry, Nanos, ServerId, Settings, State, Status};
+use latency::TypicalLatency;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// An attempt: its request and its number.
-pub type AttemptId = (RequestId, usize);
-
-/// What is to be done with an attempt that the module wants sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Start it now.
-    Go,
-    /// It waits for room. Ask again with [`Limits::overdue`] after this time.
-    Wait(Nanos),
-    /// There is no room, and none in time: it counts as turned away unseen.
-    Turned,
-}
-
-/// What follows for attempts that wait.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Start it now.
-    Start(AttemptId),
-    /// Its wait is over: it counts as turned away unseen.
-    Turn(AttemptId),
-}
-
-/// What is to be sent, in the terms that matter here.
-#[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    /// Which attempt.
-    pub attempt: AttemptId,
-    /// Where to.
-    pub server: ServerId,
-    /// Index into the settings' classes.
-    pub class: usize,
-    /// Index into the settings' tenants.
-    pub tenant: Option<usize>,
-    /// When its answer is of no use any more.
-    pub deadline: Nanos,
-}
-
-/// How an attempt that was started has ended.
-#[derive(Clone, Copy, Debug)]
-pub struct Done {
-    /// Where it was sent.
-    pub server: ServerId,
-    /// Index into the settings' classes.
-    pub class: usize,
-    /// How it ended.
-    pub status: Status,
-    /// Time from its start.
-    pub elapsed: Nanos,
-    /// Whether the node had the key, where it tells.
-    pub hit: Option<bool>,
-}
+/// Most nodes that are remembered; idle ones that were used longest ago are forgotten first.
+const MAX_NODES: usize = 1 << 14;
+/// A limit that changed by less than this fraction is not reported to the decision module.
+const REPORT_THRESHOLD: f64 = 0.1;
 
 /// What is known of one node.
 struct Node {
-    limit: Concurrency,
+    limit: ConcurrencyLimit,
     queue: Queue<AttemptId>,
-    /// The room that the module was told of last.
-    told: f64,
-    used: Nanos,
-    /// When its process started, as the list says.
-    started: Nanos,
-}
-
-/// Usual time of a class's answers over all nodes while little is out there, in nanoseconds.
-#[derive(Clone, Copy, Default)]
-struct Usual {
-    mean: f64,
-    count: f64,
+    /// The limit that the decision module heard of last.
+    reported_limit: f64,
+    last_used: Nanos,
+    /// When its process started, by the endpoint list.
+    process_started: Nanos,
 }
 
-impl Usual {
-    /// The weight of a new answer once many have come.
-    const GAIN: f64 = 0.02;
-
-    /// An answer's time as a multiple of the usual one, which it moves when it came from a node `at_ease`.
-    fn ratio(&mut self, elapsed: Nanos, at_ease: bool) -> f64 {
-        let elapsed = elapsed.max(1) as f64;
-        if at_ease || self.count < 1.0 {
-            self.count += 1.0;
-            self.mean += (elapsed - self.mean) * (1.0 / self.count).max(Self::GAIN);
-        }
-        elapsed / self.mean
-    }
-}
-
-/// The limits of one proxy: the owner of all nodes' rooms, queues and of the tenants' shares as they count here.
+/// The limits of one proxy: the owner of all nodes' limits and queues and of the tenants' quotas at this proxy.
 pub struct Limits {
-    rules: Rules,
-    worths: Vec<f64>,
-    over_share: f64,
-    shares: Shares,
-    usual: Vec<Usual>,
+    config: LimitsConfig,
+    /// Priority weight by class.
+    class_weights: Vec<f64>,
+    /// What the weight of a request over its tenant's quota is multiplied by.
+    over_quota_weight: f64,
+    quotas: TenantQuotas,
+    /// Typical latency by class.
+    latencies: Vec<TypicalLatency>,
     nodes: FxHashMap<ServerId, Node>,
-    /// The machine kind of the origin, where the proxy asks it itself, and the servers of that kind.
+    /// The machine kind of the origin, where the proxy fetches from it itself.
     origin_kind: Option<u32>,
+    /// Servers of that kind.
     origins: FxHashSet<ServerId>,
     waiting: FxHashMap<AttemptId, ServerId>,
-    turned: u64,
+    rejected: u64,
 }
 
-/// So many nodes are remembered; those that have nothing out and were used longest ago are forgotten first.
-const NODES_MOST: usize = 1 << 14;
-/// A room that changed by less than this part is not told.
-const TELL: f64 = 0.1;
-
 impl Limits {
-    /// Limits with nothing learned yet.
+    /// Limits with nothing learnt yet.
     ///
     /// # Errors
-    /// A [`Fault`] names the first rule that contradicts itself or is out of its range.
-    pub fn new(rules: Rules, settings: &Settings) -> Result<Self, Fault> {
-        rules.check()?;
+    /// The first key of the configuration whose value is not accepted.
+    pub fn new(config: LimitsConfig, settings: &Settings) -> Result<Self, LimitsConfigError> {
+        config.check()?;
         Ok(Limits {
-            shares: Shares::new(&settings.tenants, settings.proxies),
-            worths: settings.classes.iter().map(|c| c.worth.max(0.0)).collect(),
-            over_share: settings.over_share_worth.clamp(0.0, 1.0),
-            usual: vec![Usual::default(); settings.classes.len()],
-            rules,
+            quotas: TenantQuotas::new(&settings.tenants, settings.proxies),
+            class_weights: settings.classes.iter().map(|class| class.worth.max(0.0)).collect(),
+            over_quota_weight: settings.over_share_worth.clamp(0.0, 1.0),
+            latencies: vec![TypicalLatency::default(); settings.classes.len()],
+            config,
             nodes: FxHashMap::default(),
             origin_kind: settings.origin_kind.filter(|_| settings.aside),
             origins: FxHashSet::default(),
             waiting: FxHashMap::default(),
-            turned: 0,
+            rejected: 0,
         })
     }
 
-    /// Other rules and shares hold from now on; what was learned of nodes stays within the new bounds, and who waits
-    /// goes on waiting.
+    /// Applies another configuration and other quotas from now on. What was learnt of nodes is clamped to the new bounds;
+    /// what waits goes on waiting.
     ///
     /// # Errors
     /// As [`Self::new`]; nothing is changed then.
-    pub fn retune(&mut self, rules: Rules, settings: &Settings) -> Result<(), Fault> {
-        let fresh = Limits::new(rules, settings)?;
+    pub fn reconfigure(
+        &mut self,
+        config: LimitsConfig,
+        settings: &Settings,
+    ) -> Result<(), LimitsConfigError> {
+        let fresh = Limits::new(config, settings)?;
         for (server, node) in &mut self.nodes {
-            let origin = self.origins.contains(server);
-            node.limit.retune(if origin { fresh.rules.origin } else { fresh.rules.node });
-            node.queue.retune(fresh.rules.queue);
+            let is_origin = self.origins.contains(server);
+            node.limit.reconfigure(if is_origin { fresh.config.origin } else { fresh.config.node });
+            node.queue.reconfigure(fresh.config.queue);
         }
-        (self.rules, self.shares) = (fresh.rules, fresh.shares);
-        (self.worths, self.over_share) = (fresh.worths, fresh.over_share);
+        self.config = fresh.config;
+        self.quotas = fresh.quotas;
+        self.class_weights = fresh.class_weights;
+        self.over_quota_weight = fresh.over_quota_weight;
         Ok(())
     }
 
-    /// All who wait, and all nodes, for whom nothing is limited any more.
-    pub fn release(self) -> (Vec<AttemptId>, Vec<ServerId>) {
+    /// Removes all limits: returns the attempts that waited and the servers that are no longer limited.
+    pub fn release(self) -> Released {
         let mut waiting: Vec<AttemptId> = self.waiting.into_keys().collect();
         waiting.sort_unstable();
-        (waiting, self.nodes.into_keys().collect())
+        Released { waiting, servers: self.nodes.into_keys().collect() }
     }
 
-    /// What waits now, over all nodes.
+    /// Attempts that wait now, over all nodes.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many attempts were turned away here since the start.
-    pub fn turned(&self) -> u64 {
-        self.turned
+    /// Attempts rejected here since the start.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
-    /// The room of a node, if it is known.
-    pub fn room(&self, server: ServerId) -> Option<f64> {
-        self.nodes.get(&server).map(|n| n.limit.room())
+    /// The concurrency limit of a node, if it is known.
+    pub fn limit(&self, server: ServerId) -> Option<f64> {
+        self.nodes.get(&server).map(|node| node.limit.limit())
     }
 
-    /// An attempt is to be sent. What it pushes out of the queue is appended to `steps`.
-    pub fn wanted(&mut self, now: Nanos, w: Wanted, steps: &mut Vec<Step>) -> Verdict {
-        let within = self.shares.take(now, w.tenant);
-        let part = if within { 1.0 } else { self.rules.over_share_part };
-        let worth = self.worths.get(w.class).copied().unwrap_or(1.0);
-        let worth = if within { worth } else { worth * self.over_share };
-        let usual = self.usual.get(w.class).map_or(0.0, |u| u.mean) as Nanos;
-        let node = self.node(now, w.server);
-        node.used = now;
-        // Whoever waits had no room when room was last made, so that nobody is overtaken who might go.
-        if node.limit.has_room(part) {
-            node.limit.started();
-            return Verdict::Go;
+    /// Decides whether an attempt may start. The attempt that it evicts from the queue, if any, is appended to `actions`.
+    pub fn admit(
+        &mut self,
+        now: Nanos,
+        request: AdmissionRequest,
+        actions: &mut Vec<QueueAction>,
+    ) -> Admission {
+        let within_quota = self.quotas.take_token(now, request.tenant);
+        let usable_fraction = if within_quota { 1.0 } else { self.config.over_quota_fraction };
+        let node = self.node(now, request.server);
+        node.last_used = now;
+        // What waits had no capacity when some was freed last, so that nothing is overtaken that might start.
+        if node.limit.has_capacity(usable_fraction) {
+            node.limit.attempt_started();
+            return Admission::Admitted;
         }
-        let standing = Standing {
-            worth,
-            since: now,
-            deadline: w.deadline.saturating_sub(usual),
-            within,
-            tenant: w.tenant,
+        self.enqueue(now, request, within_quota, actions)
+    }
+
+    /// Puts an attempt into its node's queue, if that has a place for its priority.
+    fn enqueue(
+        &mut self,
+        now: Nanos,
+        request: AdmissionRequest,
+        within_quota: bool,
+        actions: &mut Vec<QueueAction>,
+    ) -> Admission {
+        let typical_latency = self.latencies.get(request.class).map_or(0, TypicalLatency::mean);
+        let priority = QueuePriority {
+            weight: self.weight(request.class, within_quota),
+            enqueued_at: now,
+            deadline: request.deadline.saturating_sub(typical_latency),
+            within_quota,
+            tenant: request.tenant,
         };
-        match node.queue.push(w.attempt, standing) {
-            Ok(pushed_out) => {
-                let wait = node.queue.patience(now, usual).max(1);
-                self.waiting.insert(w.attempt, w.server);
-                if let Some(out) = pushed_out {
-                    self.waiting.remove(&out);
-                    self.turned += 1;
-                    steps.push(Step::Turn(out));
-                }
-                Verdict::Wait(wait)
-            }
-            Err(Full) => {
-                self.turned += 1;
-                Verdict::Turned
-            }
+        let node = self.node(now, request.server);
+        let Ok(evicted) = node.queue.push(request.attempt, priority) else {
+            self.rejected += 1;
+            return Admission::Rejected;
+        };
+        let wait = node.queue.max_wait(now, typical_latency).max(1);
+        self.waiting.insert(request.attempt, request.server);
+        if let Some(evicted) = evicted {
+            self.waiting.remove(&evicted);
+            self.rejected += 1;
+            actions.push(QueueAction::Reject(evicted));
+        }
+        Admission::Queued(wait)
+    }
+
+    /// The priority weight of a request.
+    fn weight(&self, class: usize, within_quota: bool) -> f64 {
+        let weight = self.class_weights.get(class).copied().unwrap_or(1.0);
+        if within_quota {
+            weight
+        } else {
+            weight * self.over_quota_weight
         }
     }
 
-    /// The time given with [`Verdict::Wait`] is over: tells whether the attempt still waited, which then it does no
-    /// more.
-    pub fn overdue(&mut self, now: Nanos, attempt: AttemptId) -> bool {
-        let waited = self.leave(now, attempt);
-        self.turned += u64::from(waited);
-        waited
+    /// Ends the wait of an attempt whose time from [`Admission::Queued`] is over; returns whether it still waited, and so is
+    /// rejected.
+    pub fn wait_expired(&mut self, now: Nanos, attempt: AttemptId) -> bool {
+        let was_waiting = self.cancel(now, attempt);
+        self.rejected += u64::from(was_waiting);
+        was_waiting
     }
 
-    /// An attempt is called off; tells whether it waited and so was never sent.
-    pub fn leave(&mut self, now: Nanos, attempt: AttemptId) -> bool {
+    /// Removes a cancelled attempt from its queue; returns whether it waited, and so was never sent.
+    pub fn cancel(&mut self, now: Nanos, attempt: AttemptId) -> bool {
         let Some(server) = self.waiting.remove(&attempt) else { return false };
         self.nodes.get_mut(&server).is_some_and(|node| node.queue.remove(now, attempt))
     }
 
-    /// An attempt that was started has ended. Who may start now, and whose time is over, is appended to `steps`; the
-    /// node's room is returned where the module should hear of it.
-    pub fn done(&mut self, now: Nanos, done: Done, steps: &mut Vec<Step>) -> Option<f64> {
-        let answered = done.status == Status::Ok && done.hit != Some(false);
-        let node = self.nodes.get_mut(&done.server)?;
-        let ratio = match self.usual.get_mut(done.class) {
-            Some(usual) if answered => Some(usual.ratio(done.elapsed, node.limit.at_ease())),
+    /// Counts the end of an attempt that was started, and adapts its node's limit. What is to be done with waiting attempts is
+    /// appended to `actions`; the node's limit is returned if the decision module should hear of it.
+    pub fn attempt_completed(
+        &mut self,
+        now: Nanos,
+        completed: CompletedAttempt,
+        actions: &mut Vec<QueueAction>,
+    ) -> Option<f64> {
+        let is_answer = completed.status == Status::Ok && completed.cache_hit != Some(false);
+        let node = self.nodes.get_mut(&completed.server)?;
+        let latency_ratio = match self.latencies.get_mut(completed.class) {
+            Some(typical) if is_answer => {
+                Some(typical.ratio(completed.elapsed, node.limit.is_lightly_loaded()))
+            }
             _ => None,
         };
-        node.limit.ended(now, done.status, done.elapsed, ratio);
-        let part = self.rules.over_share_part;
+        node.limit.attempt_ended(now, completed.status, completed.elapsed, latency_ratio);
+        self.serve_queue(now, completed.server, actions);
+        self.limit_to_report(completed.server)
+    }
+
+    /// Starts what waits at a node while there is capacity for it.
+    fn serve_queue(&mut self, now: Nanos, server: ServerId, actions: &mut Vec<QueueAction>) {
+        let Some(node) = self.nodes.get_mut(&server) else { return };
         loop {
-            let room = |within: bool| node.limit.has_room(if within { 1.0 } else { part });
-            if !room(true) && !room(false) {
-                break;
-            }
-            // Whose answer could not come in time any more is turned away instead of sent.
-            let Some((attempt, standing)) = node.queue.pop(now, room(false)) else { break };
+            let eligible = if node.limit.has_capacity(self.config.over_quota_fraction) {
+                Eligible::All
+            } else if node.limit.has_capacity(1.0) {
+                Eligible::WithinQuota
+            } else {
+                return;
+            };
+            let Some((attempt, priority)) = node.queue.pop(now, eligible) else { return };
             self.waiting.remove(&attempt);
-            if standing.deadline <= now {
-                self.turned += 1;
-                steps.push(Step::Turn(attempt));
+            // What could not be answered in time any more is rejected instead of sent.
+            if priority.deadline <= now {
+                self.rejected += 1;
+                actions.push(QueueAction::Reject(attempt));
             } else {
-                node.limit.started();
-                steps.push(Step::Start(attempt));
+                node.limit.attempt_started();
+                actions.push(QueueAction::Start(attempt));
             }
         }
-        let room = node.limit.room();
-        let told = (room - node.told).abs() > TELL * node.told.max(1.0);
-        told.then(|| {
-            node.told = room;
-            room
-        })
     }
 
-    /// The list names a node. Where it has a new process, what was learned of the old one says little of it.
-    pub fn listed(&mut self, entry: &Entry) {
-        // Danger: an origin bears many times what a node does, and what finds no room there has nowhere else to go.
+    /// A node's limit, if it changed enough since the decision module last heard of it.
+    fn limit_to_report(&mut self, server: ServerId) -> Option<f64> {
+        let node = self.nodes.get_mut(&server)?;
+        let limit = node.limit.limit();
+        if (limit - node.reported_limit).abs() <= REPORT_THRESHOLD * node.reported_limit.max(1.0) {
+            return None;
+        }
+        node.reported_limit = limit;
+        Some(limit)
+    }
+
+    /// Takes note of an entry of the endpoint list. What was learnt of a node is forgotten when it has a new process.
+    pub fn update_endpoint(&mut self, entry: &Entry) {
+        // Danger: an origin bears many times what a node does, and what finds no capacity there has nowhere else to go.
         if entry.state == State::Gone {
             self.origins.remove(&entry.server);
-        } else if self.origin_kind == Some(entry.kind) && self.origins.len() < NODES_MOST {
+        } else if self.origin_kind == Some(entry.kind) && self.origins.len() < MAX_NODES {
             self.origins.insert(entry.server);
         }
         if let Some(node) = self.nodes.get_mut(&entry.server) {
-            if std::mem::replace(&mut node.started, entry.started) != entry.started {
-                node.limit.restarted();
+            if std::mem::replace(&mut node.process_started, entry.started) != entry.started {
+                node.limit.node_restarted();
             }
         }
     }
 
+    /// The state of a node, made when it is used for the first time.
     fn node(&mut self, now: Nanos, server: ServerId) -> &mut Node {
-        if self.nodes.len() >= NODES_MOST && !self.nodes.contains_key(&server) {
-            let idle = self.nodes.iter().filter(|(_, n)| n.limit.out() == 0 && n.queue.is_empty());
-            if let Some(oldest) = idle.min_by_key(|(_, n)| n.used).map(|(s, _)| *s) {
-                self.nodes.remove(&oldest);
-            }
+        if self.nodes.len() >= MAX_NODES && !self.nodes.contains_key(&server) {
+            self.forget_oldest_idle_node();
         }
-        let rules = &self.rules;
-        let bounds = if self.origins.contains(&server) { rules.origin } else { rules.node };
+        let config = &self.config;
+        let bounds = if self.origins.contains(&server) { config.origin } else { config.node };
         self.nodes.entry(server).or_insert_with(|| Node {
-            limit: Concurrency::new(bounds),
-            queue: Queue::new(rules.queue),
-            told: f64::INFINITY,
-            used: now,
-            started: 0,
+            limit: ConcurrencyLimit::new(bounds),
+            queue: Queue::new(config.queue),
+            reported_limit: f64::INFINITY,
+            last_used: now,
+            process_started: 0,
         })
     }
+
+    fn forget_oldest_idle_node(&mut self) {
+        let is_idle = |node: &Node| node.limit.in_flight() == 0 && node.queue.is_empty();
+        let idle = self.nodes.iter().filter(|(_, node)| is_idle(node));
+        let oldest = idle.min_by_key(|(_, node)| node.last_used).map(|(server, _)| *server);
+        if let Some(oldest) = oldest {
+            self.nodes.remove(&oldest);
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/core/src/limits/tests.rs
+++ b/crates/core/src/limits/tests.rs
@@ -1,5 +1,5 @@
-//! A modelled node under the limits, and the hard cases: steady overload, fast errors, a quiet hour before a peak, a silence
-//! and a cold return, a tenant far over its share.
+//! A modelled node under the limits, and the hard cases: steady overload, fast errors, a quiet hour before a peak, a silent
+//! node that comes back slow, a tenant far over its quota.
 
 use super::*;
 use aniseyoke_decision::api::{Class, Tenant};
@@ -23,73 +23,98 @@
     }
 }
 
-/// A node that serves so many at once, each in a fixed time, and lets the rest wait behind them.
-struct Model {
+/// A node that serves a fixed number at once, each in a fixed time, and lets the rest wait behind them.
+struct NodeModel {
     servers: usize,
-    service: Nanos,
+    service_time: Nanos,
     silent: (Nanos, Nanos),
-    errors: (Nanos, Nanos),
-    /// Of so many answers one gets lost; 0: none.
-    loses: u64,
+    failing: (Nanos, Nanos),
+    /// One answer in this many is lost; 0: none.
+    loses_one_in: u64,
     busy: usize,
     waiting: VecDeque<AttemptId>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimulatedEvent {
     Served(AttemptId),
     TimedOut(AttemptId),
     Failed(AttemptId),
-    Overdue(AttemptId),
-    Arrives(u64),
+    WaitExpired(AttemptId),
+    Arrival(u64),
 }
 
-struct Asked {
+struct OpenRequest {
     class: usize,
     tenant: Option<usize>,
-    came: Nanos,
+    arrived: Nanos,
     started: Option<Nanos>,
 }
 
-/// Plays arrivals against one node.
-struct Play {
+/// What became of a tenant's requests.
+#[derive(Clone, Copy, Debug, Default)]
+struct Counts {
+    arrived: u64,
+    in_time: u64,
+    rejected: u64,
+}
+
+/// Where requests without a tenant are counted.
+const NO_TENANT: usize = 2;
+
+/// Simulates arrivals at one node.
+struct Simulation {
     limits: Limits,
-    node: Model,
-    events: BinaryHeap<Reverse<(Nanos, u64, What)>>,
+    node: NodeModel,
+    events: BinaryHeap<Reverse<(Nanos, u64, SimulatedEvent)>>,
     order: u64,
-    asked: FxHashMap<AttemptId, Asked>,
-    /// Per tenant (the last for none): asked, answered in time, turned away.
-    tally: Vec<[u64; 3]>,
+    open: FxHashMap<AttemptId, OpenRequest>,
+    /// By tenant, the last for none.
+    counts: [Counts; 3],
 }
 
-impl Play {
-    fn new(rules: Rules, servers: usize, service: Nanos) -> Self {
-        let (silent, errors, waiting) = ((0, 0), (0, 0), VecDeque::new());
-        let node = Model { servers, service, silent, errors, loses: 0, busy: 0, waiting };
-        Play {
-            limits: Limits::new(rules, &settings()).expect("sound"),
+impl Simulation {
+    fn new(config: LimitsConfig, servers: usize, service_time: Nanos) -> Self {
+        let node = NodeModel {
+            servers,
+            service_time,
+            silent: (0, 0),
+            failing: (0, 0),
+            loses_one_in: 0,
+            busy: 0,
+            waiting: VecDeque::new(),
+        };
+        Simulation {
+            limits: Limits::new(config, &settings()).expect("sound"),
             node,
             events: BinaryHeap::new(),
             order: 0,
-            asked: FxHashMap::default(),
-            tally: vec![[0; 3]; 3],
+            open: FxHashMap::default(),
+            counts: [Counts::default(); 3],
         }
     }
 
-    fn at(&mut self, at: Nanos, what: What) {
+    fn schedule(&mut self, at: Nanos, event: SimulatedEvent) {
         self.order += 1;
-        self.events.push(Reverse((at, self.order, what)));
+        self.events.push(Reverse((at, self.order, event)));
     }
 
-    /// Arrivals at a fixed rate from one time to another, of a class and a tenant.
-    fn rate(&mut self, from: Nanos, to: Nanos, a_second: u64, class: usize, tenant: Option<usize>) {
-        let gap = SECOND / a_second;
+    /// Schedules arrivals at a fixed rate from one time to another, of a class and a tenant.
+    fn schedule_arrivals(
+        &mut self,
+        from: Nanos,
+        to: Nanos,
+        per_second: u64,
+        class: usize,
+        tenant: Option<usize>,
+    ) {
+        let gap = SECOND / per_second;
         let mut at = from;
         while at < to {
             self.order += 1;
             let id = self.order;
-            self.asked.insert((id, 0), Asked { class, tenant, came: at, started: None });
-            self.events.push(Reverse((at, id, What::Arrives(id))));
+            self.open.insert((id, 0), OpenRequest { class, tenant, arrived: at, started: None });
+            self.events.push(Reverse((at, id, SimulatedEvent::Arrival(id))));
             at += gap;
         }
     }
@@ -97,69 +122,74 @@
     /// Lets time pass; requests that are not answered within a second time out.
     fn run(&mut self, until: Nanos) {
         while self.events.peek().is_some_and(|Reverse((at, ..))| *at < until) {
-            let Some(Reverse((now, _, what))) = self.events.pop() else { break };
-            let mut steps = Vec::new();
-            match what {
-                What::Arrives(id) => {
-                    let attempt = (id, 0);
-                    let Asked { class, tenant, .. } = self.asked[&attempt];
-                    self.tally[tenant.unwrap_or(2)][0] += 1;
-                    let wanted = Wanted { attempt, server: NODE, class, tenant, deadline: now + SECOND };
-                    match self.limits.wanted(now, wanted, &mut steps) {
-                        Verdict::Go => self.start(now, attempt),
-                        Verdict::Wait(wait) => self.at(now + wait, What::Overdue(attempt)),
-                        Verdict::Turned => self.turned(attempt),
-                    }
+            let Some(Reverse((now, _, event))) = self.events.pop() else { break };
+            let mut actions = Vec::new();
+            self.handle(now, event, &mut actions);
+            for action in actions {
+                match action {
+                    QueueAction::Start(attempt) => self.start(now, attempt),
+                    QueueAction::Reject(attempt) => self.reject(attempt),
                 }
-                What::Overdue(attempt) => {
-                    if self.limits.overdue(now, attempt) {
-                        self.turned(attempt);
-                    }
+            }
+        }
+    }
+
+    fn handle(&mut self, now: Nanos, event: SimulatedEvent, actions: &mut Vec<QueueAction>) {
+        match event {
+            SimulatedEvent::Arrival(id) => self.admit(now, (id, 0), actions),
+            SimulatedEvent::WaitExpired(attempt) => {
+                if self.limits.wait_expired(now, attempt) {
+                    self.reject(attempt);
                 }
-                What::Served(attempt) => {
-                    self.node.busy -= 1;
-                    if let Some(next) = self.node.waiting.pop_front() {
-                        self.serve(now, next);
-                    }
-                    if self.node.loses == 0 || attempt.0 % self.node.loses > 0 {
-                        self.done(now, attempt, Status::Ok, &mut steps);
-                    }
+            }
+            SimulatedEvent::Served(attempt) => {
+                self.node.busy -= 1;
+                if let Some(next) = self.node.waiting.pop_front() {
+                    self.serve(now, next);
                 }
-                What::TimedOut(attempt) => {
-                    self.node.waiting.retain(|w| *w != attempt);
-                    self.done(now, attempt, Status::Timeout, &mut steps);
+                if self.node.loses_one_in == 0 || attempt.0 % self.node.loses_one_in > 0 {
+                    self.complete(now, attempt, Status::Ok, actions);
                 }
-                What::Failed(attempt) => self.done(now, attempt, Status::Error, &mut steps),
             }
-            for step in steps {
-                match step {
-                    Step::Start(attempt) => self.start(now, attempt),
-                    Step::Turn(attempt) => self.turned(attempt),
-                }
+            SimulatedEvent::TimedOut(attempt) => {
+                self.node.waiting.retain(|waiting| *waiting != attempt);
+                self.complete(now, attempt, Status::Timeout, actions);
             }
+            SimulatedEvent::Failed(attempt) => self.complete(now, attempt, Status::Error, actions),
+        }
+    }
+
+    fn admit(&mut self, now: Nanos, attempt: AttemptId, actions: &mut Vec<QueueAction>) {
+        let OpenRequest { class, tenant, .. } = self.open[&attempt];
+        self.counts[tenant.unwrap_or(NO_TENANT)].arrived += 1;
+        let request = AdmissionRequest { attempt, server: NODE, class, tenant, deadline: now + SECOND };
+        match self.limits.admit(now, request, actions) {
+            Admission::Admitted => self.start(now, attempt),
+            Admission::Queued(wait) => self.schedule(now + wait, SimulatedEvent::WaitExpired(attempt)),
+            Admission::Rejected => self.reject(attempt),
         }
     }
 
-    fn turned(&mut self, attempt: AttemptId) {
-        let asked = self.asked.remove(&attempt).expect("turned away once");
-        assert!(asked.started.is_none(), "what was started is not turned away");
-        self.tally[asked.tenant.unwrap_or(2)][2] += 1;
+    fn reject(&mut self, attempt: AttemptId) {
+        let request = self.open.remove(&attempt).expect("rejected once");
+        assert!(request.started.is_none(), "what was started is not rejected");
+        self.counts[request.tenant.unwrap_or(NO_TENANT)].rejected += 1;
     }
 
     fn start(&mut self, now: Nanos, attempt: AttemptId) {
-        let asked = self.asked.get_mut(&attempt).expect("open");
-        assert!(asked.started.replace(now).is_none(), "started once");
-        let deadline = asked.came + SECOND;
-        let out = self.limits.nodes[&NODE].limit.out();
-        let room = self.limits.room(NODE).expect("known");
-        assert!(f64::from(out) <= room.max(1.0), "{out} out with room for {room}");
-        let within = |(from, to): (Nanos, Nanos)| (from..to).contains(&now);
-        if within(self.node.silent) {
-            self.at(deadline, What::TimedOut(attempt));
-        } else if within(self.node.errors) {
-            self.at(now + MS / 10, What::Failed(attempt));
+        let request = self.open.get_mut(&attempt).expect("open");
+        assert!(request.started.replace(now).is_none(), "started once");
+        let deadline = request.arrived + SECOND;
+        let in_flight = self.limits.nodes[&NODE].limit.in_flight();
+        let limit = self.limits.limit(NODE).expect("known");
+        assert!(f64::from(in_flight) <= limit.max(1.0), "{in_flight} in flight with a limit of {limit}");
+        let is_within = |(from, to): (Nanos, Nanos)| (from..to).contains(&now);
+        if is_within(self.node.silent) {
+            self.schedule(deadline, SimulatedEvent::TimedOut(attempt));
+        } else if is_within(self.node.failing) {
+            self.schedule(now + MS / 10, SimulatedEvent::Failed(attempt));
         } else {
-            self.at(deadline, What::TimedOut(attempt));
+            self.schedule(deadline, SimulatedEvent::TimedOut(attempt));
             self.serve_or_wait(now, attempt);
         }
     }
@@ -174,179 +204,187 @@
 
     fn serve(&mut self, now: Nanos, attempt: AttemptId) {
         self.node.busy += 1;
-        self.at(now + self.node.service, What::Served(attempt));
+        self.schedule(now + self.node.service_time, SimulatedEvent::Served(attempt));
     }
 
-    fn done(&mut self, now: Nanos, attempt: AttemptId, status: Status, steps: &mut Vec<Step>) {
-        let Some(asked) = self.asked.remove(&attempt) else { return };
-        let elapsed = now - asked.started.expect("started");
-        if status == Status::Ok && now - asked.came <= SECOND {
-            self.tally[asked.tenant.unwrap_or(2)][1] += 1;
+    fn complete(&mut self, now: Nanos, attempt: AttemptId, status: Status, actions: &mut Vec<QueueAction>) {
+        let Some(request) = self.open.remove(&attempt) else { return };
+        let elapsed = now - request.started.expect("started");
+        if status == Status::Ok && now - request.arrived <= SECOND {
+            self.counts[request.tenant.unwrap_or(NO_TENANT)].in_time += 1;
         }
-        let done = Done { server: NODE, class: asked.class, status, elapsed, hit: None };
-        self.limits.done(now, done, steps);
+        let completed =
+            CompletedAttempt { server: NODE, class: request.class, status, elapsed, cache_hit: None };
+        self.limits.attempt_completed(now, completed, actions);
     }
 
-    fn answered(&self) -> u64 {
-        self.tally.iter().map(|t| t[1]).sum()
+    fn answered_in_time(&self) -> u64 {
+        self.counts.iter().map(|counts| counts.in_time).sum()
+    }
+
+    fn limit(&self) -> f64 {
+        self.limits.limit(NODE).expect("known")
     }
 }
 
-/// Goodput of a node that does 800 a second, at so many times as much, over ten seconds after two.
-fn goodput(rules: &Rules, times: u64) -> u64 {
-    let mut play = Play::new(rules.clone(), 8, 10 * MS);
-    play.rate(0, 12 * SECOND, 800 * times / 4, 0, None);
-    play.run(2 * SECOND);
-    let before = play.answered();
-    play.run(12 * SECOND);
-    play.answered() - before
+/// Goodput of a node that does 800 a second, at this many quarters of that load, over ten seconds after two.
+fn goodput(config: &LimitsConfig, quarters: u64) -> u64 {
+    let mut simulation = Simulation::new(config.clone(), 8, 10 * MS);
+    simulation.schedule_arrivals(0, 12 * SECOND, 800 * quarters / 4, 0, None);
+    simulation.run(2 * SECOND);
+    let before = simulation.answered_in_time();
+    simulation.run(12 * SECOND);
+    simulation.answered_in_time() - before
 }
 
 #[test]
-fn goodput_does_not_fall_when_four_times_as_much_is_asked() {
+fn goodput_does_not_fall_at_four_times_the_capacity() {
     let curve: Vec<u64> =
-        [2, 4, 8, 16].iter().map(|quarters| goodput(&Rules::default(), *quarters)).collect();
+        [2, 4, 8, 16].iter().map(|quarters| goodput(&LimitsConfig::default(), *quarters)).collect();
     let peak = *curve.iter().max().expect("four");
     assert!(peak >= 7_600, "of 8,000: {curve:?}");
-    assert!(curve[1..].iter().all(|g| g * 10 >= peak * 9), "{curve:?}");
+    assert!(curve[1..].iter().all(|goodput| goodput * 10 >= peak * 9), "{curve:?}");
     // Without a limit the node works for requests whose clients have left.
-    let none = Rules {
-        node: Bounds { floor: 1e5, start: 1e5, ceiling: 1e5, ..Bounds::default() },
-        ..Rules::default()
-    };
-    assert!(goodput(&none, 16) * 2 < peak, "the model shows the collapse that the limit prevents");
+    let node = ConcurrencyBounds { floor: 1e5, start: 1e5, ceiling: 1e5, ..ConcurrencyBounds::default() };
+    let unlimited = LimitsConfig { node, ..LimitsConfig::default() };
+    assert!(goodput(&unlimited, 16) * 2 < peak, "the model shows the collapse that the limit prevents");
 }
 
 #[test]
-fn a_node_that_answers_fast_errors_gets_no_more_room() {
-    let mut play = Play::new(Rules::default(), 8, 10 * MS);
-    play.rate(0, 4 * SECOND, 700, 0, None);
-    play.node.errors = (2 * SECOND, 4 * SECOND);
-    play.run(2 * SECOND);
-    let before = play.limits.room(NODE).expect("known");
-    play.run(4 * SECOND);
-    assert!(play.limits.room(NODE).expect("known") <= before, "errors prove no room");
+fn fast_errors_do_not_raise_the_limit() {
+    let mut simulation = Simulation::new(LimitsConfig::default(), 8, 10 * MS);
+    simulation.schedule_arrivals(0, 4 * SECOND, 700, 0, None);
+    simulation.node.failing = (2 * SECOND, 4 * SECOND);
+    simulation.run(2 * SECOND);
+    let before = simulation.limit();
+    simulation.run(4 * SECOND);
+    assert!(simulation.limit() <= before, "errors prove no capacity");
 }
 
-/// Danger: a limit that takes each lost answer for a jam stands at its floor for ever.
+/// Danger: a limit that takes each lost answer for congestion stands at its floor for ever.
 #[test]
-fn answers_that_get_lost_on_a_poor_network_do_not_hold_the_room_down() {
-    let mut play = Play::new(Rules::default(), 16, 20 * MS);
-    play.node.loses = 33;
-    play.rate(0, 30 * SECOND, 600, 0, None);
-    play.run(20 * SECOND);
-    assert!(play.limits.room(NODE).expect("known") >= 16.0, "{:?}", play.limits.room(NODE));
-    let (answered, turned) = (play.answered(), play.tally[2][2]);
-    play.run(30 * SECOND);
-    let (answered, turned) = (play.answered() - answered, play.tally[2][2] - turned);
-    assert!(answered >= 6000 * 95 / 100 && turned < 60, "{answered} of 6,000, {turned} turned away");
+fn answers_lost_on_a_poor_network_do_not_hold_the_limit_down() {
+    let mut simulation = Simulation::new(LimitsConfig::default(), 16, 20 * MS);
+    simulation.node.loses_one_in = 33;
+    simulation.schedule_arrivals(0, 30 * SECOND, 600, 0, None);
+    simulation.run(20 * SECOND);
+    assert!(simulation.limit() >= 16.0, "{}", simulation.limit());
+    let (answered, rejected) = (simulation.answered_in_time(), simulation.counts[NO_TENANT].rejected);
+    simulation.run(30 * SECOND);
+    let answered = simulation.answered_in_time() - answered;
+    let rejected = simulation.counts[NO_TENANT].rejected - rejected;
+    assert!(answered >= 6000 * 95 / 100 && rejected < 60, "{answered} of 6,000, {rejected} rejected");
 }
 
 #[test]
 fn a_limit_learnt_in_a_quiet_hour_does_not_throttle_the_first_minute_of_a_peak() {
-    let mut play = Play::new(Rules::default(), 64, 20 * MS);
+    let mut simulation = Simulation::new(LimitsConfig::default(), 64, 20 * MS);
     let hour = 3600 * SECOND;
-    play.rate(0, hour, 2, 0, None);
+    simulation.schedule_arrivals(0, hour, 2, 0, None);
     // Nearly all that the node can do, 3,200 a second.
-    play.rate(hour, hour + 60 * SECOND, 2_900, 0, None);
-    play.run(hour);
-    let (asked, turned) = (play.tally[2][0], play.tally[2][2]);
-    play.run(hour + 62 * SECOND);
-    let (asked, turned) = (play.tally[2][0] - asked, play.tally[2][2] - turned);
-    assert!(turned * 200 < asked, "{turned} of {asked} turned away");
+    simulation.schedule_arrivals(hour, hour + 60 * SECOND, 2_900, 0, None);
+    simulation.run(hour);
+    let before = simulation.counts[NO_TENANT];
+    simulation.run(hour + 62 * SECOND);
+    let after = simulation.counts[NO_TENANT];
+    let (arrived, rejected) = (after.arrived - before.arrived, after.rejected - before.rejected);
+    assert!(rejected * 200 < arrived, "{rejected} of {arrived} rejected");
 }
 
 #[test]
-fn room_finds_its_way_back_after_a_silence_and_a_cold_return() {
-    let mut play = Play::new(Rules::default(), 16, 20 * MS);
-    play.rate(0, 40 * SECOND, 700, 0, None);
-    play.node.silent = (10 * SECOND, 16 * SECOND);
-    play.run(10 * SECOND);
-    let before = play.limits.room(NODE).expect("known");
-    play.run(16 * SECOND);
-    let down = play.limits.room(NODE).expect("known");
-    assert!(down * 3.0 < before, "{before} before, {down} in the silence");
-    // It comes back cold: four times as slow for six seconds.
-    play.node.service = 80 * MS;
-    play.run(22 * SECOND);
-    play.node.service = 20 * MS;
-    play.run(25 * SECOND);
-    let answered = play.answered();
-    play.run(40 * SECOND);
-    let answered = play.answered() - answered;
+fn the_limit_recovers_after_a_silent_node_comes_back_slow() {
+    let mut simulation = Simulation::new(LimitsConfig::default(), 16, 20 * MS);
+    simulation.schedule_arrivals(0, 40 * SECOND, 700, 0, None);
+    simulation.node.silent = (10 * SECOND, 16 * SECOND);
+    simulation.run(10 * SECOND);
+    let before = simulation.limit();
+    simulation.run(16 * SECOND);
+    let silent = simulation.limit();
+    assert!(silent * 3.0 < before, "{before} before, {silent} while silent");
+    // It comes back warming up: four times as slow for six seconds.
+    simulation.node.service_time = 80 * MS;
+    simulation.run(22 * SECOND);
+    simulation.node.service_time = 20 * MS;
+    simulation.run(25 * SECOND);
+    let answered = simulation.answered_in_time();
+    simulation.run(40 * SECOND);
+    let answered = simulation.answered_in_time() - answered;
     assert!(answered >= 15 * 700 * 95 / 100, "{answered} of {} in the last 15 s", 15 * 700);
 }
 
 /// Danger: where all are served as they come, one tenant's flood is everybody's outage.
 #[test]
-fn a_tenant_at_ten_times_its_share_costs_another_not_one_request() {
-    let mut play = Play::new(Rules::default(), 8, 10 * MS);
-    // 800 a second is what the node does; the shares come to 400.
-    play.rate(0, 20 * SECOND, 3_000, 0, Some(0));
-    play.rate(0, 20 * SECOND, 90, 0, Some(1));
-    play.run(22 * SECOND);
-    let [asked, answered, turned] = play.tally[1];
-    assert_eq!((answered, turned), (asked, 0), "of {asked}");
-    let [_, greedy, _] = play.tally[0];
-    assert!(greedy >= 20 * 300, "{greedy}: its own share at least");
+fn a_tenant_at_ten_times_its_quota_costs_another_not_one_request() {
+    let mut simulation = Simulation::new(LimitsConfig::default(), 8, 10 * MS);
+    // 800 a second is what the node does; the quotas come to 400.
+    simulation.schedule_arrivals(0, 20 * SECOND, 3_000, 0, Some(0));
+    simulation.schedule_arrivals(0, 20 * SECOND, 90, 0, Some(1));
+    simulation.run(22 * SECOND);
+    let modest = simulation.counts[1];
+    assert_eq!((modest.in_time, modest.rejected), (modest.arrived, 0), "{modest:?}");
+    let greedy = simulation.counts[0].in_time;
+    assert!(greedy >= 20 * 300, "{greedy}: its own quota at least");
 }
 
 #[test]
-fn what_is_worth_more_goes_first_when_not_all_can() {
-    let mut play = Play::new(Rules::default(), 8, 10 * MS);
-    play.rate(0, 10 * SECOND, 1_200, 0, None);
-    play.rate(0, 10 * SECOND, 300, 1, Some(0));
-    play.run(12 * SECOND);
-    let [asked, answered, _] = play.tally[0];
-    assert!(answered * 100 >= asked * 99, "{answered} of {asked} of the dear ones");
+fn the_higher_weight_is_served_first_when_not_all_can_be() {
+    let mut simulation = Simulation::new(LimitsConfig::default(), 8, 10 * MS);
+    simulation.schedule_arrivals(0, 10 * SECOND, 1_200, 0, None);
+    simulation.schedule_arrivals(0, 10 * SECOND, 300, 1, Some(0));
+    simulation.run(12 * SECOND);
+    let Counts { arrived, in_time, .. } = simulation.counts[0];
+    assert!(in_time * 100 >= arrived * 99, "{in_time} of {arrived} with the higher weight");
 }
 
 #[test]
-fn a_slow_node_gets_room_for_what_it_bears() {
-    let rooms: Vec<f64> = [4, 32]
+fn the_limit_follows_the_capacity_of_the_node() {
+    let limits: Vec<f64> = [4, 32]
         .iter()
         .map(|servers| {
-            let mut play = Play::new(Rules::default(), *servers, 10 * MS);
-            play.rate(0, 20 * SECOND, 6_000, 0, None);
-            play.run(20 * SECOND);
-            play.limits.room(NODE).expect("known")
+            let mut simulation = Simulation::new(LimitsConfig::default(), *servers, 10 * MS);
+            simulation.schedule_arrivals(0, 20 * SECOND, 6_000, 0, None);
+            simulation.run(20 * SECOND);
+            simulation.limit()
         })
         .collect();
-    assert!(rooms[0] * 3.0 < rooms[1], "{rooms:?} for 4 and 32 at once");
+    assert!(limits[0] * 3.0 < limits[1], "{limits:?} for 4 and 32 at once");
 }
 
 #[test]
-fn nobody_waits_longer_than_the_rules_say() {
-    let rules = Rules {
-        queue: QueueRules { most: 8, interval: Duration::from_millis(50), target: Duration::from_millis(5) },
-        ..Rules::default()
-    };
-    let mut limits = Limits::new(rules, &settings()).expect("sound");
-    let mut steps = Vec::new();
-    let mut wanted = |id: u64, now: Nanos| {
-        let w = Wanted { attempt: (id, 0), server: NODE, class: 0, tenant: None, deadline: now + SECOND };
-        limits.wanted(now, w, &mut steps)
+fn nothing_waits_longer_than_the_configuration_says() {
+    let queue =
+        QueueConfig { max_length: 8, interval: Duration::from_millis(50), target: Duration::from_millis(5) };
+    let config = LimitsConfig { queue, ..LimitsConfig::default() };
+    let mut limits = Limits::new(config, &settings()).expect("sound");
+    let mut actions = Vec::new();
+    let mut admit = |id: u64, now: Nanos| {
+        let attempt = (id, 0);
+        let request =
+            AdmissionRequest { attempt, server: NODE, class: 0, tenant: None, deadline: now + SECOND };
+        limits.admit(now, request, &mut actions)
     };
-    let verdicts: Vec<Verdict> = (0..20).map(|id| wanted(id, 0)).collect();
-    assert!(verdicts[..8].iter().all(|v| *v == Verdict::Go));
-    assert!(verdicts[8..16].iter().all(|v| *v == Verdict::Wait(50 * MS)));
-    assert!(verdicts[16..].iter().all(|v| *v == Verdict::Turned));
-    assert_eq!((limits.waiting(), limits.turned()), (8, 4));
-    assert!((8..16).all(|id| limits.overdue(50 * MS, (id, 0))));
-    assert!(!limits.overdue(51 * MS, (8, 0)), "once");
+    let admissions: Vec<Admission> = (0..20).map(|id| admit(id, 0)).collect();
+    assert!(admissions[..8].iter().all(|a| *a == Admission::Admitted));
+    assert!(admissions[8..16].iter().all(|a| *a == Admission::Queued(50 * MS)));
+    assert!(admissions[16..].iter().all(|a| *a == Admission::Rejected));
+    assert_eq!((limits.waiting(), limits.rejected()), (8, 4));
+    assert!((8..16).all(|id| limits.wait_expired(50 * MS, (id, 0))));
+    assert!(!limits.wait_expired(51 * MS, (8, 0)), "once");
     assert_eq!(limits.waiting(), 0);
 }
 
 #[test]
 fn nodes_that_come_and_go_for_ever_take_bounded_memory() {
-    let mut limits = Limits::new(Rules::default(), &settings()).expect("sound");
-    let mut steps = Vec::new();
-    for n in 0..(NODES_MOST as u64 + 100) {
-        let w = Wanted { attempt: (n, 0), server: n, class: 0, tenant: None, deadline: n + SECOND };
-        assert_eq!(limits.wanted(n, w, &mut steps), Verdict::Go);
-        let done = Done { server: n, class: 0, status: Status::Ok, elapsed: MS, hit: None };
-        limits.done(n, done, &mut steps);
+    let mut limits = Limits::new(LimitsConfig::default(), &settings()).expect("sound");
+    let mut actions = Vec::new();
+    for server in 0..(MAX_NODES as u64 + 100) {
+        let attempt = (server, 0);
+        let request = AdmissionRequest { attempt, server, class: 0, tenant: None, deadline: server + SECOND };
+        assert_eq!(limits.admit(server, request, &mut actions), Admission::Admitted);
+        let completed =
+            CompletedAttempt { server, class: 0, status: Status::Ok, elapsed: MS, cache_hit: None };
+        limits.attempt_completed(server, completed, &mut actions);
     }
-    assert!(limits.nodes.len() <= NODES_MOST);
-    assert!(limits.room(0).is_none() && limits.room(NODES_MOST as u64 + 99).is_some(), "the oldest went");
+    assert!(limits.nodes.len() <= MAX_NODES);
+    assert!(limits.limit(0).is_none() && limits.limit(MAX_NODES as u64 + 99).is_some(), "the oldest went");
 }
--- a/crates/core/src/seen_servers.rs
+++ b/crates/core/src/seen_servers.rs
@@ -1,32 +1,37 @@
-//! Which ids the list has ever named, so that operators hear of a name that nothing ever had.
+//! Which servers the endpoint list has ever named, so that an operator's call for a name that no server ever had is
+//! rejected.
 
 use aniseyoke_decision::api::ServerId;
 use rustc_hash::FxHashSet;
 use std::collections::VecDeque;
 
-/// Ids that were listed at some time: so many are remembered, the oldest forgotten first.
-const LISTED_MOST: usize = 1 << 14;
+/// Most servers that are remembered; the oldest are forgotten first.
+const MAX_SEEN: usize = 1 << 14;
 
-/// Ids that were listed.
+/// Servers that were listed at some time.
 #[derive(Default)]
-pub struct Listed {
-    known: FxHashSet<ServerId>,
+pub struct SeenServers {
+    servers: FxHashSet<ServerId>,
+    /// The same, the oldest first.
     order: VecDeque<ServerId>,
 }
 
-impl Listed {
-    /// Remembers an id.
+impl SeenServers {
+    /// Remembers a server.
     pub fn add(&mut self, server: ServerId) {
-        if self.known.insert(server) {
-            self.order.push_back(server);
-            if self.order.len() > LISTED_MOST {
-                self.order.pop_front().map(|oldest| self.known.remove(&oldest));
+        if !self.servers.insert(server) {
+            return;
+        }
+        self.order.push_back(server);
+        if self.order.len() > MAX_SEEN {
+            if let Some(oldest) = self.order.pop_front() {
+                self.servers.remove(&oldest);
             }
         }
     }
 
     /// Whether it was ever listed, as far back as is remembered.
-    pub fn knows(&self, server: ServerId) -> bool {
-        self.known.contains(&server)
+    pub fn contains(&self, server: ServerId) -> bool {
+        self.servers.contains(&server)
     }
 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -20,7 +20,7 @@
 use crate::state::Store;
 use crate::upstream::Upstreams;
 use crate::{admin, handover, Engine};
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api;
 use client::Client;
 use hyper::header::HeaderValue;
@@ -70,7 +70,7 @@
 /// What the operator sets beyond the platform's settings.
 pub struct Beyond {
     /// What the core is to work by.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<EngineConfig>,
     /// When the list service may be asked, where that is limited.
     pub paced: Option<Paced>,
     /// What is told of the list then.
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -4,7 +4,7 @@
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Features, Overlay as Said, Pool as Part, Route};
 use aniseyoke_config::Fault;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api::{server_id, Pool, Settings};
 use aniseyoke_routes::overlay::{On, Overlay, Remark};
 use aniseyoke_routes::{Routing, Rule, Table};
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// All that names a tenant, class, zone or kind that the platform does not, with the place that says so.
-pub fn plan(resolved: &Resolved, platform: &Config) -> Result<Plan, Vec<Fault>> {
+pub fn plan(resolved: &Resolved, platform: &Config) -> Result<EngineConfig, Vec<Fault>> {
     let operator = &resolved.operator;
     let mut settings = platform.settings.clone();
     let Names { classes, tenants, zones, kinds } = &platform.names;
@@ -138,7 +138,7 @@
         told.collect::<Vec<_>>()
     })?;
     let routing = Routing { table, overlay: Overlay::new(remarks) };
-    Ok(Plan { settings, limits: operator.limits.clone(), routing })
+    Ok(EngineConfig { settings, limits: operator.limits.clone(), routing })
 }
 
 #[cfg(test)]
@@ -159,7 +159,7 @@
         }
     }"#;
 
-    fn planned(text: &str) -> Result<Plan, Vec<Fault>> {
+    fn planned(text: &str) -> Result<EngineConfig, Vec<Fault>> {
         let platform = Config::parse(PLATFORM, |_| None).expect("sound");
         let resolved = resolve([Source::File("f.toml".into(), text.into())]).expect("sound by itself");
         plan(&resolved, &platform)
--- a/crates/proxy/src/versions/below.rs
+++ b/crates/proxy/src/versions/below.rs
@@ -10,7 +10,7 @@
 use aniseyoke_config::Fault;
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
 use aniseyoke_control::Version;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use std::sync::Arc;
 
 /// The layers below a control service's: the file, the environment, and the platform's settings under them.
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, Plan), Vec<Fault>> {
+    pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, EngineConfig), Vec<Fault>> {
         let mut layers: Vec<Source> = self.file.clone().into_iter().collect();
         layers.extend(environment(operator::variables()));
         if let Some(version) = version {
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -13,7 +13,7 @@
 use aniseyoke_control::follower::{Follower, Identity, Times};
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
 use aniseyoke_control::Version;
-use aniseyoke_core::{Plan, Tally};
+use aniseyoke_core::{EngineConfig, RequestCounters};
 use aniseyoke_decision::api::Entry;
 use aniseyoke_routes::review::{review, Harm, Side};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 pub struct Subscription {
     below: Arc<Below>,
     orders: mpsc::Sender<Order>,
-    tally: Arc<Tally>,
+    tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
     keeping: Option<Keeping<Kept>>,
 }
@@ -38,7 +38,7 @@
         control: &Control,
         below: Arc<Below>,
         orders: mpsc::Sender<Order>,
-        tally: Arc<Tally>,
+        tally: Arc<RequestCounters>,
     ) -> std::io::Result<Self> {
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
@@ -90,11 +90,11 @@
 }
 
 /// Reads a version and judges it against what runs.
-fn read(below: &Below, now: &Plan, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
+fn read(below: &Below, now: &EngineConfig, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
     let told = |faults: Vec<Fault>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let (resolved, plan) = below.with(Some(&version)).map_err(told)?;
     let side = |plan| -> Side<'_> {
-        let Plan { settings, routing, .. }: &Plan = plan;
+        let EngineConfig { settings, routing, .. }: &EngineConfig = plan;
         Side { settings, routing }
     };
     let harm = review(side(now), side(&plan), nodes);
@@ -145,6 +145,7 @@
     }
 
     fn answered(&self) -> [u64; 3] {
-        self.tally.take()
+        let counts = self.tally.take();
+        [counts.served, counts.rejected, counts.failed]
     }
 }
--- a/crates/proxy/src/versions/serving.rs
+++ b/crates/proxy/src/versions/serving.rs
@@ -2,7 +2,7 @@
 
 use super::InForce;
 use crate::Engine;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api::Entry;
 use aniseyoke_logging::{Handle, Levels};
 use std::cell::RefCell;
@@ -14,7 +14,7 @@
 /// A version that has been read and checked.
 pub struct Ready {
     /// What the core is to work by.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<EngineConfig>,
     /// What the log is to tell.
     pub levels: Levels,
     /// What is in force with it.
@@ -29,13 +29,13 @@
     pub took: Duration,
     /// What went out of force.
     #[allow(dead_code, reason = "held for its end alone")]
-    pub old: (Arc<Plan>, InForce),
+    pub old: (Arc<EngineConfig>, InForce),
 }
 
 /// What the other thread asks of the serving one.
 pub enum Order {
     /// What is in force, and the nodes that operators have not taken out.
-    Look(oneshot::Sender<(Arc<Plan>, Vec<Entry>)>),
+    Look(oneshot::Sender<(Arc<EngineConfig>, Vec<Entry>)>),
     /// Exchange what is in force for this.
     Swap(Box<Ready>, oneshot::Sender<Result<Swapped, String>>),
 }
