--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -42,8 +42,8 @@
         }
         let mut changed = Vec::new();
         for (entry, address) in self.entries() {
-            let overlaid = new.laid(entry);
-            if overlaid != old.laid(entry) {
+            let overlaid = new.apply(entry);
+            if overlaid != old.apply(entry) {
                 changed.push((overlaid, *address));
             }
         }
--- a/crates/core/src/endpoint_list/tests.rs
+++ b/crates/core/src/endpoint_list/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use aniseyoke_routes::overlay::{On, Remark};
+use aniseyoke_routes::overlay::{NodeOverride, NodeSelector};
 
 fn endpoint(server: u64, zone: u32) -> Endpoint {
     (Entry { server, zone, weight: 1.0, ..Entry::default() }, None)
 }
 
 fn draining(zone: u32) -> Overlay {
-    let on = On { zone: Some(zone), ..On::default() };
-    Overlay::new(vec![Remark { on, weight: 1.0, drain: true }])
+    let selector = NodeSelector { zone: Some(zone), ..NodeSelector::default() };
+    Overlay::new(vec![NodeOverride { selector, weight: 1.0, drain: true }])
 }
 
 #[test]
