--- /dev/null
+++ b/crates/lab-scale/src/children.rs
@@ -0,0 +1,266 @@
+//! The child processes of a run: the control service, relays, real proxies and hosts of hollow members. Each is killed with
+//! this process, and ended by its id.
+
+use super::error::ScaleError;
+use super::now;
+use aniseyoke_lab_day::FileError;
+use aniseyoke_lab_process::{kill_with_parent, Usage};
+use std::collections::VecDeque;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::{ChildStdin, Command, Stdio};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
+use std::time::{Duration, Instant};
+
+/// A longer line of a child is split, in bytes. A host's report is one line.
+const MAX_LINE_BYTES: u64 = 256 << 20;
+/// Lines of a child that are kept, the last ones.
+const MAX_LAST_LINES: usize = 20;
+/// A child tells its addresses within this time.
+const ADDRESSES_WITHIN: Duration = Duration::from_secs(30);
+
+/// A line that a child wrote.
+pub struct Line {
+    /// The child.
+    pub child: usize,
+    /// Which of its processes, counted from 0.
+    pub start: u32,
+    /// When it came, on the machine's clock.
+    pub at: u64,
+    /// The line.
+    pub text: String,
+}
+
+/// One child, over all of its processes.
+pub struct Child {
+    /// Its name.
+    pub name: String,
+    command: Box<dyn Fn() -> Command>,
+    process: Option<std::process::Child>,
+    /// Its standard input; only hosts are written to.
+    pub stdin: Option<ChildStdin>,
+    starts: u32,
+    /// Its last lines.
+    pub last: VecDeque<String>,
+    used: Usage,
+    past_cpu_s: f64,
+    expected_down: bool,
+}
+
+/// All children.
+pub struct Children {
+    all: Vec<Child>,
+    line_sender: SyncSender<Line>,
+    lines: Receiver<Line>,
+    log: std::fs::File,
+}
+
+impl Children {
+    /// No children yet; every line of each will go into `log`.
+    ///
+    /// # Errors
+    /// If the log can't be created.
+    pub fn new(log: &Path) -> Result<Children, ScaleError> {
+        let (line_sender, lines) = std::sync::mpsc::sync_channel(10_000);
+        let log = std::fs::File::create(log).map_err(FileError::at(log))?;
+        Ok(Children { all: Vec::new(), line_sender, lines, log })
+    }
+
+    /// Starts another child; its number.
+    ///
+    /// # Errors
+    /// If it can't be started.
+    pub fn add(
+        &mut self,
+        name: String,
+        command: impl Fn() -> Command + 'static,
+    ) -> Result<usize, ScaleError> {
+        self.all.push(Child {
+            name,
+            command: Box::new(command),
+            process: None,
+            stdin: None,
+            starts: 0,
+            last: VecDeque::new(),
+            used: Usage::default(),
+            past_cpu_s: 0.0,
+            expected_down: false,
+        });
+        let n = self.all.len() - 1;
+        self.start(n)?;
+        Ok(n)
+    }
+
+    /// Starts a child again that was killed.
+    ///
+    /// # Errors
+    /// If it can't be started.
+    pub fn start(&mut self, n: usize) -> Result<(), ScaleError> {
+        let child = &mut self.all[n];
+        let mut command = (child.command)();
+        kill_with_parent(&mut command);
+        command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+        let mut process =
+            command.spawn().map_err(|source| ScaleError::Child { name: child.name.clone(), source })?;
+        let start = child.starts;
+        child.starts += 1;
+        child.expected_down = false;
+        child.stdin = process.stdin.take();
+        for output in [
+            process.stdout.take().map(|r| Box::new(r) as Box<dyn Read + Send>),
+            process.stderr.take().map(|r| Box::new(r) as Box<dyn Read + Send>),
+        ] {
+            let (Some(output), line_sender) = (output, self.line_sender.clone()) else { continue };
+            let listen = move || {
+                let mut output = BufReader::new(output);
+                let mut line = Vec::new();
+                while output.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
+                    let text = String::from_utf8_lossy(&line).trim_end().to_owned();
+                    line = Vec::new();
+                    // At its end the run wants no more lines.
+                    if line_sender.send(Line { child: n, start, at: now(), text }).is_err() {
+                        return;
+                    }
+                }
+            };
+            let thread = std::thread::Builder::new().stack_size(128 << 10);
+            thread.spawn(listen).map_err(ScaleError::Thread)?;
+        }
+        child.process = Some(process);
+        Ok(())
+    }
+
+    /// The next line of any child, if one comes within this time.
+    pub fn next(&mut self, within: Duration) -> Option<Line> {
+        use std::fmt::Write as _;
+        match self.lines.recv_timeout(within) {
+            Ok(line) => {
+                let child = &mut self.all[line.child];
+                // Messages of hosts on standard output are no log lines.
+                if !line.text.starts_with('{') {
+                    child.last.push_back(line.text.clone());
+                    if child.last.len() > MAX_LAST_LINES {
+                        child.last.pop_front();
+                    }
+                    let mut text = String::new();
+                    let at = line.at as f64 / 1e9;
+                    let _ = writeln!(text, "{at:12.3} {}[{}] {}", child.name, line.start, line.text);
+                    // A full disk loses lines of the log, not the run.
+                    let _ = self.log.write_all(text.as_bytes());
+                }
+                Some(line)
+            }
+            Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => None,
+        }
+    }
+
+    /// Waits until each of these children has written an address after each of `words`; the addresses by child.
+    ///
+    /// # Errors
+    /// If a child wrote none in time or ended.
+    pub fn addrs(&mut self, of: &[usize], words: &[&str]) -> Result<Vec<Vec<SocketAddr>>, ScaleError> {
+        let mut found = vec![vec![None; words.len()]; of.len()];
+        let until = Instant::now() + ADDRESSES_WITHIN;
+        loop {
+            if found.iter().flatten().all(Option::is_some) {
+                return Ok(found.into_iter().map(|f| f.into_iter().flatten().collect()).collect());
+            }
+            if let Some(line) = self.next(Duration::from_millis(50)) {
+                let Some(n) = of.iter().position(|n| *n == line.child) else { continue };
+                for (word, found) in words.iter().zip(&mut found[n]) {
+                    let addr = line.text.split_once(word).and_then(|(_, addr)| addr.trim().parse().ok());
+                    *found = found.or(addr);
+                }
+            }
+            let lacks = of.iter().zip(&found).find(|(_, f)| f.iter().any(Option::is_none)).map(|(n, _)| *n);
+            if let Some(n) = lacks.filter(|n| Instant::now() > until || !self.runs(*n)) {
+                let child = &self.all[n];
+                let last_lines = child.last.iter().cloned().collect();
+                return Err(ScaleError::NoAddress { name: child.name.clone(), last_lines });
+            }
+        }
+    }
+
+    /// Whether a child runs.
+    pub fn runs(&mut self, n: usize) -> bool {
+        self.all[n].process.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+    }
+
+    /// Kills a child; that does not count as a crash.
+    pub fn kill(&mut self, n: usize) {
+        self.update_usage(n);
+        let child = &mut self.all[n];
+        child.expected_down = true;
+        child.past_cpu_s += child.used.cpu_s;
+        child.used.cpu_s = 0.0;
+        if let Some(mut process) = child.process.take() {
+            // One that has ended meanwhile needs no signal.
+            let _ = (process.kill(), process.wait());
+        }
+    }
+
+    /// Children that have crashed since the last call, with their last lines.
+    pub fn ended(&mut self) -> Vec<String> {
+        let mut ended = Vec::new();
+        for child in &mut self.all {
+            let Some(process) = child.process.as_mut() else { continue };
+            if let Ok(Some(status)) = process.try_wait() {
+                let last: Vec<&str> = child.last.iter().map(String::as_str).collect();
+                ended.push(format!("{} ended by itself, {status}:\n  {}", child.name, last.join("\n  ")));
+                child.process = None;
+            }
+        }
+        ended
+    }
+
+    fn update_usage(&mut self, n: usize) {
+        let child = &mut self.all[n];
+        if let Some(usage) = child.process.as_ref().and_then(|c| Usage::of_process(c.id())) {
+            child.used.merge(usage);
+        }
+    }
+
+    /// The usage of a child so far, over all of its processes.
+    pub fn used(&mut self, n: usize) -> Usage {
+        self.update_usage(n);
+        let child = &self.all[n];
+        Usage { cpu_s: child.past_cpu_s + child.used.cpu_s, ..child.used }
+    }
+
+    /// The number of children.
+    pub fn len(&self) -> usize {
+        self.all.len()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.all.is_empty()
+    }
+
+    /// Writes a line to a child.
+    ///
+    /// # Errors
+    /// If it takes none.
+    pub fn write(&mut self, n: usize, line: &str) -> Result<(), ScaleError> {
+        let child = &mut self.all[n];
+        let stdin = child.stdin.as_mut().ok_or_else(|| ScaleError::NoInput(child.name.clone()))?;
+        let written = writeln!(stdin, "{line}").and_then(|()| stdin.flush());
+        written.map_err(|source| ScaleError::Child { name: child.name.clone(), source })
+    }
+}
+
+impl Drop for Children {
+    fn drop(&mut self) {
+        for child in &mut self.all {
+            if let Some(process) = child.process.as_mut() {
+                let _ = process.kill();
+            }
+        }
+        for child in &mut self.all {
+            if let Some(process) = child.process.as_mut() {
+                let _ = process.wait();
+            }
+        }
+    }
+}
