--- /dev/null
+++ b/crates/core/src/engine/attempts.rs
@@ -0,0 +1,220 @@
+//! Attempts from the decision module's action to their outcome.
+
+use super::state::{Attempt, AttemptPhase, EngineState};
+use super::Engine;
+use crate::counters::RequestOutcome;
+use crate::limits::{Admission, AdmissionRequest, CompletedAttempt, QueueAction};
+use crate::pending_response::Answer;
+use crate::transport::{AttemptHandle, AttemptOutcome, Transport};
+use aniseyoke_decision::api::{Event, Nanos, Outcome, RequestId, ServerId, Status};
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Duration;
+
+impl<T: Transport> Engine<T> {
+    /// Sends an attempt, or puts it into its node's queue where that has no capacity.
+    pub(super) fn send_attempt(
+        &self,
+        state: &mut EngineState<T>,
+        id: RequestId,
+        server: ServerId,
+        timeout: Nanos,
+        events: &mut VecDeque<Event>,
+    ) {
+        let now = self.clock.now();
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let number = request.attempts.len();
+        let time_left = request.time_left(now);
+        let time_limit = if timeout == 0 { time_left } else { timeout.min(time_left) };
+        let phase = AttemptPhase::Queued;
+        request.attempts.push(Attempt { server, sent_at: now, time_limit, phase, never_executed: false });
+        if request.is_answered() || time_left == 0 {
+            return self.end_attempt(state, id, number, Status::Moot, None, events);
+        }
+        let Some(limits) = state.limits.as_mut() else { return self.start_attempt(state, id, number) };
+        let admission_request = AdmissionRequest {
+            attempt: (id, number),
+            server,
+            class: request.class,
+            tenant: request.tenant,
+            deadline: now.saturating_add(time_limit),
+        };
+        let mut actions = Vec::new();
+        match limits.admit(now, admission_request, &mut actions) {
+            Admission::Admitted => self.start_attempt(state, id, number),
+            Admission::Queued(wait) => {
+                self.schedule(wait, move |engine| engine.queue_wait_expired(id, number));
+            }
+            Admission::Rejected => self.end_attempt(state, id, number, Status::Full, None, events),
+        }
+        self.carry_out_queue_actions(state, actions, events);
+    }
+
+    /// Hands an admitted attempt to the transport.
+    pub(super) fn start_attempt(&self, state: &mut EngineState<T>, id: RequestId, number: usize) {
+        let now = self.clock.now();
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let job = request.job.clone();
+        // Danger: between the decision on a retry and its writing lie a queue and a connection that comes up late.
+        let idempotency_time_left = request.idempotency_time_left(number, now);
+        let Some(attempt) = request.attempts.get_mut(number) else { return };
+        let time_limit = Duration::from_nanos(attempt.time_left(now));
+        let handle = Rc::new(T::Handle::default());
+        if let Some(left) = idempotency_time_left {
+            handle.forbid_writing_after(Duration::from_nanos(left));
+        }
+        let transport = self.transport.clone();
+        let exchange = transport.attempt(attempt.server, job, time_limit, handle.clone());
+        let weak_self = self.weak_self.clone();
+        let task = tokio::task::spawn_local(async move {
+            let outcome = exchange.await;
+            if let Some(engine) = weak_self.upgrade() {
+                engine.attempt_ended(id, number, outcome);
+            }
+        });
+        attempt.phase = AttemptPhase::InFlight { started_at: now, handle, task: task.abort_handle() };
+    }
+
+    /// An attempt has ended by itself.
+    fn attempt_ended(&self, id: RequestId, number: usize, outcome: AttemptOutcome<T::Reply>) {
+        let state = &mut *self.state.borrow_mut();
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempts.get(number).filter(|attempt| attempt.is_in_flight()) else {
+            return;
+        };
+        let server = attempt.server;
+        let mut events: VecDeque<Event> =
+            outcome.load.map(|load| Event::Load { server, load }).into_iter().collect();
+        let mut is_final_answer = false;
+        if let Some(answer) = outcome.answer {
+            if let Some(answer_sender) = request.answer_sender.take() {
+                // A client that has just left needs none.
+                let _ = answer_sender.send(Answer::Served(answer));
+                self.counters.increment(RequestOutcome::Served);
+                is_final_answer = true;
+            }
+        }
+        self.end_attempt(state, id, number, outcome.status, outcome.hit, &mut events);
+        if is_final_answer {
+            self.forbid_further_sends(state, id, &mut events);
+        }
+        self.handle_events(state, events);
+    }
+
+    /// An attempt has waited for capacity as long as it may.
+    fn queue_wait_expired(&self, id: RequestId, number: usize) {
+        let state = &mut *self.state.borrow_mut();
+        let now = self.clock.now();
+        let limits = state.limits.as_mut();
+        if limits.is_some_and(|limits| limits.wait_expired(now, (id, number))) {
+            let mut events = VecDeque::new();
+            self.end_attempt(state, id, number, Status::Full, None, &mut events);
+            self.handle_events(state, events);
+        }
+    }
+
+    fn carry_out_queue_actions(
+        &self,
+        state: &mut EngineState<T>,
+        actions: Vec<QueueAction>,
+        events: &mut VecDeque<Event>,
+    ) {
+        for action in actions {
+            match action {
+                QueueAction::Start((id, number)) => self.start_attempt(state, id, number),
+                QueueAction::Reject((id, number)) => {
+                    self.end_attempt(state, id, number, Status::Full, None, events);
+                }
+            }
+        }
+    }
+
+    /// Records the outcome of an attempt: the decision module is to hear of it, and what waits behind it may start.
+    fn end_attempt(
+        &self,
+        state: &mut EngineState<T>,
+        id: RequestId,
+        number: usize,
+        status: Status,
+        hit: Option<bool>,
+        events: &mut VecDeque<Event>,
+    ) {
+        let now = self.clock.now();
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let (class, last) = (request.class, request.is_answered());
+        let Some(attempt) = request.attempts.get_mut(number) else { return };
+        let phase = std::mem::replace(&mut attempt.phase, AttemptPhase::Ended);
+        attempt.never_executed = status.never_ran();
+        let (server, elapsed) = (attempt.server, now.saturating_sub(attempt.sent_at));
+        let outcome = Outcome { id, attempt: number as u32, server, status, elapsed, last, hit };
+        events.push_back(Event::Outcome(outcome));
+        if let AttemptPhase::InFlight { started_at, .. } = phase {
+            let elapsed = now.saturating_sub(started_at);
+            let completed = CompletedAttempt { server, class, status, elapsed, cache_hit: hit };
+            self.free_capacity(state, now, completed, events);
+        }
+        state.forget_if_finished(id);
+    }
+
+    /// Frees the capacity of an attempt that was in flight, and starts what waited for it.
+    fn free_capacity(
+        &self,
+        state: &mut EngineState<T>,
+        now: Nanos,
+        completed: CompletedAttempt,
+        events: &mut VecDeque<Event>,
+    ) {
+        let Some(limits) = state.limits.as_mut() else { return };
+        let mut actions = Vec::new();
+        if let Some(room) = limits.attempt_completed(now, completed, &mut actions) {
+            events.push_back(Event::Room { server: completed.server, room });
+        }
+        self.carry_out_queue_actions(state, actions, events);
+    }
+
+    /// Cancels an attempt: one in flight is ended with its connection, one in a queue leaves it.
+    pub(super) fn cancel_attempt(
+        &self,
+        state: &mut EngineState<T>,
+        id: RequestId,
+        number: usize,
+        events: &mut VecDeque<Event>,
+    ) {
+        let now = self.clock.now();
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempts.get_mut(number) else { return };
+        let status = match &attempt.phase {
+            AttemptPhase::InFlight { handle, task, .. } => {
+                handle.abort();
+                task.abort();
+                Status::Cancelled
+            }
+            AttemptPhase::Queued => {
+                if let Some(limits) = state.limits.as_mut() {
+                    limits.cancel(now, (id, number));
+                }
+                Status::Moot
+            }
+            AttemptPhase::Ended => return,
+        };
+        self.end_attempt(state, id, number, status, None, events);
+    }
+
+    /// After the final answer nothing more is written for a request, nor is anything sent that waits in a queue.
+    pub(super) fn forbid_further_sends(
+        &self,
+        state: &mut EngineState<T>,
+        id: RequestId,
+        events: &mut VecDeque<Event>,
+    ) {
+        let Some(request) = state.requests.get(&id) else { return };
+        for attempt in &request.attempts {
+            if let AttemptPhase::InFlight { handle, .. } = &attempt.phase {
+                handle.forbid_writing();
+            }
+        }
+        for number in request.queued_attempts() {
+            self.cancel_attempt(state, id, number, events);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/endpoints.rs
@@ -0,0 +1,78 @@
+//! Updates of the endpoint list, and operators' bans.
+
+use super::state::EngineState;
+use super::Engine;
+use crate::endpoint_list::Endpoint;
+use crate::transport::Transport;
+use aniseyoke_decision::api::{server_id, Entry, Event, ListKind};
+use std::borrow::Cow;
+use std::collections::VecDeque;
+
+impl<T: Transport> Engine<T> {
+    /// Applies an update of the endpoint list.
+    pub fn update_endpoints(&self, kind: ListKind, endpoints: &[Endpoint]) {
+        if matches!(kind, ListKind::Full | ListKind::Delta) {
+            self.list_received.set(true);
+        }
+        endpoints.iter().for_each(|(entry, _)| self.seen_servers.borrow_mut().add(entry.server));
+        let state = &mut *self.state.borrow_mut();
+        if kind != ListKind::Failed {
+            state.endpoint_list.apply(kind != ListKind::Delta, endpoints);
+        }
+        let overlay = &state.config.routing.overlay;
+        let overlaid: Cow<'_, [Endpoint]> = if overlay.is_empty() {
+            endpoints.into()
+        } else {
+            endpoints.iter().map(|(entry, address)| (overlay.apply(entry), *address)).collect()
+        };
+        let mut events = VecDeque::new();
+        self.announce_endpoints(state, kind, &overlaid, &mut events);
+        self.handle_events(state, events);
+    }
+
+    /// Tells the transport, the limits and the decision module of entries that have the operator's overlay applied.
+    pub(super) fn announce_endpoints(
+        &self,
+        state: &mut EngineState<T>,
+        kind: ListKind,
+        endpoints: &[Endpoint],
+        events: &mut VecDeque<Event>,
+    ) {
+        if kind != ListKind::Failed {
+            let complete = !matches!(kind, ListKind::Delta | ListKind::Overlay);
+            self.transport.update_endpoints(complete, endpoints);
+        }
+        let entries: Vec<Entry> = endpoints.iter().map(|(entry, _)| entry.clone()).collect();
+        if let Some(limits) = state.limits.as_mut() {
+            entries.iter().for_each(|entry| limits.update_endpoint(entry));
+        }
+        events.push_back(Event::List { kind, entries });
+    }
+
+    /// Whether discovery has reported a list since the start; the one known before it may be old.
+    pub fn list_received(&self) -> bool {
+        self.list_received.get()
+    }
+
+    /// The entries of the list as discovery reports them, without the servers that operators have banned.
+    pub fn active_endpoints(&self) -> Vec<Entry> {
+        let state = self.state.borrow();
+        let endpoints = state.endpoint_list.entries();
+        let active = endpoints.filter(|(entry, _)| !state.balancer.excluded(entry.server));
+        active.map(|(entry, _)| entry.clone()).collect()
+    }
+
+    /// Whether a server of this name was ever listed, as far back as is remembered.
+    pub fn was_listed(&self, name: &str) -> bool {
+        self.seen_servers.borrow().contains(server_id(name))
+    }
+
+    /// Bans a server by an operator's order, or lifts the ban.
+    pub fn set_banned(&self, name: &str, banned: bool) {
+        let server = server_id(name);
+        self.seen_servers.borrow_mut().add(server);
+        self.transport.set_banned(server, banned);
+        let event = if banned { Event::Excluded(server) } else { Event::Included(server) };
+        self.handle_event(&mut self.state.borrow_mut(), event);
+    }
+}
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -1,60 +1,66 @@
-//! The engine over a fleet whose nodes answer when the test says so.
+//! The engine over a transport whose attempts end when the test says so.
 
 use super::*;
 use crate::counters::RequestCounts;
 use crate::limits::{ConcurrencyBounds, LimitsConfig, QueueConfig};
+use crate::pending_response::PendingResponse;
+use crate::transport::{AttemptHandle, AttemptOutcome, Job};
+use aniseyoke_decision::api::{server_id, Class, Entry, Request, ServerId, Settings, Status};
 use std::future::Future;
+use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
-struct Parcel;
-#[derive(Default)]
-struct Nothing;
+struct EmptyJob;
 
-impl Job for Parcel {
+impl Job for EmptyJob {
     fn key(&self) -> &[u8] {
         b""
     }
 
-    fn comes(&self) -> bool {
+    fn body_pending(&self) -> bool {
         false
     }
 
-    fn on_taken(&self, _then: impl FnOnce() + 'static) {}
+    fn on_body_received(&self, _callback: impl FnOnce() + 'static) {}
 
-    async fn taken(_job: Weak<Self>) {}
+    async fn body_received(_job: Weak<Self>) {}
 }
 
-impl Tether for Nothing {
-    fn bar(&self) {}
-    fn cut(&self) {}
-    fn only_within(&self, _time: Duration) {}
+#[derive(Default)]
+struct InertHandle;
+
+impl AttemptHandle for InertHandle {
+    fn forbid_writing(&self) {}
+    fn forbid_writing_after(&self, _time: Duration) {}
+    fn abort(&self) {}
 }
 
-/// What was started, in order, with the end that each attempt waits for.
+/// Holds each attempt until the test ends it.
 #[derive(Default)]
-struct Held {
-    started: RefCell<Vec<Option<oneshot::Sender<Status>>>>,
+struct ManualTransport {
+    /// What ends each attempt that was started, in order; `None` once it was ended.
+    attempts: RefCell<Vec<Option<oneshot::Sender<Status>>>>,
 }
 
-impl Held {
+impl ManualTransport {
     fn started(&self) -> usize {
-        self.started.borrow().len()
+        self.attempts.borrow().len()
     }
 
     fn end(&self, number: usize, status: Status) {
-        let end = self.started.borrow_mut()[number].take();
-        // An attempt that was called off waits no more.
+        let end = self.attempts.borrow_mut()[number].take();
+        // An attempt that was cancelled waits no more.
         let _ = end.expect("ended once").send(status);
     }
 }
 
-impl Fleet for Held {
-    type Job = Parcel;
+impl Transport for ManualTransport {
+    type Job = EmptyJob;
     type Reply = ();
-    type Tether = Nothing;
+    type Handle = InertHandle;
 
-    fn update(&self, _whole: bool, _entries: &[(Entry, Option<SocketAddr>)]) {}
-    fn ban(&self, _server: ServerId, _out: bool) {}
+    fn update_endpoints(&self, _complete: bool, _endpoints: &[Endpoint]) {}
+    fn set_banned(&self, _server: ServerId, _banned: bool) {}
     fn any_ready(&self) -> bool {
         true
     }
@@ -62,148 +68,152 @@
     fn attempt(
         self: Rc<Self>,
         _server: ServerId,
-        _job: Rc<Parcel>,
-        _wait: Duration,
-        _tether: Rc<Nothing>,
-    ) -> impl Future<Output = Ended<()>> + 'static {
+        _job: Rc<EmptyJob>,
+        _time_limit: Duration,
+        _handle: Rc<InertHandle>,
+    ) -> impl Future<Output = AttemptOutcome<()>> + 'static {
         let (end, ended) = oneshot::channel();
-        self.started.borrow_mut().push(Some(end));
+        self.attempts.borrow_mut().push(Some(end));
         async move {
             let status = ended.await.unwrap_or(Status::Cancelled);
-            Ended { status, hit: None, load: None, answer: (status == Status::Ok).then_some(()) }
+            let answer = (status == Status::Ok).then_some(());
+            AttemptOutcome { status, hit: None, load: None, answer }
         }
     }
 }
 
-fn plan(settings: Settings, limits: Option<LimitsConfig>) -> Arc<EngineConfig> {
+fn settings() -> Settings {
+    let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
+    Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() }
+}
+
+fn config(settings: Settings, limits: Option<LimitsConfig>) -> Arc<EngineConfig> {
     Arc::new(EngineConfig { settings, limits, ..EngineConfig::default() })
 }
 
-/// An engine over one node with room for one attempt and a queue for one more.
-fn engine(fleet: &Rc<Held>) -> Rc<Engine<Held>> {
-    let one = ConcurrencyBounds { floor: 1.0, start: 1.0, ceiling: 1.0, ..ConcurrencyBounds::default() };
-    let queue = QueueConfig {
-        max_length: 1,
-        interval: Duration::from_millis(200),
-        target: Duration::from_millis(200),
-    };
-    let rules = LimitsConfig { node: one, queue, ..LimitsConfig::default() };
-    let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
-    let settings = Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() };
+/// An engine over one node that takes one attempt at once and queues one more.
+fn engine(transport: &Rc<ManualTransport>) -> Rc<Engine<ManualTransport>> {
+    let node = ConcurrencyBounds { floor: 1.0, start: 1.0, ceiling: 1.0, ..ConcurrencyBounds::default() };
+    let wait = Duration::from_millis(200);
+    let queue = QueueConfig { max_length: 1, interval: wait, target: wait };
+    let limits = LimitsConfig { node, queue, ..LimitsConfig::default() };
     let entry = Entry { server: server_id("a"), weight: 1.0, ..Entry::default() };
-    let (watch, _) = mpsc::unbounded_channel();
-    let plan = plan(settings, Some(rules));
-    Engine::new(plan, 1, &[(entry, None)], fleet.clone(), watch).expect("sound")
+    let (discovery_requests, _) = mpsc::unbounded_channel();
+    let config = config(settings(), Some(limits));
+    Engine::new(config, 1, &[(entry, None)], transport.clone(), discovery_requests).expect("sound")
 }
 
-fn ask(engine: &Rc<Engine<Held>>, key: u64) -> Ticket<Held> {
+fn submit(engine: &Rc<Engine<ManualTransport>>, key: u64) -> PendingResponse<ManualTransport> {
     let request = Request { key: Some(key), remaining: 2_000_000_000, ..Request::default() };
-    engine.arrive(Asked { request, job: Parcel })
+    engine.submit(IncomingRequest { request, job: EmptyJob })
+}
+
+fn queue_status(waiting: usize, rejected: u64) -> Option<QueueStatus> {
+    Some(QueueStatus { waiting, rejected })
 }
 
-async fn until(what: impl Fn() -> bool) {
-    while !what() {
+async fn until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::task::yield_now().await;
     }
 }
 
-fn play<F: Future<Output = ()>>(body: impl FnOnce(Rc<Held>, Rc<Engine<Held>>) -> F) {
+fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<ManualTransport>, Rc<Engine<ManualTransport>>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let fleet = Rc::<Held>::default();
+    let transport = Rc::<ManualTransport>::default();
     LocalSet::new().block_on(&runtime, async {
-        let engine = engine(&fleet);
-        body(fleet, engine).await;
+        let engine = engine(&transport);
+        test(transport, engine).await;
     });
 }
 
 #[test]
-fn what_finds_no_room_waits_and_starts_when_there_is() {
-    play(|fleet, engine| async move {
-        let (mut first, mut second) = (ask(&engine, 1), ask(&engine, 2));
-        until(|| fleet.started() == 1).await;
-        assert_eq!(engine.queued(), Some((1, 0)));
-        fleet.end(0, Status::Ok);
+fn an_attempt_without_capacity_waits_and_starts_when_there_is_some() {
+    run(|transport, engine| async move {
+        let (mut first, mut second) = (submit(&engine, 1), submit(&engine, 2));
+        until(|| transport.started() == 1).await;
+        assert_eq!(engine.queue_status(), queue_status(1, 0));
+        transport.end(0, Status::Ok);
         assert!(matches!(first.answer().await, Answer::Served(())));
-        until(|| fleet.started() == 2).await;
-        fleet.end(1, Status::Ok);
+        until(|| transport.started() == 2).await;
+        transport.end(1, Status::Ok);
         assert!(matches!(second.answer().await, Answer::Served(())));
-        assert_eq!(engine.queued(), Some((0, 0)));
+        assert_eq!(engine.queue_status(), queue_status(0, 0));
     });
 }
 
 #[test]
-fn what_finds_no_place_in_the_queue_is_refused_at_once_and_never_sent() {
-    play(|fleet, engine| async move {
-        let (first, second, mut third) = (ask(&engine, 1), ask(&engine, 2), ask(&engine, 3));
-        assert!(matches!(third.answer().await, Answer::Refused(_)));
-        assert_eq!((fleet.started(), engine.queued()), (1, Some((1, 1))));
+fn an_attempt_without_a_place_in_the_queue_is_rejected_at_once_and_never_sent() {
+    run(|transport, engine| async move {
+        let (first, second, mut third) = (submit(&engine, 1), submit(&engine, 2), submit(&engine, 3));
+        assert!(matches!(third.answer().await, Answer::Rejected(_)));
+        assert_eq!((transport.started(), engine.queue_status()), (1, queue_status(1, 1)));
         drop((first, second));
     });
 }
 
 #[test]
-fn who_waits_too_long_is_refused_and_never_sent() {
-    play(|fleet, engine| async move {
-        let (_first, mut second) = (ask(&engine, 1), ask(&engine, 2));
-        assert!(matches!(second.answer().await, Answer::Refused(_)));
-        assert_eq!((fleet.started(), engine.queued()), (1, Some((0, 1))));
+fn an_attempt_that_waits_too_long_is_rejected_and_never_sent() {
+    run(|transport, engine| async move {
+        let (_first, mut second) = (submit(&engine, 1), submit(&engine, 2));
+        assert!(matches!(second.answer().await, Answer::Rejected(_)));
+        assert_eq!((transport.started(), engine.queue_status()), (1, queue_status(0, 1)));
     });
 }
 
 /// Danger: a request whose client has gone would be sent for nobody once its turn comes.
 #[test]
 fn a_client_that_leaves_the_queue_leaves_nothing_to_be_sent() {
-    play(|fleet, engine| async move {
-        let (mut first, second) = (ask(&engine, 1), ask(&engine, 2));
+    run(|transport, engine| async move {
+        let (mut first, second) = (submit(&engine, 1), submit(&engine, 2));
         drop(second);
-        assert_eq!(engine.queued(), Some((0, 0)));
-        fleet.end(0, Status::Ok);
+        assert_eq!(engine.queue_status(), queue_status(0, 0));
+        transport.end(0, Status::Ok);
         assert!(matches!(first.answer().await, Answer::Served(())));
-        let mut last = ask(&engine, 3);
-        fleet.end(1, Status::Ok);
+        let mut last = submit(&engine, 3);
+        transport.end(1, Status::Ok);
         assert!(matches!(last.answer().await, Answer::Served(())));
-        assert_eq!(fleet.started(), 2, "the second was never sent");
+        assert_eq!(transport.started(), 2, "the second was never sent");
     });
 }
 
-/// Danger: what waits when limits go would wait for a turn that nobody gives.
+/// Danger: what waits when limits are removed would wait for a turn that nobody gives.
 #[test]
-fn what_waits_is_sent_when_limits_go_and_each_has_one_answer() {
-    play(|fleet, engine| async move {
-        let (mut first, mut second) = (ask(&engine, 1), ask(&engine, 2));
-        assert_eq!((fleet.started(), engine.queued()), (1, Some((1, 0))));
-        let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
-        let settings = Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() };
-        engine.retune(plan(settings.clone(), None)).expect("sound");
-        assert_eq!((fleet.started(), engine.queued()), (2, None));
-        fleet.end(1, Status::Ok);
+fn what_waits_is_sent_when_limits_are_removed_and_each_has_one_answer() {
+    run(|transport, engine| async move {
+        let (mut first, mut second) = (submit(&engine, 1), submit(&engine, 2));
+        assert_eq!((transport.started(), engine.queue_status()), (1, queue_status(1, 0)));
+        engine.reconfigure(config(settings(), None)).expect("sound");
+        assert_eq!((transport.started(), engine.queue_status()), (2, None));
+        transport.end(1, Status::Ok);
         assert!(matches!(second.answer().await, Answer::Served(())));
-        // They come back while the first is still out.
-        engine.retune(plan(settings.clone(), Some(LimitsConfig::default()))).expect("sound");
-        fleet.end(0, Status::Ok);
+        // They come back while the first is still in flight.
+        engine.reconfigure(config(settings(), Some(LimitsConfig::default()))).expect("sound");
+        transport.end(0, Status::Ok);
         assert!(matches!(first.answer().await, Answer::Served(())));
-        assert_eq!(
-            (engine.queued(), engine.tally().take()),
-            (Some((0, 0)), RequestCounts { served: 2, ..RequestCounts::default() })
-        );
+        assert_eq!(engine.queue_status(), queue_status(0, 0));
+        let served = RequestCounts { served: 2, ..RequestCounts::default() };
+        assert_eq!(engine.counters().take(), served);
         let bad = LimitsConfig { over_quota_fraction: 7.0, ..LimitsConfig::default() };
-        assert!(engine.retune(plan(settings, Some(bad))).is_err_and(|why| why.contains("over_share_part")));
-        assert!(engine.retune(plan(Settings::default(), None)).is_err(), "classes are the platform's matter");
-        assert_eq!(engine.queued(), Some((0, 0)), "nothing has changed");
+        let error = engine.reconfigure(config(settings(), Some(bad))).expect_err("out of range");
+        assert!(error.to_string().contains("over_share_part"), "{error}");
+        let error = engine.reconfigure(config(Settings::default(), None)).expect_err("the platform's matter");
+        assert_eq!(error, ReconfigureError::Classes { old: 1, new: 0 });
+        assert_eq!(engine.queue_status(), queue_status(0, 0), "nothing has changed");
     });
 }
 
 /// Danger: a request that nobody answers is lost once its client stops waiting.
 #[tokio::test(flavor = "current_thread")]
-async fn a_request_that_the_module_leaves_unanswered_is_failed() {
-    let (_held, answered) = oneshot::channel();
-    let (guard, job) = (Duration::from_millis(1), Rc::new(Parcel));
-    let mut ticket = Ticket::<Held> {
+async fn a_request_that_the_decision_module_leaves_unanswered_times_out() {
+    let (_sender, answer) = oneshot::channel();
+    let (time_limit, job) = (Duration::from_millis(1), Rc::new(EmptyJob));
+    let mut pending = PendingResponse::<ManualTransport> {
         id: 1,
-        answered: Some(answered),
-        guard,
+        answer: Some(answer),
+        time_limit,
         job: Rc::downgrade(&job),
-        engine: Weak::new(),
+        engine: Weak::<Engine<ManualTransport>>::new(),
     };
-    assert!(matches!(ticket.answer().await, Answer::Overdue));
+    assert!(matches!(pending.answer().await, Answer::TimedOut));
 }
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use super::list_service::ListCaller;
 use super::Options;
-use aniseyoke_core::margin;
+use aniseyoke_core::deadline_margin;
 use aniseyoke_decision::api::{Action, Entry, Event, ListKind, RequestId, ServerId, State, Status};
 use aniseyoke_decision::Balancer;
 use aniseyoke_lab_day::clock::mix;
@@ -127,7 +127,7 @@
     ) -> (RequestId, Nanos) {
         let id = self.next;
         self.next += 1;
-        let left = patience - margin(patience);
+        let left = patience - deadline_margin(patience);
         let pending = PendingRequest {
             client,
             attempt_number,
@@ -144,7 +144,7 @@
 
     /// After this time a request that the module leaves unanswered is ended.
     pub fn deadline(patience: Nanos) -> Nanos {
-        patience - margin(patience) / 2
+        patience - deadline_margin(patience) / 2
     }
 
     /// Takes an idle connection to a server, with whether it carried two attempts; none if one has to be opened.
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -64,7 +64,9 @@
 
     fn version(&self) -> serde_json::Value {
         let mut about = self.about.borrow().clone();
-        if let (Some((waiting, turned)), Some(about)) = (self.engine.queued(), about.as_object_mut()) {
+        if let (Some(aniseyoke_core::QueueStatus { waiting, rejected: turned }), Some(about)) =
+            (self.engine.queue_status(), about.as_object_mut())
+        {
             about.insert("limits".into(), serde_json::json!({ "waiting": waiting, "turned": turned }));
         }
         if let (Some(held), Some(about)) = (&self.held, about.as_object_mut()) {
@@ -76,7 +78,7 @@
     async fn ban(&self, id: String, out: bool) -> Verdict {
         // What another process took out may have left the list before this one began.
         self.look();
-        if !self.engine.listed(&id) {
+        if !self.engine.was_listed(&id) {
             return Verdict::Unknown("no such cache node was ever listed");
         }
         let change = |orders: &mut Orders| {
@@ -101,8 +103,8 @@
     fn carry_out(&self) {
         let orders = self.store.orders();
         let done = self.done.replace(orders.clone());
-        orders.bans.difference(&done.bans).for_each(|id| self.engine.ban(id, true));
-        done.bans.difference(&orders.bans).for_each(|id| self.engine.ban(id, false));
+        orders.bans.difference(&done.bans).for_each(|id| self.engine.set_banned(id, true));
+        done.bans.difference(&orders.bans).for_each(|id| self.engine.set_banned(id, false));
         self.drain.call(orders.drain);
     }
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -172,7 +172,7 @@
                     self.rhythm.answered(nanos(self.began.elapsed()));
                     self.paced.iter_mut().for_each(|p| p.answered(&members));
                     let kind = if members.full { ListKind::Full } else { ListKind::Delta };
-                    engine.list(kind, &self.names.entries(&members));
+                    engine.update_endpoints(kind, &self.names.entries(&members));
                 }
                 Err(e) => {
                     tracing::warn!("discovery at {}: {e}", self.addr);
@@ -180,7 +180,7 @@
                     self.paced.iter_mut().for_each(|p| p.failed(&e));
                     if self.in_slots() {
                         // The module's waits come on top of the slot's otherwise, and the next call too late.
-                        engine.list(ListKind::Failed, &[]);
+                        engine.update_endpoints(ListKind::Failed, &[]);
                         while asked.try_recv().is_ok() {}
                         continue;
                     }
@@ -196,7 +196,7 @@
                     // Danger: the module's waits after a failure are made for a discovery that is down, and are
                     // longer than the time in which the news of a new one must be known.
                     let Some(wait) = self.again else {
-                        engine.list(ListKind::Failed, &[]);
+                        engine.update_endpoints(ListKind::Failed, &[]);
                         return;
                     };
                     self.again = Some((wait * 2).min(AGAIN_MOST));
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -76,7 +76,7 @@
             return gone();
         }
         asked.job.waiter = Some(Waiter::new(socket, word, most));
-        let mut ticket = self.engine.arrive(asked);
+        let mut ticket = self.engine.submit(asked);
         let mut response = tokio::select! {
             biased;
             answer = ticket.answer() => respond_with(answer, bodiless),
@@ -121,7 +121,7 @@
             head.version = Version::HTTP_11;
             Response::from_parts(head, body)
         }
-        Answer::Refused(wait) => {
+        Answer::Rejected(wait) => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             if !wait.is_zero() {
                 if let Ok(advice) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
@@ -131,7 +131,7 @@
             response
         }
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
-        Answer::Overdue => {
+        Answer::TimedOut => {
             tracing::warn!("a request was left unanswered until its deadline");
             plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
         }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -245,7 +245,7 @@
     /// Waits until this process can serve as well as the one that it takes over from.
     async fn until_told(&self) {
         let start = Instant::now();
-        while !(self.engine.can_serve() && (self.engine.told() || start.elapsed() > TOLD_WITHIN)) {
+        while !(self.engine.can_serve() && (self.engine.list_received() || start.elapsed() > TOLD_WITHIN)) {
             sleep(TOLD_AGAIN).await;
         }
         tracing::info!("handover: clients are let in");
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -4,7 +4,7 @@
 use super::Server;
 use crate::upload::{self, Fault};
 use crate::upstream::{Job, TIME_LEFT};
-use aniseyoke_core::Asked;
+use aniseyoke_core::IncomingRequest;
 use aniseyoke_decision::api::{self, Effect, Nanos};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -23,7 +23,7 @@
     pub(super) async fn asked(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Asked<Job>, (StatusCode, &'static str)> {
+    ) -> Result<IncomingRequest<Job>, (StatusCode, &'static str)> {
         let (head, body) = request.into_parts();
         let mut parts = head.uri.path().strip_prefix('/').unwrap_or("").split('/');
         let name = parts.next().unwrap_or("");
@@ -79,7 +79,7 @@
         strip(&mut headers);
         // The body is passed on with the length that it has.
         headers.remove(header::CONTENT_LENGTH);
-        Ok(Asked { request, job: Job { method: head.method, uri, headers, body, waiter: None } })
+        Ok(IncomingRequest { request, job: Job { method: head.method, uri, headers, body, waiter: None } })
     }
 }
 
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -96,7 +96,7 @@
             let (orders, ordered) = mpsc::channel(1);
             let no_thread = |e: std::io::Error| format!("no thread for versions: {e}");
             let subscription =
-                Subscription::new(&control, below, orders, engine.tally()).map_err(no_thread)?;
+                Subscription::new(&control, below, orders, engine.counters()).map_err(no_thread)?;
             let serving = Serving { engine, in_force, log: swapped, about: told_about };
             tokio::task::spawn_local(serving.run(ordered));
             subscription.start(control, at, last).map_err(no_thread)
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -6,7 +6,7 @@
 use super::socket::{Descriptors, Io, Presence, Socket, Waiter};
 use super::upload::{Payload, Sending};
 use super::{BODY_MOST, BUFFER_MOST, LARGEST};
-use aniseyoke_core::Fleet;
+use aniseyoke_core::Transport;
 use aniseyoke_decision::api::{Entry, Load, Nanos, ServerId, State, Status};
 use aniseyoke_sockets::{connect, ConnectError};
 use http_body_util::BodyExt;
@@ -76,17 +76,17 @@
         path.split_once('/').map_or("", |(_, key)| key).as_bytes()
     }
 
-    fn comes(&self) -> bool {
+    fn body_pending(&self) -> bool {
         self.body.upload().is_some()
     }
 
-    fn on_taken(&self, then: impl FnOnce() + 'static) {
+    fn on_body_received(&self, then: impl FnOnce() + 'static) {
         if let Some(upload) = self.body.upload() {
             upload.on_taken(then);
         }
     }
 
-    async fn taken(job: Weak<Job>) {
+    async fn body_received(job: Weak<Job>) {
         // Danger: a wait that holds the job itself would hold the body's connection as well.
         let Some(upload) = job.upgrade().map(|job| job.body.upload().cloned()) else { return };
         if let Some(upload) = upload {
@@ -99,7 +99,7 @@
 pub type Reply = Response<Outgoing>;
 
 /// What came of an attempt.
-type Ended = aniseyoke_core::Ended<Reply>;
+type Ended = aniseyoke_core::AttemptOutcome<Reply>;
 
 /// The caller's hold on an attempt while it is out.
 #[derive(Default)]
@@ -112,8 +112,8 @@
     idle: Notify,
 }
 
-impl aniseyoke_core::Tether for Tether {
-    fn bar(&self) {
+impl aniseyoke_core::AttemptHandle for Tether {
+    fn forbid_writing(&self) {
         self.barred.set(true);
         let written = |s: &Rc<Socket>| s.whole();
         if self.socket.borrow().as_ref().is_some_and(written) {
@@ -128,14 +128,14 @@
     }
 
     /// Danger: the task that writes it may run before the one that is aborted.
-    fn cut(&self) {
+    fn abort(&self) {
         self.barred.set(true);
         if let Some(socket) = self.socket.take() {
             socket.close();
         }
     }
 
-    fn only_within(&self, time: Duration) {
+    fn forbid_writing_after(&self, time: Duration) {
         self.until.set(Some(Instant::now() + time));
     }
 }
@@ -198,12 +198,12 @@
     opening: Option<RefCell<Opening>>,
 }
 
-impl Fleet for Upstreams {
+impl Transport for Upstreams {
     type Job = Job;
     type Reply = Reply;
-    type Tether = Tether;
+    type Handle = Tether;
 
-    fn update(&self, whole: bool, entries: &[(Entry, Option<SocketAddr>)]) {
+    fn update_endpoints(&self, whole: bool, entries: &[(Entry, Option<SocketAddr>)]) {
         if let Some(opening) = &self.opening {
             opening.borrow_mut().update(whole, entries.iter().map(|(entry, _)| entry));
         }
@@ -232,7 +232,7 @@
         }
     }
 
-    fn ban(&self, server: ServerId, out: bool) {
+    fn set_banned(&self, server: ServerId, out: bool) {
         let mut banned = self.banned.borrow_mut();
         if out {
             banned.insert(server);
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -29,7 +29,7 @@
     let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let upstreams = Upstreams::new(Descriptors::new(0), Budget::new(0), Duration::from_secs(30), 0, None);
     let entry = Entry { server: 1, ..Entry::default() };
-    upstreams.update(true, &[(entry, node.local_addr().ok())]);
+    upstreams.update_endpoints(true, &[(entry, node.local_addr().ok())]);
     let job = Job {
         method: Method::GET,
         uri: Uri::default(),
--- a/crates/proxy/src/versions/serving.rs
+++ b/crates/proxy/src/versions/serving.rs
@@ -58,7 +58,7 @@
         while let Some(order) = orders.recv().await {
             // Who asked may be gone, with the proxy.
             match order {
-                Order::Look(tell) => drop(tell.send((self.engine.plan(), self.engine.standing()))),
+                Order::Look(tell) => drop(tell.send((self.engine.config(), self.engine.active_endpoints()))),
                 Order::Swap(ready, tell) => drop(tell.send(self.swap(*ready))),
             }
         }
@@ -66,7 +66,7 @@
 
     fn swap(&self, ready: Ready) -> Result<Swapped, String> {
         let start = Instant::now();
-        let plan = self.engine.retune(ready.plan)?;
+        let plan = self.engine.reconfigure(ready.plan).map_err(|error| error.to_string())?;
         self.log.set_levels(&ready.levels);
         let (digest, stamp) = ready.names;
         if let Some(about) = self.about.borrow_mut().as_object_mut() {
