--- a/crates/faults-preload/src/engine.rs
+++ b/crates/faults-preload/src/engine.rs
@@ -32,6 +32,8 @@
     pub fail: Option<c_int>,
     pub fail_after: Option<c_int>,
     pub short: Option<usize>,
+    /// The process stops: before the call if it is short of every byte, or else behind it.
+    pub stop: bool,
     /// Nanoseconds to add to a wall clock.
     pub step: i64,
 }
@@ -76,7 +78,13 @@
         set_errno(number);
         return R::from(-1);
     }
+    if verdict.stop && verdict.short == Some(0) {
+        stop();
+    }
     let result = make(&verdict);
+    if verdict.stop {
+        stop();
+    }
     if let Some(number) = verdict.fail_after {
         set_errno(number);
         return R::from(-1);
@@ -103,6 +111,12 @@
     verdict
 }
 
+/// Stops the process, until it is killed or told to go on.
+fn stop() {
+    // SAFETY: the call takes no memory.
+    unsafe { libc::raise(libc::SIGSTOP) };
+}
+
 fn pause(time: Duration) {
     if !time.is_zero() {
         std::thread::sleep(time);
@@ -165,6 +179,7 @@
                 Effect::Fail(number) => verdict.fail = Some(number),
                 Effect::FailAfter(number) => verdict.fail_after = Some(number),
                 Effect::Short(most) => verdict.short = Some(most),
+                Effect::StopAfter(most) => (verdict.short, verdict.stop) = (Some(most), true),
                 Effect::Step(nanoseconds) => verdict.step = nanoseconds,
             }
             if !matches!(rule.effect, Effect::DelayBefore(_) | Effect::DelayAfter(_)) {
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -70,6 +70,8 @@
     /// It is made for at most so many bytes. Danger: epoll promises that a short read or write has emptied or filled the
     /// socket, so a process that relies on this (the runtime's own `AsyncRead` and `AsyncWrite`) waits for ever after an invented one.
     Short(usize),
+    /// It is made for at most so many bytes, then the process stops itself (SIGSTOP), so that a test can kill it there.
+    StopAfter(usize),
     /// It is made so many microseconds later.
     DelayBefore(u64),
     /// It returns so many microseconds after it was made.
