--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -42,7 +42,7 @@
 /// Why a replica can't go on.
 #[derive(Debug)]
 pub enum Error {
-    /// Its store can't be read or written. It must end: what it said last may not be on disk.
+    /// Its store can't be read or written. It has ended: every further call fails, since memory may be ahead of the disk.
     Store(Failed),
     /// Raft finds that something is wrong with it.
     Raft(raft::Error),
@@ -97,6 +97,8 @@
     applied: u64,
     /// What is handed out first: a snapshot from the store.
     first: Vec<Event>,
+    /// The error that ended it.
+    ended: Option<String>,
 }
 
 impl Replica {
@@ -129,7 +131,7 @@
         };
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, store, &quiet)?;
-        Ok(Replica { node, leads: None, applied, first })
+        Ok(Replica { node, leads: None, applied, first, ended: None })
     }
 
     /// Its number.
@@ -162,8 +164,22 @@
     /// # Errors
     /// [`Error`]
     pub fn tick(&mut self) -> Result<Out, Error> {
-        self.node.tick();
-        self.drain()
+        self.drive(|me| {
+            me.node.tick();
+            me.drain()
+        })
+    }
+
+    /// Danger: after an error memory is ahead of the disk, and what memory says must not leave, also once the disk is back.
+    fn drive<T>(&mut self, step: impl FnOnce(&mut Self) -> Result<T, Error>) -> Result<T, Error> {
+        if let Some(why) = &self.ended {
+            return Err(Error::Store(format!("it has ended: {why}").into()));
+        }
+        let done = step(self);
+        if let Err(e) = &done {
+            self.ended = Some(e.to_string());
+        }
+        done
     }
 
     /// A message of another replica has come.
@@ -171,6 +187,10 @@
     /// # Errors
     /// [`Error`]; the inner one says that it was none, and changed nothing.
     pub fn step(&mut self, bytes: &[u8]) -> Result<Result<Out, NotDone>, Error> {
+        self.drive(|me| me.take(bytes))
+    }
+
+    fn take(&mut self, bytes: &[u8]) -> Result<Result<Out, NotDone>, Error> {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return Ok(Err(NotDone::Unreadable)) };
         let member = self.node.store().members().voters.contains(&message.from);
         if !member || message.to != self.id() || raft::raw_node::is_local_msg(message.get_msg_type()) {
@@ -204,11 +224,11 @@
         if self.leads.is_none() {
             return Ok(Err(NotDone::Elsewhere(self.leader())));
         }
-        match self.node.propose(Vec::new(), record) {
-            Ok(()) => self.drain().map(Ok),
+        self.drive(|me| match me.node.propose(Vec::new(), record) {
+            Ok(()) => me.drain().map(Ok),
             Err(raft::Error::ProposalDropped) => Ok(Err(NotDone::Full)),
             Err(e) => Err(e.into()),
-        }
+        })
     }
 
     /// Asks a majority to confirm that this replica leads; [`Event::Confirmed`] with the same number tells that it does.
@@ -220,8 +240,10 @@
         if self.leads.is_none() {
             return Ok(Err(NotDone::Elsewhere(self.leader())));
         }
-        self.node.read_index(number.to_be_bytes().to_vec());
-        self.drain().map(Ok)
+        self.drive(|me| {
+            me.node.read_index(number.to_be_bytes().to_vec());
+            me.drain().map(Ok)
+        })
     }
 
     /// Forgets the records up to one that was handed out; `data` is what they come to, and is handed to a replica that lacks
@@ -233,7 +255,7 @@
         if index > self.applied {
             return Err(Error::Store(format!("record {index} was not handed out yet").into()));
         }
-        self.node.mut_store().compact(index, data).map_err(Error::Store)
+        self.drive(|me| me.node.mut_store().compact(index, data).map_err(Error::Store))
     }
 
     /// Has all done that raft wants done: first to disk, then out.
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -3,7 +3,9 @@
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error as Raft, GetEntriesContext, RaftState, Storage, StorageError};
-use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use redb::backends::FileBackend;
+use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
+use std::fs::{File, OpenOptions};
 use std::path::Path;
 
 /// Entries by index.
@@ -16,6 +18,27 @@
 /// Why the store can't be read or written.
 pub type Failed = Box<dyn std::error::Error + Send + Sync>;
 
+/// Bytes that are written anew at once.
+const PART: usize = 1 << 20;
+
+/// Writes every byte again as it is, and has the disk take them. Danger: what is found may stand in memory only, if the sync
+/// of it failed in a process that then ended; a later sync would say nothing of that.
+fn write_anew(bytes: &impl StorageBackend) -> std::io::Result<()> {
+    let length = bytes.len()?;
+    let mut part = vec![0; PART];
+    let mut at = 0;
+    while at < length {
+        let size = usize::try_from(length - at).unwrap_or(PART).min(PART);
+        bytes.read(at, &mut part[..size])?;
+        bytes.write(at, &part[..size])?;
+        at += size as u64;
+    }
+    if length > 0 {
+        bytes.sync_data()?;
+    }
+    Ok(())
+}
+
 /// The log on disk.
 pub struct Store {
     disk: Database,
@@ -32,7 +55,34 @@
     /// # Errors
     /// If the file can't be had, is no log, or is one of other members.
     pub fn open(path: &Path, members: &[u64]) -> Result<Self, Failed> {
-        let disk = Database::create(path)?;
+        if !path.exists() {
+            Self::begin(path, members)?;
+        }
+        let file = OpenOptions::new().read(true).write(true).open(path)?;
+        Self::open_on(FileBackend::new(file)?, members)
+    }
+
+    /// Makes a log under another name and gives it its own once it is complete. Danger: one whose making was cut short could
+    /// never be opened again; and one whose name is not on disk is gone after a power loss, with every vote in it.
+    fn begin(path: &Path, members: &[u64]) -> Result<(), Failed> {
+        let mut new = path.as_os_str().to_owned();
+        new.push(".new");
+        let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&new)?;
+        drop(Self::open_on(FileBackend::new(file)?, members)?);
+        File::open(&new)?.sync_all()?;
+        std::fs::rename(&new, path)?;
+        let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+        File::open(folder.unwrap_or(Path::new(".")))?.sync_all()?;
+        Ok(())
+    }
+
+    /// As [`Self::open`], on anything that holds bytes.
+    ///
+    /// # Errors
+    /// As [`Self::open`].
+    pub fn open_on(bytes: impl StorageBackend, members: &[u64]) -> Result<Self, Failed> {
+        write_anew(&bytes)?;
+        let disk = Database::builder().create_with_backend(bytes)?;
         let begin = disk.begin_write()?;
         begin.open_table(LOG)?;
         begin.open_table(META)?;
