--- a/crates/control/src/keeper.rs
+++ b/crates/control/src/keeper.rs
@@ -63,6 +63,8 @@
     pub publishers: Publishers,
     pub batch: Duration,
     pub say: fn(&str),
+    /// Why the log could not begin anew when that was tried last; it is said once.
+    pub stuck: Option<String>,
 }
 
 impl Keeper {
@@ -81,10 +83,15 @@
                 Err(_) => None,
             };
             if purges.look(|relay| relay.is_outrun()) {
-                match epoch() {
+                let begun = match epoch() {
                     Ok(epoch) => self.begin_anew(&service, &purges, epoch),
-                    Err(why) => (self.say)(&format!("no new epoch can be begun: {why}")),
+                    Err(why) => Err(format!("no new epoch can be begun: {why}")),
+                };
+                if let Err(why) = begun {
+                    self.refuse_until_begun(first, why);
+                    continue;
                 }
+                self.stuck = None;
             }
             let Some(first) = first else { continue };
             sleep(self.batch).await;
@@ -97,17 +104,24 @@
     }
 
     /// Somebody below knows more than this log: it is an older one that came back.
-    fn begin_anew(&mut self, service: &Service, purges: &Purges, epoch: u64) {
-        match self.file.begin_anew(epoch) {
-            Ok(()) => {
-                (self.say)(&format!(
-                    "the log of purges is older than what is known below: epoch {epoch} begins"
-                ));
-                self.publishers = Publishers::default();
-                purges.begin_anew(service.now(), epoch);
-            }
-            Err(e) => (self.say)(&format!("the log of purges can't begin anew: {e}")),
+    fn begin_anew(&mut self, service: &Service, purges: &Purges, epoch: u64) -> Result<(), String> {
+        self.file.begin_anew(epoch).map_err(|e| format!("the log of purges can't begin anew: {e}"))?;
+        (self.say)(&format!("the log of purges is older than what is known below: epoch {epoch} begins"));
+        self.publishers = Publishers::default();
+        purges.begin_anew(service.now(), epoch);
+        Ok(())
+    }
+
+    /// Danger: the numbers that the old log would give out next were given out before, and those below pass them over.
+    fn refuse_until_begun(&mut self, call: Option<Waiting>, why: String) {
+        if self.stuck.as_ref() != Some(&why) {
+            (self.say)(&why);
+        }
+        if let Some(Waiting { answer, .. }) = call {
+            // Who asked may have given up.
+            _ = answer.send(ToOperator::No { why: why.clone() });
         }
+        self.stuck = Some(why);
     }
 
     async fn keep(mut self, service: &Service, purges: &Purges, batch: Vec<Waiting>) -> Self {
@@ -138,7 +152,7 @@
         if new.is_empty() {
             return self;
         }
-        let Keeper { mut file, publishers, batch, say } = self;
+        let Keeper { mut file, publishers, batch, say, stuck } = self;
         let kept = tokio::task::spawn_blocking(move || {
             let done = file.append(&new);
             (file, new, done)
@@ -148,7 +162,7 @@
             say("the log of purges is lost with its thread: no purges are taken until a restart");
             return std::future::pending().await;
         };
-        self = Keeper { file, publishers, batch, say };
+        self = Keeper { file, publishers, batch, say, stuck };
         if let Err(why) = done {
             (self.say)(&format!("purges can't be kept: {why}"));
             for (answer, _) in answers {
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -7,7 +7,7 @@
 use aniseyoke_control::relay::{relay, Relaying, Root};
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::service::{call, Service};
-use aniseyoke_control::store::{Disk, Found, Kept, Store};
+use aniseyoke_control::store::{raise_epoch, Disk, Found, Kept, Store};
 use aniseyoke_control::{Publisher, Stamp};
 use aniseyoke_fanout::Settings;
 use clap::{Parser, Subcommand};
@@ -19,6 +19,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
+use tokio::time::sleep;
+
+/// After a version that could not be stored, the one in force is stored again as often, until it is.
+const SETTLE_EVERY: Duration = Duration::from_secs(1);
 
 /// Publishes numbered versions of the configuration to proxies.
 #[derive(Parser)]
@@ -256,19 +260,10 @@
     }
 }
 
-/// The epoch of this start: one more than that of the last, whose number is kept beside the newest version. Danger: a
-/// folder that was restored from a backup brings an old epoch back; the time of the start, in seconds, is never less
-/// than any number of restarts, so that it counts on past it.
+/// The epoch of this start.
 fn epoch(dir: &Path) -> Result<u64, String> {
-    let file = dir.join("epoch");
-    let last =
-        std::fs::read_to_string(&file).ok().and_then(|text| text.trim().parse::<u64>().ok()).unwrap_or(0);
     let seconds = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs());
-    let epoch = seconds.max(last + 1);
-    let new = dir.join("epoch.new");
-    let written = std::fs::write(&new, format!("{epoch}\n")).and_then(|()| std::fs::rename(&new, &file));
-    written.map_err(|e| format!("{}: {e}", file.display()))?;
-    Ok(epoch)
+    raise_epoch(&mut Disk, dir, seconds).map_err(|e| format!("{}: {e}", dir.join("epoch").display()))
 }
 
 async fn bound(what: &str, addr: SocketAddr) -> Result<TcpListener, String> {
@@ -306,7 +301,13 @@
         }
         None => (Service::new(publisher), None),
     };
-    match store.find().map_err(|e| format!("{}: {e}", dir.display()))? {
+    let found = store.find().map_err(|e| format!("{}: {e}", dir.display()))?;
+    service.stores(move |version| {
+        let at_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+        let kept = Kept { version: version.clone(), at_ms };
+        store.keep(&kept).map_err(|e| format!("{}: {e}", store.path().display()))
+    });
+    match found {
         Found::Good(kept) => {
             let was = kept.version.stamp;
             let stamp = service.publish(kept.version.body.value(), Plan::default())?;
@@ -327,12 +328,8 @@
         tokio::task::spawn_local(service.clone().serve(proxies));
         tokio::task::spawn_local(service.clone().hear(operators));
         loop {
-            service.published.notified().await;
-            let Some(version) = service.newest() else { continue };
-            let at_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
-            if let Err(e) = store.keep(&Kept { version, at_ms }) {
-                eprintln!("aniseyoke-control: the newest version could not be kept: {e}");
-            }
+            sleep(SETTLE_EVERY).await;
+            service.settle();
         }
     })
 }
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -82,6 +82,14 @@
     at: Nanos,
 }
 
+/// A version that can be published.
+pub struct Prepared {
+    /// The version.
+    pub version: Version,
+    bytes: Arc<[u8]>,
+    plan: Plan,
+}
+
 /// A service's side.
 pub struct Publisher {
     epoch: u64,
@@ -152,22 +160,41 @@
         plan: Plan,
         out: &mut Vec<Outgoing>,
     ) -> Result<Stamp, String> {
+        let prepared = self.prepare(&body, plan)?;
+        Ok(self.publish_prepared(now, prepared, out))
+    }
+
+    /// Checks a body and gives it the stamp that it is published under, if nothing else is published before.
+    ///
+    /// # Errors
+    /// As [`Self::publish`].
+    pub fn prepare(&self, body: &Value, plan: Plan) -> Result<Prepared, String> {
         plan.check().map_err(|e| e.to_string())?;
         let number = self.newest().map_or(0, |v| v.stamp.number) + 1;
-        let stamp = Stamp { epoch: self.epoch, number };
-        self.bring_out(now, Version::new(stamp, &body), plan, out)?;
-        Ok(stamp)
+        let version = Version::new(Stamp { epoch: self.epoch, number }, body);
+        let bytes = whole(&version).map_err(|e| e.to_string())?;
+        Ok(Prepared { version, bytes, plan })
     }
 
-    fn bring_out(
-        &mut self,
-        now: Nanos,
-        version: Version,
-        plan: Plan,
-        out: &mut Vec<Outgoing>,
-    ) -> Result<(), String> {
+    /// Publishes what was prepared last.
+    pub fn publish_prepared(&mut self, now: Nanos, prepared: Prepared, out: &mut Vec<Outgoing>) -> Stamp {
+        let stamp = prepared.version.stamp;
+        self.bring_out(now, prepared, out);
+        stamp
+    }
+
+    /// What a version said that is still known.
+    ///
+    /// # Errors
+    /// If it is not known any more.
+    pub fn body_of(&self, stamp: Stamp) -> Result<Value, String> {
+        let body = self.version(stamp).map(|v| v.body.value());
+        body.ok_or_else(|| format!("version {stamp} is not known any more"))
+    }
+
+    fn bring_out(&mut self, now: Nanos, prepared: Prepared, out: &mut Vec<Outgoing>) {
+        let Prepared { version, bytes, plan } = prepared;
         let stamp = version.stamp;
-        let bytes = whole(&version).map_err(|e| e.to_string())?;
         if let Some(before) = self.rollout.take() {
             if before.state() == &State::Everybody {
                 self.settled = Some(before.stamp());
@@ -184,7 +211,6 @@
         self.encoded.insert((None, stamp), bytes);
         self.rollout = Some(Rollout::new(now, stamp, plan));
         self.bring(now, out);
-        Ok(())
     }
 
     /// Passes a version that another service published on to everybody, under its own stamp.
@@ -203,7 +229,9 @@
             }
             _ => {}
         }
-        self.bring_out(now, version, Plan::default(), out)
+        let bytes = whole(&version).map_err(|e| e.to_string())?;
+        self.bring_out(now, Prepared { version, bytes, plan: Plan::default() }, out);
+        Ok(())
     }
 
     /// How many were sent a version and have not answered.
@@ -227,8 +255,7 @@
         plan: Plan,
         out: &mut Vec<Outgoing>,
     ) -> Result<Stamp, String> {
-        let body = self.version(to).map(|v| v.body.value());
-        let body = body.ok_or_else(|| format!("version {to} is not known any more"))?;
+        let body = self.body_of(to)?;
         self.publish(now, body, plan, out)
     }
 
--- a/crates/control/src/purge_log.rs
+++ b/crates/control/src/purge_log.rs
@@ -1,7 +1,8 @@
 //! The root's log of purges on disk: records with a checksum, synced before a publisher is answered, in segments of
 //! which the oldest goes. What is found again is what was synced; a torn end is cut, and anything else that is damaged
-//! is a lost log: a new epoch.
+//! is a lost log: a new epoch. Nothing is appended behind what a failed write left: that is cut off first.
 
+use crate::sealed::{Disk, Files};
 use aniseyoke_fanout::{Log, Progress, Publishers};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read as _, Write as _};
@@ -49,8 +50,18 @@
     /// The number before the segment's first entry.
     after: u64,
     newest: u64,
-    /// Why it takes nothing more.
-    broken: Option<String>,
+    state: State,
+}
+
+/// Whether records can be appended.
+#[derive(Clone, Copy, PartialEq)]
+enum State {
+    /// They can.
+    Sound,
+    /// A write or sync failed: the file may hold bytes past its sound length, which have to be cut off first.
+    Torn,
+    /// Its files were being put aside: it has to begin anew first.
+    PutAside,
 }
 
 fn segment(dir: &Path, after: u64) -> PathBuf {
@@ -141,9 +152,10 @@
     epoch: u64,
     after: u64,
     calls: Vec<Call>,
-    /// How much of it is sound, in bytes, and how much there is.
-    sound: u64,
-    length: u64,
+    /// Its bytes, as far as they are sound.
+    sound: Vec<u8>,
+    /// How many bytes at its end are not.
+    torn: usize,
 }
 
 impl Read {
@@ -152,11 +164,27 @@
     }
 }
 
+/// Why no log was found where there are files of one.
+enum Unfound {
+    /// The disk did not give or take bytes: the log may be sound, and is left as it is.
+    Disk(String),
+    /// It is lost.
+    Damaged(String),
+}
+
+fn disk(path: &Path) -> impl Fn(io::Error) -> Unfound + '_ {
+    move |e| Unfound::Disk(told(path)(e))
+}
+
 /// Reads a segment; none where its very header is torn.
-fn read(path: &Path) -> Result<Option<Read>, String> {
-    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+fn read(path: &Path) -> Result<Option<Read>, Unfound> {
     let mut bytes = Vec::new();
-    File::open(path).and_then(|mut f| f.read_to_end(&mut bytes)).map_err(|e| named(&e))?;
+    File::open(path).and_then(|mut f| f.read_to_end(&mut bytes)).map_err(disk(path))?;
+    parse(path, bytes).map_err(Unfound::Damaged)
+}
+
+fn parse(path: &Path, mut bytes: Vec<u8>) -> Result<Option<Read>, String> {
+    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let Some((mut head, mut at)) = first(&bytes).map_err(|e| named(&e))? else { return Ok(None) };
     let strange = || named(&"it is no segment of a log of purges");
     head = head.strip_prefix(MAGIC.as_slice()).ok_or_else(strange)?;
@@ -168,13 +196,24 @@
         }
         at += length;
     }
-    Ok(Some(Read { epoch, after, calls, sound: at as u64, length: bytes.len() as u64 }))
+    let torn = bytes.len() - at;
+    bytes.truncate(at);
+    Ok(Some(Read { epoch, after, calls, sound: bytes, torn }))
 }
 
 fn told(path: &Path) -> impl Fn(io::Error) -> String + '_ {
     move |e| format!("{}: {e}", path.display())
 }
 
+/// Writes a segment anew under its own name, and opens it to append to. Danger: what was read may stand in memory only, if the
+/// sync of it failed in a process that then was killed; a sync of the same file would say nothing of that.
+fn written_anew(path: &Path, bytes: &[u8]) -> io::Result<File> {
+    let new = path.with_extension("new");
+    Disk.write(&new, bytes)?;
+    Disk.rename(&new, path)?;
+    OpenOptions::new().append(true).open(path)
+}
+
 fn sync_dir(dir: &Path) -> io::Result<()> {
     File::open(dir)?.sync_all()
 }
@@ -184,14 +223,15 @@
     /// `most` entries are kept, and at most twice as many and one batch.
     ///
     /// # Errors
-    /// If the folder or its files can't be read or written.
+    /// If the folder or its files can't be read or written; what is there stays as it is then.
     pub fn open(dir: &Path, most: usize, epoch: u64) -> Result<Opened, String> {
         std::fs::create_dir_all(dir).map_err(told(dir))?;
         let mut say = Vec::new();
         match Self::found(dir, most, &mut say) {
             Ok(Some((file, log, publishers))) => return Ok(Opened { file, log, publishers, say }),
             Ok(None) => {}
-            Err(why) => {
+            Err(Unfound::Disk(why)) => return Err(why),
+            Err(Unfound::Damaged(why)) => {
                 say.push(format!(
                     "the log of purges is damaged: {why}; a new epoch begins, and all below are flushed"
                 ));
@@ -211,8 +251,9 @@
         dir: &Path,
         most: usize,
         say: &mut Vec<String>,
-    ) -> Result<Option<(Self, Log, Publishers)>, String> {
-        let all = segments(dir).map_err(told(dir))?;
+    ) -> Result<Option<(Self, Log, Publishers)>, Unfound> {
+        let cut_short = |path: &Path| Unfound::Damaged(format!("{}: it is cut short", path.display()));
+        let all = segments(dir).map_err(disk(dir))?;
         let mut log: Option<Log> = None;
         let mut publishers = Publishers::default();
         let mut last = None;
@@ -220,23 +261,24 @@
             let path = segment(dir, *after);
             let Some(found) = read(&path)? else {
                 if n + 1 < all.len() {
-                    return Err(format!("{}: it is cut short", path.display()));
+                    return Err(cut_short(&path));
                 }
                 say.push(format!("{}: it was just begun, and is torn: it goes", path.display()));
-                std::fs::remove_file(&path).map_err(told(&path))?;
+                std::fs::remove_file(&path).map_err(disk(&path))?;
                 continue;
             };
-            if found.sound < found.length {
+            if found.torn > 0 {
                 if n + 1 < all.len() {
-                    return Err(format!("{}: it is cut short", path.display()));
+                    return Err(cut_short(&path));
                 }
-                let cut = found.length - found.sound;
+                let cut = found.torn;
                 say.push(format!("{}: {cut} bytes at its end are torn, and cut off", path.display()));
             }
             let at = Progress { epoch: found.epoch, through: found.after };
             let log = log.get_or_insert_with(|| Log::new(at, most));
             if log.at() != at || found.after != *after {
-                return Err(format!("{}: it does not follow the one before it", path.display()));
+                let why = format!("{}: it does not follow the one before it", path.display());
+                return Err(Unfound::Damaged(why));
             }
             for call in &found.calls {
                 call.keys.iter().for_each(|key| _ = log.append(*key));
@@ -245,11 +287,11 @@
             last = Some((path, found));
         }
         let (Some(log), Some((path, found))) = (log, last) else { return Ok(None) };
-        let file = OpenOptions::new().append(true).open(&path).map_err(told(&path))?;
-        file.set_len(found.sound).and_then(|()| file.sync_all()).map_err(told(&path))?;
-        let (epoch, after, length, newest) = (found.epoch, found.after, found.sound, found.newest());
-        let (dir, most, broken) = (dir.to_owned(), most as u64, None);
-        Ok(Some((PurgeLog { dir, epoch, most, file, length, after, newest, broken }, log, publishers)))
+        let file = written_anew(&path, &found.sound).map_err(disk(&path))?;
+        let (epoch, after, newest) = (found.epoch, found.after, found.newest());
+        let (dir, most, length, state) =
+            (dir.to_owned(), most as u64, found.sound.len() as u64, State::Sound);
+        Ok(Some((PurgeLog { dir, epoch, most, file, length, after, newest, state }, log, publishers)))
     }
 
     fn begin(dir: &Path, epoch: u64, after: u64, most: u64) -> io::Result<Self> {
@@ -265,14 +307,17 @@
         file.sync_all()?;
         sync_dir(dir)?;
         let length = head.len() as u64;
-        Ok(PurgeLog { dir: dir.to_owned(), epoch, most, file, length, after, newest: after, broken: None })
+        let (dir, state) = (dir.to_owned(), State::Sound);
+        Ok(PurgeLog { dir, epoch, most, file, length, after, newest: after, state })
     }
 
     /// Begins anew under a higher epoch; what there was is put aside.
     ///
     /// # Errors
-    /// If the folder or its files can't be written.
+    /// If the folder or its files can't be written. It takes nothing then until it has begun anew.
     pub fn begin_anew(&mut self, epoch: u64) -> io::Result<()> {
+        // Danger: what is appended to a file that was put aside is not found by the next start.
+        self.state = State::PutAside;
         for after in segments(&self.dir)? {
             let aside = self.dir.join(format!("before-{epoch}-purges-{after:020}"));
             std::fs::rename(segment(&self.dir, after), aside)?;
@@ -284,29 +329,40 @@
     /// Appends calls as one, and has the disk take them.
     ///
     /// # Errors
-    /// If they could not be kept. Then none of them is, and where even that could not be brought about nothing is taken
-    /// any more.
+    /// If they could not be kept. Then none of them is, or, where even that could not be brought about, nothing is taken
+    /// until it could be: each further call tries that first.
     pub fn append(&mut self, calls: &[Call]) -> Result<(), String> {
-        if let Some(broken) = &self.broken {
-            return Err(broken.clone());
+        if self.state == State::PutAside {
+            return Err(format!("{}: the log is put aside, and has not begun anew yet", self.dir.display()));
         }
-        self.written(calls).map_err(|e| {
-            let why = format!("{}: {e}", self.dir.display());
-            let cut = self.file.set_len(self.length).and_then(|()| self.file.sync_all());
-            if let Err(e) = cut {
-                self.broken = Some(format!("{why}; what was written could not be cut off: {e}"));
-            }
-            why
-        })
+        let uncut = |dir: &Path, e: &io::Error| {
+            format!("{}: what a failed write left could not be cut off: {e}", dir.display())
+        };
+        if self.state == State::Torn {
+            self.cut().map_err(|e| uncut(&self.dir, &e))?;
+        }
+        let Err(e) = self.written(calls) else { return Ok(()) };
+        self.state = State::Torn;
+        let why = format!("{}: {e}", self.dir.display());
+        match self.cut() {
+            Ok(()) => Err(why),
+            Err(e) => Err(format!("{why}; {}", uncut(&self.dir, &e))),
+        }
+    }
+
+    /// Cuts off what a failed write or sync has left behind the last sound record.
+    fn cut(&mut self) -> io::Result<()> {
+        self.file.set_len(self.length)?;
+        self.file.sync_all()?;
+        self.state = State::Sound;
+        Ok(())
     }
 
     fn written(&mut self, calls: &[Call]) -> io::Result<()> {
         if self.newest - self.after >= self.most {
             let old = self.after;
             *self = Self::begin(&self.dir, self.epoch, self.newest, self.most)?;
-            for after in segments(&self.dir)?.into_iter().filter(|after| *after < old) {
-                std::fs::remove_file(segment(&self.dir, after))?;
-            }
+            self.remove_before(old);
         }
         let bytes = encode(calls);
         self.file.write_all(&bytes)?;
@@ -315,6 +371,17 @@
         self.newest += calls.iter().map(|call| call.keys.len() as u64).sum::<u64>();
         Ok(())
     }
+
+    /// Removes the segments before one. Those that can't be removed now go with the next ones: no record is refused for it.
+    fn remove_before(&self, oldest: u64) {
+        let all = segments(&self.dir).unwrap_or_default();
+        for after in all.into_iter().filter(|after| *after < oldest) {
+            if std::fs::remove_file(segment(&self.dir, after)).is_err() {
+                // Danger: with a later one gone and this one left there would be a gap.
+                return;
+            }
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/control/src/purge_log/tests.rs
+++ b/crates/control/src/purge_log/tests.rs
@@ -90,3 +90,37 @@
     assert!(opened.file.append(&calls(2, 1)).is_err());
     assert_eq!(reopened(folder.path(), 100).log.newest(), 2);
 }
+
+/// Danger: with its files put aside, what was appended would be answered for, and not be found by the next start.
+#[test]
+fn a_log_that_could_not_begin_anew_takes_nothing_until_it_has() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let dir = folder.path().join("purges");
+    let mut opened = PurgeLog::open(&dir, 100, 7).expect("opened");
+    opened.file.append(&calls(1, 1)).expect("kept");
+    std::fs::rename(&dir, folder.path().join("gone")).expect("renamed");
+    assert!(opened.file.begin_anew(8).is_err());
+    assert!(opened.file.append(&calls(2, 1)).is_err(), "it would be in a file that no start finds");
+    std::fs::create_dir(&dir).expect("made");
+    opened.file.begin_anew(9).expect("begun");
+    opened.file.append(&calls(2, 1)).expect("kept");
+    assert_eq!(reopened(&dir, 100).log.at(), Progress { epoch: 9, through: 2 });
+}
+
+/// Danger: what could not be cut off after a failed write must not have a record appended behind it.
+#[test]
+fn a_torn_end_that_could_not_be_cut_is_cut_before_the_next_record() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
+    opened.file.append(&calls(1, 1)).expect("kept");
+    let path = segment(folder.path(), 0);
+    opened.file.file = File::open(&path).expect("opened to be read only");
+    assert!(opened.file.append(&calls(2, 1)).is_err(), "neither written nor cut");
+    // Half a record is there.
+    let mut whole = OpenOptions::new().append(true).open(&path).expect("opened");
+    whole.write_all(&encode(&calls(2, 1))[..9]).expect("written");
+    opened.file.file = whole;
+    opened.file.append(&calls(3, 1)).expect("the disk is back");
+    let again = reopened(folder.path(), 100);
+    assert_eq!((again.log.newest(), again.say.len()), (4, 0));
+}
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -57,7 +57,7 @@
         let settings = Settings { batch: 0, ..settings };
         let purges = Rc::new(Purges::root("root", settings, opened.log, say));
         let service = Service::with(publisher, Some(purges.clone()), false);
-        let keeper = Keeper { file: opened.file, publishers: opened.publishers, batch, say };
+        let keeper = Keeper { file: opened.file, publishers: opened.publishers, batch, say, stuck: None };
         Ok(Root { service, purges, keeper })
     }
 
--- a/crates/control/src/sealed.rs
+++ b/crates/control/src/sealed.rs
@@ -105,10 +105,11 @@
         &self.path
     }
 
-    /// Keeps a value in place of the one before.
+    /// Keeps a value in place of the one before, all of it written anew.
     ///
     /// # Errors
-    /// If it could not be kept; the one before is then still there.
+    /// If it is not known to be on disk. The one before is still there, or, where the very last step failed, this one in its
+    /// place; never anything between.
     pub fn keep(&mut self, payload: &[u8]) -> io::Result<()> {
         let mut bytes = format!("{} {} {}\n", self.magic, sum(payload), payload.len()).into_bytes();
         bytes.extend_from_slice(payload);
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -37,6 +37,9 @@
     end: Rc<Notify>,
 }
 
+/// Has the disk take a version.
+type Storing = Box<dyn FnMut(&Version) -> Result<(), String>>;
+
 /// A running service.
 pub struct Service {
     publisher: RefCell<Publisher>,
@@ -44,12 +47,14 @@
     start: Instant,
     next: Cell<Id>,
     operators: Cell<usize>,
-    /// Told when a version was published.
-    pub published: Notify,
     /// Told when somebody said what became of a version, or has gone.
     pub(crate) answered: Notify,
     purges: Option<Rc<Purges>>,
     taker: RefCell<Option<Taker>>,
+    /// What has a version on disk before it is published.
+    storing: RefCell<Option<Storing>>,
+    /// A version could not be stored: the disk may hold it all the same, in place of the newest.
+    unsettled: Cell<bool>,
     /// Versions come from upstream.
     relays: bool,
 }
@@ -69,10 +74,11 @@
             start: Instant::now(),
             next: Cell::new(1),
             operators: Cell::new(0),
-            published: Notify::new(),
             answered: Notify::new(),
             purges,
             taker: RefCell::default(),
+            storing: RefCell::default(),
+            unsettled: Cell::new(false),
             relays,
         })
     }
@@ -124,9 +130,7 @@
     /// # Errors
     /// As [`Publisher::adopt`].
     pub(crate) fn adopt(&self, version: Version) -> Result<(), String> {
-        self.act(|p, now, out| p.adopt(now, version, out))?;
-        self.published.notify_one();
-        Ok(())
+        self.act(|p, now, out| p.adopt(now, version, out))
     }
 
     fn act<T>(&self, what: impl FnOnce(&mut Publisher, u64, &mut Vec<Outgoing>) -> T) -> T {
@@ -146,14 +150,38 @@
         done
     }
 
-    /// Publishes a version.
+    /// From now on a version is published once this has stored it.
+    pub fn stores(&self, storing: impl FnMut(&Version) -> Result<(), String> + 'static) {
+        *self.storing.borrow_mut() = Some(Box::new(storing));
+    }
+
+    fn store(&self, version: &Version) -> Result<(), String> {
+        self.storing.borrow_mut().as_mut().map_or(Ok(()), |storing| storing(version))
+    }
+
+    /// After a version that could not be stored: stores the one that is in force again, so that a restart finds it. True once
+    /// it is, or where nothing is to be done.
+    pub fn settle(&self) -> bool {
+        if self.unsettled.get() {
+            let settled = self.newest().is_none_or(|newest| self.store(&newest).is_ok());
+            self.unsettled.set(!settled);
+        }
+        !self.unsettled.get()
+    }
+
+    /// Publishes a version, once it is stored. Danger: a service that is killed after its answer begins with the one before,
+    /// and has all proxies go back to it.
     ///
     /// # Errors
-    /// As [`Publisher::publish`].
+    /// As [`Publisher::publish`], and if it could not be stored.
     pub fn publish(&self, body: Value, plan: Plan) -> Result<Stamp, String> {
-        let stamp = self.act(|p, now, out| p.publish(now, body, plan, out))?;
-        self.published.notify_one();
-        Ok(stamp)
+        let prepared = self.look(|p| p.prepare(&body, plan))?;
+        if let Err(why) = self.store(&prepared.version) {
+            self.unsettled.set(true);
+            return Err(format!("it can't be stored, and is not published: {why}"));
+        }
+        self.unsettled.set(false);
+        Ok(self.act(|p, now, out| p.publish_prepared(now, prepared, out)))
     }
 
     /// Takes proxies in, for good.
@@ -289,9 +317,8 @@
             }
             FromOperator::Publish { body, plan } => told(self.publish(body, plan)),
             FromOperator::RollBack { to, plan } => {
-                let stamp = self.act(|p, now, out| p.roll_back(now, to, plan, out));
-                self.published.notify_one();
-                told(stamp)
+                let body = self.look(|p| p.body_of(to));
+                told(body.and_then(|body| self.publish(body, plan)))
             }
             FromOperator::Halt { why } => {
                 self.publisher.borrow_mut().halt(&why);
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -7,7 +7,7 @@
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 pub use crate::sealed::{Disk, Files};
 
@@ -48,10 +48,15 @@
         Store(Sealed::new(files, path, MAGIC))
     }
 
+    /// Where it is.
+    pub fn path(&self) -> &Path {
+        self.0.path()
+    }
+
     /// Keeps a version in place of the one before.
     ///
     /// # Errors
-    /// If it could not be kept; the one before is then still there.
+    /// As [`Sealed::keep`].
     pub fn keep(&mut self, kept: &Kept) -> io::Result<()> {
         self.0.keep(&serde_json::to_vec(kept)?)
     }
@@ -72,6 +77,21 @@
     }
 }
 
+/// The epoch of a start: one more than that of the last, whose number is kept in this folder. Danger: a folder that was
+/// restored from a backup brings an old epoch back; `seconds`, the time of the start, is never less than any number of
+/// restarts, so that it counts on past it.
+///
+/// # Errors
+/// If the last one can't be read, or this one is not known to be on disk: it might be given out twice.
+pub fn raise_epoch(files: &mut impl Files, folder: &Path, seconds: u64) -> io::Result<u64> {
+    let (file, new) = (folder.join("epoch"), folder.join("epoch.new"));
+    let last = files.read(&file)?.and_then(|bytes| String::from_utf8(bytes).ok()?.trim().parse::<u64>().ok());
+    let epoch = seconds.max(last.unwrap_or(0) + 1);
+    files.write(&new, format!("{epoch}\n").as_bytes())?;
+    files.rename(&new, &file)?;
+    Ok(epoch)
+}
+
 fn parse(payload: &[u8]) -> Result<Kept, String> {
     let kept: Kept = serde_json::from_slice(payload).map_err(|e| format!("it can't be read: {e}"))?;
     kept.version.check().map_err(|e| e.to_string())?;
@@ -85,7 +105,6 @@
     use serde_json::json;
     use std::cell::RefCell;
     use std::collections::BTreeMap;
-    use std::path::Path;
     use std::rc::Rc;
 
     fn kept(number: u64) -> Kept {
