--- /dev/null
+++ b/crates/core/src/endpoint_list.rs
@@ -0,0 +1,56 @@
+//! The endpoint list as discovery reports it, kept so that the operator's overlay can be applied to it anew.
+
+use aniseyoke_decision::api::{Entry, ServerId, State};
+use aniseyoke_routes::Overlay;
+use rustc_hash::{FxHashMap, FxHashSet};
+use std::net::SocketAddr;
+
+/// An entry of the list, and where to connect; no address where it could not be read.
+pub type Endpoint = (Entry, Option<SocketAddr>);
+
+/// The entries of the list, without the operator's overlay.
+#[derive(Default)]
+pub struct EndpointList {
+    entries: FxHashMap<ServerId, Endpoint>,
+}
+
+impl EndpointList {
+    /// Applies an update. After a `complete` one the entries it does not name are gone.
+    pub fn apply(&mut self, complete: bool, update: &[Endpoint]) {
+        if complete {
+            let named: FxHashSet<ServerId> = update.iter().map(|(entry, _)| entry.server).collect();
+            self.entries.retain(|server, _| named.contains(server));
+        }
+        for (entry, address) in update {
+            if entry.state == State::Gone {
+                self.entries.remove(&entry.server);
+            } else {
+                self.entries.insert(entry.server, (entry.clone(), *address));
+            }
+        }
+    }
+
+    /// All entries, in no particular order.
+    pub fn entries(&self) -> impl Iterator<Item = &Endpoint> {
+        self.entries.values()
+    }
+
+    /// The entries that differ under a new overlay, with that overlay applied, in order of their server ids.
+    pub fn changed_by(&self, old: &Overlay, new: &Overlay) -> Vec<Endpoint> {
+        if old == new {
+            return Vec::new();
+        }
+        let mut changed = Vec::new();
+        for (entry, address) in self.entries() {
+            let overlaid = new.apply(entry);
+            if overlaid != old.apply(entry) {
+                changed.push((overlaid, *address));
+            }
+        }
+        changed.sort_by_key(|(entry, _)| entry.server);
+        changed
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -20,7 +20,7 @@
 use crate::state::Store;
 use crate::upstream::Upstreams;
 use crate::{admin, handover, Engine};
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api;
 use client::Client;
 use hyper::header::HeaderValue;
@@ -72,7 +72,7 @@
 /// What the operator sets beyond the platform's settings.
 pub struct Beyond {
     /// What the core is to work by.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<EngineConfig>,
     /// When the list service may be asked, where that is limited.
     pub paced: Option<Paced>,
     /// What is told of the list then.
@@ -245,7 +245,7 @@
     /// Waits until this process can serve as well as the one that it takes over from.
     async fn until_told(&self) {
         let start = Instant::now();
-        while !(self.engine.can_serve() && (self.engine.told() || start.elapsed() > TOLD_WITHIN)) {
+        while !(self.engine.can_serve() && (self.engine.list_received() || start.elapsed() > TOLD_WITHIN)) {
             sleep(TOLD_AGAIN).await;
         }
         tracing::info!("handover: clients are let in");
