--- /dev/null
+++ b/crates/control/tests/wire_forms.rs
@@ -0,0 +1,209 @@
+//! The JSON text of every message and every stored value, byte for byte: names in the code may change, these may not.
+
+use aniseyoke_control::commit::{Change, Record, ToLeader, ToMember};
+use aniseyoke_control::frame::{encode, FromOperator, FromProxy, FromService, ToOperator, Took, HEAD};
+use aniseyoke_control::publisher::Row;
+use aniseyoke_control::purge_log::{Call, PurgeLog};
+use aniseyoke_control::rollout::{Plan, Stage};
+use aniseyoke_control::store::Kept;
+use aniseyoke_control::{Body, Stamp, Version};
+use aniseyoke_fanout::{Keys, Progress};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+const STAMP: Stamp = Stamp { epoch: 1, number: 2 };
+
+/// Asserts that a value is written as this text, and that the text is read as the value.
+fn pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+    assert_eq!(serde_json::to_string(value).expect("JSON"), text);
+    assert_eq!(&serde_json::from_str::<T>(text).expect("readable"), value);
+}
+
+fn labels() -> BTreeMap<String, String> {
+    BTreeMap::from([("site".to_owned(), "a".to_owned())])
+}
+
+fn plan() -> Plan {
+    Plan { stages: vec![Stage { percent: 5, labels: labels(), hold_ms: 10 }], margin: 0.02 }
+}
+
+fn change() -> Change {
+    Change { stamp: STAMP, digest: "d".into() }
+}
+
+const HELLO: &str = r#"{"type":"hello","protocol":1,"instance":"a","boot":3,"labels":{"site":"a"},"frame_most":4,"running":[{"epoch":1,"number":2},"d"],"purges":{"epoch":5,"through":6}}"#;
+const HELLO_WITHOUT_PURGES: &str =
+    r#"{"type":"hello","protocol":1,"instance":"a","boot":3,"labels":{},"frame_most":4,"running":null}"#;
+
+#[test]
+fn hello_is_pinned() {
+    let hello = FromProxy::Hello {
+        protocol: 1,
+        instance: "a".into(),
+        boot: 3,
+        labels: labels(),
+        frame_most: 4,
+        running: Some((STAMP, "d".into())),
+        purges: Some(Progress { epoch: 5, through: 6 }),
+    };
+    pinned(&hello, HELLO);
+    let hello = FromProxy::Hello {
+        protocol: 1,
+        instance: "a".into(),
+        boot: 3,
+        labels: BTreeMap::new(),
+        frame_most: 4,
+        running: None,
+        purges: None,
+    };
+    pinned(&hello, HELLO_WITHOUT_PURGES);
+}
+
+#[test]
+fn messages_of_a_proxy_are_pinned() {
+    let stamp = STAMP;
+    pinned(
+        &FromProxy::Purged { epoch: 1, through: 2, lacking: 3, names: vec!["a@1".into()] },
+        r#"{"type":"purged","epoch":1,"through":2,"lacking":3,"names":["a@1"]}"#,
+    );
+    pinned(
+        &FromProxy::Purged { epoch: 1, through: 2, lacking: 0, names: Vec::new() },
+        r#"{"type":"purged","epoch":1,"through":2}"#,
+    );
+    pinned(&FromProxy::Taken { stamp }, r#"{"type":"taken","stamp":{"epoch":1,"number":2}}"#);
+    pinned(
+        &FromProxy::Refused { stamp, reasons: vec!["r".into()] },
+        r#"{"type":"refused","stamp":{"epoch":1,"number":2},"reasons":["r"]}"#,
+    );
+    pinned(&FromProxy::Whole, r#"{"type":"whole"}"#);
+    pinned(
+        &FromProxy::Report { stamp, served: 3, refused: 4, failed: 5 },
+        r#"{"type":"report","stamp":{"epoch":1,"number":2},"served":3,"refused":4,"failed":5}"#,
+    );
+    pinned(&FromProxy::Alive, r#"{"type":"alive"}"#);
+}
+
+#[test]
+fn messages_of_a_service_are_pinned() {
+    let stamp = STAMP;
+    let body = Body::new(&json!({"b": 1, "a": [true]}));
+    pinned(
+        &FromService::Full { stamp, digest: "d".into(), body },
+        r#"{"type":"full","stamp":{"epoch":1,"number":2},"digest":"d","body":{"a":[true],"b":1}}"#,
+    );
+    let (base, patch) = (Stamp { epoch: 1, number: 1 }, json_patch::diff(&json!({"a": 1}), &json!({"a": 2})));
+    pinned(
+        &FromService::Delta { base, stamp, digest: "d".into(), patch },
+        r#"{"type":"delta","base":{"epoch":1,"number":1},"stamp":{"epoch":1,"number":2},"digest":"d","patch":[{"op":"replace","path":"/a","value":2}]}"#,
+    );
+    pinned(&FromService::Current { stamp }, r#"{"type":"current","stamp":{"epoch":1,"number":2}}"#);
+    pinned(
+        &FromService::Purges { epoch: 1, after: 2, keys: Keys(vec![3]) },
+        r#"{"type":"purges","epoch":1,"after":2,"keys":"AAAAAAAAAAM="}"#,
+    );
+    pinned(&FromService::Flush { epoch: 1, through: 2 }, r#"{"type":"flush","epoch":1,"through":2}"#);
+    pinned(&FromService::Alive, r#"{"type":"alive"}"#);
+    pinned(&FromService::Goodbye { why: "w".into() }, r#"{"type":"goodbye","why":"w"}"#);
+}
+
+#[test]
+fn calls_of_operators_are_pinned() {
+    const PLAN: &str = r#"{"stages":[{"percent":5,"labels":{"site":"a"},"hold_ms":10}],"margin":0.02}"#;
+    pinned(
+        &FromOperator::Publish { body: json!({"a": 1}), plan: plan() },
+        &format!(r#"{{"type":"publish","body":{{"a":1}},"plan":{PLAN}}}"#),
+    );
+    pinned(
+        &FromOperator::RollBack { to: STAMP, plan: plan() },
+        &format!(r#"{{"type":"roll-back","to":{{"epoch":1,"number":2}},"plan":{PLAN}}}"#),
+    );
+    pinned(&FromOperator::Halt { why: "w".into() }, r#"{"type":"halt","why":"w"}"#);
+    pinned(&FromOperator::Status, r#"{"type":"status"}"#);
+    pinned(
+        &FromOperator::Purge { publisher: "p".into(), sequence: 1, keys: vec!["k".into()] },
+        r#"{"type":"purge","publisher":"p","sequence":1,"keys":["k"]}"#,
+    );
+    pinned(&FromOperator::Purges, r#"{"type":"purges"}"#);
+}
+
+#[test]
+fn answers_to_operators_are_pinned() {
+    pinned(&ToOperator::Published { stamp: STAMP }, r#"{"type":"published","stamp":{"epoch":1,"number":2}}"#);
+    pinned(&ToOperator::No { why: "w".into() }, r#"{"type":"no","why":"w"}"#);
+    let row = Row {
+        instance: "a".into(),
+        boot: 3,
+        running: Some(STAMP),
+        wanted: None,
+        took: Some(4),
+        refused: Some((STAMP, vec!["r".into()])),
+    };
+    pinned(
+        &ToOperator::Status { newest: Some(STAMP), rollout: Some("stage 0".into()), proxies: vec![row] },
+        r#"{"type":"status","newest":{"epoch":1,"number":2},"rollout":"stage 0","proxies":[{"instance":"a","boot":3,"running":{"epoch":1,"number":2},"wanted":null,"took":4,"refused":[{"epoch":1,"number":2},["r"]]}]}"#,
+    );
+    pinned(&ToOperator::Purging { epoch: 1, through: 2 }, r#"{"type":"purging","epoch":1,"through":2}"#);
+    let took = Took { count: 1, p50: 2.0, p99: 3.0, most: 4.0, short: 5 };
+    let lacking = vec!["a@1".to_owned()];
+    pinned(
+        &ToOperator::Purges { epoch: 1, newest: 2, done: 3, lacking, unnamed: 4, took },
+        r#"{"type":"purges","epoch":1,"newest":2,"done":3,"lacking":["a@1"],"unnamed":4,"took":{"count":1,"p50":2.0,"p99":3.0,"most":4.0,"short":5}}"#,
+    );
+}
+
+#[test]
+fn messages_and_records_of_the_commit_protocol_are_pinned() {
+    const CHANGE: &str = r#"{"stamp":{"epoch":1,"number":2},"digest":"d"}"#;
+    const AT: &str = r#"{"epoch":1,"number":2}"#;
+    pinned(
+        &ToLeader::Renew { asked: 3, runs: Some(change()), prepared: None },
+        &format!(r#"{{"type":"renew","asked":3,"runs":{CHANGE},"prepared":null}}"#),
+    );
+    pinned(&ToLeader::Prepared { change: change() }, &format!(r#"{{"type":"prepared","change":{CHANGE}}}"#));
+    pinned(
+        &ToLeader::Refused { change: change(), why: "w".into() },
+        &format!(r#"{{"type":"refused","change":{CHANGE},"why":"w"}}"#),
+    );
+    pinned(&ToMember::Prepare { change: change() }, &format!(r#"{{"type":"prepare","change":{CHANGE}}}"#));
+    pinned(&ToMember::Commit { change: change() }, &format!(r#"{{"type":"commit","change":{CHANGE}}}"#));
+    pinned(&ToMember::Abort { stamp: STAMP }, &format!(r#"{{"type":"abort","stamp":{AT}}}"#));
+    pinned(
+        &ToMember::Granted { asked: 3, committed: Some(change()) },
+        &format!(r#"{{"type":"granted","asked":3,"committed":{CHANGE}}}"#),
+    );
+    pinned(&Record::Begin { change: change() }, &format!(r#"{{"type":"begin","change":{CHANGE}}}"#));
+    pinned(&Record::Commit { stamp: STAMP }, &format!(r#"{{"type":"commit","stamp":{AT}}}"#));
+    pinned(
+        &Record::Abort { stamp: STAMP, why: "w".into() },
+        &format!(r#"{{"type":"abort","stamp":{AT},"why":"w"}}"#),
+    );
+}
+
+#[test]
+fn a_stored_version_is_pinned() {
+    let kept = Kept { version: Version::new(STAMP, &json!({"a": 1})), at_ms: 7 };
+    pinned(
+        &kept,
+        r#"{"version":{"stamp":{"epoch":1,"number":2},"digest":"015abd7f5cc57a2dd94b7590f04ad8084273905ee33ec5cebeae62276a97f862","body":{"a":1}},"at_ms":7}"#,
+    );
+}
+
+#[test]
+fn a_frame_is_its_length_and_its_text() {
+    let bytes = encode(&FromProxy::Alive).expect("short");
+    assert_eq!(bytes, b"\x00\x00\x00\x10{\"type\":\"alive\"}");
+    assert_eq!(HEAD, 4);
+}
+
+#[test]
+fn the_bytes_of_a_purge_log_are_pinned() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
+    opened.file.append(&[Call { publisher: "p".into(), sequence: 1, keys: vec![2] }]).expect("kept");
+    let bytes = std::fs::read(folder.path().join("purges-00000000000000000000")).expect("there");
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, "00000018a1c8718b1b362fe6414e50555247453100000000000000070000000000000000000000192bc27ed07562bc9600000000000000010000000170000000010000000000000002");
+}
