--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,12 +1,14 @@
-//! A follower on sockets: a thin driver that connects, reads, writes and lets time pass.
+//! Drives a [`Follower`] on sockets: connects, reads, writes and lets time pass.
 
-use crate::follower::{Action, Follower};
-use crate::frame::{decode, encode, FromProxy, FromService};
+use crate::clock::Clock;
+use crate::follower::{Action, Follower, Rejection, RequestCounts};
+use crate::frame::{decode, encode, ProxyMessage, ServiceMessage};
 use crate::version::Version;
 use aniseyoke_fanout::Progress;
 use std::convert::Infallible;
 use std::future::Future;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -16,215 +18,282 @@
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
 const TICK: Duration = Duration::from_millis(100);
-/// A report of what became of requests goes out as often.
-const REPORT: Duration = Duration::from_secs(1);
-/// A service takes a frame within this time.
-const TAKES_WITHIN: Duration = Duration::from_secs(5);
-const PART: usize = 16 << 10;
+/// The time between two reports of request counts.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The time limit of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How many events of connections wait to be handled.
+const EVENT_QUEUE: usize = 4;
+/// How much is read at once, in bytes.
+const READ_BYTES: usize = 16 << 10;
 
-/// What a follower's owner does for it.
+/// What the owner of a follower provides.
 pub trait Host {
-    /// Checks a version and puts it in force. It ends with an error that says why it is turned down, a line each; what
-    /// ran before still runs then.
-    fn apply(&self, version: Version) -> impl Future<Output = Result<(), Vec<String>>>;
+    /// Checks a version and puts it in force. On an error the version before stays in force.
+    fn apply(&self, version: Version) -> impl Future<Output = Result<(), Rejection>>;
 
-    /// Keeps a version that is in force as the last good one.
-    fn keep(&self, version: Version);
+    /// Stores a version that is in force as the last known good one.
+    fn persist(&self, version: Version);
 
-    /// Something for those on call.
-    fn say(&self, what: &str);
+    /// Writes a warning to the log.
+    fn warn(&self, what: &str);
 
-    /// Requests served, refused and failed since it was last asked.
-    fn answered(&self) -> [u64; 3];
+    /// Counts of requests since the last call.
+    fn take_request_counts(&self) -> RequestCounts;
 
-    /// Where it stands in the log of purges; none: it takes no purges.
-    fn stands(&self) -> Option<Progress> {
+    /// The position in the log of purges; none where the owner does not subscribe to purges.
+    fn purge_progress(&self) -> Option<Progress> {
         None
     }
 
-    /// A connection is there, and hello was said on it.
+    /// A connection is established, and `hello` was sent on it.
     fn connected(&self) {}
 
-    /// A frame of purges has come.
-    fn purges(&self, _frame: FromService) {}
+    /// A message about purges has arrived.
+    fn receive_purges(&self, _message: ServiceMessage) {}
 
-    /// What is to be said of purges, whenever there is something. Who gives it up before it has an answer loses nothing.
-    fn upward(&self) -> impl Future<Output = Upward> {
+    /// Waits for something about purges to be sent upstream. Cancellation loses nothing.
+    fn next_upstream(&self) -> impl Future<Output = UpstreamMessage> {
         std::future::pending()
     }
 
     /// A newer version waits for the one that is being put in force.
-    fn newer(&self) {}
+    fn newer_queued(&self) {}
 }
 
-/// What is said of purges.
+/// What is sent upstream about purges.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Upward {
-    /// Say hello again: something is missing.
+pub enum UpstreamMessage {
+    /// `hello` again, since purges are missing.
     Hello,
-    /// Send this.
-    Frame(FromProxy),
+    /// This message.
+    Send(ProxyMessage),
 }
 
 /// A version that is being put in force.
-type Applying<'a> = std::pin::Pin<Box<dyn Future<Output = Result<(), Vec<String>>> + 'a>>;
+type Applying<'a> = Pin<Box<dyn Future<Output = Result<(), Rejection>> + 'a>>;
 
-enum Came {
-    Connected(Option<TcpStream>),
-    Frame(FromService),
+/// What happened on a connection.
+enum ConnectionEvent {
+    Connected(TcpStream),
+    ConnectFailed,
+    Message(ServiceMessage),
     Malformed(String),
-    Ended,
+    Closed,
 }
 
-/// The connection that counts; what comes on any other is passed over.
-struct Wire {
+/// An event, with the number of the connection that it happened on.
+type NumberedEvent = (u64, ConnectionEvent);
+
+/// The current connection. Events of any other are ignored.
+#[derive(Default)]
+struct Connection {
     number: u64,
     task: Option<AbortHandle>,
-    writes: Option<OwnedWriteHalf>,
+    writer: Option<OwnedWriteHalf>,
 }
 
-impl Wire {
-    fn end(&mut self) {
+impl Connection {
+    fn close(&mut self) {
         self.number += 1;
-        self.writes = None;
+        self.writer = None;
         if let Some(task) = self.task.take() {
             task.abort();
         }
     }
+
+    /// Writes a message; false if that fails.
+    async fn write(&mut self, message: &ProxyMessage) -> bool {
+        let Some(writer) = self.writer.as_mut() else { return true };
+        let bytes = encode(message).unwrap_or_default();
+        matches!(timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await, Ok(Ok(())))
+    }
+}
+
+/// A follower with its connection and its host.
+struct Client<'a, H> {
+    host: &'a H,
+    follower: Follower,
+    services: Vec<SocketAddr>,
+    max_frame_bytes: usize,
+    connection: Connection,
+    events: mpsc::Sender<NumberedEvent>,
+    /// Messages are read meanwhile, so that of a flood of versions only the newest counts.
+    applying: Option<Applying<'a>>,
+    clock: Clock,
+    last_report: Instant,
 }
 
-/// Follows the services, for good. `most`: a longer frame is not read, in bytes.
+/// Follows the services, for good. `max_frame_bytes`: a longer frame is not read.
 pub async fn follow(
-    mut follower: Follower,
+    follower: Follower,
     services: Vec<SocketAddr>,
-    most: usize,
+    max_frame_bytes: usize,
     host: impl Host,
 ) -> Infallible {
-    let start = Instant::now();
-    let now = || start.elapsed().as_nanos() as u64;
-    let (tell, mut told) = mpsc::channel::<(u64, Came)>(4);
-    let mut wire = Wire { number: 0, task: None, writes: None };
+    let (events, mut incoming) = mpsc::channel::<NumberedEvent>(EVENT_QUEUE);
+    let mut client = Client {
+        host: &host,
+        follower,
+        services,
+        max_frame_bytes,
+        connection: Connection::default(),
+        events,
+        applying: None,
+        clock: Clock::start(),
+        last_report: Instant::now(),
+    };
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut reported = Instant::now();
-    // Frames are taken meanwhile, so that of a flood only the newest counts.
-    let mut applying: Option<Applying<'_>> = None;
     loop {
         let mut actions = Vec::new();
         tokio::select! {
             biased;
-            Some(outcome) = async {
-                match applying.as_mut() {
-                    Some(applying) => Some(applying.await),
-                    None => None,
+            Some(outcome) = outcome_of(&mut client.applying) => client.applied(outcome, &mut actions),
+            Some((number, event)) = incoming.recv() => {
+                if number == client.connection.number {
+                    client.handle(event, &mut actions);
                 }
-            } => {
-                applying = None;
-                follower.applied(now(), outcome, &mut actions);
             }
-            Some((number, came)) = told.recv() => {
-                if number != wire.number {
-                    continue;
-                }
-                match came {
-                    Came::Connected(Some(stream)) => {
-                        let (reads, writes) = stream.into_split();
-                        wire.writes = Some(writes);
-                        let task = tokio::task::spawn_local(read(number, reads, most, tell.clone()));
-                        wire.task = Some(task.abort_handle());
-                        follower.stands(host.stands());
-                        follower.connected(now(), &mut actions);
-                        host.connected();
-                    }
-                    Came::Connected(None) | Came::Ended => {
-                        wire.end();
-                        follower.disconnected(now());
-                    }
-                    Came::Frame(frame) => {
-                        if matches!(frame, FromService::Purges { .. } | FromService::Flush { .. }) {
-                            host.purges(frame.clone());
-                        }
-                        follower.frame(now(), frame, &mut actions);
-                        if follower.has_newer() {
-                            host.newer();
-                        }
-                    }
-                    Came::Malformed(why) => follower.malformed(now(), &why, &mut actions),
-                }
+            message = host.next_upstream(), if client.connection.writer.is_some() => {
+                client.send_upstream(message, &mut actions);
             }
-            upward = host.upward(), if wire.writes.is_some() => match upward {
-                Upward::Hello => {
-                    follower.stands(host.stands());
-                    follower.hello(now(), &mut actions);
+            _ = ticks.tick() => client.tick(&mut actions),
+        }
+        client.perform(actions).await;
+    }
+}
+
+/// Waits for the version that is being put in force; none if there is none.
+async fn outcome_of(applying: &mut Option<Applying<'_>>) -> Option<Result<(), Rejection>> {
+    match applying.as_mut() {
+        Some(applying) => Some(applying.await),
+        None => None,
+    }
+}
+
+impl<H: Host> Client<'_, H> {
+    fn applied(&mut self, outcome: Result<(), Rejection>, actions: &mut Vec<Action>) {
+        self.applying = None;
+        self.follower.applied(self.clock.now(), outcome, actions);
+    }
+
+    fn handle(&mut self, event: ConnectionEvent, actions: &mut Vec<Action>) {
+        let now = self.clock.now();
+        match event {
+            ConnectionEvent::Connected(stream) => self.connected(stream, actions),
+            ConnectionEvent::ConnectFailed | ConnectionEvent::Closed => {
+                self.connection.close();
+                self.follower.disconnected(now);
+            }
+            ConnectionEvent::Message(message) => {
+                if matches!(message, ServiceMessage::Purges { .. } | ServiceMessage::Flush { .. }) {
+                    self.host.receive_purges(message.clone());
                 }
-                Upward::Frame(frame) => follower.say(now(), frame, &mut actions),
-            },
-            _ = ticks.tick() => {
-                follower.tick(now(), &mut actions);
-                if reported.elapsed() >= REPORT {
-                    reported = Instant::now();
-                    follower.report(now(), host.answered(), &mut actions);
+                self.follower.receive(now, message, actions);
+                if self.follower.has_newer() {
+                    self.host.newer_queued();
                 }
             }
+            ConnectionEvent::Malformed(error) => self.follower.malformed(now, &error, actions),
         }
-        let mut at = 0;
-        while at < actions.len() {
-            match actions[at].clone() {
-                Action::Connect(service) => {
-                    wire.end();
-                    let (number, addr, tell) =
-                        (wire.number, services[service % services.len()], tell.clone());
-                    let task = tokio::task::spawn_local(async move {
-                        let stream = TcpStream::connect(addr).await.ok();
-                        // Danger: a short frame would wait for the acknowledgement of the one before it, at each relay
-                        // on the way. It only costs time where it fails.
-                        let _ = stream.as_ref().map(|stream| stream.set_nodelay(true));
-                        // The receiver is gone only with the proxy.
-                        let _ = tell.send((number, Came::Connected(stream))).await;
-                    });
-                    wire.task = Some(task.abort_handle());
-                }
-                Action::Disconnect => wire.end(),
-                Action::Send(frame) => {
-                    let bytes = encode(&frame).unwrap_or_default();
-                    let written = match wire.writes.as_mut() {
-                        Some(writes) => timeout(TAKES_WITHIN, writes.write_all(&bytes)).await,
-                        None => Ok(Ok(())),
-                    };
-                    if !matches!(written, Ok(Ok(()))) {
-                        wire.end();
-                        follower.disconnected(now());
+    }
+
+    fn connected(&mut self, stream: TcpStream, actions: &mut Vec<Action>) {
+        let (reader, writer) = stream.into_split();
+        self.connection.writer = Some(writer);
+        let reading = read(self.connection.number, reader, self.max_frame_bytes, self.events.clone());
+        self.connection.task = Some(tokio::task::spawn_local(reading).abort_handle());
+        self.follower.set_purge_progress(self.host.purge_progress());
+        self.follower.connected(self.clock.now(), actions);
+        self.host.connected();
+    }
+
+    fn send_upstream(&mut self, message: UpstreamMessage, actions: &mut Vec<Action>) {
+        let now = self.clock.now();
+        match message {
+            UpstreamMessage::Hello => {
+                self.follower.set_purge_progress(self.host.purge_progress());
+                self.follower.send_hello(now, actions);
+            }
+            UpstreamMessage::Send(message) => self.follower.send(now, message, actions),
+        }
+    }
+
+    fn tick(&mut self, actions: &mut Vec<Action>) {
+        let now = self.clock.now();
+        self.follower.tick(now, actions);
+        if self.last_report.elapsed() >= REPORT_INTERVAL {
+            self.last_report = Instant::now();
+            self.follower.report(now, self.host.take_request_counts(), actions);
+        }
+    }
+
+    async fn perform(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Connect(service) => self.connect(service),
+                Action::Disconnect => self.connection.close(),
+                Action::Send(message) => {
+                    if !self.connection.write(&message).await {
+                        self.connection.close();
+                        self.follower.disconnected(self.clock.now());
                     }
                 }
-                Action::Apply(version) => applying = Some(Box::pin(host.apply(version))),
-                Action::Keep(version) => host.keep(version),
-                Action::Say(what) => host.say(&what),
+                Action::Apply(version) => self.applying = Some(Box::pin(self.host.apply(version))),
+                Action::Persist(version) => self.host.persist(version),
+                Action::Warn(what) => self.host.warn(&what),
             }
-            at += 1;
         }
     }
+
+    fn connect(&mut self, service: usize) {
+        self.connection.close();
+        let addr = self.services[service % self.services.len()];
+        let (number, events) = (self.connection.number, self.events.clone());
+        let task = tokio::task::spawn_local(async move {
+            let event = match TcpStream::connect(addr).await {
+                Ok(stream) => {
+                    // Danger: a short frame would wait for the acknowledgement of the one before it, at each relay on
+                    // the way. Where it fails that only costs time.
+                    let _ = stream.set_nodelay(true);
+                    ConnectionEvent::Connected(stream)
+                }
+                Err(_) => ConnectionEvent::ConnectFailed,
+            };
+            // The receiver ends only with the process.
+            let _ = events.send((number, event)).await;
+        });
+        self.connection.task = Some(task.abort_handle());
+    }
 }
 
-async fn read(number: u64, mut reads: OwnedReadHalf, most: usize, tell: mpsc::Sender<(u64, Came)>) {
-    let (mut came, mut part) = (Vec::new(), vec![0; PART]);
+/// Reads a connection until it ends or an invalid frame arrives.
+async fn read(
+    number: u64,
+    mut reader: OwnedReadHalf,
+    max_frame_bytes: usize,
+    events: mpsc::Sender<NumberedEvent>,
+) {
+    let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
     loop {
-        let next = match decode::<FromService>(&mut came, most) {
-            Ok(Some(frame)) => Came::Frame(frame),
-            Err(malformed) => Came::Malformed(malformed.to_string()),
-            Ok(None) => match reads.read(&mut part).await {
+        let event = match decode::<ServiceMessage>(&mut buffer, max_frame_bytes) {
+            Ok(Some(message)) => ConnectionEvent::Message(message),
+            Err(error) => ConnectionEvent::Malformed(error.to_string()),
+            Ok(None) => match reader.read(&mut chunk).await {
                 Ok(n) if n > 0 => {
-                    came.extend_from_slice(&part[..n]);
+                    buffer.extend_from_slice(&chunk[..n]);
                     continue;
                 }
-                _ => Came::Ended,
+                _ => ConnectionEvent::Closed,
             },
         };
-        let over = !matches!(next, Came::Frame(_));
-        if came.is_empty() {
-            // A long frame's room is not kept.
-            came = Vec::new();
+        let is_last = !matches!(event, ConnectionEvent::Message(_));
+        if buffer.is_empty() {
+            // Releases the memory of a long frame.
+            buffer = Vec::new();
         }
-        if tell.send((number, next)).await.is_err() || over {
+        if events.send((number, event)).await.is_err() || is_last {
             return;
         }
     }
--- a/crates/control/src/commit/leader.rs
+++ b/crates/control/src/commit/leader.rs
@@ -1,232 +1,278 @@
-//! The leader of the control services: has changes prepared, asks for their commit or abort, and grants leases.
+//! The leader of the control services: has changes prepared, requests their commit or abort, and grants leases.
 
-use super::{Change, Log, Name, Nanos, Record, Times, ToLeader, ToMember};
+use super::{Change, LeaderMessage, Log, MemberMessage, Name, Nanos, Record, RecordError, Times};
 use crate::version::Stamp;
 use std::collections::BTreeMap;
 
-/// Members that one leader looks after; more get no lease.
-const MEMBERS_MOST: usize = 20_000;
-/// Names of members that are told with a reason.
-const NAMED_MOST: usize = 10;
+/// How many members one leader serves; others get no lease.
+const MAX_MEMBERS: usize = 20_000;
+/// How many members a reason names.
+const MAX_NAMES: usize = 10;
+/// A member is forgotten so many leases after its last one.
+const RETENTION_LEASES: u64 = 10;
+const NANOS_PER_MS: u64 = 1_000_000;
 
-/// What a leader wants done.
+/// What a leader asks its owner to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Send this to a member.
-    Send(Name, ToMember),
-    /// Append a record to the log, under this leader's term; once it is agreed on, call [`Leader::agreed`].
+pub enum LeaderAction {
+    /// Send a message to a member.
+    Send(Name, LeaderMessage),
+    /// Append a record to the log under this leader's term, and call [`Leader::record_committed`] once a majority has it.
     Append(Record),
-    /// Have a majority of the services confirm, from now on, that this one still leads; then call [`Leader::confirmed`] with
-    /// the same words, and not at all if it does not lead any more.
-    Confirm(Name, Nanos),
+    /// Have a majority of the services confirm, from now on, that this one still leads; then call
+    /// [`Leader::leadership_confirmed`] with the same name and time. If it does not lead any more, call nothing.
+    ConfirmLeadership(Name, Nanos),
+}
+
+/// Why a change can't begin.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PublishRejected {
+    /// The log does not accept it.
+    #[error(transparent)]
+    Record(#[from] RecordError),
+    /// Some proxy may still serve under the version before the last one.
+    #[error("version {} may not be in force everywhere yet; publish again in {retry_ms} ms", .last.map_or("of an earlier leader".to_owned(), |stamp| stamp.to_string()))]
+    NotSettled {
+        /// The last committed version; none where an earlier leader may have granted leases.
+        last: Option<Stamp>,
+        /// When publishing succeeds at the latest, in milliseconds.
+        retry_ms: u64,
+    },
 }
 
 /// A member as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Standing {
-    /// It may take requests up to here at the latest, on the leader's clock.
-    pub lease: Nanos,
-    /// What it runs, by its last word.
-    pub runs: Option<Change>,
-    /// What it has prepared, by its last word.
+pub struct MemberState {
+    /// Until when it may serve at the latest, on the leader's clock.
+    pub lease_until: Nanos,
+    /// The version that it runs, by its last message.
+    pub running: Option<Change>,
+    /// The change that it has prepared, by its last message.
     pub prepared: Option<Change>,
 }
 
-/// A leader, for as long as it leads.
+/// A leader, for one term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leader {
     times: Times,
     log: Log,
-    members: BTreeMap<Name, Standing>,
-    /// Leases that others granted before are over from here on.
-    alone: Nanos,
-    /// When the open change was begun, or met by this leader.
-    begun: Nanos,
-    /// A commit or abort of the open change was asked for.
-    asked: bool,
-    /// A change begins to be prepared no sooner: until then some member may take requests under what held before the last one.
-    settled: Nanos,
+    members: BTreeMap<Name, MemberState>,
+    /// When all leases that earlier leaders granted are over.
+    earlier_leases_end: Nanos,
+    /// When the pending change began, or when this leader's term began with it.
+    prepare_started: Nanos,
+    /// Whether the commit or abort of the pending change was requested.
+    decision_requested: bool,
+    /// When every member surely runs the committed version or serves no requests. Earlier no change may begin.
+    settled_at: Nanos,
 }
 
 impl Leader {
-    /// A service that begins to lead now, with what the log comes to.
+    /// A service that begins to lead now, with the state of the log.
     pub fn new(times: Times, log: Log, now: Nanos) -> Self {
-        let alone = now.saturating_add(times.over());
-        Leader { times, log, members: BTreeMap::new(), alone, begun: now, asked: false, settled: alone }
+        let earlier_leases_end = now.saturating_add(times.lease_with_margin());
+        Leader {
+            times,
+            log,
+            members: BTreeMap::new(),
+            earlier_leases_end,
+            prepare_started: now,
+            decision_requested: false,
+            settled_at: earlier_leases_end,
+        }
     }
 
-    /// What the log comes to.
+    /// The state of the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// All members that were heard of.
-    pub fn members(&self) -> impl Iterator<Item = (&Name, &Standing)> {
+    /// All known members.
+    pub fn members(&self) -> impl Iterator<Item = (&Name, &MemberState)> {
         self.members.iter()
     }
 
-    /// Asks for a change to begin.
+    /// Requests that a change begins.
     ///
     /// # Errors
-    /// Why it can't: another one is open, or some member may still run what held before the last one.
-    pub fn publish(&mut self, now: Nanos, change: Change, orders: &mut Vec<Order>) -> Result<(), String> {
+    /// Why it can't begin.
+    pub fn publish(
+        &mut self,
+        now: Nanos,
+        change: Change,
+        actions: &mut Vec<LeaderAction>,
+    ) -> Result<(), PublishRejected> {
         let record = Record::Begin { change };
-        self.log.fits(&record).map_err(|unfit| unfit.to_string())?;
+        self.log.check(&record)?;
         if !self.is_settled(now) {
-            let wait = self.settled.saturating_sub(now) / 1_000_000;
-            let last = self.log.committed().map_or("an earlier leader's".into(), |c| c.stamp.to_string());
-            return Err(format!("version {last} may not hold everywhere yet; publish again in {wait} ms"));
+            let retry_ms = self.settled_at.saturating_sub(now) / NANOS_PER_MS;
+            let last = self.log.committed().map(|change| change.stamp);
+            return Err(PublishRejected::NotSettled { last, retry_ms });
         }
-        orders.push(Order::Append(record));
+        actions.push(LeaderAction::Append(record));
         Ok(())
     }
 
-    /// Whether what is committed holds everywhere: each member runs it, or takes no requests.
+    /// Whether the committed version is in force everywhere: each member runs it, or serves no requests.
     pub fn is_settled(&self, now: Nanos) -> bool {
         let committed = self.log.committed();
-        let holds = |m: &Standing| m.lease <= now || m.runs.as_ref() == committed;
-        now >= self.alone && (now >= self.settled || self.members.values().all(holds))
+        let follows = |m: &MemberState| m.lease_until <= now || m.running.as_ref() == committed;
+        now >= self.earlier_leases_end && (now >= self.settled_at || self.members.values().all(follows))
     }
 
-    /// A record of the log is agreed on, whoever asked for it.
-    pub fn agreed(&mut self, now: Nanos, record: Record, orders: &mut Vec<Order>) {
+    /// A majority has appended a record, whoever requested it.
+    pub fn record_committed(&mut self, now: Nanos, record: Record, actions: &mut Vec<LeaderAction>) {
         if self.log.apply(record.clone()).is_err() {
             return;
         }
-        self.asked = false;
-        let what = match record {
+        self.decision_requested = false;
+        let message = match record {
             Record::Begin { change } => {
-                self.begun = now;
-                ToMember::Prepare { change }
+                self.prepare_started = now;
+                LeaderMessage::Prepare { change }
             }
             Record::Commit { .. } => {
-                self.settled = now.saturating_add(self.times.over());
+                self.settled_at = now.saturating_add(self.times.lease_with_margin());
                 let Some(change) = self.log.committed().cloned() else { return };
-                ToMember::Commit { change }
+                LeaderMessage::Commit { change }
             }
-            Record::Abort { stamp, .. } => ToMember::Abort { stamp },
+            Record::Abort { stamp, .. } => LeaderMessage::Abort { stamp },
         };
-        orders.extend(self.members.keys().map(|name| Order::Send(name.clone(), what.clone())));
+        actions.extend(self.members.keys().map(|name| LeaderAction::Send(name.clone(), message.clone())));
     }
 
-    /// A member has said something.
-    pub fn told(&mut self, now: Nanos, name: &Name, what: ToLeader, orders: &mut Vec<Order>) {
-        match what {
-            ToLeader::Renew { asked, runs, prepared } => {
-                if self.members.len() >= MEMBERS_MOST && !self.members.contains_key(name) {
+    /// A message of a member has arrived.
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        name: &Name,
+        message: MemberMessage,
+        actions: &mut Vec<LeaderAction>,
+    ) {
+        match message {
+            MemberMessage::Heartbeat { sent_at, running, prepared } => {
+                if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(name) {
                     return;
                 }
-                // Who is never granted one is forgotten in time as well.
-                let member = self.members.entry(name.clone()).or_insert(Standing {
-                    lease: now,
-                    runs: None,
-                    prepared: None,
-                });
-                (member.runs, member.prepared) = (runs, prepared);
-                self.bring(name, orders);
-                if self.may_hold(name) {
-                    orders.push(Order::Confirm(name.clone(), asked));
+                // A member that is never granted a lease is forgotten in time as well.
+                let new = MemberState { lease_until: now, running: None, prepared: None };
+                let member = self.members.entry(name.clone()).or_insert(new);
+                member.running = running;
+                member.prepared = prepared;
+                self.catch_up(name, actions);
+                if self.may_hold_lease(name) {
+                    actions.push(LeaderAction::ConfirmLeadership(name.clone(), sent_at));
                 }
             }
-            ToLeader::Prepared { change } => {
+            MemberMessage::VoteCommit { change } => {
                 if let Some(member) = self.members.get_mut(name) {
                     member.prepared = Some(change);
                 }
-                self.decide(now, orders);
+                self.decide(now, actions);
             }
-            ToLeader::Refused { change, why } => {
-                if self.log.open() == Some(&change) {
-                    self.ask(Record::Abort { stamp: change.stamp, why: format!("{name}: {why}") }, orders);
+            MemberMessage::VoteAbort { change, reason } => {
+                if self.log.pending() == Some(&change) {
+                    let reason = format!("{name}: {reason}");
+                    self.request_decision(Record::Abort { stamp: change.stamp, reason }, actions);
                 }
             }
         }
     }
 
-    /// Tells a member what it lacks: the commit that it missed, the change to prepare, the abort of what it holds ready.
-    fn bring(&self, name: &Name, orders: &mut Vec<Order>) {
+    /// Sends a member what it missed: a commit, a change to prepare, the abort of the change that it has prepared.
+    fn catch_up(&self, name: &Name, actions: &mut Vec<LeaderAction>) {
         let Some(member) = self.members.get(name) else { return };
-        let (committed, open) = (self.log.committed(), self.log.open());
-        let mut send = |what| orders.push(Order::Send(name.clone(), what));
-        if let Some(held) =
-            member.prepared.as_ref().filter(|held| Some(*held) != open && Some(*held) != committed)
-        {
-            send(ToMember::Abort { stamp: held.stamp });
+        let (committed, pending) = (self.log.committed(), self.log.pending());
+        let mut send = |message| actions.push(LeaderAction::Send(name.clone(), message));
+        let prepared = member.prepared.as_ref();
+        if let Some(stale) = prepared.filter(|p| Some(*p) != pending && Some(*p) != committed) {
+            send(LeaderMessage::Abort { stamp: stale.stamp });
         }
-        if let Some(committed) = committed.filter(|c| member.runs.as_ref() != Some(c)) {
-            return send(ToMember::Commit { change: committed.clone() });
+        if let Some(committed) = committed.filter(|c| member.running.as_ref() != Some(c)) {
+            return send(LeaderMessage::Commit { change: committed.clone() });
         }
-        if let Some(open) = open.filter(|open| member.prepared.as_ref() != Some(open)) {
-            send(ToMember::Prepare { change: open.clone() });
+        if let Some(pending) = pending.filter(|pending| prepared != Some(pending)) {
+            send(LeaderMessage::Prepare { change: pending.clone() });
         }
     }
 
-    /// Whether a member may be granted a lease: it runs what is committed, and if a decision was asked for it has prepared
-    /// what that may commit.
-    fn may_hold(&self, name: &Name) -> bool {
+    /// Whether a member may be granted a lease: it runs the committed version, and if a decision was requested it has
+    /// prepared the change that may be committed by it.
+    fn may_hold_lease(&self, name: &Name) -> bool {
         let Some(member) = self.members.get(name) else { return false };
-        let ready = !self.asked || member.prepared.as_ref() == self.log.open();
-        member.runs.as_ref() == self.log.committed() && ready
+        let is_ready = !self.decision_requested || member.prepared.as_ref() == self.log.pending();
+        member.running.as_ref() == self.log.committed() && is_ready
     }
 
-    /// A majority has confirmed, after a member asked for its lease, that this service leads. The member's lease counts from
-    /// when it asked, so no later leader's quiet time can be over before it is.
-    pub fn confirmed(&mut self, now: Nanos, name: &Name, asked: Nanos, orders: &mut Vec<Order>) {
-        // What holds may have changed meanwhile.
-        if !self.may_hold(name) {
+    /// A majority has confirmed that this service leads, after a member requested its lease. Since the lease counts from
+    /// that request, it is over before a later leader may decide anything.
+    pub fn leadership_confirmed(
+        &mut self,
+        now: Nanos,
+        name: &Name,
+        requested_at: Nanos,
+        actions: &mut Vec<LeaderAction>,
+    ) {
+        // The committed version may have changed meanwhile.
+        if !self.may_hold_lease(name) {
             return;
         }
-        let until = now.saturating_add(self.times.over());
+        let until = now.saturating_add(self.times.lease_with_margin());
         if let Some(member) = self.members.get_mut(name) {
-            member.lease = member.lease.max(until);
+            member.lease_until = member.lease_until.max(until);
             let committed = self.log.committed().cloned();
-            orders.push(Order::Send(name.clone(), ToMember::Granted { asked, committed }));
+            let lease = LeaderMessage::Lease { requested_at, committed };
+            actions.push(LeaderAction::Send(name.clone(), lease));
         }
     }
 
-    /// Time has passed. To be called many times in a lease.
-    pub fn tick(&mut self, now: Nanos, orders: &mut Vec<Order>) {
-        self.decide(now, orders);
-        // Who is gone for long is forgotten; it is met again as anyone is.
-        let forgotten = self.times.over().saturating_mul(10);
-        self.members.retain(|_, m| m.lease.saturating_add(forgotten) > now);
+    /// Lets time pass. To be called many times in a lease.
+    pub fn tick(&mut self, now: Nanos, actions: &mut Vec<LeaderAction>) {
+        self.decide(now, actions);
+        // A member that is forgotten is added again by its next heartbeat.
+        let retention = self.times.lease_with_margin().saturating_mul(RETENTION_LEASES);
+        self.members.retain(|_, member| member.lease_until.saturating_add(retention) > now);
     }
 
-    /// Asks for the commit once every member that may take requests has prepared the open change, and for its abort once that
-    /// has taken too long.
-    fn decide(&mut self, now: Nanos, orders: &mut Vec<Order>) {
-        let Some(open) = self.log.open().cloned() else { return };
-        if self.asked || now < self.alone {
+    /// Requests the commit once every member that may serve has prepared the pending change, or its abort once that has
+    /// taken too long.
+    fn decide(&mut self, now: Nanos, actions: &mut Vec<LeaderAction>) {
+        let Some(pending) = self.log.pending().cloned() else { return };
+        if self.decision_requested || now < self.earlier_leases_end {
             return;
         }
-        let lacks = |m: &Standing| m.lease > now && m.prepared.as_ref() != Some(&open);
+        let lacks = |m: &MemberState| m.lease_until > now && m.prepared.as_ref() != Some(&pending);
         let lacking: Vec<&str> =
-            self.members.iter().filter(|(_, m)| lacks(m)).map(|(name, _)| &**name).collect();
-        let stamp = open.stamp;
+            self.members.iter().filter(|(_, member)| lacks(member)).map(|(name, _)| &**name).collect();
+        let stamp = pending.stamp;
         if lacking.is_empty() {
-            return self.ask(Record::Commit { stamp }, orders);
+            return self.request_decision(Record::Commit { stamp }, actions);
         }
-        if now.saturating_sub(self.begun.max(self.alone)) > self.times.prepare {
-            let named: Vec<&str> = lacking.iter().copied().take(NAMED_MOST).collect();
-            let more = lacking.len() - named.len();
-            let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-            let why = format!("not prepared in time by {}{more}", named.join(", "));
-            self.ask(Record::Abort { stamp, why }, orders);
+        let started = self.prepare_started.max(self.earlier_leases_end);
+        if now.saturating_sub(started) > self.times.prepare {
+            let named: Vec<&str> = lacking.iter().copied().take(MAX_NAMES).collect();
+            let others = match lacking.len() - named.len() {
+                0 => String::new(),
+                count => format!(" and {count} more"),
+            };
+            let reason = format!("not prepared in time by {}{others}", named.join(", "));
+            self.request_decision(Record::Abort { stamp, reason }, actions);
         }
     }
 
-    fn ask(&mut self, record: Record, orders: &mut Vec<Order>) {
-        if !std::mem::replace(&mut self.asked, true) {
-            orders.push(Order::Append(record));
+    fn request_decision(&mut self, record: Record, actions: &mut Vec<LeaderAction>) {
+        if !std::mem::replace(&mut self.decision_requested, true) {
+            actions.push(LeaderAction::Append(record));
         }
     }
 
-    /// A record that was asked for was not agreed on, and never will be under this term.
-    pub fn not_agreed(&mut self) {
-        self.asked = false;
+    /// A requested record was not appended, and never will be under this term.
+    pub fn append_failed(&mut self) {
+        self.decision_requested = false;
     }
 
-    /// The change that a stamp is of, if it is open or committed.
+    /// The change with this stamp, if it is pending or committed.
     pub fn change(&self, stamp: Stamp) -> Option<&Change> {
-        [self.log.open(), self.log.committed()].into_iter().flatten().find(|c| c.stamp == stamp)
+        [self.log.pending(), self.log.committed()].into_iter().flatten().find(|c| c.stamp == stamp)
     }
 }
--- a/crates/control/src/commit/member.rs
+++ b/crates/control/src/commit/member.rs
@@ -1,200 +1,233 @@
-//! A proxy's side of a change: it prepares, switches when told that a change is committed, and takes requests only while
-//! it holds a lease.
+//! A proxy's side of the commit protocol: it prepares a change, activates it once it is committed, and serves requests
+//! only while it holds a lease.
 
-use super::{Change, Nanos, Times, ToLeader, ToMember};
+use super::{Change, LeaderMessage, MemberMessage, Nanos, Times};
 use crate::version::Stamp;
 
-/// What a member wants done.
+/// What a member asks its owner to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Send this to the leader.
-    Send(ToLeader),
-    /// Fetch a change, check it and hold it ready, then call [`Member::checked`].
-    Check(Change),
-    /// Keep a change on disk as prepared, then call [`Member::kept`].
-    Keep(Change),
-    /// Put a change in force that was checked: from here on requests are decided under it.
-    Switch(Change),
-    /// Forget what was held ready of a change, in memory and on disk.
-    Forget(Stamp),
-    /// Tell those on call.
-    Say(String),
+pub enum MemberAction {
+    /// Send a message to the leader.
+    Send(MemberMessage),
+    /// Fetch a change, validate it and keep it ready, then call [`Member::validated`].
+    Validate(Change),
+    /// Store a change on disk as prepared, then call [`Member::persisted`].
+    Persist(Change),
+    /// Put a validated change in force: from here on requests are decided under it.
+    Activate(Change),
+    /// Discard a prepared change, in memory and on disk.
+    Discard(Stamp),
+    /// Write a warning to the log.
+    Warn(String),
 }
 
-/// How far a change has come here.
+/// Why a member can't prepare a change.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct PrepareError(pub String);
+
+/// How far the preparation of a change has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    /// It is being checked.
-    Checking,
-    /// It is being kept on disk.
-    Keeping,
-    /// It is held ready.
-    Ready,
+    /// It is being validated.
+    Validating,
+    /// It is being stored on disk.
+    Persisting,
+    /// It can be activated at once.
+    Prepared,
     /// It can't be put in force here.
-    Unfit,
+    Rejected,
+}
+
+/// The next change.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Candidate {
+    change: Change,
+    stage: Stage,
+    /// Whether it is known to be committed.
+    is_committed: bool,
 }
 
-/// A proxy's side.
+/// A proxy's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     times: Times,
-    runs: Option<Change>,
-    /// The change that comes next, how far it has come, and whether it is known to be committed.
-    next: Option<(Change, Stage, bool)>,
-    /// It may take requests up to here.
-    lease: Option<Nanos>,
+    running: Option<Change>,
+    candidate: Option<Candidate>,
+    lease_until: Option<Nanos>,
 }
 
 impl Member {
-    /// A proxy that starts, with what its disk tells: what it ran, and what it had prepared. It holds no lease.
-    pub fn new(times: Times, runs: Option<Change>, prepared: Option<Change>) -> Self {
-        Member { times, runs, next: prepared.map(|change| (change, Stage::Ready, false)), lease: None }
+    /// A proxy that starts, with what its disk holds: the version that it ran and the change that it had prepared. It
+    /// holds no lease.
+    pub fn new(times: Times, running: Option<Change>, prepared: Option<Change>) -> Self {
+        let candidate =
+            prepared.map(|change| Candidate { change, stage: Stage::Prepared, is_committed: false });
+        Member { times, running, candidate, lease_until: None }
     }
 
-    /// What it runs.
-    pub fn runs(&self) -> Option<&Change> {
-        self.runs.as_ref()
+    /// The version that it runs.
+    pub fn running(&self) -> Option<&Change> {
+        self.running.as_ref()
     }
 
-    /// What it holds ready and has not switched to.
+    /// The change that it has prepared and not activated.
     pub fn prepared(&self) -> Option<&Change> {
-        self.next.as_ref().filter(|(_, stage, _)| *stage == Stage::Ready).map(|(change, ..)| change)
+        let candidate = self.candidate.as_ref().filter(|candidate| candidate.stage == Stage::Prepared);
+        candidate.map(|candidate| &candidate.change)
     }
 
-    /// Whether it may take a request now; then under what it runs. Danger: to be asked at each request, and after a pause
-    /// of the process as well: a lease that was good before the pause may be over after it.
+    /// Whether it may serve a request now, under the version that it runs. Danger: this has to be checked for each
+    /// request, and again after a pause of the process: a lease that was valid before the pause may be over after it.
     pub fn may_serve(&self, now: Nanos) -> bool {
-        self.lease.is_some_and(|until| now < until)
+        self.lease_until.is_some_and(|until| now < until)
     }
 
-    /// Until when it may.
-    pub fn lease(&self) -> Option<Nanos> {
-        self.lease
+    /// Until when it may serve requests.
+    pub fn lease_until(&self) -> Option<Nanos> {
+        self.lease_until
     }
 
-    /// It is time to ask for a lease anew. To be called several times in a lease.
-    pub fn renew(&self, now: Nanos, steps: &mut Vec<Step>) {
-        let (runs, prepared) = (self.runs.clone(), self.prepared().cloned());
-        steps.push(Step::Send(ToLeader::Renew { asked: now, runs, prepared }));
+    /// Sends a heartbeat, which requests a lease. To be called several times in a lease.
+    pub fn heartbeat(&self, now: Nanos, actions: &mut Vec<MemberAction>) {
+        let (running, prepared) = (self.running.clone(), self.prepared().cloned());
+        actions.push(MemberAction::Send(MemberMessage::Heartbeat { sent_at: now, running, prepared }));
     }
 
-    /// The leader has said something.
-    pub fn told(&mut self, now: Nanos, what: ToMember, steps: &mut Vec<Step>) {
-        match what {
-            ToMember::Prepare { change } => self.prepare(change, steps),
-            ToMember::Commit { change } => self.commit(change, steps),
-            ToMember::Abort { stamp } => {
-                // Danger: an abort that comes late must not undo a change that is known to be committed; it can't be both.
-                let aborted =
-                    self.next.take_if(|(change, _, committed)| change.stamp == stamp && !*committed);
-                steps.extend(aborted.map(|(change, ..)| Step::Forget(change.stamp)));
+    /// A message of the leader has arrived.
+    pub fn receive(&mut self, now: Nanos, message: LeaderMessage, actions: &mut Vec<MemberAction>) {
+        match message {
+            LeaderMessage::Prepare { change } => self.prepare(change, actions),
+            LeaderMessage::Commit { change } => self.commit(change, actions),
+            LeaderMessage::Abort { stamp } => {
+                // Danger: a late abort must not discard a change that is known to be committed; it can't be both.
+                let is_aborted = |c: &mut Candidate| c.change.stamp == stamp && !c.is_committed;
+                let aborted = self.candidate.take_if(is_aborted);
+                actions.extend(aborted.map(|c| MemberAction::Discard(c.change.stamp)));
             }
-            ToMember::Granted { asked, committed } => {
-                // Danger: a grant that was on its way while a commit came is for what ran before.
-                let stale = self.next.as_ref().is_some_and(|(_, _, committed)| *committed);
-                if asked <= now && committed == self.runs && !stale {
-                    let until = asked.saturating_add(self.times.lease);
-                    self.lease = Some(self.lease.map_or(until, |lease| lease.max(until)));
+            LeaderMessage::Lease { requested_at, committed } => {
+                // Danger: a lease that crossed a commit on the way is for the version before.
+                let is_stale = self.candidate.as_ref().is_some_and(|c| c.is_committed);
+                if requested_at <= now && committed == self.running && !is_stale {
+                    let until = requested_at.saturating_add(self.times.lease);
+                    self.lease_until = Some(self.lease_until.map_or(until, |lease| lease.max(until)));
                 }
             }
         }
     }
 
-    fn prepare(&mut self, change: Change, steps: &mut Vec<Step>) {
-        if self.runs.as_ref().is_some_and(|runs| runs.stamp >= change.stamp) {
+    /// Whether this version or a newer one runs.
+    fn runs_at_least(&self, stamp: Stamp) -> bool {
+        self.running.as_ref().is_some_and(|running| running.stamp >= stamp)
+    }
+
+    fn prepare(&mut self, change: Change, actions: &mut Vec<MemberAction>) {
+        if self.runs_at_least(change.stamp) {
             return;
         }
-        match &self.next {
-            Some((next, Stage::Ready, _)) if *next == change => {
-                steps.push(Step::Send(ToLeader::Prepared { change }));
+        match &self.candidate {
+            Some(Candidate { change: current, stage: Stage::Prepared, .. }) if *current == change => {
+                actions.push(MemberAction::Send(MemberMessage::VoteCommit { change }));
+            }
+            // A repeated request: the vote may have been lost, and the cause of the rejection may be gone.
+            Some(Candidate { change: current, stage: Stage::Rejected, .. }) if *current == change => {
+                self.begin(change, false, actions);
             }
-            // Asked again: the refusal may have been lost, and what kept it from fitting may be mended.
-            Some((next, Stage::Unfit, _)) if *next == change => self.begin(change, false, steps),
-            Some((next, ..)) if next.stamp >= change.stamp => {}
-            // An older one that was never decided here is decided by now: a change begins when none is open.
-            _ => self.begin(change, false, steps),
+            Some(Candidate { change: current, .. }) if current.stamp >= change.stamp => {}
+            // An older candidate that was not decided here is decided by now: a change begins when none is pending.
+            _ => self.begin(change, false, actions),
         }
     }
 
-    fn begin(&mut self, change: Change, committed: bool, steps: &mut Vec<Step>) {
-        if let Some((old, ..)) = self.next.take() {
-            steps.push(Step::Forget(old.stamp));
+    fn begin(&mut self, change: Change, is_committed: bool, actions: &mut Vec<MemberAction>) {
+        if let Some(old) = self.candidate.take() {
+            actions.push(MemberAction::Discard(old.change.stamp));
         }
-        steps.push(Step::Check(change.clone()));
-        self.next = Some((change, Stage::Checking, committed));
+        actions.push(MemberAction::Validate(change.clone()));
+        self.candidate = Some(Candidate { change, stage: Stage::Validating, is_committed });
     }
 
-    fn commit(&mut self, change: Change, steps: &mut Vec<Step>) {
-        if self.runs.as_ref().is_some_and(|runs| runs.stamp >= change.stamp) {
+    fn commit(&mut self, change: Change, actions: &mut Vec<MemberAction>) {
+        if self.runs_at_least(change.stamp) {
             return;
         }
-        // From here on what runs is not what is committed: nothing more is taken under it.
-        self.lease = None;
-        match &mut self.next {
-            Some((next, stage, committed)) if *next == change => {
-                *committed = true;
-                match stage {
-                    Stage::Ready | Stage::Keeping => self.switch(steps),
-                    // It is told so again and again while this proxy asks for leases in vain; each time it is checked anew.
-                    Stage::Unfit => self.begin(change, true, steps),
-                    Stage::Checking => {}
+        // From here on the running version is not the committed one: no more requests are served under it.
+        self.lease_until = None;
+        match &mut self.candidate {
+            Some(candidate) if candidate.change == change => {
+                candidate.is_committed = true;
+                match candidate.stage {
+                    Stage::Prepared | Stage::Persisting => self.activate(actions),
+                    // The commit is sent again while this proxy requests leases in vain; each time it is validated anew.
+                    Stage::Rejected => self.begin(change, true, actions),
+                    Stage::Validating => {}
                 }
             }
-            // Danger: a newer one that came before this commit may be aborted since. Who lacks a commit holds no lease, so
-            // that nobody counts on what it holds ready; the newer one is told again if it is still open.
-            _ => self.begin(change, true, steps),
+            // Danger: a newer candidate from before this commit may have been aborted since. Nobody relies on it, since
+            // a proxy that lacks a commit holds no lease; if it is still pending it is sent again.
+            _ => self.begin(change, true, actions),
         }
     }
 
-    fn switch(&mut self, steps: &mut Vec<Step>) {
-        if let Some((change, ..)) = self.next.take() {
-            steps.push(Step::Switch(change.clone()));
-            self.runs = Some(change);
+    fn activate(&mut self, actions: &mut Vec<MemberAction>) {
+        if let Some(Candidate { change, .. }) = self.candidate.take() {
+            actions.push(MemberAction::Activate(change.clone()));
+            self.running = Some(change);
         }
     }
 
-    /// A change was checked: it can be put in force, or why not.
-    pub fn checked(&mut self, stamp: Stamp, outcome: Result<(), String>, steps: &mut Vec<Step>) {
-        let Some((change, stage @ Stage::Checking, committed)) = &mut self.next else { return };
-        if change.stamp != stamp {
-            return;
-        }
-        let change = change.clone();
-        match (outcome, *committed) {
-            // It is committed: it is kept as what runs, not as prepared.
-            (Ok(()), true) => self.switch(steps),
+    /// The candidate with this stamp, if it is at this stage.
+    fn candidate_at(&mut self, stage: Stage, stamp: Stamp) -> Option<&mut Candidate> {
+        self.candidate.as_mut().filter(|c| c.stage == stage && c.change.stamp == stamp)
+    }
+
+    /// A change was validated: it can be put in force, or why not.
+    pub fn validated(
+        &mut self,
+        stamp: Stamp,
+        outcome: Result<(), PrepareError>,
+        actions: &mut Vec<MemberAction>,
+    ) {
+        let Some(candidate) = self.candidate_at(Stage::Validating, stamp) else { return };
+        let change = candidate.change.clone();
+        match (outcome, candidate.is_committed) {
+            // It is stored as the running version, not as prepared.
+            (Ok(()), true) => self.activate(actions),
             (Ok(()), false) => {
-                *stage = Stage::Keeping;
-                steps.push(Step::Keep(change));
+                candidate.stage = Stage::Persisting;
+                actions.push(MemberAction::Persist(change));
             }
-            (Err(why), committed) => {
-                *stage = Stage::Unfit;
-                if committed {
-                    let stuck = "is committed and can't be put in force here; no request is taken";
-                    steps.push(Step::Say(format!("version {stamp} {stuck}: {why}")));
+            (Err(error), is_committed) => {
+                candidate.stage = Stage::Rejected;
+                if is_committed {
+                    let stuck = "is committed and can't be put in force here; no request is served";
+                    actions.push(MemberAction::Warn(format!("version {stamp} {stuck}: {error}")));
                 }
-                steps.push(Step::Send(ToLeader::Refused { change, why }));
+                let reason = error.to_string();
+                actions.push(MemberAction::Send(MemberMessage::VoteAbort { change, reason }));
             }
         }
     }
 
-    /// A change was kept on disk as prepared, or why not.
-    pub fn kept(&mut self, stamp: Stamp, outcome: Result<(), String>, steps: &mut Vec<Step>) {
-        let Some((change, stage @ Stage::Keeping, _)) = &mut self.next else { return };
-        if change.stamp != stamp {
-            return;
-        }
-        let change = change.clone();
-        match outcome {
+    /// A change was stored on disk as prepared, or why not.
+    pub fn persisted(
+        &mut self,
+        stamp: Stamp,
+        outcome: Result<(), PrepareError>,
+        actions: &mut Vec<MemberAction>,
+    ) {
+        let Some(candidate) = self.candidate_at(Stage::Persisting, stamp) else { return };
+        let change = candidate.change.clone();
+        let vote = match outcome {
             Ok(()) => {
-                *stage = Stage::Ready;
-                steps.push(Step::Send(ToLeader::Prepared { change }));
+                candidate.stage = Stage::Prepared;
+                MemberMessage::VoteCommit { change }
             }
-            Err(why) => {
-                *stage = Stage::Unfit;
-                let why = format!("it could not be kept on disk: {why}");
-                steps.push(Step::Send(ToLeader::Refused { change, why }));
+            Err(error) => {
+                candidate.stage = Stage::Rejected;
+                MemberMessage::VoteAbort { change, reason: format!("it can't be stored on disk: {error}") }
             }
-        }
+        };
+        actions.push(MemberAction::Send(vote));
     }
 }
--- a/crates/control/src/commit/mod.rs
+++ b/crates/control/src/commit/mod.rs
@@ -1,124 +1,83 @@
-//! A change of version that takes hold everywhere or nowhere, also while some proxies are down. No I/O, no clock.
+//! A two-phase commit of a version across all proxies, which takes effect everywhere or nowhere even while some proxies
+//! are down. No I/O, no clock.
 //!
-//! A [`Log`] of records decides: once a change has its commit or abort there, nothing takes that back. The [`Leader`] of
-//! the control services has each proxy prepare a change, and asks for the commit when every proxy that may take
-//! requests has prepared it; a [`Member`] is a proxy's side. What keeps a proxy that hears nothing from going on by an
-//! older version is its lease: it takes requests only while it holds one, and one is granted only to who runs what
-//! is committed. `docs/design-commit.md` states the protocol, and why it holds.
+//! A replicated [`Log`] of records decides: once it has the commit or abort of a change, nothing takes that back. The
+//! [`Leader`] of the control services has each proxy prepare a change, and requests its commit once every proxy that may
+//! serve requests has voted for it; a [`Member`] is a proxy's side. A proxy that is cut off can't go on serving under an
+//! older version because of its lease: it serves only while it holds one, and one is granted only to a proxy that runs
+//! the committed version. `docs/design-commit.md` specifies the protocol, and why it is correct.
 //!
-//! The same code is run by `tests/commit_model.rs`, where stateright plays every order of messages, losses, crashes and
+//! `tests/commit` runs this code in a model checker (stateright), under every order of messages, losses, crashes and
 //! changes of leader at a small size.
 
 mod leader;
 mod log;
 mod member;
+mod messages;
 
-pub use leader::{Leader, Order, Standing};
-pub use log::{Log, Record, Unfit};
-pub use member::{Member, Step};
+pub use leader::{Leader, LeaderAction, MemberState, PublishRejected};
+pub use log::{Log, Record, RecordError};
+pub use member::{Member, MemberAction, PrepareError};
+pub use messages::{LeaderMessage, MemberMessage};
 
 use crate::version::Stamp;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Nanoseconds on a clock that never steps back; each party's own.
+/// Nanoseconds on a steady clock of each party's own.
 pub type Nanos = u64;
 
 /// A proxy's name.
 pub type Name = Arc<str>;
 
-/// A version by its stamp, and the digest of what it says.
+/// A version by its stamp and the digest of its body.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Which.
+    /// The version's stamp.
     pub stamp: Stamp,
     /// SHA-256 of its body, in hex.
     pub digest: Arc<str>,
 }
 
-/// How long things may take.
+/// Times of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
-    /// A proxy takes requests for so long after it asked for the lease that it was granted.
+    /// For how long a proxy may serve, counted from when it requested the lease.
     pub lease: Nanos,
-    /// What the clocks of two machines may differ by over a lease, and more.
+    /// More than the clocks of two machines drift apart over a lease.
     pub margin: Nanos,
-    /// A change that was not prepared everywhere after so long is aborted.
+    /// A change that is not prepared everywhere after so long is aborted.
     pub prepare: Nanos,
 }
 
+/// Why times do not fit together.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TimesError {
+    /// No proxy could ever serve.
+    #[error("a lease of no length would let no proxy serve requests")]
+    NoLease,
+    /// A change would be aborted before the lease of a proxy that has died is over.
+    #[error("the time to prepare a change has to be longer than a lease and its margin: otherwise a proxy that dies would cause each change to be aborted")]
+    PrepareTooShort,
+}
+
 impl Times {
-    /// From the time at which a lease was granted on, its proxy takes no requests under it any more after so long.
-    pub fn over(&self) -> Nanos {
+    /// So long after a lease was granted its proxy surely no longer serves under it.
+    pub fn lease_with_margin(&self) -> Nanos {
         self.lease.saturating_add(self.margin)
     }
 
-    /// Whether they fit together.
+    /// Checks that the times fit together.
     ///
     /// # Errors
-    /// Says what does not.
-    pub fn check(&self) -> Result<(), String> {
+    /// Why they do not.
+    pub fn check(&self) -> Result<(), TimesError> {
         if self.lease == 0 {
-            return Err("a lease of no length would let no proxy take requests".into());
+            return Err(TimesError::NoLease);
         }
-        if self.prepare <= self.over() {
-            return Err("a change has to be given longer than a lease and its margin: a proxy that dies would have each one aborted".into());
+        if self.prepare <= self.lease_with_margin() {
+            return Err(TimesError::PrepareTooShort);
         }
         Ok(())
     }
 }
-
-/// From a proxy to the leader.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum ToLeader {
-    /// It wants a lease.
-    Renew {
-        /// When it asked, on its own clock; told back with the grant.
-        asked: Nanos,
-        /// What it runs.
-        runs: Option<Change>,
-        /// What it has prepared and not switched to.
-        prepared: Option<Change>,
-    },
-    /// A change is checked and kept, and can be switched to at once.
-    Prepared {
-        /// Which.
-        change: Change,
-    },
-    /// A change can't be put in force there.
-    Refused {
-        /// Which.
-        change: Change,
-        /// Why.
-        why: String,
-    },
-}
-
-/// From the leader to a proxy.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum ToMember {
-    /// Check a change and keep it; do not switch to it.
-    Prepare {
-        /// Which.
-        change: Change,
-    },
-    /// A change is committed: switch to it.
-    Commit {
-        /// Which.
-        change: Change,
-    },
-    /// A change is aborted: forget it.
-    Abort {
-        /// Which.
-        stamp: Stamp,
-    },
-    /// A lease.
-    Granted {
-        /// When it was asked for, on the proxy's clock: it counts from then.
-        asked: Nanos,
-        /// What is committed; who runs anything else holds no lease.
-        committed: Option<Change>,
-    },
-}
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,106 +1,160 @@
-//! A proxy's side: which service it listens to, which versions it takes, and what it answers. No I/O, no clock.
+//! A proxy's side of the protocol: which service it is connected to, which versions it accepts, and what it answers. No
+//! I/O, no clock.
 
-use crate::frame::{FromProxy, FromService, PROTOCOL};
+use crate::frame::{ProxyMessage, ServiceMessage, PROTOCOL};
 use crate::version::{Stamp, Version};
 use aniseyoke_fanout::Progress;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Nanoseconds from any fixed point.
+/// Nanoseconds since an arbitrary fixed point.
 pub type Nanos = u64;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// Who a proxy is to the services.
+/// How a proxy identifies itself to services.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
     /// Its name, the same after a restart.
     pub instance: String,
-    /// A number drawn at its start.
+    /// A number drawn when its process started.
     pub boot: u64,
-    /// What operators call it by in rollouts.
+    /// Labels by which operators select it in rollouts.
     pub labels: BTreeMap<String, String>,
-    /// Longer frames it does not read, in bytes.
-    pub frame_most: usize,
+    /// The longest frame that it reads, in bytes.
+    pub max_frame_bytes: usize,
 }
 
 /// Times of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// The first wait after a service could not be reached or has gone, and the longest; it doubles between.
-    pub back_off: (Nanos, Nanos),
-    /// A connection comes about within this time.
+    /// The first wait before a reconnect, and the longest; it doubles between them.
+    pub backoff: (Nanos, Nanos),
+    /// The time limit of a connection attempt.
     pub connect: Nanos,
-    /// A service that says nothing for so long hangs, and another is asked.
-    pub silence: Nanos,
-    /// It is told as often that this proxy is still there.
-    pub alive: Nanos,
+    /// A service that sends nothing for so long is considered dead.
+    pub idle_timeout: Nanos,
+    /// A heartbeat is sent if nothing else was for so long.
+    pub heartbeat: Nanos,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Times {
-            back_off: (SECOND / 2, 30 * SECOND),
+            backoff: (SECOND / 2, 30 * SECOND),
             connect: 3 * SECOND,
-            silence: 15 * SECOND,
-            alive: 5 * SECOND,
+            idle_timeout: 15 * SECOND,
+            heartbeat: 5 * SECOND,
         }
     }
 }
 
-/// What a follower wants done.
+/// Why a version was not put in force.
+#[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
+#[error("{}", .reasons.join("; "))]
+pub struct Rejection {
+    /// The reasons, a line each.
+    pub reasons: Vec<String>,
+}
+
+impl From<Vec<String>> for Rejection {
+    fn from(reasons: Vec<String>) -> Self {
+        Rejection { reasons }
+    }
+}
+
+impl From<String> for Rejection {
+    fn from(reason: String) -> Self {
+        Rejection { reasons: vec![reason] }
+    }
+}
+
+/// Counts of requests since the last report.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestCounts {
+    /// Requests served.
+    pub served: u64,
+    /// Requests rejected.
+    pub rejected: u64,
+    /// Requests failed.
+    pub failed: u64,
+}
+
+impl RequestCounts {
+    /// Adds other counts.
+    pub fn add(&mut self, other: RequestCounts) {
+        self.served = self.served.saturating_add(other.served);
+        self.rejected = self.rejected.saturating_add(other.rejected);
+        self.failed = self.failed.saturating_add(other.failed);
+    }
+
+    /// Whether nothing was counted.
+    pub fn is_empty(&self) -> bool {
+        *self == RequestCounts::default()
+    }
+}
+
+/// What a follower asks its owner to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect to the service with this number, then call [`Follower::connected`] or [`Follower::disconnected`].
+    /// Connect to the service with this index, then call [`Follower::connected`] or [`Follower::disconnected`].
     Connect(usize),
-    /// End the connection; nothing that still comes on it counts.
+    /// Close the connection, and ignore anything that still arrives on it.
     Disconnect,
-    /// Send a frame.
-    Send(FromProxy),
-    /// Check a version and put it in force, then call [`Follower::applied`]. No other is asked for meanwhile.
+    /// Send a message.
+    Send(ProxyMessage),
+    /// Check a version and put it in force, then call [`Follower::applied`]. There is only one at a time.
     Apply(Version),
-    /// Keep this as the last good version.
-    Keep(Version),
-    /// Tell those on call.
-    Say(String),
+    /// Store a version as the last known good one.
+    Persist(Version),
+    /// Write a warning to the log.
+    Warn(String),
 }
 
 enum Link {
-    /// Not connected; the next try is due then.
-    Down(Nanos),
-    /// A connection is being made, since when.
-    Connecting(Nanos),
-    /// Connected: when something last came, and when something was last sent.
-    Up { heard: Nanos, said: Nanos },
+    /// Not connected; the next attempt is due at this time.
+    Down { retry_at: Nanos },
+    /// A connection attempt has been going on since this time.
+    Connecting { since: Nanos },
+    /// Connected: when something was last received, and last sent.
+    Up { last_received: Nanos, last_sent: Nanos },
+}
+
+/// The last version that was rejected, so that it is not applied again when it is sent again.
+struct RejectedVersion {
+    stamp: Stamp,
+    digest: String,
+    reasons: Vec<String>,
 }
 
-/// A proxy's side.
+/// A proxy's state.
 pub struct Follower {
     identity: Identity,
     times: Times,
-    chance: SmallRng,
-    services: usize,
-    at: usize,
+    random: SmallRng,
+    service_count: usize,
+    /// The index of the current service, or of the next one.
+    service: usize,
     link: Link,
-    /// Tries in a row that came to nothing.
+    /// Connections that failed in a row.
     failures: u32,
     running: Option<Version>,
-    /// Being put in force.
-    trying: Option<Version>,
-    /// The newest of those that came meanwhile. Danger: a queue of versions grows without end when they come faster
-    /// than they can be put in force; only the newest counts.
-    next: Option<Version>,
-    /// What was turned down last, so that it is not tried again when it comes again.
-    refused: Option<(Stamp, String, Vec<String>)>,
-    purges: Option<Progress>,
+    /// The version that is being put in force.
+    applying: Option<Version>,
+    /// The newest of those that arrived meanwhile. Danger: a queue of versions would grow without limit where they arrive
+    /// faster than they are applied; only the newest counts.
+    queued: Option<Version>,
+    rejected: Option<RejectedVersion>,
+    purge_progress: Option<Progress>,
 }
 
 impl Follower {
-    /// A follower of so many services, with what it ran last, if it is known.
+    /// A follower of so many services. `running`: the version that it ran last, if that is known. `seed` decides the
+    /// jitter of reconnects.
     pub fn new(
         identity: Identity,
-        services: usize,
+        service_count: usize,
         running: Option<Version>,
         times: Times,
         seed: u64,
@@ -108,220 +162,232 @@
         Follower {
             identity,
             times,
-            chance: SmallRng::seed_from_u64(seed),
-            services: services.max(1),
-            at: 0,
-            link: Link::Down(0),
+            random: SmallRng::seed_from_u64(seed),
+            service_count: service_count.max(1),
+            service: 0,
+            link: Link::Down { retry_at: 0 },
             failures: 0,
             running,
-            trying: None,
-            next: None,
-            refused: None,
-            purges: None,
+            applying: None,
+            queued: None,
+            rejected: None,
+            purge_progress: None,
         }
     }
 
-    /// What runs, as far as a service told it.
+    /// The version that runs, if a service published it.
     pub fn running(&self) -> Option<&Version> {
         self.running.as_ref()
     }
 
-    /// Time has passed. To be called several times a second.
+    /// Lets time pass. To be called several times a second.
     pub fn tick(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         match self.link {
-            Link::Down(due) if now >= due => {
-                self.link = Link::Connecting(now);
-                actions.push(Action::Connect(self.at));
+            Link::Down { retry_at } if now >= retry_at => {
+                self.link = Link::Connecting { since: now };
+                actions.push(Action::Connect(self.service));
             }
-            Link::Connecting(since) if now.saturating_sub(since) > self.times.connect => {
+            Link::Connecting { since } if now.saturating_sub(since) > self.times.connect => {
                 actions.push(Action::Disconnect);
-                self.lost(now);
+                self.schedule_reconnect(now);
             }
-            Link::Up { heard, .. } if now.saturating_sub(heard) > self.times.silence => {
+            Link::Up { last_received, .. } if now.saturating_sub(last_received) > self.times.idle_timeout => {
                 actions.push(Action::Disconnect);
-                actions.push(Action::Say(format!("control service {} says nothing any more", self.at)));
-                self.lost(now);
+                self.warn("does not respond any more", actions);
+                self.schedule_reconnect(now);
             }
-            Link::Up { said, .. } if now.saturating_sub(said) >= self.times.alive => {
-                self.send(now, FromProxy::Alive, actions);
+            Link::Up { last_sent, .. } if now.saturating_sub(last_sent) >= self.times.heartbeat => {
+                self.send(now, ProxyMessage::Heartbeat, actions);
             }
             _ => {}
         }
     }
 
-    /// Where whoever drives it stands in the log of purges: said in `hello`; none, as at first: it takes no purges.
-    pub fn stands(&mut self, purges: Option<Progress>) {
-        self.purges = purges;
+    /// Sets the position in the log of purges that `hello` announces; none, the initial value, where the owner does not
+    /// subscribe to purges.
+    pub fn set_purge_progress(&mut self, progress: Option<Progress>) {
+        self.purge_progress = progress;
     }
 
-    /// Says hello again on the same connection, where purges are missing.
-    pub fn hello(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        let Identity { instance, boot, labels, frame_most } = self.identity.clone();
-        let running = self.running.as_ref().map(|v| (v.stamp, v.digest.clone()));
-        let (protocol, purges) = (PROTOCOL, self.purges);
-        let hello = FromProxy::Hello { protocol, instance, boot, labels, frame_most, running, purges };
+    /// Sends `hello`, also again on the same connection where purges are missing.
+    pub fn send_hello(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let Identity { instance, boot, labels, max_frame_bytes } = self.identity.clone();
+        let hello = ProxyMessage::Hello {
+            protocol: PROTOCOL,
+            instance,
+            boot,
+            labels,
+            max_frame_bytes,
+            running: self.running.as_ref().map(|v| (v.stamp, v.digest.clone())),
+            purges: self.purge_progress,
+        };
         self.send(now, hello, actions);
     }
 
-    /// Sends a frame of purges.
-    pub fn say(&mut self, now: Nanos, frame: FromProxy, actions: &mut Vec<Action>) {
-        self.send(now, frame, actions);
+    /// Sends a message, if there is a connection.
+    pub fn send(&mut self, now: Nanos, message: ProxyMessage, actions: &mut Vec<Action>) {
+        if let Link::Up { last_sent, .. } = &mut self.link {
+            *last_sent = now;
+            actions.push(Action::Send(message));
+        }
+    }
+
+    fn warn(&self, what: &str, actions: &mut Vec<Action>) {
+        actions.push(Action::Warn(format!("control service {} {what}", self.service)));
     }
 
     /// Whether a newer version waits for the one that is being put in force.
     pub fn has_newer(&self) -> bool {
-        self.next.is_some()
+        self.queued.is_some()
     }
 
-    /// The connection that was asked for is there.
+    /// The connection is established.
     pub fn connected(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        if !matches!(self.link, Link::Connecting(_)) {
+        if !matches!(self.link, Link::Connecting { .. }) {
             actions.push(Action::Disconnect);
             return;
         }
-        self.link = Link::Up { heard: now, said: now };
-        self.hello(now, actions);
+        self.link = Link::Up { last_received: now, last_sent: now };
+        self.send_hello(now, actions);
     }
 
-    /// The connection could not be made, or has ended.
+    /// The connection could not be established, or has ended.
     pub fn disconnected(&mut self, now: Nanos) {
-        if !matches!(self.link, Link::Down(_)) {
-            self.lost(now);
+        if !matches!(self.link, Link::Down { .. }) {
+            self.schedule_reconnect(now);
         }
     }
 
-    /// What came is no frame: nothing behind it can be read.
-    pub fn malformed(&mut self, now: Nanos, why: &str, actions: &mut Vec<Action>) {
+    /// Bytes arrived that are not a frame: nothing behind them can be decoded.
+    pub fn malformed(&mut self, now: Nanos, error: &str, actions: &mut Vec<Action>) {
         if matches!(self.link, Link::Up { .. }) {
-            actions.push(Action::Say(format!("control service {}: {why}", self.at)));
+            self.warn(&format!("sent an invalid message: {error}"), actions);
             actions.push(Action::Disconnect);
-            self.lost(now);
+            self.schedule_reconnect(now);
         }
     }
 
-    /// The next service is asked, after a while. Jitter keeps a fleet that lost its service from coming back as one.
-    fn lost(&mut self, now: Nanos) {
-        let (first, most) = self.times.back_off;
-        let wait = first.saturating_mul(1 << self.failures.min(16)).min(most);
-        let wait = (wait as f64 * (0.5 + 0.5 * self.chance.random::<f64>())) as Nanos;
+    /// Connects to the next service after a backoff. Its jitter keeps a fleet that lost its service from reconnecting all
+    /// at once.
+    fn schedule_reconnect(&mut self, now: Nanos) {
+        let (first, max) = self.times.backoff;
+        let wait = first.saturating_mul(1 << self.failures.min(16)).min(max);
+        let jittered = (wait as f64 * (0.5 + 0.5 * self.random.random::<f64>())) as Nanos;
         self.failures = self.failures.saturating_add(1);
-        self.at = (self.at + 1) % self.services;
-        self.link = Link::Down(now.saturating_add(wait));
+        self.service = (self.service + 1) % self.service_count;
+        self.link = Link::Down { retry_at: now.saturating_add(jittered) };
     }
 
-    fn send(&mut self, now: Nanos, frame: FromProxy, actions: &mut Vec<Action>) {
-        if let Link::Up { said, .. } = &mut self.link {
-            *said = now;
-            actions.push(Action::Send(frame));
-        }
-    }
-
-    /// A frame has come.
-    pub fn frame(&mut self, now: Nanos, frame: FromService, actions: &mut Vec<Action>) {
-        let Link::Up { heard, .. } = &mut self.link else { return };
-        *heard = now;
-        // Only a service that has said something of use counts as found again.
-        if !matches!(frame, FromService::Goodbye { .. }) {
+    /// A message has arrived. The owner passes messages about purges to the relay or member that they are for.
+    pub fn receive(&mut self, now: Nanos, message: ServiceMessage, actions: &mut Vec<Action>) {
+        let Link::Up { last_received, .. } = &mut self.link else { return };
+        *last_received = now;
+        // Only a service that has sent something useful ends the backoff.
+        if !matches!(message, ServiceMessage::Goodbye { .. }) {
             self.failures = 0;
         }
-        match frame {
-            FromService::Alive | FromService::Current { .. } => {}
-            // Whoever drives it takes these to the member that they are for.
-            FromService::Purges { .. } | FromService::Flush { .. } => {}
-            FromService::Goodbye { why } => {
-                actions
-                    .push(Action::Say(format!("control service {} sends this proxy away: {why}", self.at)));
+        match message {
+            ServiceMessage::Heartbeat | ServiceMessage::UpToDate { .. } => {}
+            ServiceMessage::Purges { .. } | ServiceMessage::Flush { .. } => {}
+            ServiceMessage::Goodbye { reason } => {
+                self.warn(&format!("closes the connection: {reason}"), actions);
                 actions.push(Action::Disconnect);
-                self.lost(now);
+                self.schedule_reconnect(now);
             }
-            FromService::Full { stamp, digest, body } => {
+            ServiceMessage::Snapshot { stamp, digest, body } => {
                 let version = Version { stamp, digest, body };
-                match version.check() {
-                    Ok(()) => self.offered(now, version, actions),
-                    Err(broken) => self.turn_down(now, stamp, vec![broken.to_string()], actions),
+                match version.verify() {
+                    Ok(()) => self.receive_version(now, version, actions),
+                    Err(error) => self.nack(now, stamp, vec![error.to_string()], actions),
                 }
             }
-            FromService::Delta { base, stamp, digest, patch } => {
-                let known = [&self.next, &self.trying, &self.running];
+            ServiceMessage::Delta { base, stamp, digest, patch } => {
+                let known = [&self.queued, &self.applying, &self.running];
                 let base = known.into_iter().flatten().find(|v| v.stamp == base);
-                // Danger: after a gap a delta leads elsewhere than meant; the whole is asked for.
+                // Danger: after a gap a delta may result in another version than it was made for.
                 match base.map(|base| base.apply(&patch, stamp, &digest)) {
-                    Some(Ok(version)) => self.offered(now, version, actions),
-                    Some(Err(_)) | None => self.send(now, FromProxy::Whole, actions),
+                    Some(Ok(version)) => self.receive_version(now, version, actions),
+                    Some(Err(_)) | None => self.send(now, ProxyMessage::SnapshotRequest, actions),
                 }
             }
         }
     }
 
-    /// A version has come whole.
-    fn offered(&mut self, now: Nanos, version: Version, actions: &mut Vec<Action>) {
+    /// A valid version has arrived, by a snapshot or a delta.
+    fn receive_version(&mut self, now: Nanos, version: Version, actions: &mut Vec<Action>) {
         let stamp = version.stamp;
-        if let Some((refused, digest, reasons)) = &self.refused {
-            if (*refused, digest) == (stamp, &version.digest) {
-                let reasons = reasons.clone();
-                return self.send(now, FromProxy::Refused { stamp, reasons }, actions);
+        if let Some(rejected) = &self.rejected {
+            if rejected.stamp == stamp && rejected.digest == version.digest {
+                let reasons = rejected.reasons.clone();
+                return self.nack(now, stamp, reasons, actions);
             }
         }
-        let newest = [&self.next, &self.trying, &self.running].into_iter().flatten().next();
+        let newest = [&self.queued, &self.applying, &self.running].into_iter().flatten().next();
         if let Some(newest) = newest {
             if newest.stamp == stamp && newest.digest != version.digest {
-                // Danger: to take turns between two services that disagree would swap for ever.
-                let why = format!("version {stamp} is another here: two services disagree");
-                actions.push(Action::Say(format!("control service {}: {why}", self.at)));
-                return self.turn_down(now, stamp, vec![why], actions);
+                // Danger: to follow two services that disagree would alternate between their versions for ever.
+                let reason = format!("version {stamp} has another body here: two services disagree");
+                self.warn(&format!("sent a conflicting version: {reason}"), actions);
+                return self.nack(now, stamp, vec![reason], actions);
             }
             if newest.stamp > stamp {
-                let why = format!("version {stamp} is older than {}, which came before it", newest.stamp);
-                return self.turn_down(now, stamp, vec![why], actions);
+                let reason = format!("version {stamp} is older than {}, which was sent before", newest.stamp);
+                return self.nack(now, stamp, vec![reason], actions);
             }
             if newest.stamp == stamp {
-                // Twice. What still is put in force is answered when it is.
-                if self.trying.is_none() {
-                    self.send(now, FromProxy::Taken { stamp }, actions);
+                // A duplicate. One that is still being applied is answered when it is in force.
+                if self.applying.is_none() {
+                    self.send(now, ProxyMessage::Ack { stamp }, actions);
                 }
                 return;
             }
         }
-        if self.trying.is_some() {
-            self.next = Some(version);
+        if self.applying.is_some() {
+            self.queued = Some(version);
         } else {
-            self.trying = Some(version.clone());
-            actions.push(Action::Apply(version));
+            self.apply(version, actions);
         }
     }
 
-    fn turn_down(&mut self, now: Nanos, stamp: Stamp, reasons: Vec<String>, actions: &mut Vec<Action>) {
-        self.send(now, FromProxy::Refused { stamp, reasons }, actions);
+    fn apply(&mut self, version: Version, actions: &mut Vec<Action>) {
+        self.applying = Some(version.clone());
+        actions.push(Action::Apply(version));
     }
 
-    /// The version that was to be put in force is, or could not be: then what ran before still runs.
-    pub fn applied(&mut self, now: Nanos, outcome: Result<(), Vec<String>>, actions: &mut Vec<Action>) {
-        let Some(tried) = self.trying.take() else { return };
-        let stamp = tried.stamp;
+    fn nack(&mut self, now: Nanos, stamp: Stamp, reasons: Vec<String>, actions: &mut Vec<Action>) {
+        self.send(now, ProxyMessage::Nack { stamp, reasons }, actions);
+    }
+
+    /// The version that was to be applied is in force, or was rejected and the one before stays in force.
+    pub fn applied(&mut self, now: Nanos, outcome: Result<(), Rejection>, actions: &mut Vec<Action>) {
+        let Some(version) = self.applying.take() else { return };
+        let stamp = version.stamp;
         match outcome {
             Ok(()) => {
-                actions.push(Action::Keep(tried.clone()));
-                self.running = Some(tried);
-                self.refused = None;
-                self.send(now, FromProxy::Taken { stamp }, actions);
+                actions.push(Action::Persist(version.clone()));
+                self.running = Some(version);
+                self.rejected = None;
+                self.send(now, ProxyMessage::Ack { stamp }, actions);
             }
-            Err(reasons) => {
-                actions.push(Action::Say(format!("version {stamp} is turned down: {}", reasons.join("; "))));
-                self.refused = Some((stamp, tried.digest, reasons.clone()));
-                self.turn_down(now, stamp, reasons, actions);
+            Err(rejection) => {
+                actions.push(Action::Warn(format!("version {stamp} is rejected: {rejection}")));
+                let reasons = rejection.reasons;
+                self.rejected =
+                    Some(RejectedVersion { stamp, digest: version.digest, reasons: reasons.clone() });
+                self.nack(now, stamp, reasons, actions);
             }
         }
-        if let Some(next) = self.next.take() {
-            self.trying = Some(next.clone());
-            actions.push(Action::Apply(next));
+        if let Some(queued) = self.queued.take() {
+            self.apply(queued, actions);
         }
     }
 
-    /// What became of requests since the last report.
-    pub fn report(&mut self, now: Nanos, [served, refused, failed]: [u64; 3], actions: &mut Vec<Action>) {
+    /// Reports counts of requests, if there are any.
+    pub fn report(&mut self, now: Nanos, counts: RequestCounts, actions: &mut Vec<Action>) {
         let Some(stamp) = self.running.as_ref().map(|v| v.stamp) else { return };
-        if served + refused + failed > 0 {
-            self.send(now, FromProxy::Report { stamp, served, refused, failed }, actions);
+        if !counts.is_empty() {
+            let RequestCounts { served, rejected, failed } = counts;
+            self.send(now, ProxyMessage::Report { stamp, served, rejected, failed }, actions);
         }
     }
 }
--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -1,299 +1,331 @@
-//! What goes over the wire: frames of a length and a JSON text.
+//! The wire format: frames of a length and a JSON text, and all messages.
 
-use crate::publisher::Row;
 use crate::rollout::Plan;
-use crate::version::{Body, Stamp};
+use crate::version::{CanonicalJson, Stamp};
 use aniseyoke_fanout::{Keys, Progress};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// A frame's text is at most this long, in bytes.
-pub const FRAME_MOST: usize = 16 << 20;
-/// The bytes that hold a frame's length, the highest first.
-pub const HEAD: usize = 4;
-/// Names of those that lack purges, in one message; more do not count.
-pub const NAMES_MOST: usize = 16;
+/// The version of this protocol.
+pub const PROTOCOL: u32 = 1;
+/// The longest text of a frame, in bytes.
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
+/// The size of the length in front of each text, in bytes; it is big-endian.
+pub const HEADER_BYTES: usize = 4;
+/// How many names of lagging members one message lists.
+pub const MAX_NAMES: usize = 16;
 
 fn is_zero(number: &u64) -> bool {
     *number == 0
 }
 
-/// From a proxy.
+/// A message from a proxy, or from a relay to its upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum FromProxy {
-    /// First of all: who it is and what it runs.
+pub enum ProxyMessage {
+    /// The first message of a connection: who the proxy is and what it runs.
     Hello {
         /// The version of this protocol.
         protocol: u32,
-        /// Its name, the same after a restart.
+        /// The proxy's name, the same after a restart.
         instance: String,
-        /// A number drawn at its start.
+        /// A number drawn when its process started.
         boot: u64,
-        /// What operators call it by in rollouts.
+        /// Labels by which operators select it in rollouts.
         labels: BTreeMap<String, String>,
-        /// Longer frames it does not read, in bytes.
-        frame_most: usize,
-        /// The stamp and the digest of what it runs, if a service ever told it.
+        /// The longest frame that it reads, in bytes.
+        #[serde(rename = "frame_most")]
+        max_frame_bytes: usize,
+        /// The stamp and the digest of the version that it runs, if it got that from a service.
         running: Option<(Stamp, String)>,
-        /// Where it stands in the log of purges; none: it takes no purges.
+        /// Its position in the log of purges; none where it does not subscribe to purges.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         purges: Option<Progress>,
     },
-    /// Everything in the log of purges through a number is done by all that is below the sender, but some.
-    Purged {
+    /// Acknowledges purges: the sender and everyone below it has applied the log up to a number, except those that lag.
+    #[serde(rename = "purged")]
+    PurgeAck {
         /// The log's epoch.
         epoch: u64,
-        /// Through which number.
+        /// Up to which number.
         through: u64,
-        /// How many lack something of it.
-        #[serde(default, skip_serializing_if = "is_zero")]
-        lacking: u64,
-        /// Some of them, as `name@number`: each with what it stands at. At most [`NAMES_MOST`] count.
+        /// How many lag behind it.
+        #[serde(default, rename = "lacking", skip_serializing_if = "is_zero")]
+        lagging: u64,
+        /// Some of them, as `name@number` with their own positions; at most [`MAX_NAMES`] are considered.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         names: Vec<String>,
     },
     /// A version is in force.
-    Taken {
-        /// Which.
+    #[serde(rename = "taken")]
+    Ack {
+        /// The version.
         stamp: Stamp,
     },
-    /// A version was turned down; what ran before still runs.
-    Refused {
-        /// Which.
+    /// A version was rejected; the one before stays in force.
+    #[serde(rename = "refused")]
+    Nack {
+        /// The version.
         stamp: Stamp,
-        /// Why: a line each.
+        /// The reasons, a line each.
         reasons: Vec<String>,
     },
-    /// A delta can't be applied here; the whole is wanted.
-    Whole,
-    /// What became of requests since the last report, under the version that runs.
+    /// A delta can't be applied; a snapshot is needed.
+    #[serde(rename = "whole")]
+    SnapshotRequest,
+    /// Counts of requests since the last report, under the version that runs.
     Report {
-        /// Which version runs.
+        /// The version that runs.
         stamp: Stamp,
-        /// Requests that were served.
+        /// Requests served.
         served: u64,
-        /// Refused.
-        refused: u64,
-        /// Failed.
+        /// Requests rejected.
+        #[serde(rename = "refused")]
+        rejected: u64,
+        /// Requests failed.
         failed: u64,
     },
-    /// It is still there.
-    Alive,
+    /// The proxy is alive.
+    #[serde(rename = "alive")]
+    Heartbeat,
 }
 
-/// From a service.
+/// A message from a service, or from a relay to its children.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum FromService {
-    /// A whole version.
-    Full {
-        /// When it was made.
+pub enum ServiceMessage {
+    /// A complete version.
+    #[serde(rename = "full")]
+    Snapshot {
+        /// The version's stamp.
         stamp: Stamp,
         /// The digest of its body.
         digest: String,
         /// Its body.
-        body: Body,
+        body: CanonicalJson,
     },
-    /// What leads from one version to another.
+    /// The change from one version to another.
     Delta {
-        /// The version that it leads from.
+        /// The version that it applies to.
         base: Stamp,
-        /// The one that it leads to.
+        /// The version that it results in.
         stamp: Stamp,
-        /// The digest of what comes out.
+        /// The digest of the resulting body.
         digest: String,
         /// A JSON Patch (RFC 6902).
         patch: json_patch::Patch,
     },
-    /// What is running there is what this service wants there.
-    Current {
-        /// Which version that is.
+    /// The proxy runs the version that it should run.
+    #[serde(rename = "current")]
+    UpToDate {
+        /// That version.
         stamp: Stamp,
     },
-    /// Entries of the log of purges. With no keys it says that nothing newer than `after` is known where it comes from,
-    /// at the time it is sent, all the way up to the root.
+    /// Entries of the log of purges. Without keys it is a heartbeat: when the root sent it, nothing newer than `after`
+    /// was known.
     Purges {
         /// The log's epoch.
         epoch: u64,
-        /// The number of the entry before the first of these.
+        /// The number before the first entry.
         after: u64,
-        /// The keys of the entries `after + 1` and on.
+        /// The keys of the entries from `after + 1` on.
         keys: Keys,
     },
-    /// What the receiver lacks of the log of purges is no longer kept: everything that it held before is to be dropped;
-    /// then it stands at `through`.
+    /// The log no longer has the entries that the receiver lacks: it has to drop every object, and is at `through` then.
     Flush {
         /// The log's epoch.
         epoch: u64,
-        /// Where the receiver stands then.
+        /// The receiver's position afterwards.
         through: u64,
     },
-    /// It is still there.
-    Alive,
-    /// It will not serve this proxy, and why.
+    /// The service is alive.
+    #[serde(rename = "alive")]
+    Heartbeat,
+    /// The service closes the connection.
     Goodbye {
-        /// Why.
-        why: String,
+        /// The reason.
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
-/// From an operator's tool, one a connection.
+/// A request of an operator's tool, one a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum FromOperator {
+pub enum OperatorRequest {
     /// Publish a body as the newest version.
     Publish {
         /// The operator's file as JSON.
         body: Value,
-        /// How it is brought out.
+        /// How it is rolled out.
         #[serde(default)]
         plan: Plan,
     },
-    /// Publish what an earlier version said as the newest.
+    /// Publish the body of an earlier version as the newest version.
     RollBack {
         /// The earlier version.
         to: Stamp,
-        /// How it is brought out.
+        /// How it is rolled out.
         #[serde(default)]
         plan: Plan,
     },
-    /// Let nobody else have the newest.
+    /// Stop the rollout of the newest version.
     Halt {
-        /// Why.
-        why: String,
+        /// The reason.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// Tell who runs what.
+    /// Report which proxy runs what.
     Status,
-    /// Have objects dropped everywhere.
+    /// Purge objects everywhere.
     Purge {
-        /// Who wants it: a name that stays the same over its restarts.
+        /// The publisher's name, the same after a restart.
         publisher: String,
-        /// The publisher's own number of this call, rising. A call that is made again under the same number gets the
-        /// same answer, and nothing is numbered a second time.
+        /// The publisher's own number of this request, rising. A request that is retried under the same number gets the
+        /// same answer, and its purges are not numbered again.
         sequence: u64,
-        /// The objects' keys; XXH3-64 of each is what goes over the wire.
+        /// The objects' keys; XXH3-64 of each is what is distributed.
         keys: Vec<String>,
     },
-    /// Tell how far purges have come.
-    Purges,
+    /// Report how far purges have been applied.
+    #[serde(rename = "purges")]
+    PurgeStatus,
 }
 
-/// A service's answer to an operator.
+/// A service's response to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum ToOperator {
-    /// It is published.
+pub enum OperatorResponse {
+    /// The version is published.
     Published {
-        /// As this version.
+        /// Its stamp.
         stamp: Stamp,
     },
-    /// It was not done.
-    No {
-        /// Why.
-        why: String,
+    /// The request was rejected, and changed nothing.
+    #[serde(rename = "no")]
+    Rejected {
+        /// The reason.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// Who runs what.
+    /// Which proxy runs what.
     Status {
         /// The newest version.
         newest: Option<Stamp>,
-        /// How far it has come.
+        /// The state of its rollout.
         rollout: Option<String>,
-        /// All proxies that are connected.
-        proxies: Vec<Row>,
+        /// All connected proxies.
+        proxies: Vec<ProxyStatus>,
     },
-    /// The purges are numbered, kept, and on their way.
-    Purging {
+    /// The purges are numbered and stored, and are being distributed.
+    #[serde(rename = "purging")]
+    PurgeAccepted {
         /// The log's epoch.
         epoch: u64,
         /// The number of the last of them.
         through: u64,
     },
-    /// How far purges have come.
-    Purges {
+    /// How far purges have been applied.
+    #[serde(rename = "purges")]
+    PurgeStatus {
         /// The log's epoch.
         epoch: u64,
         /// The newest number.
         newest: u64,
-        /// Everybody below has done everything through this number, but those that lack something.
-        done: u64,
-        /// Those that lack something of it, as `name@number`: each with what it stands at.
-        lacking: Vec<String>,
-        /// How many lack something beside those named.
+        /// Everyone has applied everything up to this number, except those that lag.
+        #[serde(rename = "done")]
+        applied: u64,
+        /// Those that lag, as `name@number` with their own positions.
+        #[serde(rename = "lacking")]
+        lagging: Vec<String>,
+        /// How many lag besides those that are listed.
         unnamed: u64,
-        /// How long purges took from their numbering to being known as done everywhere.
-        took: Took,
+        /// How long purges took from their numbering until they were known to be applied everywhere.
+        #[serde(rename = "took")]
+        latency: PurgeLatency,
     },
 }
 
-/// How long the last purges took, in milliseconds.
+/// What a proxy runs, as operators see it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProxyStatus {
+    /// Its name.
+    pub instance: String,
+    /// A number drawn when its process started.
+    pub boot: u64,
+    /// The version that it runs.
+    pub running: Option<Stamp>,
+    /// The version that it should run.
+    pub wanted: Option<Stamp>,
+    /// How long after the version was published the proxy acknowledged it, in nanoseconds; none where it ran it when it
+    /// connected.
+    #[serde(default, rename = "took")]
+    pub ack_latency: Option<u64>,
+    /// The last version that it rejected, and the reasons.
+    #[serde(rename = "refused")]
+    pub rejected: Option<(Stamp, Vec<String>)>,
+}
+
+/// How long recent purges took, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Took {
+pub struct PurgeLatency {
     /// How many are counted.
     pub count: u64,
-    /// Half of them took no longer.
+    /// The median.
     pub p50: f64,
-    /// 99 in a hundred took no longer.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The one that took longest.
-    pub most: f64,
-    /// Beside these, how many were done by all but some that lacked them.
-    pub short: u64,
+    /// The maximum.
+    #[serde(rename = "most")]
+    pub max: f64,
+    /// How many others were not applied everywhere, since some members lagged.
+    #[serde(rename = "short")]
+    pub incomplete: u64,
 }
 
-/// The version of this protocol.
-pub const PROTOCOL: u32 = 1;
-
-/// Why bytes are no frame.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Malformed {
-    /// Longer than [`FRAME_MOST`], or than the reader's own bound.
+/// Why a message can't be encoded, or bytes are not a frame.
+#[derive(Debug, thiserror::Error)]
+pub enum FrameError {
+    /// Longer than [`MAX_FRAME_BYTES`], or than the reader's own limit.
+    #[error("a frame of {0} bytes is too long")]
     TooLong(usize),
-    /// No JSON of a known form.
-    Unreadable(String),
-}
-
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Malformed::TooLong(length) => write!(f, "a frame of {length} bytes is too long"),
-            Malformed::Unreadable(why) => write!(f, "a frame can't be read: {why}"),
-        }
-    }
+    /// Not the JSON of a known message.
+    #[error("a frame is not valid: {0}")]
+    Json(#[from] serde_json::Error),
 }
 
-/// A message as bytes.
+/// Encodes a message as a frame.
 ///
 /// # Errors
 /// If it is too long.
-pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, Malformed> {
-    let text = serde_json::to_vec(message).map_err(|e| Malformed::Unreadable(e.to_string()))?;
-    if text.len() > FRAME_MOST {
-        return Err(Malformed::TooLong(text.len()));
+pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, FrameError> {
+    let text = serde_json::to_vec(message)?;
+    if text.len() > MAX_FRAME_BYTES {
+        return Err(FrameError::TooLong(text.len()));
     }
     let mut bytes = (text.len() as u32).to_be_bytes().to_vec();
     bytes.extend(text);
     Ok(bytes)
 }
 
-/// Takes the first message off the front of what has come, of at most `most` bytes; none if it is not whole yet.
+/// Decodes the first frame of a buffer and removes it from there; none if it is not complete yet. `limit`: the longest
+/// text that is accepted, in bytes.
 ///
 /// # Errors
-/// If what has come can never be a message; nothing behind it can be read then. The length is judged before any of it
-/// is waited for.
-pub fn decode<T: DeserializeOwned>(came: &mut Vec<u8>, most: usize) -> Result<Option<T>, Malformed> {
-    let Some(head) = came.first_chunk::<HEAD>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
-    if length > most.min(FRAME_MOST) {
-        return Err(Malformed::TooLong(length));
+/// If the buffer can't begin with a valid frame; nothing behind it can be decoded then. The length is checked before
+/// more bytes are waited for.
+pub fn decode<T: DeserializeOwned>(buffer: &mut Vec<u8>, limit: usize) -> Result<Option<T>, FrameError> {
+    let Some(header) = buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*header) as usize;
+    if length > limit.min(MAX_FRAME_BYTES) {
+        return Err(FrameError::TooLong(length));
     }
-    let Some(text) = came.get(HEAD..HEAD + length) else { return Ok(None) };
-    let message = serde_json::from_slice(text).map_err(|e| Malformed::Unreadable(e.to_string()))?;
-    came.drain(..HEAD + length);
+    let Some(text) = buffer.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+    let message = serde_json::from_slice(text)?;
+    buffer.drain(..HEADER_BYTES + length);
     Ok(Some(message))
 }
 
--- a/crates/control/src/hosted.rs
+++ b/crates/control/src/hosted.rs
@@ -1,7 +1,8 @@
-//! A service on a thread of its own, told from others what to publish: for measurements and for tests of proxies.
+//! A service on a thread of its own, for measurements and for tests of proxies.
 
-use crate::publisher::{Publisher, Row};
-use crate::relay::{self, Relaying};
+use crate::frame::ProxyStatus;
+use crate::publisher::{PublishError, Publisher};
+use crate::relay::{relay_parts, RelayConfig};
 use crate::rollout::Plan;
 use crate::service::Service;
 use crate::version::Stamp;
@@ -18,20 +19,35 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-type Told = Result<(Stamp, Instant), String>;
+/// How many purges a hosted relay retains.
+const RELAY_LOG_CAPACITY: usize = 1024;
 
-enum Order {
-    Publish(Value, Box<Plan>, Sender<Told>),
-    Rows(Sender<Vec<Row>>),
+/// Why a version was not published.
+#[derive(Debug, thiserror::Error)]
+pub enum HostedError {
+    /// The publisher has rejected it.
+    #[error(transparent)]
+    Publish(#[from] PublishError),
+    /// The service's thread has ended.
+    #[error("the service has ended")]
+    Ended,
+}
+
+/// The stamp of a published version, and the time right before it was published.
+type PublishResult = Result<(Stamp, Instant), PublishError>;
+
+enum Command {
+    Publish { body: Value, plan: Box<Plan>, reply: Sender<PublishResult> },
+    Statuses(Sender<Vec<ProxyStatus>>),
     Cpu(Sender<Duration>),
 }
 
-/// A service that serves until this is dropped.
+/// A service that runs until this is dropped.
 pub struct Hosted {
     /// Where proxies connect.
     pub addr: SocketAddr,
-    /// Each caller waits for its answer, so that there are no more orders than callers.
-    orders: mpsc::UnboundedSender<Order>,
+    /// Each caller waits for its reply, so that there are no more commands than callers.
+    commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Hosted {
@@ -40,90 +56,100 @@
     /// # Errors
     /// If the system lacks threads, descriptors or ports.
     pub fn start(epoch: u64) -> io::Result<Self> {
-        Self::of(move || Service::new(Publisher::new(epoch)))
+        Self::spawn(move || Service::new(Publisher::new(epoch)))
     }
 
-    /// Starts a relay that follows these, on any free port of loopback. It publishes nothing.
+    /// Starts a relay of these upstreams on any free port of loopback. It can't publish.
     ///
     /// # Errors
     /// If the system lacks threads, descriptors or ports.
     pub fn relay(name: &str, upstream: Vec<SocketAddr>) -> io::Result<Self> {
-        let (settings, entries, say) = (Settings::default(), 1024, |_: &str| ());
-        let relaying = Relaying { name: name.to_owned(), upstream, settings, entries, boot: 1, say };
-        Self::of(move || {
-            let (service, follows) = relay::parts(relaying);
+        let config = RelayConfig {
+            name: name.to_owned(),
+            upstream,
+            settings: Settings::default(),
+            log_capacity: RELAY_LOG_CAPACITY,
+            boot: 1,
+            warn: |_| (),
+        };
+        Self::spawn(move || {
+            let (service, follows) = relay_parts(config);
             tokio::task::spawn_local(follows);
             service
         })
     }
 
-    fn of(service: impl FnOnce() -> Rc<Service> + Send + 'static) -> io::Result<Self> {
-        let (found, addr) = channel();
-        let (orders, ordered) = mpsc::unbounded_channel();
+    fn spawn(service: impl FnOnce() -> Rc<Service> + Send + 'static) -> io::Result<Self> {
+        let (bound, addr) = channel();
+        let (commands, received) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let serves = move || {
+        let run = move || {
             LocalSet::new().block_on(&runtime, async move {
                 let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-                let bound = listener.and_then(|l| Ok((l.local_addr()?, l)));
-                let (addr, listener) = match bound {
+                let listening = listener.and_then(|listener| Ok((listener.local_addr()?, listener)));
+                let (addr, listener) = match listening {
                     Ok((addr, listener)) => (Ok(addr), Some(listener)),
-                    Err(e) => (Err(e), None),
+                    Err(error) => (Err(error), None),
                 };
-                // Who starts it waits for this.
-                let _ = found.send(addr);
+                // The starting thread waits for this.
+                let _ = bound.send(addr);
                 if let Some(listener) = listener {
-                    obey(service(), listener, ordered).await;
+                    execute(service(), listener, received).await;
                 }
             });
         };
-        std::thread::Builder::new().name("service".into()).spawn(serves)?;
+        std::thread::Builder::new().name("service".into()).spawn(run)?;
         let addr = addr.recv().map_err(|_| io::Error::other("the service did not start"))??;
-        Ok(Hosted { addr, orders })
+        Ok(Hosted { addr, commands })
     }
 
-    fn ask<T>(&self, order: impl FnOnce(Sender<T>) -> Order) -> Option<T> {
-        let (tell, told) = channel();
-        self.orders.send(order(tell)).ok()?;
-        told.recv().ok()
+    fn request<T>(&self, command: impl FnOnce(Sender<T>) -> Command) -> Option<T> {
+        let (reply, received) = channel();
+        self.commands.send(command(reply)).ok()?;
+        received.recv().ok()
     }
 
-    /// Publishes a body as the newest version; the moment is that before it was.
+    /// Publishes a body as the newest version. Returns its stamp, and the time right before it was published.
     ///
     /// # Errors
     /// As [`Publisher::publish`], or if the service has ended.
-    pub fn publish(&self, body: Value, plan: Plan) -> Result<(Stamp, Instant), String> {
-        let told = self.ask(|tell| Order::Publish(body, Box::new(plan), tell));
-        told.unwrap_or_else(|| Err("the service has ended".into()))
+    pub fn publish(&self, body: Value, plan: Plan) -> Result<(Stamp, Instant), HostedError> {
+        let result = self.request(|reply| Command::Publish { body, plan: Box::new(plan), reply });
+        Ok(result.ok_or(HostedError::Ended)??)
     }
 
-    /// Who runs what; nobody where it has ended.
-    pub fn rows(&self) -> Vec<Row> {
-        self.ask(Order::Rows).unwrap_or_default()
+    /// What each connected proxy runs; none where the service has ended.
+    pub fn statuses(&self) -> Vec<ProxyStatus> {
+        self.request(Command::Statuses).unwrap_or_default()
     }
 
-    /// The CPU time that its thread has used.
+    /// The CPU time that the service's thread has used.
     pub fn cpu(&self) -> Duration {
-        self.ask(Order::Cpu).unwrap_or_default()
+        self.request(Command::Cpu).unwrap_or_default()
     }
 }
 
-async fn obey(service: Rc<Service>, listener: TcpListener, mut orders: mpsc::UnboundedReceiver<Order>) {
+async fn execute(
+    service: Rc<Service>,
+    listener: TcpListener,
+    mut commands: mpsc::UnboundedReceiver<Command>,
+) {
     tokio::task::spawn_local(service.clone().serve(listener));
-    while let Some(order) = orders.recv().await {
-        // Who asked may have given up.
-        match order {
-            Order::Publish(body, plan, tell) => {
+    while let Some(command) = commands.recv().await {
+        // The caller may have given up.
+        match command {
+            Command::Publish { body, plan, reply } => {
                 let at = Instant::now();
-                let _ = tell.send(service.publish(body, *plan).map(|stamp| (stamp, at)));
+                _ = reply.send(service.publish(body, *plan).map(|stamp| (stamp, at)));
             }
-            Order::Rows(tell) => _ = tell.send(service.look(Publisher::rows)),
-            Order::Cpu(tell) => _ = tell.send(cpu()),
+            Command::Statuses(reply) => _ = reply.send(service.with_publisher(Publisher::statuses)),
+            Command::Cpu(reply) => _ = reply.send(thread_cpu()),
         }
     }
 }
 
-/// The CPU time of this thread; nothing where the system does not tell.
-fn cpu() -> Duration {
+/// The CPU time of this thread; zero where the system does not provide it.
+fn thread_cpu() -> Duration {
     let used = getrusage(UsageWho::RUSAGE_THREAD).map(|usage| usage.user_time() + usage.system_time());
     Duration::from_micros(used.map_or(0, |used| u64::try_from(used.num_microseconds()).unwrap_or(0)))
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,21 +1,30 @@
-//! Configuration as a stream of numbered versions.
+//! Distribution of the configuration as numbered versions.
 //!
-//! A [`publisher`] holds versions and knows who runs which; a [`follower`] at each proxy takes the newest that it is sent,
-//! has it checked and put in force, and says yes or no with reasons; a [`rollout`] decides who gets a new version
-//! when, and halts where it does harm; the [`store`] keeps the last good version on disk. The first three do no I/O and
-//! read no clock: frames and times go in, frames and actions come out. [`service`] and [`client`] drive them on
-//! sockets. `docs/control-protocol.md` states the protocol.
+//! A [`publisher`] keeps the history of versions and knows which proxy runs which; a [`follower`] at each proxy has the
+//! newest version checked and put in force, and acknowledges or rejects it; a [`rollout`] decides which proxies get a new
+//! version when, and halts where responses get worse; the [`store`] holds the last known good version on disk. The first
+//! three do no I/O and read no clock: messages and times go in, frames and actions come out. [`service`], [`operators`]
+//! and [`client`] drive them on sockets. A [`relay`] is a client of its upstream and a service to its children, and
+//! forwards versions and purges. [`commit`] holds the protocol by which a version is put in force everywhere or nowhere.
+//! `docs/control-protocol.md` specifies the wire protocol.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod client;
+mod clock;
 pub mod commit;
+mod connections;
+pub mod epoch;
 pub mod follower;
 pub mod frame;
 pub mod hosted;
-mod keeper;
+mod latency;
+pub mod operators;
+pub mod outgoing;
 pub mod publisher;
 pub mod purge_log;
+mod purge_queue;
+mod purge_writer;
 pub mod purges;
 pub mod relay;
 pub mod rollout;
@@ -25,6 +34,6 @@
 pub mod version;
 
 pub use follower::Follower;
-pub use frame::{FromProxy, FromService};
+pub use frame::{ProxyMessage, ServiceMessage};
 pub use publisher::Publisher;
-pub use version::{Body, Stamp, Version};
+pub use version::{CanonicalJson, Stamp, Version};
--- /dev/null
+++ b/crates/control/src/operators.rs
@@ -0,0 +1,144 @@
+//! Requests of operators, one a connection: the service's side, and the client of the command line.
+
+use crate::frame::{decode, encode, FrameError, OperatorRequest, OperatorResponse, MAX_FRAME_BYTES};
+use crate::publisher::{PublishError, Publisher};
+use crate::service::{Service, ACCEPT_PAUSE, READ_BYTES};
+use crate::version::Stamp;
+use serde::de::DeserializeOwned;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout};
+
+/// The time limit of a request with its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// How many operators are served at once.
+const MAX_OPERATORS: usize = 32;
+
+/// Serves operators, for good.
+pub async fn serve(service: Rc<Service>, listener: TcpListener) -> Infallible {
+    let active = Rc::new(Cell::new(0));
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) if active.get() < MAX_OPERATORS => {
+                active.set(active.get() + 1);
+                let (service, active) = (service.clone(), active.clone());
+                tokio::task::spawn_local(async move {
+                    // An operator that goes away needs no response.
+                    let _ = timeout(REQUEST_TIMEOUT, serve_operator(&service, stream)).await;
+                    active.set(active.get() - 1);
+                });
+            }
+            Ok(_) => {}
+            Err(_) => sleep(ACCEPT_PAUSE).await,
+        }
+    }
+}
+
+async fn serve_operator(service: &Service, mut stream: TcpStream) -> io::Result<()> {
+    let response = match receive::<OperatorRequest>(&mut stream).await? {
+        Ok(OperatorRequest::Purge { publisher, sequence, keys }) => match service.purge_queue() {
+            Some(queue) => queue.submit(publisher, sequence, &keys).await,
+            None => rejected("this service accepts no purges: it was not started with --purges"),
+        },
+        Ok(request) => respond(service, request),
+        Err(error) => rejected(&error.to_string()),
+    };
+    stream.write_all(&encode(&response).unwrap_or_default()).await?;
+    stream.shutdown().await
+}
+
+/// Handles every request but a purge, which waits for the log.
+fn respond(service: &Service, request: OperatorRequest) -> OperatorResponse {
+    match request {
+        OperatorRequest::Publish { .. } | OperatorRequest::RollBack { .. } | OperatorRequest::Halt { .. }
+            if service.is_relay() =>
+        {
+            rejected("this is a relay: versions are published at the service that it follows")
+        }
+        OperatorRequest::Publish { body, plan } => published(service.publish(body, plan)),
+        OperatorRequest::RollBack { to, plan } => published(service.roll_back(to, plan)),
+        OperatorRequest::Halt { reason } => {
+            service.halt(&reason);
+            status(service)
+        }
+        OperatorRequest::Status => status(service),
+        OperatorRequest::PurgeStatus => {
+            service.purge_status().unwrap_or_else(|| rejected("this service distributes no purges"))
+        }
+        OperatorRequest::Purge { .. } => rejected("a purge has to be queued"),
+    }
+}
+
+fn published(result: Result<Stamp, PublishError>) -> OperatorResponse {
+    match result {
+        Ok(stamp) => OperatorResponse::Published { stamp },
+        Err(error) => rejected(&error.to_string()),
+    }
+}
+
+fn status(service: &Service) -> OperatorResponse {
+    service.with_publisher(|publisher: &Publisher| OperatorResponse::Status {
+        newest: publisher.newest().map(|v| v.stamp),
+        rollout: publisher.rollout().map(ToString::to_string),
+        proxies: publisher.statuses(),
+    })
+}
+
+fn rejected(reason: &str) -> OperatorResponse {
+    OperatorResponse::Rejected { reason: reason.to_owned() }
+}
+
+/// Reads one message. The outer error is one of the connection.
+async fn receive<T: DeserializeOwned>(stream: &mut TcpStream) -> io::Result<Result<T, FrameError>> {
+    let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
+    loop {
+        match decode(&mut buffer, MAX_FRAME_BYTES) {
+            Ok(Some(message)) => return Ok(Ok(message)),
+            Err(error) => return Ok(Err(error)),
+            Ok(None) => match stream.read(&mut chunk).await? {
+                0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+                n => buffer.extend_from_slice(&chunk[..n]),
+            },
+        }
+    }
+}
+
+/// Why a request has got no response.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// The connection could not be established, or has failed.
+    #[error("the control service at {addr}: {source}")]
+    Connection {
+        /// The service's address for operators.
+        addr: SocketAddr,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The request or the response is not a valid frame.
+    #[error("the control service at {addr}: {source}")]
+    Frame {
+        /// The service's address for operators.
+        addr: SocketAddr,
+        /// The cause.
+        source: FrameError,
+    },
+}
+
+/// Sends a request to a service and waits for the response.
+///
+/// # Errors
+/// If the service can't be reached, or does not send a valid response.
+pub async fn call(addr: SocketAddr, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
+    let connection = |source| CallError::Connection { addr, source };
+    let frame = |source| CallError::Frame { addr, source };
+    let mut stream = TcpStream::connect(addr).await.map_err(connection)?;
+    let bytes = encode(request).map_err(frame)?;
+    stream.write_all(&bytes).await.map_err(connection)?;
+    receive(&mut stream).await.map_err(connection)?.map_err(frame)
+}
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,439 +1,456 @@
-//! A service's side: versions, who runs which, and who is sent what. No I/O, no clock.
+//! A service's side of the protocol: the history of versions, which proxy runs which, and who is sent what. No I/O, no
+//! clock.
 
-use crate::frame::{encode, FromProxy, FromService, Malformed, HEAD, PROTOCOL};
-use crate::rollout::{Answers, Plan, Rollout, State};
+use crate::follower::RequestCounts;
+use crate::frame::{FrameError, ProxyMessage, ProxyStatus, ServiceMessage, HEADER_BYTES, PROTOCOL};
+use crate::outgoing::{encode_update, goodbye, unicast, Id, OutgoingFrame};
+use crate::rollout::{Plan, PlanError, ResponseCounts, Rollout, RolloutState};
 use crate::version::{Stamp, Version};
 use rustc_hash::FxHashMap;
-use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Nanoseconds from any fixed point.
+/// Nanoseconds since an arbitrary fixed point.
 type Nanos = u64;
-/// A connection.
-pub type Id = u64;
 
 const SECOND: Nanos = 1_000_000_000;
-/// Versions that are kept to lead from, and to go back to.
-const HISTORY: usize = 64;
-/// What all of them may take, in bytes of their text; the newest stays whatever it takes.
-const HISTORY_BYTES: usize = 128 << 20;
-/// Proxies that are served; more are sent away.
-const SUBSCRIBERS: usize = 20_000;
-/// A proxy that says nothing for so long is gone.
-const SILENCE: Nanos = 20 * SECOND;
-/// Proxies are told as often that the service is still there.
-const ALIVE: Nanos = 5 * SECOND;
-/// Reasons that are kept of a refusal, and the length of each.
-const REASONS: usize = 20;
-const REASON_MOST: usize = 500;
-/// Names and labels of a proxy are at most this long, in bytes, and labels at most so many.
-const NAME_MOST: usize = 256;
-const LABELS_MOST: usize = 32;
-
-/// A frame to be sent, encoded once for all who get the same.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
-    /// To whom.
-    pub to: Id,
-    /// Its bytes.
-    pub bytes: Arc<[u8]>,
-    /// The connection ends behind it.
-    pub last: bool,
-}
-
-/// What a proxy runs, as operators see it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
-    /// Its name.
-    pub instance: String,
-    /// The number drawn at its start.
-    pub boot: u64,
-    /// What it runs.
-    pub running: Option<Stamp>,
-    /// What it is to run.
-    pub wanted: Option<Stamp>,
-    /// How long after its publishing it said so, in nanoseconds; none where it ran it before it connected.
-    #[serde(default)]
-    pub took: Option<u64>,
-    /// What it turned down last, and why.
-    pub refused: Option<(Stamp, Vec<String>)>,
+/// How many versions are kept, as bases of deltas and for roll-backs.
+const MAX_HISTORY: usize = 64;
+/// How large all of their frames may be, in bytes; the newest version is kept whatever its size.
+const MAX_HISTORY_BYTES: usize = 128 << 20;
+/// How many proxies are served; others are rejected.
+const MAX_SUBSCRIBERS: usize = 20_000;
+/// A proxy that sends nothing for so long is considered dead.
+const IDLE_TIMEOUT: Nanos = 20 * SECOND;
+/// A heartbeat is sent to a proxy if nothing else was for so long.
+const HEARTBEAT_INTERVAL: Nanos = 5 * SECOND;
+/// How many reasons of a rejection are kept, and the longest of them in bytes.
+const MAX_REASONS: usize = 20;
+const MAX_REASON_BYTES: usize = 500;
+/// The longest name or label of a proxy, in bytes, and how many labels it may have.
+const MAX_NAME_BYTES: usize = 256;
+const MAX_LABELS: usize = 32;
+
+/// Why a version can't be published.
+#[derive(Debug, thiserror::Error)]
+pub enum PublishError {
+    /// The plan of its rollout is not valid.
+    #[error(transparent)]
+    Plan(#[from] PlanError),
+    /// Its frame can't be encoded.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// The version to roll back to is not in the history.
+    #[error("version {0} is not in the history any more")]
+    Unknown(Stamp),
+    /// It is not newer than the newest version.
+    #[error("version {stamp} does not follow {newest}, which was published before")]
+    Outdated {
+        /// The version.
+        stamp: Stamp,
+        /// The newest version.
+        newest: Stamp,
+    },
 }
 
 struct Subscriber {
     instance: String,
     boot: u64,
     labels: BTreeMap<String, String>,
-    frame_most: usize,
+    max_frame_bytes: usize,
+    /// The version that it runs, and its digest.
     running: Option<(Stamp, String)>,
-    took: Option<Nanos>,
-    /// Sent, and not answered yet.
-    sent: Option<Stamp>,
-    refused: Option<(Stamp, Vec<String>)>,
-    heard: Nanos,
-    said: Nanos,
+    ack_latency: Option<Nanos>,
+    /// The version that it was sent and has not answered yet.
+    in_flight: Option<Stamp>,
+    /// The last version that it rejected, and the reasons.
+    rejected: Option<(Stamp, Vec<String>)>,
+    last_received: Nanos,
+    last_sent: Nanos,
 }
 
-struct Held {
+struct HistoryEntry {
     version: Version,
+    /// The size of its frame.
     bytes: usize,
-    /// When it was published.
-    at: Nanos,
+    published_at: Nanos,
 }
 
-/// A service's side.
+/// A service's state.
 pub struct Publisher {
     epoch: u64,
-    history: VecDeque<Held>,
+    history: VecDeque<HistoryEntry>,
     subscribers: FxHashMap<Id, Subscriber>,
-    /// What everybody runs who does not get the newest yet.
-    settled: Option<Stamp>,
+    /// The last version whose rollout was complete: what those run who do not get the newest yet.
+    baseline: Option<Stamp>,
     rollout: Option<Rollout>,
-    /// Frames that are sent to many: the base, none for the whole, and the version.
+    /// Frames that are sent to many, by the base of the delta, none for a snapshot, and the version.
     encoded: FxHashMap<(Option<Stamp>, Stamp), Arc<[u8]>>,
-    /// Requests served, refused and failed, as reported.
-    answered: [u64; 3],
+    request_counts: RequestCounts,
 }
 
 impl Publisher {
-    /// A service that begins anew. Danger: one that comes back from a backup under its old epoch gives numbers out
-    /// twice; whoever starts it raises the epoch.
+    /// A service without versions. Danger: one that is restored from a backup under its old epoch would assign numbers
+    /// twice; whoever starts it has to raise the epoch.
     pub fn new(epoch: u64) -> Self {
         Publisher {
             epoch,
             history: VecDeque::new(),
             subscribers: FxHashMap::default(),
-            settled: None,
+            baseline: None,
             rollout: None,
             encoded: FxHashMap::default(),
-            answered: [0; 3],
+            request_counts: RequestCounts::default(),
         }
     }
 
     /// The newest version.
     pub fn newest(&self) -> Option<&Version> {
-        self.history.back().map(|held| &held.version)
+        self.history.back().map(|entry| &entry.version)
     }
 
-    /// How far the newest has come.
-    pub fn rollout(&self) -> Option<&State> {
+    /// The state of the newest version's rollout.
+    pub fn rollout(&self) -> Option<&RolloutState> {
         self.rollout.as_ref().map(Rollout::state)
     }
 
-    /// All proxies that are connected, in the order of their names.
-    pub fn rows(&self) -> Vec<Row> {
-        let row = |s: &Subscriber| Row {
+    /// All connected proxies, in the order of their names.
+    pub fn statuses(&self) -> Vec<ProxyStatus> {
+        let status = |s: &Subscriber| ProxyStatus {
             instance: s.instance.clone(),
             boot: s.boot,
-            running: s.running.as_ref().map(|r| r.0),
-            took: s.took,
+            running: s.running.as_ref().map(|(stamp, _)| *stamp),
+            ack_latency: s.ack_latency,
             wanted: self.wanted(s),
-            refused: s.refused.clone(),
+            rejected: s.rejected.clone(),
         };
-        let mut rows: Vec<Row> = self.subscribers.values().map(row).collect();
-        rows.sort_by(|a, b| a.instance.cmp(&b.instance).then(a.boot.cmp(&b.boot)));
-        rows
+        let mut all: Vec<ProxyStatus> = self.subscribers.values().map(status).collect();
+        all.sort_by(|a, b| a.instance.cmp(&b.instance).then(a.boot.cmp(&b.boot)));
+        all
     }
 
     fn version(&self, stamp: Stamp) -> Option<&Version> {
-        self.history.iter().map(|held| &held.version).find(|v| v.stamp == stamp)
+        self.entry(stamp).map(|entry| &entry.version)
+    }
+
+    fn entry(&self, stamp: Stamp) -> Option<&HistoryEntry> {
+        self.history.iter().find(|entry| entry.version.stamp == stamp)
     }
 
-    /// Publishes a body as the newest version and begins to bring it out. One that is still being brought out goes no
-    /// further.
+    /// Publishes a body as the newest version and starts its rollout. The rollout of the version before goes no further.
     ///
     /// # Errors
-    /// If the plan can't be followed, or the body is too long to be sent.
+    /// If the plan is not valid, or the body is too long to be sent.
     pub fn publish(
         &mut self,
         now: Nanos,
         body: Value,
         plan: Plan,
-        out: &mut Vec<Outgoing>,
-    ) -> Result<Stamp, String> {
-        plan.check().map_err(|e| e.to_string())?;
+        out: &mut Vec<OutgoingFrame>,
+    ) -> Result<Stamp, PublishError> {
+        plan.check()?;
         let number = self.newest().map_or(0, |v| v.stamp.number) + 1;
         let stamp = Stamp { epoch: self.epoch, number };
-        self.bring_out(now, Version::new(stamp, &body), plan, out)?;
+        self.start_rollout(now, Version::new(stamp, &body), plan, out)?;
         Ok(stamp)
     }
 
-    fn bring_out(
+    fn start_rollout(
         &mut self,
         now: Nanos,
         version: Version,
         plan: Plan,
-        out: &mut Vec<Outgoing>,
-    ) -> Result<(), String> {
+        out: &mut Vec<OutgoingFrame>,
+    ) -> Result<(), PublishError> {
         let stamp = version.stamp;
-        let bytes = whole(&version).map_err(|e| e.to_string())?;
+        let bytes = encode_update(None, &version)?;
         if let Some(before) = self.rollout.take() {
-            if before.state() == &State::Everybody {
-                self.settled = Some(before.stamp());
+            if before.state() == &RolloutState::Complete {
+                self.baseline = Some(before.stamp());
             }
         }
-        self.history.push_back(Held { version, bytes: bytes.len(), at: now });
-        let total = |history: &VecDeque<Held>| history.iter().map(|h| h.bytes).sum::<usize>();
-        while self.history.len() > HISTORY || self.history.len() > 2 && total(&self.history) > HISTORY_BYTES {
-            // What those run who do not get the newest yet stays, or a halted rollout could not be left.
-            let at = usize::from(self.history.front().map(|h| h.version.stamp) == self.settled);
-            self.history.remove(at);
-        }
+        self.history.push_back(HistoryEntry { version, bytes: bytes.len(), published_at: now });
+        self.trim_history();
         self.encoded.clear();
         self.encoded.insert((None, stamp), bytes);
         self.rollout = Some(Rollout::new(now, stamp, plan));
-        self.bring(now, out);
+        self.send_to_all(now, out);
         Ok(())
     }
 
-    /// Passes a version that another service published on to everybody, under its own stamp.
+    fn trim_history(&mut self) {
+        let is_full = |history: &VecDeque<HistoryEntry>| {
+            let bytes: usize = history.iter().map(|entry| entry.bytes).sum();
+            history.len() > MAX_HISTORY || history.len() > 2 && bytes > MAX_HISTORY_BYTES
+        };
+        while is_full(&self.history) {
+            // The baseline stays, or there would be nothing to return to from a halted rollout.
+            let oldest = self.history.front().map(|entry| entry.version.stamp);
+            let index = usize::from(oldest == self.baseline);
+            self.history.remove(index);
+        }
+    }
+
+    /// Forwards a version that an upstream published to everyone, under its own stamp.
     ///
     /// # Errors
-    /// If it is older than the newest, is another under the same stamp, or is too long to be sent.
-    pub fn adopt(&mut self, now: Nanos, version: Version, out: &mut Vec<Outgoing>) -> Result<(), String> {
+    /// If it is older than the newest, is another one under the same stamp, or is too long to be sent.
+    pub fn adopt(
+        &mut self,
+        now: Nanos,
+        version: Version,
+        out: &mut Vec<OutgoingFrame>,
+    ) -> Result<(), PublishError> {
         let stamp = version.stamp;
         match self.newest() {
             Some(newest) if newest.stamp == stamp && newest.digest == version.digest => return Ok(()),
             Some(newest) if newest.stamp >= stamp => {
-                return Err(format!(
-                    "version {stamp} does not follow {}, which came before it",
-                    newest.stamp
-                ));
+                return Err(PublishError::Outdated { stamp, newest: newest.stamp });
             }
             _ => {}
         }
-        self.bring_out(now, version, Plan::default(), out)
+        self.start_rollout(now, version, Plan::default(), out)
     }
 
-    /// How many were sent a version and have not answered.
+    /// How many proxies were sent a version and have not answered.
     pub fn pending(&self, stamp: Stamp) -> usize {
-        self.subscribers.values().filter(|s| s.sent == Some(stamp)).count()
+        self.subscribers.values().filter(|s| s.in_flight == Some(stamp)).count()
     }
 
-    /// Requests served, refused and failed that proxies reported since this was last asked.
-    pub fn answered(&mut self) -> [u64; 3] {
-        std::mem::take(&mut self.answered)
+    /// Counts of requests that proxies reported since the last call.
+    pub fn take_request_counts(&mut self) -> RequestCounts {
+        std::mem::take(&mut self.request_counts)
     }
 
-    /// Publishes what an earlier version said as a version of its own.
+    /// Publishes the body of an earlier version as a new version.
     ///
     /// # Errors
-    /// If that version is not known any more, and as [`Self::publish`].
+    /// If that version is not in the history, and as [`Self::publish`].
     pub fn roll_back(
         &mut self,
         now: Nanos,
         to: Stamp,
         plan: Plan,
-        out: &mut Vec<Outgoing>,
-    ) -> Result<Stamp, String> {
-        let body = self.version(to).map(|v| v.body.value());
-        let body = body.ok_or_else(|| format!("version {to} is not known any more"))?;
+        out: &mut Vec<OutgoingFrame>,
+    ) -> Result<Stamp, PublishError> {
+        let body = self.version(to).map(|v| v.body.value()).ok_or(PublishError::Unknown(to))?;
         self.publish(now, body, plan, out)
     }
 
-    /// Lets nobody else have the newest.
-    pub fn halt(&mut self, why: &str) {
-        self.rollout.iter_mut().for_each(|r| r.halt(why));
+    /// Halts the rollout of the newest version.
+    pub fn halt(&mut self, reason: &str) {
+        self.rollout.iter_mut().for_each(|rollout| rollout.halt(reason));
     }
 
-    /// What a proxy is to run; none: what it has.
+    /// The version that a proxy should run; none where it keeps what it has.
     fn wanted(&self, s: &Subscriber) -> Option<Stamp> {
         let rollout = self.rollout.as_ref()?;
         if rollout.includes(&s.instance, &s.labels) {
             return Some(rollout.stamp());
         }
-        // Who has the newest keeps it while its rollout is halted; going back is a version like any other.
-        let has_newest = s.running.as_ref().is_some_and(|r| r.0 == rollout.stamp());
+        // A proxy that has the newest version keeps it while its rollout is halted; a roll-back is a new version.
+        let has_newest = s.running.as_ref().is_some_and(|(stamp, _)| *stamp == rollout.stamp());
         if has_newest {
             Some(rollout.stamp())
         } else {
-            self.settled
+            self.baseline
         }
     }
 
-    /// A proxy has connected and said who it is, or anything else. What is to be sent is appended to `out`.
-    pub fn frame(&mut self, now: Nanos, id: Id, frame: FromProxy, out: &mut Vec<Outgoing>) {
-        if let FromProxy::Hello { protocol, instance, boot, labels, frame_most, running, purges: _ } = frame {
-            let (sent, refused, heard, said) = (None, None, now, now);
-            let took = None;
-            let s =
-                Subscriber { instance, boot, labels, frame_most, running, took, sent, refused, heard, said };
-            return self.hello(now, id, protocol, s, out);
+    /// Handles a message of a proxy. What is to be sent is appended to `out`.
+    pub fn receive(&mut self, now: Nanos, id: Id, message: ProxyMessage, out: &mut Vec<OutgoingFrame>) {
+        if let ProxyMessage::Hello { protocol, instance, boot, labels, max_frame_bytes, running, .. } =
+            message
+        {
+            let subscriber = Subscriber {
+                instance,
+                boot,
+                labels,
+                max_frame_bytes,
+                running,
+                ack_latency: None,
+                in_flight: None,
+                rejected: None,
+                last_received: now,
+                last_sent: now,
+            };
+            return self.receive_hello(now, id, protocol, subscriber, out);
         }
         let Some(s) = self.subscribers.get_mut(&id) else {
-            return goodbye(id, "the first frame is to be hello", out);
+            return goodbye(id, "the first message has to be hello", out);
         };
-        s.heard = now;
-        match frame {
-            FromProxy::Hello { .. } | FromProxy::Purged { .. } | FromProxy::Alive => {}
-            FromProxy::Taken { stamp } => {
-                s.sent = s.sent.filter(|sent| *sent != stamp);
-                let held = self.history.iter().find(|h| h.version.stamp == stamp);
-                s.running = held.map(|h| (stamp, h.version.digest.clone()));
-                s.took = held.map(|h| now.saturating_sub(h.at));
-                s.refused = s.refused.take().filter(|(refused, _)| *refused > stamp);
-                self.send(now, id, false, out);
+        s.last_received = now;
+        match message {
+            ProxyMessage::Hello { .. } | ProxyMessage::PurgeAck { .. } | ProxyMessage::Heartbeat => {}
+            ProxyMessage::Ack { stamp } => self.receive_ack(now, id, stamp, out),
+            ProxyMessage::Nack { stamp, reasons } => self.receive_nack(now, id, stamp, reasons, out),
+            ProxyMessage::SnapshotRequest => {
+                s.in_flight = None;
+                self.send_wanted(now, id, true, out);
             }
-            FromProxy::Refused { stamp, mut reasons } => {
-                s.sent = s.sent.filter(|sent| *sent != stamp);
-                reasons.truncate(REASONS);
-                for reason in &mut reasons {
-                    let end = (0..=REASON_MOST.min(reason.len())).rev().find(|n| reason.is_char_boundary(*n));
-                    reason.truncate(end.unwrap_or(0));
-                }
-                if let Some(rollout) = self.rollout.as_mut().filter(|r| r.stamp() == stamp) {
-                    rollout.refused(&s.instance, &reasons.join("; "));
-                }
-                s.refused = Some((stamp, reasons));
-                // A newer one may have come meanwhile.
-                self.send(now, id, false, out);
-            }
-            FromProxy::Whole => {
-                s.sent = None;
-                self.send(now, id, true, out);
-            }
-            FromProxy::Report { stamp, served, refused, failed } => {
-                for (sum, more) in self.answered.iter_mut().zip([served, refused, failed]) {
-                    *sum = sum.saturating_add(more);
-                }
-                let bad = refused.saturating_add(failed);
-                let answers = Answers { all: served.saturating_add(bad), bad };
-                if let Some(rollout) = self.rollout.as_mut() {
-                    rollout.report(stamp == rollout.stamp(), answers);
-                }
+            ProxyMessage::Report { stamp, served, rejected, failed } => {
+                self.receive_report(stamp, RequestCounts { served, rejected, failed });
             }
         }
     }
 
-    fn hello(&mut self, now: Nanos, id: Id, protocol: u32, s: Subscriber, out: &mut Vec<Outgoing>) {
-        let long = |text: &str| text.len() > NAME_MOST;
-        let why = if protocol != PROTOCOL {
-            Some(format!("this service speaks version {PROTOCOL} of the protocol, not {protocol}"))
-        } else if s.instance.is_empty() || long(&s.instance) {
-            Some("the name of the instance is empty or too long".to_owned())
-        } else if s.labels.len() > LABELS_MOST || s.labels.iter().any(|(k, v)| long(k) || long(v)) {
-            Some("too many labels, or too long ones".to_owned())
-        } else if self.subscribers.len() >= SUBSCRIBERS && !self.subscribers.contains_key(&id) {
-            Some(format!("{SUBSCRIBERS} proxies are served, and no more"))
-        } else {
-            None
-        };
-        if let Some(why) = why {
+    fn receive_ack(&mut self, now: Nanos, id: Id, stamp: Stamp, out: &mut Vec<OutgoingFrame>) {
+        let acked = self.entry(stamp).map(|entry| (entry.version.digest.clone(), entry.published_at));
+        let Some(s) = self.subscribers.get_mut(&id) else { return };
+        s.in_flight = s.in_flight.filter(|in_flight| *in_flight != stamp);
+        s.ack_latency = acked.as_ref().map(|(_, published_at)| now.saturating_sub(*published_at));
+        s.running = acked.map(|(digest, _)| (stamp, digest));
+        s.rejected = s.rejected.take().filter(|(rejected, _)| *rejected > stamp);
+        self.send_wanted(now, id, false, out);
+    }
+
+    fn receive_nack(
+        &mut self,
+        now: Nanos,
+        id: Id,
+        stamp: Stamp,
+        mut reasons: Vec<String>,
+        out: &mut Vec<OutgoingFrame>,
+    ) {
+        reasons.truncate(MAX_REASONS);
+        for reason in &mut reasons {
+            let max = MAX_REASON_BYTES.min(reason.len());
+            let end = (0..=max).rev().find(|n| reason.is_char_boundary(*n));
+            reason.truncate(end.unwrap_or(0));
+        }
+        let Some(s) = self.subscribers.get_mut(&id) else { return };
+        s.in_flight = s.in_flight.filter(|in_flight| *in_flight != stamp);
+        if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == stamp) {
+            rollout.nacked(&s.instance, &reasons.join("; "));
+        }
+        s.rejected = Some((stamp, reasons));
+        // A newer version may have been published meanwhile.
+        self.send_wanted(now, id, false, out);
+    }
+
+    fn receive_report(&mut self, stamp: Stamp, counts: RequestCounts) {
+        self.request_counts.add(counts);
+        let bad = counts.rejected.saturating_add(counts.failed);
+        let responses = ResponseCounts { total: counts.served.saturating_add(bad), bad };
+        if let Some(rollout) = self.rollout.as_mut() {
+            rollout.report(stamp == rollout.stamp(), responses);
+        }
+    }
+
+    fn receive_hello(
+        &mut self,
+        now: Nanos,
+        id: Id,
+        protocol: u32,
+        s: Subscriber,
+        out: &mut Vec<OutgoingFrame>,
+    ) {
+        if let Some(reason) = self.reason_to_reject(id, protocol, &s) {
             self.subscribers.remove(&id);
-            return goodbye(id, &why, out);
+            return goodbye(id, &reason, out);
         }
         self.subscribers.insert(id, s);
-        self.send(now, id, false, out);
-        if let Some(s) = self.subscribers.get(&id).filter(|s| s.sent.is_none()) {
+        self.send_wanted(now, id, false, out);
+        if let Some(s) = self.subscribers.get(&id).filter(|s| s.in_flight.is_none()) {
             if let Some((stamp, _)) = s.running {
-                out.extend(plain(id, &FromService::Current { stamp }));
+                out.extend(unicast(id, &ServiceMessage::UpToDate { stamp }));
             }
         }
     }
 
-    /// Sends a proxy what it is to run, if it neither runs it nor has it on the way, nor has turned it down.
-    fn send(&mut self, now: Nanos, id: Id, want_whole: bool, out: &mut Vec<Outgoing>) {
+    fn reason_to_reject(&self, id: Id, protocol: u32, s: &Subscriber) -> Option<String> {
+        let is_long = |text: &str| text.len() > MAX_NAME_BYTES;
+        if protocol != PROTOCOL {
+            return Some(format!("this service speaks version {PROTOCOL} of the protocol, not {protocol}"));
+        }
+        if s.instance.is_empty() || is_long(&s.instance) {
+            return Some("the name of the instance is empty or too long".to_owned());
+        }
+        if s.labels.len() > MAX_LABELS || s.labels.iter().any(|(k, v)| is_long(k) || is_long(v)) {
+            return Some("there are too many labels, or one is too long".to_owned());
+        }
+        if self.subscribers.len() >= MAX_SUBSCRIBERS && !self.subscribers.contains_key(&id) {
+            return Some(format!("the limit of {MAX_SUBSCRIBERS} proxies is reached"));
+        }
+        None
+    }
+
+    /// Sends a proxy the version that it should run, unless it runs it, was sent it, or has rejected it.
+    fn send_wanted(&mut self, now: Nanos, id: Id, as_snapshot: bool, out: &mut Vec<OutgoingFrame>) {
         let Some(s) = self.subscribers.get(&id) else { return };
         let Some(wanted) = self.wanted(s) else { return };
         let Some(version) = self.version(wanted) else { return };
         let runs =
             s.running.as_ref().is_some_and(|(stamp, digest)| *stamp == wanted && *digest == version.digest);
-        let down = s.refused.as_ref().is_some_and(|(stamp, _)| *stamp == wanted);
-        if runs || down || s.sent == Some(wanted) {
+        let has_rejected = s.rejected.as_ref().is_some_and(|(stamp, _)| *stamp == wanted);
+        if runs || has_rejected || s.in_flight == Some(wanted) {
             return;
         }
-        // A delta only from what surely is there: the same stamp with the same digest.
-        let base = s.running.as_ref().filter(|_| !want_whole && s.sent.is_none());
+        // A delta only from what the proxy surely has: the same stamp with the same digest.
+        let base = s.running.as_ref().filter(|_| !as_snapshot && s.in_flight.is_none());
         let base = base.and_then(|(stamp, digest)| self.version(*stamp).filter(|v| v.digest == *digest));
-        let key = (base.map(|b| b.stamp), wanted);
+        let key = (base.map(|base| base.stamp), wanted);
         let bytes = match self.encoded.get(&key) {
             Some(bytes) => bytes.clone(),
             None => {
-                let Ok(bytes) = leading(base, version) else { return };
+                let Ok(bytes) = encode_update(base, version) else { return };
                 self.encoded.insert(key, bytes.clone());
                 bytes
             }
         };
         let Some(s) = self.subscribers.get_mut(&id) else { return };
-        // Danger: a proxy with little memory would end the connection over it, again and again.
-        if bytes.len() > s.frame_most.saturating_add(HEAD) {
-            let why =
-                format!("{} bytes are more than the {} that it reads", bytes.len() - HEAD, s.frame_most);
-            if let Some(rollout) = self.rollout.as_mut().filter(|r| r.stamp() == wanted) {
-                rollout.refused(&s.instance, &why);
+        // Danger: a proxy with little memory would close the connection because of it, again and again.
+        if bytes.len() > s.max_frame_bytes.saturating_add(HEADER_BYTES) {
+            let size = bytes.len() - HEADER_BYTES;
+            let reason = format!("{size} bytes are more than the {} that it reads", s.max_frame_bytes);
+            if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == wanted) {
+                rollout.nacked(&s.instance, &reason);
             }
-            s.refused = Some((wanted, vec![why]));
+            s.rejected = Some((wanted, vec![reason]));
             return;
         }
-        (s.sent, s.said) = (Some(wanted), now);
-        out.push(Outgoing { to: id, bytes, last: false });
+        s.in_flight = Some(wanted);
+        s.last_sent = now;
+        out.push(OutgoingFrame { to: id, bytes, close_after: false });
     }
 
-    /// Sends everybody what they are to run now.
-    fn bring(&mut self, now: Nanos, out: &mut Vec<Outgoing>) {
+    /// Sends every proxy the version that it should run.
+    fn send_to_all(&mut self, now: Nanos, out: &mut Vec<OutgoingFrame>) {
         let mut ids: Vec<Id> = self.subscribers.keys().copied().collect();
         ids.sort_unstable();
-        ids.into_iter().for_each(|id| self.send(now, id, false, out));
+        ids.into_iter().for_each(|id| self.send_wanted(now, id, false, out));
     }
 
     /// A connection has ended.
-    pub fn gone(&mut self, id: Id) {
+    pub fn disconnected(&mut self, id: Id) {
         self.subscribers.remove(&id);
     }
 
-    /// Time has passed. To be called about once a second.
-    pub fn tick(&mut self, now: Nanos, out: &mut Vec<Outgoing>) {
-        let silent = |s: &Subscriber| now.saturating_sub(s.heard) > SILENCE;
-        let gone: Vec<Id> = self.subscribers.iter().filter(|(_, s)| silent(s)).map(|(id, _)| *id).collect();
-        for id in gone {
+    /// Lets time pass. To be called about once a second.
+    pub fn tick(&mut self, now: Nanos, out: &mut Vec<OutgoingFrame>) {
+        let is_dead = |s: &Subscriber| now.saturating_sub(s.last_received) > IDLE_TIMEOUT;
+        let dead: Vec<Id> = self.subscribers.iter().filter(|(_, s)| is_dead(s)).map(|(id, _)| *id).collect();
+        for id in dead {
             self.subscribers.remove(&id);
-            goodbye(id, "it said nothing for too long", out);
+            goodbye(id, "nothing was received for too long", out);
         }
         for (id, s) in &mut self.subscribers {
-            if now.saturating_sub(s.said) >= ALIVE {
-                s.said = now;
-                out.extend(plain(*id, &FromService::Alive));
+            if now.saturating_sub(s.last_sent) >= HEARTBEAT_INTERVAL {
+                s.last_sent = now;
+                out.extend(unicast(*id, &ServiceMessage::Heartbeat));
             }
         }
         if let Some(mut rollout) = self.rollout.take() {
-            let stamp = rollout.stamp();
-            let pending = self.subscribers.values().filter(|s| s.sent == Some(stamp)).count();
+            let pending = self.pending(rollout.stamp());
             let changed = rollout.tick(now, pending);
             self.rollout = Some(rollout);
             if changed {
-                self.bring(now, out);
+                self.send_to_all(now, out);
             }
         }
     }
 }
 
-fn whole(version: &Version) -> Result<Arc<[u8]>, Malformed> {
-    leading(None, version)
-}
-
-/// The frame that leads to a version: from another where that is shorter, or as a whole.
-fn leading(base: Option<&Version>, version: &Version) -> Result<Arc<[u8]>, Malformed> {
-    let Version { stamp, digest, body } = version.clone();
-    let full = encode(&FromService::Full { stamp, digest: digest.clone(), body })?;
-    let delta = base.map(|base| {
-        let patch = base.delta(version);
-        encode(&FromService::Delta { base: base.stamp, stamp, digest, patch })
-    });
-    Ok(match delta {
-        Some(Ok(delta)) if delta.len() < full.len() => delta.into(),
-        _ => full.into(),
-    })
-}
-
-fn plain(to: Id, frame: &FromService) -> Option<Outgoing> {
-    encode(frame).ok().map(|bytes| Outgoing { to, bytes: bytes.into(), last: false })
-}
-
-fn goodbye(to: Id, why: &str, out: &mut Vec<Outgoing>) {
-    let frame = plain(to, &FromService::Goodbye { why: why.to_owned() });
-    out.extend(frame.map(|frame| Outgoing { last: true, ..frame }));
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/control/src/purge_log.rs
+++ b/crates/control/src/purge_log.rs
@@ -235,12 +235,12 @@
             }
             let at = Progress { epoch: found.epoch, through: found.after };
             let log = log.get_or_insert_with(|| Log::new(at, most));
-            if log.at() != at || found.after != *after {
+            if log.position() != at || found.after != *after {
                 return Err(format!("{}: it does not follow the one before it", path.display()));
             }
             for call in &found.calls {
                 call.keys.iter().for_each(|key| _ = log.append(*key));
-                publishers.note(&call.publisher, call.sequence, log.newest());
+                publishers.record(&call.publisher, call.sequence, log.newest());
             }
             last = Some((path, found));
         }
