--- /dev/null
+++ b/crates/control/src/purge_writer.rs
@@ -0,0 +1,149 @@
+//! Stores publishers' purges: requests within a batch are written to disk as one, then numbered, distributed and answered.
+
+use crate::clock::Clock;
+use crate::frame::OperatorResponse;
+use crate::purge_log::{Call, PurgeLog};
+use crate::purge_queue::{PendingPurge, MAX_REQUESTS};
+use crate::purges::PurgeDriver;
+use aniseyoke_fanout::publishers::CallStatus;
+use aniseyoke_fanout::{Progress, Publishers};
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+use std::fmt::Display;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep, timeout};
+
+/// How often it is checked whether the log was restored from an older state.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The root's log on disk, and the requests that are in it.
+pub(crate) struct PurgeWriter {
+    pub log: PurgeLog,
+    pub publishers: Publishers,
+    /// How long requests are collected before they are written.
+    pub batch: Duration,
+    pub warn: fn(&str),
+}
+
+/// A batch without the requests that were numbered before.
+#[derive(Default)]
+struct NewRequests {
+    requests: Vec<Call>,
+    /// Where each response goes, with the index of its request. A request that was retried within the batch has several.
+    responses: Vec<(oneshot::Sender<OperatorResponse>, usize)>,
+}
+
+impl PurgeWriter {
+    /// Stores requests, for good. `next_epoch` returns a higher number than any epoch before.
+    pub async fn run<E: Display>(
+        mut self,
+        clock: Clock,
+        purges: Rc<PurgeDriver>,
+        mut queue: mpsc::Receiver<PendingPurge>,
+        next_epoch: impl Fn() -> Result<u64, E>,
+    ) -> Infallible {
+        loop {
+            let first = match timeout(CHECK_INTERVAL, queue.recv()).await {
+                Ok(Some(first)) => Some(first),
+                Ok(None) => return std::future::pending().await,
+                Err(_) => None,
+            };
+            if purges.with_relay(|relay| relay.is_behind_children()) {
+                match next_epoch() {
+                    Ok(epoch) => self.start_epoch(clock, &purges, epoch),
+                    Err(error) => (self.warn)(&format!("no new epoch can be started: {error}")),
+                }
+            }
+            let Some(first) = first else { continue };
+            sleep(self.batch).await;
+            let mut batch = vec![first];
+            while let Some(next) = (batch.len() < MAX_REQUESTS).then(|| queue.try_recv().ok()).flatten() {
+                batch.push(next);
+            }
+            self = self.write(clock, &purges, batch).await;
+        }
+    }
+
+    /// A child knows more than this log, which was therefore restored from an older state.
+    fn start_epoch(&mut self, clock: Clock, purges: &PurgeDriver, epoch: u64) {
+        match self.log.begin_anew(epoch) {
+            Ok(()) => {
+                let what = "the log of purges is older than what is known downstream";
+                (self.warn)(&format!("{what}: epoch {epoch} starts"));
+                self.publishers = Publishers::default();
+                purges.start_epoch(clock.now(), epoch);
+            }
+            Err(error) => (self.warn)(&format!("the log of purges can't start a new epoch: {error}")),
+        }
+    }
+
+    async fn write(mut self, clock: Clock, purges: &PurgeDriver, batch: Vec<PendingPurge>) -> Self {
+        let position = purges.with_relay(|relay| relay.log().position());
+        let NewRequests { requests, responses } = self.deduplicate(batch, position.epoch);
+        if requests.is_empty() {
+            return self;
+        }
+        let PurgeWriter { mut log, publishers, batch, warn } = self;
+        let written = tokio::task::spawn_blocking(move || {
+            let result = log.append(&requests);
+            (log, requests, result)
+        });
+        let Ok((log, requests, result)) = written.await else {
+            // The callers get no response, and retry when the log is opened again.
+            warn("the thread that writes the log of purges has panicked: no purges are accepted until a restart");
+            return std::future::pending().await;
+        };
+        self = PurgeWriter { log, publishers, batch, warn };
+        if let Err(error) = result {
+            (self.warn)(&format!("purges can't be stored: {error}"));
+            for (response, _) in responses {
+                let reason = format!("the purge can't be stored: {error}");
+                _ = response.send(OperatorResponse::Rejected { reason });
+            }
+            return self;
+        }
+        let mut positions = Vec::new();
+        for request in requests {
+            let position = purges.append(clock.now(), &request.keys);
+            self.publishers.record(&request.publisher, request.sequence, position.through);
+            positions.push(position);
+        }
+        for (response, index) in responses {
+            if let Some(Progress { epoch, through }) = positions.get(index).copied() {
+                _ = response.send(OperatorResponse::PurgeAccepted { epoch, through });
+            }
+        }
+        self
+    }
+
+    /// Answers requests that were numbered before, and merges those that are equal.
+    fn deduplicate(&self, batch: Vec<PendingPurge>, epoch: u64) -> NewRequests {
+        let mut new = NewRequests::default();
+        // The index of each new request by its publisher and sequence.
+        let mut indices: BTreeMap<(String, u64), usize> = BTreeMap::new();
+        for pending in batch {
+            let (publisher, sequence) = (&pending.request.publisher, pending.request.sequence);
+            let key = (publisher.clone(), sequence);
+            if let Some(index) = indices.get(&key) {
+                new.responses.push((pending.response, *index));
+                continue;
+            }
+            match self.publishers.status(publisher, sequence) {
+                CallStatus::New => {
+                    indices.insert(key, new.requests.len());
+                    new.responses.push((pending.response, new.requests.len()));
+                    new.requests.push(pending.request);
+                }
+                CallStatus::Numbered(through) => {
+                    _ = pending.response.send(OperatorResponse::PurgeAccepted { epoch, through });
+                }
+                CallStatus::Expired => {
+                    pending.reject(format!("sequence: {sequence} is older than all that are remembered"));
+                }
+            }
+        }
+        new
+    }
+}
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -1,15 +1,15 @@
-//! Purges on sockets: a thin driver around [`Relay`], beside the service's own. What the relay wants sent goes through the
-//! queues of the service's connections.
+//! Drives a [`Relay`] on the service's connections: passes messages and time in, and carries out its actions.
 
-use crate::client::Upward;
-use crate::frame::{encode, FromProxy, FromService, ToOperator, Took};
-use crate::publisher::{Id, Outgoing};
-use crate::service::{Service, WAITING};
-use aniseyoke_fanout::relay::Report;
-use aniseyoke_fanout::{Action, Keys, Log, Progress, Relay, Settings};
+use crate::client::UpstreamMessage;
+use crate::clock::Clock;
+use crate::connections::{Connections, QUEUE_FRAMES};
+use crate::frame::{encode, OperatorResponse, ProxyMessage, ServiceMessage};
+use crate::latency::LatencyTracker;
+use crate::outgoing::{Id, OutgoingFrame};
+use aniseyoke_fanout::relay::{ChildHello, Report};
+use aniseyoke_fanout::{Keys, Log, Progress, Relay, RelayAction, Settings};
 use rustc_hash::FxHashSet;
 use std::cell::RefCell;
-use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,274 +17,257 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// Purges whose time is measured at once, and of which times are kept.
-const MEASURED: usize = 16 << 10;
-/// What a frame takes beside its keys, in bytes, and each key.
-const FRAME_HEAD: usize = 200;
-const FRAME_KEY: usize = 11;
-/// What changes within this time is looked at together.
-const PAUSE: Duration = Duration::from_millis(1);
-/// The name of one below is at most this long, in bytes.
-const NAME_MOST: usize = 256;
+/// The size of a frame of purges without its keys, in bytes, and of each key.
+const FRAME_BYTES: usize = 200;
+const KEY_BYTES: usize = 11;
+/// Changes within this time are handled together. Danger: otherwise each of thousands of acknowledgements would cause a
+/// pass over all children.
+const COALESCE: Duration = Duration::from_millis(1);
+/// The longest name of a child, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// How long purges took.
+/// What has to be sent upstream: `hello` once, and the latest report.
 #[derive(Default)]
-struct Times {
-    /// The number of each that is on its way, and when it was numbered.
-    on_way: VecDeque<(u64, u64)>,
-    /// In microseconds.
-    took: VecDeque<u64>,
-    short: u64,
-}
-
-impl Times {
-    fn numbered(&mut self, now: u64, after: u64, through: u64) {
-        for number in after + 1..=through {
-            if self.on_way.len() >= MEASURED {
-                self.on_way.pop_front();
-                self.short += 1;
-            }
-            self.on_way.push_back((number, now));
-        }
-    }
-
-    fn done(&mut self, now: u64, through: u64, lacking: bool) {
-        while let Some((_, at)) = self.on_way.pop_front_if(|(number, _)| *number <= through) {
-            if lacking {
-                self.short += 1;
-                continue;
-            }
-            if self.took.len() >= MEASURED {
-                self.took.pop_front();
-            }
-            self.took.push_back(now.saturating_sub(at) / 1000);
-        }
-    }
-
-    fn took(&self) -> Took {
-        let mut sorted: Vec<u64> = self.took.iter().copied().collect();
-        sorted.sort_unstable();
-        let at = |q: f64| {
-            let n = (sorted.len() as f64 * q).ceil().max(1.0) as usize - 1;
-            sorted.get(n).map_or(0.0, |us| *us as f64 / 1000.0)
-        };
-        Took { count: sorted.len() as u64, p50: at(0.5), p99: at(0.99), most: at(1.0), short: self.short }
-    }
-}
-
-/// What is to go upstream: the newest report counts, and hello once.
-#[derive(Default)]
-struct Up {
+struct UpstreamQueue {
     hello: bool,
     report: Option<Report>,
 }
 
-/// The purges of a service or a relay.
-pub struct Purges {
+/// The relay of a service, or of a relay process, and what connects it to sockets.
+pub struct PurgeDriver {
     relay: RefCell<Relay>,
-    times: RefCell<Times>,
-    up: RefCell<Up>,
+    latency: RefCell<LatencyTracker>,
+    upstream: RefCell<UpstreamQueue>,
+    /// Notified when the relay may have to act earlier than planned.
     changed: Notify,
-    upward: Notify,
-    say: fn(&str),
+    /// Notified when something has to be sent upstream.
+    upstream_ready: Notify,
+    warn: fn(&str),
 }
 
-impl Purges {
-    /// The root's, with its log.
-    pub fn root(name: &str, settings: Settings, log: Log, say: fn(&str)) -> Self {
-        Self::of(Relay::root(name, settings, log, 0), say)
+impl PurgeDriver {
+    /// The driver of the root, with its log.
+    pub fn root(name: &str, settings: Settings, log: Log, warn: fn(&str)) -> Self {
+        Self::new(Relay::root(name, settings, log, 0), warn)
     }
 
-    /// A relay's, that keeps so many entries.
-    pub fn relay(name: &str, settings: Settings, entries: usize, say: fn(&str)) -> Self {
-        Self::of(Relay::new(name, settings, entries, 0), say)
+    /// The driver of a relay with a log of this capacity.
+    pub fn relay(name: &str, settings: Settings, log_capacity: usize, warn: fn(&str)) -> Self {
+        Self::new(Relay::new(name, settings, log_capacity, 0), warn)
     }
 
-    fn of(relay: Relay, say: fn(&str)) -> Self {
-        Purges {
+    fn new(relay: Relay, warn: fn(&str)) -> Self {
+        PurgeDriver {
             relay: RefCell::new(relay),
-            times: RefCell::default(),
-            up: RefCell::default(),
+            latency: RefCell::default(),
+            upstream: RefCell::default(),
             changed: Notify::new(),
-            upward: Notify::new(),
-            say,
+            upstream_ready: Notify::new(),
+            warn,
         }
     }
 
-    /// What the relay knows.
-    pub fn look<T>(&self, at: impl FnOnce(&Relay) -> T) -> T {
-        at(&self.relay.borrow())
+    /// Reads something from the relay.
+    pub fn with_relay<T>(&self, read: impl FnOnce(&Relay) -> T) -> T {
+        read(&self.relay.borrow())
     }
 
-    /// Something a proxy or a relay below said. True: it is to be let go.
-    pub(crate) fn hear(&self, now: u64, id: Id, frame: &FromProxy) -> bool {
+    /// Handles a message of a child. False: its connection has to be closed.
+    #[must_use]
+    pub(crate) fn receive_downstream(&self, now: u64, id: Id, message: &ProxyMessage) -> bool {
         let mut relay = self.relay.borrow_mut();
-        match frame {
-            FromProxy::Hello { purges: Some(at), instance, boot, frame_most, .. } => {
-                let named = !instance.is_empty() && instance.len() <= NAME_MOST;
-                let most = frame_most.saturating_sub(FRAME_HEAD) / FRAME_KEY;
-                if !named || !relay.joined(now, id, (instance, *boot), *at, most) {
-                    return true;
+        match message {
+            ProxyMessage::Hello { purges: Some(position), instance, boot, max_frame_bytes, .. } => {
+                let is_named = !instance.is_empty() && instance.len() <= MAX_NAME_BYTES;
+                let hello = ChildHello {
+                    name: instance,
+                    boot: *boot,
+                    position: *position,
+                    max_frame_entries: max_frame_bytes.saturating_sub(FRAME_BYTES) / KEY_BYTES,
+                };
+                if !is_named || !relay.child_connected(now, id, hello) {
+                    return false;
                 }
             }
-            FromProxy::Purged { epoch, through, lacking, names } => {
-                let at = Progress { epoch: *epoch, through: *through };
-                relay.purged(now, id, Report { at, lacking: *lacking, names: names.clone() });
+            ProxyMessage::PurgeAck { epoch, through, lagging, names } => {
+                let position = Progress { epoch: *epoch, through: *through };
+                relay.child_acked(now, id, Report { position, lagging: *lagging, names: names.clone() });
             }
-            _ => return false,
+            _ => return true,
         }
         self.changed.notify_one();
-        false
+        true
     }
 
-    /// A connection has ended.
-    pub(crate) fn gone(&self, now: u64, id: Id) {
-        self.relay.borrow_mut().gone(now, id);
+    /// A child's connection has ended.
+    pub(crate) fn child_disconnected(&self, now: u64, id: Id) {
+        self.relay.borrow_mut().child_disconnected(now, id);
         self.changed.notify_one();
     }
 
-    /// Numbers purges that are kept.
-    pub(crate) fn number(&self, now: u64, keys: &[u64]) -> Progress {
+    /// Appends purges that are stored to the root's log.
+    pub(crate) fn append(&self, now: u64, keys: &[u64]) -> Progress {
         let mut relay = self.relay.borrow_mut();
         let after = relay.log().newest();
-        let at = relay.number(now, keys);
-        self.times.borrow_mut().numbered(now, after, at.through);
+        let position = relay.append(now, keys);
+        self.latency.borrow_mut().numbered(now, after, position.through);
         self.changed.notify_one();
-        at
+        position
     }
 
-    /// The root begins a new epoch.
-    pub(crate) fn begin_anew(&self, now: u64, epoch: u64) {
-        self.relay.borrow_mut().begin_anew(now, epoch);
-        self.times.borrow_mut().on_way.clear();
+    /// The root starts a new epoch.
+    pub(crate) fn start_epoch(&self, now: u64, epoch: u64) {
+        self.relay.borrow_mut().start_epoch(now, epoch);
+        self.latency.borrow_mut().forget_pending();
         self.changed.notify_one();
     }
 
-    /// The connection upstream is there.
-    pub(crate) fn connected(&self, now: u64) {
-        self.relay.borrow_mut().connected(now);
-        *self.up.borrow_mut() = Up::default();
+    /// The connection to the upstream is established.
+    pub(crate) fn upstream_connected(&self, now: u64) {
+        self.relay.borrow_mut().upstream_connected(now);
+        *self.upstream.borrow_mut() = UpstreamQueue::default();
         self.changed.notify_one();
     }
 
-    /// A frame of purges has come from upstream.
-    pub(crate) fn come(&self, now: u64, frame: FromService) {
+    /// Handles a message of the upstream.
+    pub(crate) fn receive_upstream(&self, now: u64, message: ServiceMessage) {
         let mut actions = Vec::new();
-        let mut relay = self.relay.borrow_mut();
-        match frame {
-            FromService::Purges { epoch, after, keys } => {
-                relay.purges(now, epoch, after, &keys.0, &mut actions)
+        match message {
+            ServiceMessage::Purges { epoch, after, keys } => {
+                self.relay.borrow_mut().receive_purges(now, epoch, after, &keys.0, &mut actions);
+            }
+            ServiceMessage::Flush { epoch, through } => {
+                self.relay.borrow_mut().receive_flush(now, Progress { epoch, through });
             }
-            FromService::Flush { epoch, through } => relay.flush(now, Progress { epoch, through }),
             _ => return,
         }
-        drop(relay);
-        if actions.contains(&Action::Ask) {
-            self.up.borrow_mut().hello = true;
-            self.upward.notify_one();
+        if actions.contains(&RelayAction::Resync) {
+            self.queue_hello();
         }
         self.changed.notify_one();
     }
 
-    /// What is to go upstream next.
-    pub(crate) async fn upward(&self) -> Upward {
+    fn queue_hello(&self) {
+        self.upstream.borrow_mut().hello = true;
+        self.upstream_ready.notify_one();
+    }
+
+    /// Waits for something to be sent upstream.
+    pub(crate) async fn next_upstream(&self) -> UpstreamMessage {
         loop {
-            if let Some(next) = self.next_upward() {
+            if let Some(next) = self.take_upstream() {
                 return next;
             }
-            self.upward.notified().await;
+            self.upstream_ready.notified().await;
         }
     }
 
-    fn next_upward(&self) -> Option<Upward> {
-        let mut up = self.up.borrow_mut();
-        if std::mem::take(&mut up.hello) {
-            return Some(Upward::Hello);
+    fn take_upstream(&self) -> Option<UpstreamMessage> {
+        let mut queue = self.upstream.borrow_mut();
+        if std::mem::take(&mut queue.hello) {
+            return Some(UpstreamMessage::Hello);
         }
-        let Report { at, lacking, names } = up.report.take()?;
-        let (epoch, through) = (at.epoch, at.through);
-        Some(Upward::Frame(FromProxy::Purged { epoch, through, lacking, names }))
+        let Report { position, lagging, names } = queue.report.take()?;
+        let Progress { epoch, through } = position;
+        Some(UpstreamMessage::Send(ProxyMessage::PurgeAck { epoch, through, lagging, names }))
     }
 
-    /// How far purges have come, for operators.
-    pub(crate) fn told(&self) -> ToOperator {
+    /// How far purges have been applied, for operators.
+    pub(crate) fn status(&self) -> OperatorResponse {
         let relay = self.relay.borrow();
-        let Report { at, lacking, names } = relay.reported().clone();
-        let unnamed = lacking.saturating_sub(names.len() as u64);
-        let (newest, took) = (relay.log().newest(), self.times.borrow().took());
-        ToOperator::Purges { epoch: at.epoch, newest, done: at.through, lacking: names, unnamed, took }
+        let Report { position, lagging, names } = relay.last_report().clone();
+        OperatorResponse::PurgeStatus {
+            epoch: position.epoch,
+            newest: relay.log().newest(),
+            applied: position.through,
+            unnamed: lagging.saturating_sub(names.len() as u64),
+            lagging: names,
+            latency: self.latency.borrow().latency(),
+        }
     }
 
-    /// Lets time pass for the relay, and has done what it wants, for good.
-    pub(crate) async fn drive(self: Rc<Self>, service: Rc<Service>) -> Infallible {
+    /// Lets time pass for the relay and carries out its actions, for good.
+    pub(crate) async fn run(self: Rc<Self>, connections: Rc<Connections>, clock: Clock) -> Infallible {
         loop {
-            let now = service.now();
-            let next = self.relay.borrow().next(now);
-            let wait = Duration::from_nanos(next.saturating_sub(now));
-            // A change may bring the next call nearer; it is asked for again then.
+            let now = clock.now();
+            let wait = Duration::from_nanos(self.relay.borrow().next_tick(now).saturating_sub(now));
+            // After a change the next tick may be due earlier.
             if timeout(wait, self.changed.notified()).await.is_ok() {
-                // Danger: without a pause each of thousands of acknowledgements would be one look at all members.
-                sleep(PAUSE).await;
-                let now = service.now();
-                if self.relay.borrow().next(now) > now {
+                sleep(COALESCE).await;
+                let now = clock.now();
+                if self.relay.borrow().next_tick(now) > now {
                     continue;
                 }
             }
-            let (now, mut actions) = (service.now(), Vec::new());
+            let (now, mut actions) = (clock.now(), Vec::new());
             self.relay.borrow_mut().tick(now, &mut actions);
-            self.act(&service, now, actions);
+            self.perform(&connections, now, actions);
         }
     }
 
-    fn act(&self, service: &Service, now: u64, actions: Vec<Action>) {
-        // Who could not be sent something gets nothing that comes after it.
+    fn perform(&self, connections: &Connections, now: u64, actions: Vec<RelayAction>) {
+        // A child whose queue is full gets nothing of what follows.
         let mut full: FxHashSet<Id> = FxHashSet::default();
         for action in actions {
             match action {
-                Action::Purges { to, epoch, after, keys } => {
-                    let none = keys.is_empty();
-                    let Ok(bytes) = encode(&FromService::Purges { epoch, after, keys: Keys(keys) }) else {
-                        continue;
-                    };
-                    let bytes: Arc<[u8]> = bytes.into();
-                    for id in to {
-                        // Half of a queue is left to versions of the configuration.
-                        let room = service.room(id) > WAITING / 2;
-                        if full.contains(&id)
-                            || room && service.send(Outgoing { to: id, bytes: bytes.clone(), last: false })
-                        {
-                            continue;
+                RelayAction::Purges { to, epoch, after, keys } => {
+                    let has_keys = !keys.is_empty();
+                    let message = ServiceMessage::Purges { epoch, after, keys: Keys(keys) };
+                    for id in multicast(connections, to, &message, &mut full) {
+                        if has_keys {
+                            self.relay.borrow_mut().send_failed(now, id, after);
                         }
-                        full.insert(id);
-                        if !none {
-                            self.relay.borrow_mut().untaken(now, id, after);
-                        }
-                    }
-                }
-                Action::Flush { to, at } => {
-                    let frame = FromService::Flush { epoch: at.epoch, through: at.through };
-                    let Ok(bytes) = encode(&frame) else { continue };
-                    if !service.send(Outgoing { to, bytes: bytes.into(), last: false }) {
-                        service.let_go(to);
                     }
                 }
-                Action::Ask => {
-                    self.up.borrow_mut().hello = true;
-                    self.upward.notify_one();
-                }
-                Action::Report(report) => {
-                    self.times.borrow_mut().done(now, report.at.through, report.lacking > 0);
-                    if report.at.epoch > 0 {
-                        self.up.borrow_mut().report = Some(report);
-                        self.upward.notify_one();
+                RelayAction::Flush { to, position: Progress { epoch, through } } => {
+                    let message = ServiceMessage::Flush { epoch, through };
+                    let Ok(bytes) = encode(&message) else { continue };
+                    let frame = OutgoingFrame { to, bytes: bytes.into(), close_after: false };
+                    if !connections.send(frame) {
+                        connections.close(to);
                     }
                 }
-                Action::LetGo(id, why) => {
-                    (self.say)(&why);
-                    service.let_go(id);
+                RelayAction::Resync => self.queue_hello(),
+                RelayAction::Report(report) => self.handle_report(now, report),
+                RelayAction::Disconnect(id, reason) => {
+                    (self.warn)(&reason);
+                    connections.close(id);
                 }
-                Action::Say(what) => (self.say)(&what),
+                RelayAction::Warn(what) => (self.warn)(&what),
             }
         }
     }
+
+    fn handle_report(&self, now: u64, report: Report) {
+        self.latency.borrow_mut().applied(now, report.position.through, report.lagging > 0);
+        if report.position.epoch > 0 {
+            self.upstream.borrow_mut().report = Some(report);
+            self.upstream_ready.notify_one();
+        }
+    }
+}
+
+/// Sends a message to many connections; returns those whose queue has become full with it.
+fn multicast(
+    connections: &Connections,
+    to: Vec<Id>,
+    message: &ServiceMessage,
+    full: &mut FxHashSet<Id>,
+) -> Vec<Id> {
+    let Ok(bytes) = encode(message) else { return Vec::new() };
+    let bytes: Arc<[u8]> = bytes.into();
+    let mut failed = Vec::new();
+    for id in to {
+        if full.contains(&id) {
+            continue;
+        }
+        // Half of a queue is reserved for versions of the configuration.
+        let has_capacity = connections.queue_capacity(id) > QUEUE_FRAMES / 2;
+        let frame = OutgoingFrame { to: id, bytes: bytes.clone(), close_after: false };
+        if !has_capacity || !connections.send(frame) {
+            full.insert(id);
+            failed.push(id);
+        }
+    }
+    failed
 }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,18 +1,21 @@
-//! Starting a root that takes purges, and a relay: a follower of those upstream, a publisher to those below.
+//! Starts a root that accepts purges, and a relay: a follower of its upstreams, and a service to its children.
 
-use crate::client::{follow, Host, Upward};
-use crate::follower::{Follower, Identity, Times};
-use crate::frame::{FromService, FRAME_MOST};
-use crate::keeper::{keeper, Keeper};
+use crate::client::{follow, Host, UpstreamMessage};
+use crate::follower::{Follower, Identity, Rejection, RequestCounts, Times};
+use crate::frame::{ServiceMessage, MAX_FRAME_BYTES};
+use crate::operators;
 use crate::publisher::Publisher;
 use crate::purge_log::PurgeLog;
-use crate::purges::Purges;
+use crate::purge_queue::purge_queue;
+use crate::purge_writer::PurgeWriter;
+use crate::purges::PurgeDriver;
 use crate::service::Service;
 use crate::version::{Stamp, Version};
 use aniseyoke_fanout::{Progress, Settings};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
+use std::fmt::Display;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,170 +25,189 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// Everybody below has answered a version within this time, or it is told as refused.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(30);
-/// How often those that have not are looked at without one having answered.
-const LOOK: Duration = Duration::from_millis(500);
-/// Reasons that are passed on of a refusal.
-const REASONS: usize = 20;
+/// A version that not all children have answered within this time is rejected.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often unanswered children are checked although none has answered.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How many reasons of a rejection are forwarded.
+const MAX_REASONS: usize = 20;
 
-/// A service that takes purges, with its log in a folder.
+/// What a root needs besides its publisher.
+pub struct RootConfig {
+    /// Times and limits of its relay.
+    pub settings: Settings,
+    /// How many purges are retained at least.
+    pub log_capacity: usize,
+    /// How long requests are collected before they are stored and sent as one.
+    pub batch: Duration,
+    /// A number higher than any epoch before.
+    pub epoch: u64,
+    /// Writes a warning to the log.
+    pub warn: fn(&str),
+}
+
+/// A service that accepts purges, with its log in a folder.
 pub struct Root {
     /// The service.
     pub service: Rc<Service>,
-    purges: Rc<Purges>,
-    keeper: Keeper,
+    purges: Rc<PurgeDriver>,
+    writer: PurgeWriter,
 }
 
 impl Root {
-    /// A root around a publisher. `entries`: so many purges are kept at least; `batch`: calls that come within it are
-    /// kept and sent as one; `epoch`: a number higher than any epoch before.
+    /// A root around a publisher.
     ///
     /// # Errors
     /// As [`PurgeLog::open`].
-    pub fn open(
-        publisher: Publisher,
-        dir: &Path,
-        (settings, entries): (Settings, usize),
-        batch: Duration,
-        epoch: u64,
-        say: fn(&str),
-    ) -> Result<Self, String> {
-        let opened = PurgeLog::open(dir, entries, epoch)?;
-        opened.say.iter().for_each(|what| say(what));
-        // What the keeper has gathered goes out at once.
+    pub fn open(publisher: Publisher, folder: &Path, config: RootConfig) -> Result<Self, String> {
+        let RootConfig { settings, log_capacity, batch, epoch, warn } = config;
+        let opened = PurgeLog::open(folder, log_capacity, epoch)?;
+        opened.say.iter().for_each(|what| warn(what));
+        // What the writer has collected is sent at once.
         let settings = Settings { batch: 0, ..settings };
-        let purges = Rc::new(Purges::root("root", settings, opened.log, say));
-        let service = Service::with(publisher, Some(purges.clone()), false);
-        let keeper = Keeper { file: opened.file, publishers: opened.publishers, batch, say };
-        Ok(Root { service, purges, keeper })
+        let purges = Rc::new(PurgeDriver::root("root", settings, opened.log, warn));
+        let service = Service::with_purges(publisher, Some(purges.clone()), false);
+        let writer = PurgeWriter { log: opened.file, publishers: opened.publishers, batch, warn };
+        Ok(Root { service, purges, writer })
     }
 
-    /// Takes purges, for good. `epoch` gives a higher number than any before.
-    pub async fn keep(self, epoch: impl Fn() -> Result<u64, String>) -> Infallible {
-        let (taker, calls) = keeper();
-        self.service.takes(taker);
-        self.keeper.run(self.service, self.purges, calls, epoch).await
+    /// Accepts purges, for good. `next_epoch` returns a number higher than any epoch before.
+    pub async fn run<E: Display>(self, next_epoch: impl Fn() -> Result<u64, E>) -> Infallible {
+        let (queue, requests) = purge_queue();
+        self.service.accept_purges(queue);
+        self.writer.run(self.service.clock(), self.purges, requests, next_epoch).await
     }
 }
 
-/// What a relay is to be.
-pub struct Relaying {
-    /// Its name, the same after a restart, and the first part of the names of those below it.
+/// What a relay needs.
+pub struct RelayConfig {
+    /// Its name, the same after a restart, and the first part of the names of everyone below it.
     pub name: String,
-    /// Whom it follows, in turn.
+    /// The services or relays that it follows, in turn.
     pub upstream: Vec<SocketAddr>,
-    /// Its times and bounds for purges.
+    /// Times and limits of its relay.
     pub settings: Settings,
-    /// So many purges are kept.
-    pub entries: usize,
-    /// A number drawn at its start.
+    /// How many purges are retained.
+    pub log_capacity: usize,
+    /// A number drawn when its process started.
     pub boot: u64,
-    /// Something for those on call.
-    pub say: fn(&str),
+    /// Writes a warning to the log.
+    pub warn: fn(&str),
 }
 
-/// Relays, for good; operators ask at `door`, where there is one.
-pub async fn relay(relaying: Relaying, proxies: TcpListener, door: Option<TcpListener>) -> Infallible {
-    let (service, follows) = parts(relaying);
+/// Runs a relay, for good. Operators are served if there is a listener for them.
+pub async fn run(config: RelayConfig, proxies: TcpListener, operators: Option<TcpListener>) -> Infallible {
+    let (service, follows) = relay_parts(config);
     tokio::task::spawn_local(service.clone().serve(proxies));
-    if let Some(door) = door {
-        tokio::task::spawn_local(service.hear(door));
+    if let Some(operators) = operators {
+        tokio::task::spawn_local(operators::serve(service, operators));
     }
     follows.await
 }
 
-/// A relay's service for those below, and what follows upstream for good.
-pub(crate) fn parts(relaying: Relaying) -> (Rc<Service>, impl Future<Output = Infallible>) {
-    let Relaying { name, upstream, settings, entries, boot, say } = relaying;
-    let purges = Rc::new(Purges::relay(&name, settings, entries, say));
-    let service = Service::with(Publisher::new(0), Some(purges.clone()), true);
-    let identity = Identity { instance: name, boot, labels: BTreeMap::new(), frame_most: FRAME_MOST };
+/// A relay's service for its children, and the future that follows the upstream for good.
+pub(crate) fn relay_parts(config: RelayConfig) -> (Rc<Service>, impl Future<Output = Infallible>) {
+    let RelayConfig { name, upstream, settings, log_capacity, boot, warn } = config;
+    let purges = Rc::new(PurgeDriver::relay(&name, settings, log_capacity, warn));
+    let service = Service::with_purges(Publisher::new(0), Some(purges.clone()), true);
+    let identity =
+        Identity { instance: name, boot, labels: BTreeMap::new(), max_frame_bytes: MAX_FRAME_BYTES };
     let follower = Follower::new(identity, upstream.len(), None, Times::default(), boot);
-    let below =
-        Below { service: service.clone(), purges, say, newer: Notify::new(), superseded: Cell::new(false) };
-    (service, follow(follower, upstream, FRAME_MOST, below))
+    let downstream = Downstream {
+        service: service.clone(),
+        purges,
+        warn,
+        newer_queued: Notify::new(),
+        superseded: Cell::new(false),
+    };
+    (service, follow(follower, upstream, MAX_FRAME_BYTES, downstream))
 }
 
-/// What is below a relay, to the follower that it is upstream.
-struct Below {
+/// A relay's children, as the host of the follower that is connected to the upstream.
+struct Downstream {
     service: Rc<Service>,
-    purges: Rc<Purges>,
-    say: fn(&str),
-    newer: Notify,
+    purges: Rc<PurgeDriver>,
+    warn: fn(&str),
+    newer_queued: Notify,
+    /// Whether a newer version waits for the one that children are answering.
     superseded: Cell<bool>,
 }
 
-impl Below {
-    fn refusals(&self, stamp: Stamp) -> Vec<String> {
-        let rows = self.service.look(Publisher::rows);
-        let refused = rows.into_iter().filter_map(|row| {
-            let (_, reasons) = row.refused.filter(|(refused, _)| *refused == stamp)?;
-            Some(format!("{}: {}", row.instance, reasons.join("; ")))
+impl Downstream {
+    /// Why children have rejected a version.
+    fn rejections(&self, stamp: Stamp) -> Vec<String> {
+        let statuses = self.service.with_publisher(Publisher::statuses);
+        let rejections = statuses.into_iter().filter_map(|status| {
+            let (_, reasons) = status.rejected.filter(|(rejected, _)| *rejected == stamp)?;
+            Some(format!("{}: {}", status.instance, reasons.join("; ")))
         });
-        refused.take(REASONS).collect()
+        rejections.take(MAX_REASONS).collect()
     }
 
-    fn late(&self, stamp: Stamp) -> Vec<String> {
-        let rows = self.service.look(Publisher::rows);
-        let late = rows.into_iter().filter(|row| row.running != Some(stamp));
-        late.map(|row| format!("{}: it has not answered", row.instance)).take(REASONS).collect()
+    /// Which children have not answered a version.
+    fn unanswered(&self, stamp: Stamp) -> Vec<String> {
+        let statuses = self.service.with_publisher(Publisher::statuses);
+        let unanswered = statuses.into_iter().filter(|status| status.running != Some(stamp));
+        unanswered
+            .map(|status| format!("{}: it has not answered", status.instance))
+            .take(MAX_REASONS)
+            .collect()
     }
 }
 
-impl Host for Below {
-    /// In force here is in force at all who are connected below.
-    async fn apply(&self, version: Version) -> Result<(), Vec<String>> {
+impl Host for Downstream {
+    /// A version is in force at a relay once it is in force at all connected children.
+    async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         self.superseded.set(false);
-        self.service.adopt(version).map_err(|why| vec![why])?;
+        self.service.adopt(version).map_err(|error| error.to_string())?;
         let start = Instant::now();
-        while self.service.look(|p| p.pending(stamp)) > 0 {
+        while self.service.with_publisher(|p| p.pending(stamp)) > 0 {
             if self.superseded.get() {
-                return Err(vec!["a newer version came before all below had answered".into()]);
+                return Err("a newer version arrived before all children had answered".to_owned().into());
             }
-            if start.elapsed() > ANSWERED_WITHIN {
-                return Err(self.late(stamp));
+            if start.elapsed() > ANSWER_TIMEOUT {
+                return Err(self.unanswered(stamp).into());
             }
             tokio::select! {
-                _ = timeout(LOOK, self.service.answered.notified()) => {}
-                () = self.newer.notified() => {}
+                _ = timeout(CHECK_INTERVAL, self.service.answered.notified()) => {}
+                () = self.newer_queued.notified() => {}
             }
         }
-        match self.refusals(stamp) {
-            refusals if refusals.is_empty() => Ok(()),
-            refusals => Err(refusals),
+        match self.rejections(stamp) {
+            rejections if rejections.is_empty() => Ok(()),
+            rejections => Err(rejections.into()),
         }
     }
 
-    fn keep(&self, _version: Version) {}
+    fn persist(&self, _version: Version) {}
 
-    fn say(&self, what: &str) {
-        (self.say)(what);
+    fn warn(&self, what: &str) {
+        (self.warn)(what);
     }
 
-    fn answered(&self) -> [u64; 3] {
-        self.service.answers()
+    fn take_request_counts(&self) -> RequestCounts {
+        self.service.take_request_counts()
     }
 
-    fn stands(&self) -> Option<Progress> {
-        Some(self.purges.look(|relay| relay.progress()))
+    fn purge_progress(&self) -> Option<Progress> {
+        Some(self.purges.with_relay(|relay| relay.progress()))
     }
 
     fn connected(&self) {
-        self.purges.connected(self.service.now());
+        self.purges.upstream_connected(self.service.clock().now());
     }
 
-    fn purges(&self, frame: FromService) {
-        self.purges.come(self.service.now(), frame);
+    fn receive_purges(&self, message: ServiceMessage) {
+        self.purges.receive_upstream(self.service.clock().now(), message);
     }
 
-    async fn upward(&self) -> Upward {
-        self.purges.upward().await
+    async fn next_upstream(&self) -> UpstreamMessage {
+        self.purges.next_upstream().await
     }
 
-    fn newer(&self) {
+    fn newer_queued(&self) {
         self.superseded.set(true);
-        self.newer.notify_one();
+        self.newer_queued.notify_one();
     }
 }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Who gets a new version when, and when it is halted. No I/O, no clock.
+//! A staged rollout: who gets a new version when, and when the rollout is halted. No I/O, no clock.
 
 use crate::version::Stamp;
 use serde::{Deserialize, Serialize};
@@ -6,331 +6,248 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Nanoseconds from any fixed point.
+/// Nanoseconds since an arbitrary fixed point.
 type Nanos = u64;
 
-/// Requests under the new version before anything is concluded from them.
-const REQUESTS: u64 = 200;
-/// How many deviations apart the shares of bad answers lie before it is no chance. Danger: with looks every second a
-/// smaller figure halts sound versions by chance; four deviations are one look in 30,000.
+const NANOS_PER_MS: Nanos = 1_000_000;
+/// How many responses under each version are needed before they are compared.
+const MIN_RESPONSES: u64 = 200;
+/// By how many standard deviations the shares of bad responses have to differ. Danger: since they are compared every
+/// second, a smaller figure halts sound versions by chance; four deviations are one comparison in 30,000.
 const DEVIATIONS: f64 = 4.0;
 
-/// How a version is brought out.
+/// How a version is rolled out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its stages, each wider than the one before. None: everybody at once.
+    /// The stages, each wider than the one before. None: every proxy gets the version at once.
     #[serde(default)]
     pub stages: Vec<Stage>,
-    /// By how much the share of failed and refused answers may rise, 0 to 1, before it counts as harm.
-    #[serde(default = "usual_margin")]
+    /// By how much the share of failed and rejected responses may rise, 0 to 1, before the rollout is halted.
+    #[serde(default = "default_margin")]
     pub margin: f64,
 }
 
-fn usual_margin() -> f64 {
+fn default_margin() -> f64 {
     0.01
 }
 
 impl Default for Plan {
     fn default() -> Self {
-        Plan { stages: Vec::new(), margin: usual_margin() }
+        Plan { stages: Vec::new(), margin: default_margin() }
     }
 }
 
-/// One stage.
+/// One stage of a rollout.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// So many of a hundred instances, drawn by their names and the version.
+    /// The percentage of instances that get the version, drawn by their names and the version.
     #[serde(default)]
     pub percent: u8,
-    /// And all that have each of these labels, if any is given.
+    /// Instances that have all of these labels get it as well, if any label is given.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
-    /// How long it lasts at least, in milliseconds.
+    /// The shortest duration of the stage, in milliseconds.
     #[serde(default)]
     pub hold_ms: u64,
 }
 
-/// What is wrong with a plan.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unsound(pub String);
-
-impl fmt::Display for Unsound {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a plan is not valid. The text begins with the place in the plan.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum PlanError {
+    /// The margin is no share.
+    #[error("margin: {0} lies outside of 0 to 1")]
+    Margin(f64),
+    /// A percentage is out of its range.
+    #[error("stages.{stage}.percent: {percent} lies outside of 0 to 100")]
+    Percent {
+        /// The index of the stage.
+        stage: usize,
+        /// Its percentage.
+        percent: u8,
+    },
+    /// A stage is narrower than the one before.
+    #[error("stages.{stage}.percent: {percent} is less than the {before} of the stage before")]
+    Narrower {
+        /// The index of the stage.
+        stage: usize,
+        /// Its percentage.
+        percent: u8,
+        /// The percentage of the stage before.
+        before: u8,
+    },
 }
 
 impl Plan {
-    /// Whether it can be followed.
+    /// Checks the plan.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn check(&self) -> Result<(), Unsound> {
+    /// The first fault of it.
+    pub fn check(&self) -> Result<(), PlanError> {
         if !(0.0..=1.0).contains(&self.margin) {
-            return Err(Unsound(format!("margin: {} lies outside of 0 to 1", self.margin)));
+            return Err(PlanError::Margin(self.margin));
         }
         let mut before = 0;
-        for (n, stage) in self.stages.iter().enumerate() {
-            if stage.percent > 100 {
-                return Err(Unsound(format!(
-                    "stages.{n}.percent: {} lies outside of 0 to 100",
-                    stage.percent
-                )));
+        for (stage, Stage { percent, .. }) in self.stages.iter().enumerate() {
+            let percent = *percent;
+            if percent > 100 {
+                return Err(PlanError::Percent { stage, percent });
             }
-            if stage.percent < before {
-                let why = format!("{} is less than the {before} of the stage before", stage.percent);
-                return Err(Unsound(format!("stages.{n}.percent: {why}")));
+            if percent < before {
+                return Err(PlanError::Narrower { stage, percent, before });
             }
-            before = stage.percent;
+            before = percent;
         }
         Ok(())
     }
 }
 
-/// How far a rollout has come.
+/// The state of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
-    /// In this stage.
+pub enum RolloutState {
+    /// It is in the stage with this index.
     Stage(usize),
-    /// Everybody gets it.
-    Everybody,
-    /// Nobody else gets it, and why.
+    /// Every proxy gets the version.
+    Complete,
+    /// No other proxy gets the version, for this reason.
     Halted(String),
 }
 
-impl fmt::Display for State {
+impl fmt::Display for RolloutState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            State::Stage(n) => write!(f, "stage {n}"),
-            State::Everybody => f.write_str("everybody"),
-            State::Halted(why) => write!(f, "halted: {why}"),
+            RolloutState::Stage(n) => write!(f, "stage {n}"),
+            RolloutState::Complete => f.write_str("everybody"),
+            RolloutState::Halted(reason) => write!(f, "halted: {reason}"),
         }
     }
 }
 
-/// Answers under one of the two versions.
+/// Counts of responses under one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Answers {
-    /// All.
-    pub all: u64,
-    /// Failed or refused.
+pub struct ResponseCounts {
+    /// All responses.
+    pub total: u64,
+    /// Those that failed or were rejected.
     pub bad: u64,
 }
 
-impl Answers {
-    fn add(&mut self, other: Answers) {
-        self.all = self.all.saturating_add(other.all);
+impl ResponseCounts {
+    fn add(&mut self, other: ResponseCounts) {
+        self.total = self.total.saturating_add(other.total);
         self.bad = self.bad.saturating_add(other.bad);
     }
+
+    fn bad_share(&self) -> f64 {
+        self.bad as f64 / self.total as f64
+    }
 }
 
-/// One version on its way out.
+/// The rollout of one version.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     stamp: Stamp,
     plan: Plan,
-    state: State,
-    since: Nanos,
-    /// Answers since this stage began, under the new version and under others.
-    new: Answers,
-    old: Answers,
+    state: RolloutState,
+    stage_started: Nanos,
+    /// Responses since this stage began, under the new version and under others.
+    under_new: ResponseCounts,
+    under_others: ResponseCounts,
 }
 
 impl Rollout {
     /// A rollout at its first stage.
     pub fn new(now: Nanos, stamp: Stamp, plan: Plan) -> Self {
-        let state = if plan.stages.is_empty() { State::Everybody } else { State::Stage(0) };
-        Rollout { stamp, plan, state, since: now, new: Answers::default(), old: Answers::default() }
+        let state = if plan.stages.is_empty() { RolloutState::Complete } else { RolloutState::Stage(0) };
+        let (under_new, under_others) = (ResponseCounts::default(), ResponseCounts::default());
+        Rollout { stamp, plan, state, stage_started: now, under_new, under_others }
     }
 
-    /// Which version it is.
+    /// The version.
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// How far it has come.
-    pub fn state(&self) -> &State {
+    /// The state.
+    pub fn state(&self) -> &RolloutState {
         &self.state
     }
 
-    /// Whether an instance is to get it by now. Once it is, it stays so at all later stages.
+    /// Whether an instance gets the version now. Once it does, it does so in all later stages.
     pub fn includes(&self, instance: &str, labels: &BTreeMap<String, String>) -> bool {
         let last = match &self.state {
-            State::Everybody => return true,
-            State::Halted(_) => return false,
-            State::Stage(n) => *n,
+            RolloutState::Complete => return true,
+            RolloutState::Halted(_) => return false,
+            RolloutState::Stage(n) => *n,
         };
         let seed = self.stamp.epoch ^ self.stamp.number.rotate_left(32);
         let drawn = xxh3_64_with_seed(instance.as_bytes(), seed) % 100;
         self.plan.stages[..=last].iter().any(|stage| {
-            let named = stage.labels.iter().all(|(name, value)| labels.get(name) == Some(value));
-            drawn < u64::from(stage.percent) || named && !stage.labels.is_empty()
+            let has_labels = stage.labels.iter().all(|(name, value)| labels.get(name) == Some(value));
+            drawn < u64::from(stage.percent) || has_labels && !stage.labels.is_empty()
         })
     }
 
-    /// Answers that an instance gave, under the new version or another.
-    pub fn report(&mut self, under_new: bool, answers: Answers) {
-        if under_new { &mut self.new } else { &mut self.old }.add(answers);
+    /// Adds responses of an instance, under the new version or another one.
+    pub fn report(&mut self, is_new: bool, counts: ResponseCounts) {
+        if is_new { &mut self.under_new } else { &mut self.under_others }.add(counts);
     }
 
-    /// An instance has turned it down.
-    pub fn refused(&mut self, instance: &str, why: &str) {
-        if matches!(self.state, State::Stage(_)) {
-            self.state = State::Halted(format!("{instance} turned it down: {why}"));
-        }
+    /// An instance has rejected the version.
+    pub fn nacked(&mut self, instance: &str, reason: &str) {
+        self.halt(&format!("{instance} rejected it: {reason}"));
     }
 
-    /// An operator halts it.
-    pub fn halt(&mut self, why: &str) {
-        if matches!(self.state, State::Stage(_)) {
-            self.state = State::Halted(why.to_owned());
+    /// Halts the rollout, unless it is complete or halted already.
+    pub fn halt(&mut self, reason: &str) {
+        if matches!(self.state, RolloutState::Stage(_)) {
+            self.state = RolloutState::Halted(reason.to_owned());
         }
     }
 
-    /// Time has passed. `pending` instances of this stage have not said yet whether they take it. True if the state
-    /// has changed.
+    /// Lets time pass. `pending`: how many instances have not answered yet whether they accept the version. True if the
+    /// state has changed.
     pub fn tick(&mut self, now: Nanos, pending: usize) -> bool {
-        let State::Stage(n) = self.state else { return false };
-        if let Some(why) = self.harm() {
-            self.state = State::Halted(why);
+        let RolloutState::Stage(n) = self.state else { return false };
+        if let Some(reason) = self.regression() {
+            self.state = RolloutState::Halted(reason);
             return true;
         }
-        let held = now.saturating_sub(self.since) >= self.plan.stages[n].hold_ms.saturating_mul(1_000_000);
-        if !held || pending > 0 {
+        let hold = self.plan.stages[n].hold_ms.saturating_mul(NANOS_PER_MS);
+        if now.saturating_sub(self.stage_started) < hold || pending > 0 {
             return false;
         }
-        self.state = if n + 1 < self.plan.stages.len() { State::Stage(n + 1) } else { State::Everybody };
-        self.since = now;
-        (self.new, self.old) = (Answers::default(), Answers::default());
+        let is_last = n + 1 >= self.plan.stages.len();
+        self.state = if is_last { RolloutState::Complete } else { RolloutState::Stage(n + 1) };
+        self.stage_started = now;
+        self.under_new = ResponseCounts::default();
+        self.under_others = ResponseCounts::default();
         true
     }
 
-    /// Whether those that run the new version answer worse than those that do not, by more than the margin and than
-    /// chance: the difference of two proportions against its own deviation.
-    fn harm(&self) -> Option<String> {
-        let (new, old) = (self.new, self.old);
-        if new.all < REQUESTS || old.all < REQUESTS {
+    /// Whether responses under the new version are worse than under others, by more than the margin and by more than
+    /// chance explains: the difference of two proportions against its standard deviation.
+    fn regression(&self) -> Option<String> {
+        let (new, others) = (self.under_new, self.under_others);
+        if new.total < MIN_RESPONSES || others.total < MIN_RESPONSES {
             return None;
         }
-        let part = |a: Answers| a.bad as f64 / a.all as f64;
-        let both = (new.bad + old.bad) as f64 / (new.all + old.all) as f64;
-        let spread = (both * (1.0 - both) * (1.0 / new.all as f64 + 1.0 / old.all as f64)).sqrt();
-        let more = part(new) - part(old);
-        (more > self.plan.margin && more > DEVIATIONS * spread).then(|| {
-            let percent = |p: f64| p * 100.0;
+        let pooled = (new.bad + others.bad) as f64 / (new.total + others.total) as f64;
+        let variance = pooled * (1.0 - pooled) * (1.0 / new.total as f64 + 1.0 / others.total as f64);
+        let difference = new.bad_share() - others.bad_share();
+        let is_worse = difference > self.plan.margin && difference > DEVIATIONS * variance.sqrt();
+        is_worse.then(|| {
             format!(
                 "{:.1}% of {} answers are bad under it, {:.1}% of {} under others",
-                percent(part(new)),
-                new.all,
-                percent(part(old)),
-                old.all
+                new.bad_share() * 100.0,
+                new.total,
+                others.bad_share() * 100.0,
+                others.total
             )
         })
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::rngs::SmallRng;
-    use rand::{RngExt, SeedableRng};
-
-    const SECOND: Nanos = 1_000_000_000;
-
-    fn plan(percents: &[u8]) -> Plan {
-        let stage = |percent: &u8| Stage { percent: *percent, hold_ms: 10_000, ..Stage::default() };
-        Plan { stages: percents.iter().map(stage).collect(), ..Plan::default() }
-    }
-
-    fn stamp() -> Stamp {
-        Stamp { epoch: 1, number: 7 }
-    }
-
-    fn included(rollout: &Rollout) -> Vec<usize> {
-        let none = BTreeMap::new();
-        (0..1000).filter(|n| rollout.includes(&format!("proxy-{n}"), &none)).collect()
-    }
-
-    #[test]
-    fn stages_widen_and_who_is_in_stays_in() {
-        let mut rollout = Rollout::new(0, stamp(), plan(&[5, 25, 100]));
-        let first = included(&rollout);
-        assert!((25..=80).contains(&first.len()), "{}", first.len());
-        assert!(!rollout.tick(9 * SECOND, 0), "it is held");
-        assert!(!rollout.tick(11 * SECOND, 1), "one has not said yet");
-        assert!(rollout.tick(11 * SECOND, 0));
-        let second = included(&rollout);
-        assert!((200..=300).contains(&second.len()) && first.iter().all(|n| second.contains(n)));
-        rollout.tick(22 * SECOND, 0);
-        assert_eq!(included(&rollout).len(), 1000);
-        rollout.tick(33 * SECOND, 0);
-        assert_eq!(rollout.state(), &State::Everybody);
-    }
-
-    #[test]
-    fn labels_bring_in_whom_they_name() {
-        let labels = BTreeMap::from([("site".to_owned(), "test".to_owned())]);
-        let stage = Stage { labels: labels.clone(), ..Stage::default() };
-        let rollout = Rollout::new(0, stamp(), Plan { stages: vec![stage], ..Plan::default() });
-        assert!(rollout.includes("a", &labels) && !rollout.includes("a", &BTreeMap::new()));
-    }
-
-    #[test]
-    fn a_version_that_does_harm_is_halted_and_nobody_else_gets_it() {
-        let mut rollout = Rollout::new(0, stamp(), plan(&[5, 100]));
-        rollout.report(false, Answers { all: 10_000, bad: 100 });
-        rollout.report(true, Answers { all: 100, bad: 100 });
-        assert!(!rollout.tick(SECOND, 0), "too few to tell");
-        rollout.report(true, Answers { all: 400, bad: 20 });
-        assert!(rollout.tick(2 * SECOND, 0));
-        assert!(matches!(rollout.state(), State::Halted(why) if why.contains("% of 500 answers")));
-        assert_eq!(included(&rollout), Vec::<usize>::new());
-        assert!(!rollout.tick(100 * SECOND, 0), "for good");
-    }
-
-    #[test]
-    fn a_version_that_an_instance_turns_down_is_halted() {
-        let mut rollout = Rollout::new(0, stamp(), plan(&[5, 100]));
-        rollout.refused("proxy-1", "it empties pool a");
-        assert!(
-            matches!(rollout.state(), State::Halted(why) if why.contains("proxy-1") && why.contains("pool a"))
-        );
-    }
-
-    /// Danger: a rule that looks every second halts sound versions by chance.
-    #[test]
-    fn sound_versions_are_not_halted_by_chance() {
-        let mut halted = 0;
-        for seed in 0..300 {
-            let mut chance = SmallRng::seed_from_u64(seed);
-            let mut rollout = Rollout::new(0, stamp(), Plan { margin: 0.0, ..plan(&[5, 100]) });
-            for second in 1..10u64 {
-                let mut draw = |all: u64| Answers {
-                    all,
-                    bad: (0..all).filter(|_| chance.random_bool(0.03)).count() as u64,
-                };
-                let (new, old) = (draw(50), draw(950));
-                rollout.report(true, new);
-                rollout.report(false, old);
-                rollout.tick(second * SECOND, 0);
-            }
-            halted += usize::from(matches!(rollout.state(), State::Halted(_)));
-        }
-        assert!(halted <= 3, "{halted} of 300");
-    }
-
-    #[test]
-    fn plans_that_cannot_be_followed_are_named_with_their_place() {
-        let faults = [
-            (plan(&[101]), "stages.0.percent"),
-            (plan(&[50, 5]), "stages.1.percent"),
-            (Plan { margin: f64::NAN, ..Plan::default() }, "margin"),
-        ];
-        for (plan, key) in faults {
-            assert!(plan.check().is_err_and(|e| e.to_string().starts_with(key)), "{key}");
-        }
-        assert_eq!(plan(&[5, 5, 100]).check(), Ok(()));
-    }
-}
+mod tests;
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,349 +1,234 @@
-//! The service on sockets: a thin driver around [`Publisher`], one task for each proxy and each operator. A relay is one
-//! that publishes nothing of its own.
-
-use crate::frame::{decode, encode, FromOperator, FromProxy, Malformed, ToOperator};
-use crate::keeper::Taker;
-use crate::publisher::{Id, Outgoing, Publisher};
-use crate::purges::Purges;
+//! Drives a [`Publisher`] on sockets, with a task for each proxy. A relay is a service that publishes nothing of its own.
+
+use crate::clock::Clock;
+use crate::connections::{ConnectionQueue, Connections};
+use crate::follower::RequestCounts;
+use crate::frame::{decode, OperatorResponse, ProxyMessage};
+use crate::outgoing::{Id, OutgoingFrame};
+use crate::publisher::{PublishError, Publisher};
+use crate::purge_queue::PurgeQueue;
+use crate::purges::PurgeDriver;
 use crate::rollout::Plan;
 use crate::version::{Stamp, Version};
-use rustc_hash::FxHashMap;
 use serde_json::Value;
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, timeout};
 
-/// Frames that wait for a proxy to take them; one that leaves more untaken is let go.
-pub(crate) const WAITING: usize = 16;
-/// A proxy takes a frame within this time.
-const TAKES_WITHIN: Duration = Duration::from_secs(30);
-/// A proxy's frame is at most this long, in bytes.
-const FROM_PROXY_MOST: usize = 64 << 10;
-/// An operator's call comes whole within this time.
-const CALL_WITHIN: Duration = Duration::from_secs(10);
-/// Operators that are heard at once.
-const OPERATORS: usize = 32;
+/// The time limit of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The longest frame of a proxy that is read, in bytes.
+const MAX_PROXY_FRAME_BYTES: usize = 64 << 10;
 const TICK: Duration = Duration::from_secs(1);
-const PART: usize = 16 << 10;
-
-/// A proxy's connection.
-struct Writer {
-    queue: mpsc::Sender<Outgoing>,
-    end: Rc<Notify>,
-}
+/// The pause after a connection could not be accepted. Danger: without descriptors `accept` fails at once, and again.
+pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// How much is read at once, and up to which size short frames are written as one, in bytes.
+pub(crate) const READ_BYTES: usize = 16 << 10;
 
 /// A running service.
 pub struct Service {
     publisher: RefCell<Publisher>,
-    writers: RefCell<FxHashMap<Id, Writer>>,
-    start: Instant,
-    next: Cell<Id>,
-    operators: Cell<usize>,
-    /// Told when a version was published.
+    connections: Rc<Connections>,
+    clock: Clock,
+    /// Notified when a version was published.
     pub published: Notify,
-    /// Told when somebody said what became of a version, or has gone.
+    /// Notified when a proxy has answered a version, or has disconnected.
     pub(crate) answered: Notify,
-    purges: Option<Rc<Purges>>,
-    taker: RefCell<Option<Taker>>,
-    /// Versions come from upstream.
-    relays: bool,
+    purges: Option<Rc<PurgeDriver>>,
+    purge_queue: RefCell<Option<PurgeQueue>>,
+    is_relay: bool,
 }
 
 impl Service {
-    /// A service around a publisher.
+    /// A service that distributes no purges.
     pub fn new(publisher: Publisher) -> Rc<Self> {
-        Self::with(publisher, None, false)
+        Self::with_purges(publisher, None, false)
     }
 
-    /// A service that passes purges on as well; `relays`: its versions come from upstream, and it takes none from
-    /// operators.
-    pub fn with(publisher: Publisher, purges: Option<Rc<Purges>>, relays: bool) -> Rc<Self> {
+    /// A service that also distributes purges, if there is a driver for them. `is_relay`: its versions come from an
+    /// upstream, and operators can't publish any.
+    pub fn with_purges(publisher: Publisher, purges: Option<Rc<PurgeDriver>>, is_relay: bool) -> Rc<Self> {
         Rc::new(Service {
             publisher: RefCell::new(publisher),
-            writers: RefCell::default(),
-            start: Instant::now(),
-            next: Cell::new(1),
-            operators: Cell::new(0),
+            connections: Rc::default(),
+            clock: Clock::start(),
             published: Notify::new(),
             answered: Notify::new(),
             purges,
-            taker: RefCell::default(),
-            relays,
+            purge_queue: RefCell::default(),
+            is_relay,
         })
     }
 
-    pub(crate) fn now(&self) -> u64 {
-        self.start.elapsed().as_nanos() as u64
+    /// The clock of all times that the service and its purges use.
+    pub(crate) fn clock(&self) -> Clock {
+        self.clock
     }
 
-    /// What the publisher knows.
-    pub fn look<T>(&self, at: impl FnOnce(&Publisher) -> T) -> T {
-        at(&self.publisher.borrow())
+    /// Whether versions come from an upstream.
+    pub(crate) fn is_relay(&self) -> bool {
+        self.is_relay
     }
 
-    /// The newest version.
-    pub fn newest(&self) -> Option<Version> {
-        self.look(|p| p.newest().cloned())
+    /// Reads something from the publisher.
+    pub fn with_publisher<T>(&self, read: impl FnOnce(&Publisher) -> T) -> T {
+        read(&self.publisher.borrow())
     }
 
-    /// Takes publishers' purges from now on.
-    pub(crate) fn takes(&self, taker: Taker) {
-        *self.taker.borrow_mut() = Some(taker);
+    /// The newest version.
+    pub fn newest(&self) -> Option<Version> {
+        self.with_publisher(|p| p.newest().cloned())
     }
 
-    /// Frames that a connection's queue still takes.
-    pub(crate) fn room(&self, id: Id) -> usize {
-        self.writers.borrow().get(&id).map_or(0, |writer| writer.queue.capacity())
+    /// Accepts publishers' purges from now on.
+    pub(crate) fn accept_purges(&self, queue: PurgeQueue) {
+        *self.purge_queue.borrow_mut() = Some(queue);
     }
 
-    /// Whether a frame was put into its connection's queue.
-    pub(crate) fn send(&self, outgoing: Outgoing) -> bool {
-        let writers = self.writers.borrow();
-        writers.get(&outgoing.to).is_some_and(|writer| writer.queue.try_send(outgoing).is_ok())
+    /// Where publishers' purges are queued, if they are accepted.
+    pub(crate) fn purge_queue(&self) -> Option<PurgeQueue> {
+        self.purge_queue.borrow().clone()
     }
 
-    /// Ends a connection.
-    pub(crate) fn let_go(&self, id: Id) {
-        if let Some(writer) = self.writers.borrow_mut().remove(&id) {
-            writer.end.notify_one();
-        }
+    /// How far purges have been applied; none where none are distributed.
+    pub(crate) fn purge_status(&self) -> Option<OperatorResponse> {
+        self.purges.as_ref().map(|purges| purges.status())
     }
 
-    /// Requests served, refused and failed that proxies reported since this was last asked.
-    pub(crate) fn answers(&self) -> [u64; 3] {
-        self.publisher.borrow_mut().answered()
+    /// Counts of requests that proxies reported since the last call.
+    pub(crate) fn take_request_counts(&self) -> RequestCounts {
+        self.publisher.borrow_mut().take_request_counts()
     }
 
-    /// Passes a version from upstream on, under its own stamp.
+    /// Forwards a version of the upstream under its own stamp.
     ///
     /// # Errors
     /// As [`Publisher::adopt`].
-    pub(crate) fn adopt(&self, version: Version) -> Result<(), String> {
-        self.act(|p, now, out| p.adopt(now, version, out))?;
+    pub(crate) fn adopt(&self, version: Version) -> Result<(), PublishError> {
+        self.update(|p, now, out| p.adopt(now, version, out))?;
         self.published.notify_one();
         Ok(())
     }
 
-    fn act<T>(&self, what: impl FnOnce(&mut Publisher, u64, &mut Vec<Outgoing>) -> T) -> T {
-        let mut out = Vec::new();
-        let done = what(&mut self.publisher.borrow_mut(), self.now(), &mut out);
-        for outgoing in out {
-            let to = outgoing.to;
-            let full = match self.writers.borrow().get(&to) {
-                Some(writer) => writer.queue.try_send(outgoing).is_err(),
-                None => false,
-            };
-            if full {
-                // Danger: one that takes nothing would hold what all others have had.
-                self.writers.borrow_mut().remove(&to);
-            }
-        }
-        done
-    }
-
     /// Publishes a version.
     ///
     /// # Errors
     /// As [`Publisher::publish`].
-    pub fn publish(&self, body: Value, plan: Plan) -> Result<Stamp, String> {
-        let stamp = self.act(|p, now, out| p.publish(now, body, plan, out))?;
+    pub fn publish(&self, body: Value, plan: Plan) -> Result<Stamp, PublishError> {
+        let stamp = self.update(|p, now, out| p.publish(now, body, plan, out))?;
         self.published.notify_one();
         Ok(stamp)
     }
 
-    /// Takes proxies in, for good.
+    /// Publishes the body of an earlier version as a new version.
+    ///
+    /// # Errors
+    /// As [`Publisher::roll_back`].
+    pub(crate) fn roll_back(&self, to: Stamp, plan: Plan) -> Result<Stamp, PublishError> {
+        let stamp = self.update(|p, now, out| p.roll_back(now, to, plan, out));
+        self.published.notify_one();
+        stamp
+    }
+
+    /// Halts the rollout of the newest version.
+    pub(crate) fn halt(&self, reason: &str) {
+        self.publisher.borrow_mut().halt(reason);
+    }
+
+    /// Changes the publisher, and sends what results.
+    fn update<T>(&self, change: impl FnOnce(&mut Publisher, u64, &mut Vec<OutgoingFrame>) -> T) -> T {
+        let mut out = Vec::new();
+        let result = change(&mut self.publisher.borrow_mut(), self.clock.now(), &mut out);
+        out.into_iter().for_each(|frame| self.connections.send_or_close(frame));
+        result
+    }
+
+    /// Serves proxies, for good.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> Infallible {
         let ticking = self.clone();
         tokio::task::spawn_local(async move {
             loop {
                 sleep(TICK).await;
-                ticking.act(|p, now, out| p.tick(now, out));
+                ticking.update(|p, now, out| p.tick(now, out));
             }
         });
         if let Some(purges) = self.purges.clone() {
-            tokio::task::spawn_local(purges.drive(self.clone()));
+            tokio::task::spawn_local(purges.run(self.connections.clone(), self.clock));
         }
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => {
-                    let id = self.next.get();
-                    self.next.set(id + 1);
-                    tokio::task::spawn_local(self.clone().subscriber(id, stream));
-                }
-                // Danger: without descriptors accept fails at once, and again.
-                Err(_) => sleep(Duration::from_millis(20)).await,
+                Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().serve_proxy(stream))),
+                Err(_) => sleep(ACCEPT_PAUSE).await,
             }
         }
     }
 
-    async fn subscriber(self: Rc<Self>, id: Id, stream: TcpStream) {
-        let (writer, mut waiting) = mpsc::channel::<Outgoing>(WAITING);
-        let end = Rc::new(Notify::new());
-        self.writers.borrow_mut().insert(id, Writer { queue: writer, end: end.clone() });
-        // It only costs time.
+    async fn serve_proxy(self: Rc<Self>, stream: TcpStream) {
+        let ConnectionQueue { id, frames, closed } = self.connections.open();
+        // Where it fails that only costs time.
         let _ = stream.set_nodelay(true);
-        let (mut reads, mut writes) = stream.into_split();
-        let write = async {
-            while let Some(Outgoing { mut bytes, mut last, .. }) = waiting.recv().await {
-                // Short frames that wait together go as one segment: headers would be half of what they take.
-                while let Some(next) =
-                    (!last && bytes.len() < PART).then(|| waiting.try_recv().ok()).flatten()
-                {
-                    (bytes, last) = ([&bytes[..], &next.bytes[..]].concat().into(), next.last);
-                }
-                let written = timeout(TAKES_WITHIN, writes.write_all(&bytes)).await;
-                if !matches!(written, Ok(Ok(()))) || last {
-                    return;
-                }
-            }
-        };
-        let read = async {
-            let mut came = Vec::new();
-            let mut part = vec![0; PART];
-            loop {
-                match decode::<FromProxy>(&mut came, FROM_PROXY_MOST) {
-                    Ok(Some(frame)) => self.heard(id, frame),
-                    Ok(None) => match reads.read(&mut part).await {
-                        Ok(n) if n > 0 => came.extend_from_slice(&part[..n]),
-                        _ => return,
-                    },
-                    Err(_) => return,
-                }
-            }
-        };
+        let (reader, writer) = stream.into_split();
         tokio::select! {
-            () = write => {}
-            () = read => {}
-            () = end.notified() => {}
+            () = write_frames(frames, writer) => {}
+            () = self.read_messages(id, reader) => {}
+            () = closed.notified() => {}
         }
-        self.writers.borrow_mut().remove(&id);
-        self.act(|p, _, _| p.gone(id));
+        self.connections.forget(id);
+        self.update(|p, _, _| p.disconnected(id));
         if let Some(purges) = &self.purges {
-            purges.gone(self.now(), id);
+            purges.child_disconnected(self.clock.now(), id);
         }
         self.answered.notify_one();
     }
 
-    fn heard(&self, id: Id, frame: FromProxy) {
-        let away = self.purges.as_ref().is_some_and(|purges| purges.hear(self.now(), id, &frame));
-        let answers = matches!(frame, FromProxy::Taken { .. } | FromProxy::Refused { .. });
-        self.act(|p, now, out| p.frame(now, id, frame, out));
-        if answers {
-            self.answered.notify_one();
-        }
-        if away {
-            self.let_go(id);
-        }
-    }
-
-    /// Takes operators' calls, one a connection, for good.
-    pub async fn hear(self: Rc<Self>, listener: TcpListener) -> Infallible {
+    /// Reads a connection until it ends or an invalid frame arrives.
+    async fn read_messages(&self, id: Id, mut reader: OwnedReadHalf) {
+        let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
-            match listener.accept().await {
-                Ok((stream, _)) if self.operators.get() < OPERATORS => {
-                    self.operators.set(self.operators.get() + 1);
-                    let service = self.clone();
-                    tokio::task::spawn_local(async move {
-                        // A caller that goes away needs no answer.
-                        let _ = timeout(CALL_WITHIN, service.operator(stream)).await;
-                        service.operators.set(service.operators.get() - 1);
-                    });
-                }
-                Ok(_) => {}
-                Err(_) => sleep(Duration::from_millis(20)).await,
+            match decode::<ProxyMessage>(&mut buffer, MAX_PROXY_FRAME_BYTES) {
+                Ok(Some(message)) => self.receive(id, message),
+                Ok(None) => match reader.read(&mut chunk).await {
+                    Ok(n) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
+                    _ => return,
+                },
+                Err(_) => return,
             }
         }
     }
 
-    async fn operator(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        let answer = match receive::<FromOperator>(&mut stream).await? {
-            Ok(FromOperator::Purge { publisher, sequence, keys }) => {
-                let taker = self.taker.borrow().clone();
-                match taker {
-                    Some(taker) => taker.take(publisher, sequence, &keys).await,
-                    None => no("this service takes no purges: it was not started with --purges"),
-                }
-            }
-            Ok(call) => self.call(call),
-            Err(malformed) => ToOperator::No { why: malformed.to_string() },
-        };
-        stream.write_all(&encode(&answer).unwrap_or_default()).await?;
-        stream.shutdown().await
-    }
-
-    fn call(&self, call: FromOperator) -> ToOperator {
-        let told = |stamp: Result<Stamp, String>| match stamp {
-            Ok(stamp) => ToOperator::Published { stamp },
-            Err(why) => ToOperator::No { why },
-        };
-        match call {
-            FromOperator::Publish { .. } | FromOperator::RollBack { .. } | FromOperator::Halt { .. }
-                if self.relays =>
-            {
-                no("this is a relay: versions are published at the service that it follows")
-            }
-            FromOperator::Publish { body, plan } => told(self.publish(body, plan)),
-            FromOperator::RollBack { to, plan } => {
-                let stamp = self.act(|p, now, out| p.roll_back(now, to, plan, out));
-                self.published.notify_one();
-                told(stamp)
-            }
-            FromOperator::Halt { why } => {
-                self.publisher.borrow_mut().halt(&why);
-                self.status()
-            }
-            FromOperator::Status => self.status(),
-            FromOperator::Purges => match &self.purges {
-                Some(purges) => purges.told(),
-                None => no("this service passes no purges on"),
-            },
-            FromOperator::Purge { .. } => no("purges wait for their numbers, and are taken apart from this"),
+    fn receive(&self, id: Id, message: ProxyMessage) {
+        let now = self.clock.now();
+        let is_accepted =
+            self.purges.as_ref().is_none_or(|purges| purges.receive_downstream(now, id, &message));
+        let is_answer = matches!(message, ProxyMessage::Ack { .. } | ProxyMessage::Nack { .. });
+        self.update(|p, now, out| p.receive(now, id, message, out));
+        if is_answer {
+            self.answered.notify_one();
+        }
+        if !is_accepted {
+            self.connections.close(id);
         }
     }
-
-    fn status(&self) -> ToOperator {
-        self.look(|p| ToOperator::Status {
-            newest: p.newest().map(|v| v.stamp),
-            rollout: p.rollout().map(|state| state.to_string()),
-            proxies: p.rows(),
-        })
-    }
-}
-
-fn no(why: &str) -> ToOperator {
-    ToOperator::No { why: why.to_owned() }
 }
 
-/// Reads one message; an error of the wire is the outer one.
-async fn receive<T: serde::de::DeserializeOwned>(
-    stream: &mut TcpStream,
-) -> std::io::Result<Result<T, Malformed>> {
-    let (mut came, mut part) = (Vec::new(), vec![0; PART]);
-    loop {
-        match decode(&mut came, crate::frame::FRAME_MOST) {
-            Ok(Some(message)) => return Ok(Ok(message)),
-            Err(malformed) => return Ok(Err(malformed)),
-            Ok(None) => match stream.read(&mut part).await? {
-                0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
-                n => came.extend_from_slice(&part[..n]),
-            },
+/// Writes frames until the queue ends, a write fails, or a frame closes the connection.
+async fn write_frames(mut frames: mpsc::Receiver<OutgoingFrame>, mut writer: OwnedWriteHalf) {
+    while let Some(OutgoingFrame { mut bytes, mut close_after, .. }) = frames.recv().await {
+        // Short frames that wait together are sent in one segment: otherwise headers would be half of the traffic.
+        while !close_after && bytes.len() < READ_BYTES {
+            let Ok(next) = frames.try_recv() else { break };
+            bytes = [&bytes[..], &next.bytes[..]].concat().into();
+            close_after = next.close_after;
+        }
+        let written = timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await;
+        if !matches!(written, Ok(Ok(()))) || close_after {
+            return;
         }
     }
 }
-
-/// Makes one operator's call at a service.
-///
-/// # Errors
-/// If the service can't be reached, or does not answer in its own terms.
-pub async fn call(door: std::net::SocketAddr, call: &FromOperator) -> Result<ToOperator, String> {
-    let told = |e: std::io::Error| format!("the control service at {door}: {e}");
-    let mut stream = TcpStream::connect(door).await.map_err(told)?;
-    let bytes = encode(call).map_err(|e| e.to_string())?;
-    stream.write_all(&bytes).await.map_err(told)?;
-    receive(&mut stream).await.map_err(told)?.map_err(|e| e.to_string())
-}
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -74,7 +74,7 @@
 
 fn parse(payload: &[u8]) -> Result<Kept, String> {
     let kept: Kept = serde_json::from_slice(payload).map_err(|e| format!("it can't be read: {e}"))?;
-    kept.version.check().map_err(|e| e.to_string())?;
+    kept.version.verify().map_err(|e| e.to_string())?;
     Ok(kept)
 }
 
--- a/crates/control/tests/commit/main.rs
+++ b/crates/control/tests/commit/main.rs
@@ -1,92 +1,94 @@
-//! The commit protocol under every order of messages, losses, crashes and changes of leader, at a small size, by
-//! stateright; and under random schedules of a larger one that heal at their end.
+//! The commit protocol under every order of messages, losses, crashes and changes of leader at a small size, in the model
+//! checker stateright; and at a larger size under random schedules that end with a recovery.
 
 mod world;
 
-use aniseyoke_control::commit::{Change, Nanos, ToLeader, ToMember};
+use aniseyoke_control::commit::{Change, LeaderMessage, MemberMessage, Nanos};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use stateright::{Checker, Model, Property};
-use world::{Act, Flying, State, TIMES};
+use world::{Event, InFlight, State, TIMES};
 
-/// How far the model goes.
+/// The bounds of the model.
 struct Bounds {
     proxies: usize,
     until: Nanos,
     crashes: u8,
     elections: u8,
     changes: u64,
-    /// This proxy may find a change unfit.
-    picky: Option<usize>,
+    /// This proxy may reject a change.
+    rejecting: Option<usize>,
 }
 
 impl Model for Bounds {
     type State = State;
-    type Action = Act;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
-        // The leader's quiet time is over: what comes before it is told by the random schedules.
+        // The leases of earlier leaders are over: the random schedules cover the time before.
         let mut state = State::new(self.proxies);
-        (0..TIMES.over()).for_each(|_| state.act(Act::Tick));
+        (0..TIMES.lease_with_margin()).for_each(|_| state.apply(Event::Tick));
         vec![state]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
-        acts.extend(state.net.iter().cloned().map(Act::Deliver));
+    fn actions(&self, state: &State, events: &mut Vec<Event>) {
+        events.extend(state.net.iter().cloned().map(Event::Deliver));
         for (n, proxy) in state.proxies.iter().enumerate() {
             if !proxy.up {
-                acts.push(Act::Restart(n));
+                events.push(Event::Restart(n));
                 continue;
             }
-            // One call for a lease at a time, as a connection has it.
-            let out = |f: &Flying| match f {
-                Flying::ToLeader { from, what: ToLeader::Renew { .. }, .. } => *from == n,
-                Flying::ToMember { to, what: ToMember::Granted { .. } } => *to == n,
-                Flying::Confirm { who, .. } => *who == n,
+            // One request for a lease at a time, as on a connection.
+            let out = |f: &InFlight| match f {
+                InFlight::ToLeader { from, message: MemberMessage::Heartbeat { .. }, .. } => *from == n,
+                InFlight::ToMember { to, message: LeaderMessage::Lease { .. } } => *to == n,
+                InFlight::Confirm { who, .. } => *who == n,
                 _ => false,
             };
             if !state.net.iter().any(out) {
-                acts.push(Act::Renew(n));
+                events.push(Event::Heartbeat(n));
             }
-            if proxy.checking.is_some() {
-                acts.push(Act::Checked(n, true));
-                acts.extend((self.picky == Some(n)).then_some(Act::Checked(n, false)));
+            if proxy.validating.is_some() {
+                events.push(Event::Validated(n, true));
+                events.extend((self.rejecting == Some(n)).then_some(Event::Validated(n, false)));
             }
             if state.crashes < self.crashes {
-                acts.push(Act::Crash(n));
+                events.push(Event::Crash(n));
             }
         }
         if state.elections < self.elections {
-            acts.push(Act::Elect(None));
-            acts.extend(state.pending().map(|record| Act::Elect(Some(record))));
+            events.push(Event::Elect(None));
+            events.extend(state.pending().map(|record| Event::Elect(Some(record))));
         }
         if state.published < self.changes {
-            acts.push(Act::Publish);
+            events.push(Event::Publish);
         }
         if state.now < self.until {
-            acts.push(Act::Tick);
+            events.push(Event::Tick);
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, event: Event) -> Option<State> {
         let mut state = last.clone();
-        state.act(act);
-        // What is for who does not lead any more changes nothing, and only makes more states.
+        state.apply(event);
+        // Messages to an earlier leader have no effect, and only multiply states.
         let term = state.term;
         state.net.retain(|f| match f {
-            Flying::ToLeader { term: then, .. }
-            | Flying::Append { term: then, .. }
-            | Flying::Confirm { term: then, .. } => *then == term,
-            Flying::ToMember { .. } => true,
+            InFlight::ToLeader { term: then, .. }
+            | InFlight::Append { term: then, .. }
+            | InFlight::Confirm { term: then, .. } => *then == term,
+            InFlight::ToMember { .. } => true,
         });
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("everywhere or nowhere", |_: &Bounds, state: &State| state.wrong().is_none()),
+            Property::always("everywhere or nowhere", |_: &Bounds, state: &State| {
+                state.violation().is_none()
+            }),
             Property::sometimes("committed everywhere", |_, state: &State| {
-                let all = |c: &Change| state.proxies.iter().all(|p| p.member.runs() == Some(c));
+                let all = |c: &Change| state.proxies.iter().all(|p| p.member.running() == Some(c));
                 state.committed.as_ref().is_some_and(|(c, _)| all(c))
             }),
         ]
@@ -103,88 +105,88 @@
     let (all, apart) = (checker.state_count(), checker.unique_state_count());
     println!("{all} states, {apart} of them apart, depth {}", checker.max_depth());
     if let Some(path) = checker.discovery("everywhere or nowhere") {
-        let (last, acts) = (path.last_state().clone(), path.into_actions());
-        panic!("{:?} after {acts:#?}", last.wrong());
+        let (last, events) = (path.last_state().clone(), path.into_actions());
+        panic!("{:?} after {events:#?}", last.violation());
     }
-    assert!(checker.discovery("committed everywhere").is_some(), "the model goes too short a way");
+    assert!(checker.discovery("committed everywhere").is_some(), "the depth is too small");
 }
 
 #[test]
-fn every_order_of_a_change_at_two_proxies_one_of_which_crashes_or_finds_it_unfit() {
-    checked(Bounds { proxies: 2, until: 6, crashes: 1, elections: 0, changes: 1, picky: Some(1) }, 14);
+fn every_order_of_a_change_at_two_proxies_one_of_which_crashes_or_rejects_it() {
+    checked(Bounds { proxies: 2, until: 6, crashes: 1, elections: 0, changes: 1, rejecting: Some(1) }, 14);
 }
 
 #[test]
 fn every_order_of_a_change_at_a_proxy_that_crashes_with_another_leader() {
-    checked(Bounds { proxies: 1, until: 9, crashes: 1, elections: 1, changes: 2, picky: None }, 16);
+    checked(Bounds { proxies: 1, until: 9, crashes: 1, elections: 1, changes: 2, rejecting: None }, 16);
 }
 
-/// Messages lost, doubled and late, crashes, leaders, changes one upon the other; then all heals, and what was committed
-/// has to reach every proxy.
+/// Messages that are lost, duplicated and late, crashes, changes of leader, one change after the other. Then the network
+/// recovers, and the committed change has to reach every proxy.
 #[test]
-fn random_schedules_keep_the_rules_and_heal() {
+fn random_schedules_keep_the_invariants_and_recover() {
     let (mut commits, mut aborts) = (0, 0);
     for seed in 0..3000 {
         let mut chance = SmallRng::seed_from_u64(seed);
         let mut state = State::new(4);
         for _ in 0..150 {
             let n = chance.random_range(0..state.proxies.len());
-            let flying = match state.net.len() {
+            let in_flight = match state.net.len() {
                 0 => None,
                 some => state.net.iter().nth(chance.random_range(0..some)).cloned(),
             };
-            let act = match chance.random_range(0..100) {
-                0..40 => flying.map(Act::Deliver),
-                40..45 => flying.map(Act::Copy),
+            let event = match chance.random_range(0..100) {
+                0..40 => in_flight.map(Event::Deliver),
+                40..45 => in_flight.map(Event::Duplicate),
                 45..50 => {
-                    flying.iter().for_each(|lost| state.lose(lost));
+                    in_flight.iter().for_each(|lost| state.lose(lost));
                     None
                 }
-                50..70 => Some(Act::Renew(n)).filter(|_| state.proxies[n].up),
-                70..82 => Some(Act::Checked(n, chance.random_range(0..20) > 0)),
-                82..84 => Some(Act::Crash(n)).filter(|_| state.proxies[n].up),
-                84..87 => Some(Act::Restart(n)).filter(|_| !state.proxies[n].up),
+                50..70 => Some(Event::Heartbeat(n)).filter(|_| state.proxies[n].up),
+                70..82 => Some(Event::Validated(n, chance.random_range(0..20) > 0)),
+                82..84 => Some(Event::Crash(n)).filter(|_| state.proxies[n].up),
+                84..87 => Some(Event::Restart(n)).filter(|_| !state.proxies[n].up),
                 87 => {
-                    let carried = state.pending().next().filter(|_| chance.random_range(0..2) == 0);
-                    Some(Act::Elect(carried))
+                    let appended = state.pending().next().filter(|_| chance.random_range(0..2) == 0);
+                    Some(Event::Elect(appended))
                 }
-                88..91 => Some(Act::Publish),
-                _ => Some(Act::Tick),
+                88..91 => Some(Event::Publish),
+                _ => Some(Event::Tick),
             };
-            act.into_iter().for_each(|act| state.act(act));
-            assert_eq!(state.wrong(), None, "seed {seed}");
+            event.into_iter().for_each(|event| state.apply(event));
+            assert_eq!(state.violation(), None, "seed {seed}");
         }
-        heal(&mut state, seed);
+        recover(&mut state, seed);
         commits += u32::from(state.committed.is_some());
         aborts += u32::from(!state.aborted.is_empty());
     }
     println!("{commits} schedules with a commit, {aborts} with an abort");
     assert!(
         commits > 500 && aborts > 50,
-        "{commits} committed, {aborts} aborted: the schedules show too little"
+        "{commits} committed, {aborts} aborted: the schedules cover too little"
     );
 }
 
-fn heal(state: &mut State, seed: u64) {
+fn recover(state: &mut State, seed: u64) {
     for n in 0..state.proxies.len() {
         if !state.proxies[n].up {
-            state.act(Act::Restart(n));
+            state.apply(Event::Restart(n));
         }
     }
     for _ in 0..40 {
-        (0..state.proxies.len()).for_each(|n| state.act(Act::Renew(n)));
-        while let Some(flying) = state.net.iter().next().cloned() {
-            state.act(Act::Deliver(flying));
-            (0..state.proxies.len()).for_each(|n| state.act(Act::Checked(n, true)));
-            assert_eq!(state.wrong(), None, "seed {seed}");
+        (0..state.proxies.len()).for_each(|n| state.apply(Event::Heartbeat(n)));
+        while let Some(in_flight) = state.net.iter().next().cloned() {
+            state.apply(Event::Deliver(in_flight));
+            (0..state.proxies.len()).for_each(|n| state.apply(Event::Validated(n, true)));
+            assert_eq!(state.violation(), None, "seed {seed}");
         }
-        state.act(Act::Tick);
+        state.apply(Event::Tick);
     }
     let log = state.log();
-    assert_eq!(log.open(), None, "seed {seed}: nothing is left undecided");
-    // Leases were granted before the last tick; nobody has asked since.
+    assert_eq!(log.pending(), None, "seed {seed}: nothing is pending");
+    // Leases were granted before the last tick; none was requested since.
     for (n, proxy) in state.proxies.iter().enumerate() {
-        assert_eq!(proxy.member.runs(), log.committed(), "seed {seed}, proxy {n}: {proxy:?}");
-        assert!(state.serves(n), "seed {seed}: proxy {n} takes requests again");
+        assert_eq!(proxy.member.running(), log.committed(), "seed {seed}, proxy {n}: {proxy:?}");
+        assert!(state.serves(n), "seed {seed}: proxy {n} serves again");
     }
 }
--- a/crates/control/tests/commit/world.rs
+++ b/crates/control/tests/commit/world.rs
@@ -1,36 +1,37 @@
-//! A leader, proxies and the network between them, driven by whoever chooses what happens next. The code under test is the
-//! code that runs.
+//! A leader, proxies and the network between them; the caller decides which event happens next. The code under test is
+//! the code that runs in production.
 
 use aniseyoke_control::commit::{
-    Change, Leader, Log, Member, Name, Nanos, Order, Record, Step, Times, ToLeader, ToMember,
+    Change, Leader, LeaderAction, LeaderMessage, Log, Member, MemberAction, MemberMessage, Name, Nanos,
+    PrepareError, Record, Times,
 };
 use aniseyoke_control::Stamp;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Time is counted in steps here.
+/// Times in ticks of the model.
 pub const TIMES: Times = Times { lease: 2, margin: 1, prepare: 4 };
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Flying {
+pub enum InFlight {
     ToLeader {
         term: u8,
         from: usize,
-        what: ToLeader,
+        message: MemberMessage,
     },
     ToMember {
         to: usize,
-        what: ToMember,
+        message: LeaderMessage,
     },
-    /// A record that a leader wants agreed on.
+    /// A record that a leader wants appended.
     Append {
         term: u8,
         record: Record,
     },
-    /// A question to a majority whether a leader still leads.
+    /// A request that a majority confirms the leader.
     Confirm {
         term: u8,
         who: usize,
-        asked: Nanos,
+        requested_at: Nanos,
     },
 }
 
@@ -38,9 +39,9 @@
 pub struct Proxy {
     pub up: bool,
     pub member: Member,
-    /// What its disk holds: what it ran, and what it had prepared.
+    /// The version that it ran and the change that it had prepared, on its disk.
     disk: (Option<Change>, Option<Change>),
-    pub checking: Option<Change>,
+    pub validating: Option<Change>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -50,11 +51,11 @@
     pub term: u8,
     leader: Leader,
     pub proxies: Vec<Proxy>,
-    pub net: BTreeSet<Flying>,
-    /// What was committed last, and when.
+    pub net: BTreeSet<InFlight>,
+    /// The last committed change, and when it was committed.
     pub committed: Option<(Change, Nanos)>,
     pub aborted: BTreeSet<Stamp>,
-    /// A commit came while a proxy took requests that had not prepared it.
+    /// A change was committed while a proxy served that had not prepared it.
     unprepared: bool,
     pub crashes: u8,
     pub elections: u8,
@@ -62,15 +63,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
-    Deliver(Flying),
-    /// The same, and the network still has it.
-    Copy(Flying),
-    Renew(usize),
-    Checked(usize, bool),
+pub enum Event {
+    Deliver(InFlight),
+    /// Delivers it, and leaves it in flight.
+    Duplicate(InFlight),
+    Heartbeat(usize),
+    Validated(usize, bool),
     Crash(usize),
     Restart(usize),
-    /// Another leader; the record that the old one wanted agreed on made it into its log, or not.
+    /// Another leader, whose log has the record that the old one wanted appended, or not.
     Elect(Option<Record>),
     Publish,
     Tick,
@@ -91,7 +92,7 @@
 impl State {
     pub fn new(proxies: usize) -> Self {
         let proxy =
-            Proxy { up: true, member: Member::new(TIMES, None, None), disk: (None, None), checking: None };
+            Proxy { up: true, member: Member::new(TIMES, None, None), disk: (None, None), validating: None };
         State {
             now: 0,
             log: Vec::new(),
@@ -108,11 +109,11 @@
         }
     }
 
-    /// What all records so far come to.
+    /// The state of the log.
     pub fn log(&self) -> Log {
         let mut log = Log::default();
         for record in &self.log {
-            // What does not fit changes nothing, alike everywhere.
+            // A record that is not accepted has no effect, at any service.
             let _ = log.apply(record.clone());
         }
         log
@@ -123,61 +124,65 @@
         proxy.up && proxy.member.may_serve(self.now)
     }
 
-    /// A record that the leader waits to have agreed on.
+    /// The records that the leader has requested to append.
     pub fn pending(&self) -> impl Iterator<Item = Record> + '_ {
         self.net.iter().filter_map(|f| match f {
-            Flying::Append { term, record } if *term == self.term => Some(record.clone()),
+            InFlight::Append { term, record } if *term == self.term => Some(record.clone()),
             _ => None,
         })
     }
 
-    fn orders(&mut self, orders: Vec<Order>) {
+    fn perform_leader(&mut self, actions: Vec<LeaderAction>) {
         let term = self.term;
-        self.net.extend(orders.into_iter().map(|order| match order {
-            Order::Send(to, what) => Flying::ToMember { to: number(&to), what },
-            Order::Append(record) => Flying::Append { term, record },
-            Order::Confirm(who, asked) => Flying::Confirm { term, who: number(&who), asked },
+        self.net.extend(actions.into_iter().map(|action| match action {
+            LeaderAction::Send(to, message) => InFlight::ToMember { to: number(&to), message },
+            LeaderAction::Append(record) => InFlight::Append { term, record },
+            LeaderAction::ConfirmLeadership(who, requested_at) => {
+                InFlight::Confirm { term, who: number(&who), requested_at }
+            }
         }));
     }
 
-    fn steps(&mut self, n: usize, steps: Vec<Step>) {
-        let mut steps = VecDeque::from(steps);
-        while let Some(step) = steps.pop_front() {
+    fn perform_member(&mut self, n: usize, actions: Vec<MemberAction>) {
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
             let proxy = &mut self.proxies[n];
-            match step {
-                Step::Send(what) => {
-                    self.net.insert(Flying::ToLeader { term: self.term, from: n, what });
+            match action {
+                MemberAction::Send(message) => {
+                    self.net.insert(InFlight::ToLeader { term: self.term, from: n, message });
                 }
-                Step::Check(change) => proxy.checking = Some(change),
-                Step::Keep(change) => {
+                MemberAction::Validate(change) => proxy.validating = Some(change),
+                MemberAction::Persist(change) => {
                     proxy.disk.1 = Some(change.clone());
                     let mut more = Vec::new();
-                    proxy.member.kept(change.stamp, Ok(()), &mut more);
-                    steps.extend(more);
+                    proxy.member.persisted(change.stamp, Ok(()), &mut more);
+                    actions.extend(more);
                 }
-                Step::Switch(change) => proxy.disk = (Some(change), None),
-                Step::Forget(stamp) => {
+                MemberAction::Activate(change) => proxy.disk = (Some(change), None),
+                MemberAction::Discard(stamp) => {
                     proxy.disk.1.take_if(|held| held.stamp == stamp);
-                    proxy.checking.take_if(|held| held.stamp == stamp);
+                    proxy.validating.take_if(|held| held.stamp == stamp);
                 }
-                Step::Say(_) => {}
+                MemberAction::Warn(_) => {}
             }
         }
     }
 
-    /// A record is agreed on.
-    fn agree(&mut self, record: Record) {
+    /// A majority appends a record.
+    fn append(&mut self, record: Record) {
         let before = self.log();
-        if before.fits(&record).is_ok() {
+        if before.check(&record).is_ok() {
             match &record {
                 Record::Commit { .. } => {
-                    let open = before.open().cloned().expect("one is open");
+                    let pending = before.pending().cloned().expect("one is pending");
                     let behind = |n: usize| {
                         let member = &self.proxies[n].member;
-                        self.serves(n) && member.runs() != Some(&open) && member.prepared() != Some(&open)
+                        self.serves(n)
+                            && member.running() != Some(&pending)
+                            && member.prepared() != Some(&pending)
                     };
                     self.unprepared |= (0..self.proxies.len()).any(behind);
-                    self.committed = Some((open, self.now));
+                    self.committed = Some((pending, self.now));
                 }
                 Record::Abort { stamp, .. } => {
                     self.aborted.insert(*stamp);
@@ -188,107 +193,108 @@
         self.log.push(record);
     }
 
-    fn deliver(&mut self, flying: Flying) {
+    fn deliver(&mut self, in_flight: InFlight) {
         let (now, term) = (self.now, self.term);
-        let mut orders = Vec::new();
-        match flying {
-            Flying::ToMember { to, what } => {
+        let mut actions = Vec::new();
+        match in_flight {
+            InFlight::ToMember { to, message } => {
                 if self.proxies[to].up {
-                    let mut steps = Vec::new();
-                    self.proxies[to].member.told(now, what, &mut steps);
-                    self.steps(to, steps);
+                    let mut actions = Vec::new();
+                    self.proxies[to].member.receive(now, message, &mut actions);
+                    self.perform_member(to, actions);
                 }
             }
-            // What was sent to an earlier leader ends with its connections.
-            Flying::ToLeader { term: then, from, what } if then == term => {
-                self.leader.told(now, &name(from), what, &mut orders);
+            // What was sent to an earlier leader is lost with its connections.
+            InFlight::ToLeader { term: then, from, message } if then == term => {
+                self.leader.receive(now, &name(from), message, &mut actions);
             }
-            Flying::Append { term: then, record } if then == term => {
-                self.agree(record.clone());
-                self.leader.agreed(now, record, &mut orders);
+            InFlight::Append { term: then, record } if then == term => {
+                self.append(record.clone());
+                self.leader.record_committed(now, record, &mut actions);
             }
-            Flying::Confirm { term: then, who, asked } if then == term => {
-                self.leader.confirmed(now, &name(who), asked, &mut orders);
+            InFlight::Confirm { term: then, who, requested_at } if then == term => {
+                self.leader.leadership_confirmed(now, &name(who), requested_at, &mut actions);
             }
-            Flying::ToLeader { .. } | Flying::Append { .. } | Flying::Confirm { .. } => {}
+            InFlight::ToLeader { .. } | InFlight::Append { .. } | InFlight::Confirm { .. } => {}
         }
-        self.orders(orders);
+        self.perform_leader(actions);
     }
 
-    /// The network loses something. A record that will never be agreed on is told to who asked for it.
-    pub fn lose(&mut self, flying: &Flying) {
-        self.net.remove(flying);
-        if matches!(flying, Flying::Append { term, .. } if *term == self.term) {
-            self.leader.not_agreed();
+    /// The network loses something. The leader is notified of a record that will never be appended.
+    pub fn lose(&mut self, in_flight: &InFlight) {
+        self.net.remove(in_flight);
+        if matches!(in_flight, InFlight::Append { term, .. } if *term == self.term) {
+            self.leader.append_failed();
         }
     }
 
-    pub fn act(&mut self, act: Act) {
+    pub fn apply(&mut self, event: Event) {
         let now = self.now;
-        match act {
-            Act::Deliver(flying) => {
-                self.net.remove(&flying);
-                self.deliver(flying);
+        match event {
+            Event::Deliver(in_flight) => {
+                self.net.remove(&in_flight);
+                self.deliver(in_flight);
             }
-            Act::Copy(flying) => self.deliver(flying),
-            Act::Renew(n) => {
-                let mut steps = Vec::new();
-                self.proxies[n].member.renew(now, &mut steps);
-                self.steps(n, steps);
+            Event::Duplicate(in_flight) => self.deliver(in_flight),
+            Event::Heartbeat(n) => {
+                let mut actions = Vec::new();
+                self.proxies[n].member.heartbeat(now, &mut actions);
+                self.perform_member(n, actions);
             }
-            Act::Checked(n, fits) => {
-                let Some(change) = self.proxies[n].checking.take() else { return };
-                let (mut steps, outcome) = (Vec::new(), if fits { Ok(()) } else { Err("unfit".to_owned()) });
-                self.proxies[n].member.checked(change.stamp, outcome, &mut steps);
-                self.steps(n, steps);
+            Event::Validated(n, fits) => {
+                let Some(change) = self.proxies[n].validating.take() else { return };
+                let (mut actions, outcome) =
+                    (Vec::new(), if fits { Ok(()) } else { Err(PrepareError("unfit".to_owned())) });
+                self.proxies[n].member.validated(change.stamp, outcome, &mut actions);
+                self.perform_member(n, actions);
             }
-            Act::Crash(n) => {
-                (self.proxies[n].up, self.proxies[n].checking) = (false, None);
+            Event::Crash(n) => {
+                (self.proxies[n].up, self.proxies[n].validating) = (false, None);
                 self.crashes += 1;
             }
-            Act::Restart(n) => {
-                let (runs, prepared) = self.proxies[n].disk.clone();
-                (self.proxies[n].up, self.proxies[n].member) = (true, Member::new(TIMES, runs, prepared));
+            Event::Restart(n) => {
+                let (running, prepared) = self.proxies[n].disk.clone();
+                (self.proxies[n].up, self.proxies[n].member) = (true, Member::new(TIMES, running, prepared));
             }
-            Act::Elect(carried) => {
-                carried.into_iter().for_each(|record| self.agree(record));
+            Event::Elect(appended) => {
+                appended.into_iter().for_each(|record| self.append(record));
                 self.term += 1;
                 self.elections += 1;
                 self.leader = Leader::new(TIMES, self.log(), now);
             }
-            Act::Publish => {
-                let mut orders = Vec::new();
-                // One that may not begin yet is told so, and comes again.
-                let begun = self.leader.publish(now, change(self.published + 1), &mut orders);
+            Event::Publish => {
+                let mut actions = Vec::new();
+                // One that may not begin yet is published again later.
+                let begun = self.leader.publish(now, change(self.published + 1), &mut actions);
                 self.published += u64::from(begun.is_ok());
-                self.orders(orders);
+                self.perform_leader(actions);
             }
-            Act::Tick => {
+            Event::Tick => {
                 self.now += 1;
-                let mut orders = Vec::new();
-                self.leader.tick(self.now, &mut orders);
-                self.orders(orders);
+                let mut actions = Vec::new();
+                self.leader.tick(self.now, &mut actions);
+                self.perform_leader(actions);
             }
         }
     }
 
-    /// What must never be; none: all is well.
-    pub fn wrong(&self) -> Option<String> {
+    /// The invariant that is violated, if any.
+    pub fn violation(&self) -> Option<String> {
         if self.unprepared {
-            return Some("committed while a proxy took requests that had not prepared it".into());
+            return Some("committed while a proxy served that had not prepared it".into());
         }
         let decided = self.log();
         for (n, proxy) in self.proxies.iter().enumerate() {
-            let runs = proxy.member.runs();
-            if runs.is_some_and(|runs| self.aborted.contains(&runs.stamp)) {
+            let running = proxy.member.running();
+            if running.is_some_and(|running| self.aborted.contains(&running.stamp)) {
                 return Some(format!("proxy {n} runs an aborted version"));
             }
-            if runs.is_some_and(|runs| decided.committed().is_none_or(|c| c.stamp < runs.stamp)) {
+            if running.is_some_and(|running| decided.committed().is_none_or(|c| c.stamp < running.stamp)) {
                 return Some(format!("proxy {n} runs a version that was not committed"));
             }
             if let Some((committed, at)) = self.committed.as_ref().filter(|_| self.serves(n)) {
-                if runs != Some(committed) && self.now >= at + TIMES.over() {
-                    return Some(format!("proxy {n} takes requests under an older version"));
+                if running != Some(committed) && self.now >= at + TIMES.lease_with_margin() {
+                    return Some(format!("proxy {n} serves under an older version"));
                 }
             }
         }
--- a/crates/control/tests/fanout/leaf.rs
+++ b/crates/control/tests/fanout/leaf.rs
@@ -1,12 +1,13 @@
-//! A leaf with a small store: it holds objects, drops what is purged, and serves nothing as fresh that it may have
+//! A leaf with a small store: it holds objects, drops those that are purged, and serves none as fresh that it may have
 //! missed a purge of.
 
-use aniseyoke_control::frame::{decode, encode, FromProxy, FromService, FRAME_MOST, PROTOCOL};
+use aniseyoke_control::frame::{decode, encode, ProxyMessage, ServiceMessage, MAX_FRAME_BYTES, PROTOCOL};
 use aniseyoke_control::Stamp;
-use aniseyoke_fanout::{Member, Progress, Told};
+use aniseyoke_fanout::{Member, MemberAction, Progress};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
+use std::ops::ControlFlow;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
@@ -14,74 +15,74 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 static BOOTS: AtomicU64 = AtomicU64::new(1);
-const LOOK: Duration = Duration::from_millis(20);
-const ALIVE: Duration = Duration::from_secs(4);
+const POLL: Duration = Duration::from_millis(20);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What became of a leaf, seen from outside.
-pub struct Seen {
+/// The state of a leaf, shared with the test.
+pub struct Shared {
     pub member: Mutex<Member>,
     pub store: Mutex<BTreeSet<u64>>,
-    /// Keys that were dropped one by one, and times that all were.
-    pub dropped: AtomicU64,
-    pub flushed: AtomicU64,
-    pub taken: Mutex<Option<Stamp>>,
-    /// Bytes that came and were said, reads that had some, and times that something was said.
-    pub came: AtomicU64,
-    pub said: AtomicU64,
+    /// How many keys were invalidated one by one, and how often everything was.
+    pub invalidated: AtomicU64,
+    pub flushes: AtomicU64,
+    pub acked: Mutex<Option<Stamp>>,
+    /// Bytes received and sent, and how many reads and writes they took.
+    pub received: AtomicU64,
+    pub sent: AtomicU64,
     pub reads: AtomicU64,
     pub writes: AtomicU64,
-    /// It reads nothing while this is so.
-    pub stands_still: AtomicBool,
-    /// It says nothing of what it has done while this is so.
-    pub mute: AtomicBool,
-    refuses: bool,
+    /// It reads nothing while this is set.
+    pub is_paused: AtomicBool,
+    /// It acknowledges nothing while this is set.
+    pub is_mute: AtomicBool,
+    rejects: bool,
     boot: u64,
     end: AtomicBool,
     start: Instant,
 }
 
-impl Seen {
+impl Shared {
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64
     }
 
     pub fn progress(&self) -> Progress {
-        self.member.lock().expect("whole").progress()
+        self.member.lock().expect("not poisoned").progress()
     }
 
-    /// Whether it serves this object without asking anybody.
+    /// Whether it serves this object as fresh.
     pub fn serves(&self, key: &str) -> bool {
-        let fresh = self.member.lock().expect("whole").fresh(self.now());
-        fresh && self.store.lock().expect("whole").contains(&xxh3_64(key.as_bytes()))
+        let fresh = self.member.lock().expect("not poisoned").is_fresh(self.now());
+        fresh && self.store.lock().expect("not poisoned").contains(&xxh3_64(key.as_bytes()))
     }
 
-    pub fn fresh(&self) -> bool {
-        self.member.lock().expect("whole").fresh(self.now())
+    pub fn is_fresh(&self) -> bool {
+        self.member.lock().expect("not poisoned").is_fresh(self.now())
     }
 
-    pub fn holds(&self, key: &str) {
-        self.store.lock().expect("whole").insert(xxh3_64(key.as_bytes()));
+    pub fn store_object(&self, key: &str) {
+        self.store.lock().expect("not poisoned").insert(xxh3_64(key.as_bytes()));
     }
 
-    pub fn dropped(&self) -> u64 {
-        self.dropped.load(Ordering::Relaxed)
+    pub fn invalidated(&self) -> u64 {
+        self.invalidated.load(Ordering::Relaxed)
     }
 
-    pub fn flushed(&self) -> u64 {
-        self.flushed.load(Ordering::Relaxed)
+    pub fn flushes(&self) -> u64 {
+        self.flushes.load(Ordering::Relaxed)
     }
 }
 
 /// A leaf on a thread of its own.
 pub struct Leaf {
-    pub seen: Arc<Seen>,
+    pub shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl std::ops::Deref for Leaf {
-    type Target = Seen;
-    fn deref(&self) -> &Seen {
-        &self.seen
+    type Target = Shared;
+    fn deref(&self) -> &Shared {
+        &self.shared
     }
 }
 
@@ -91,145 +92,156 @@
         Self::with(name, upstream, lease, false)
     }
 
-    /// `refuses`: it turns every version down.
-    pub fn with(name: &str, upstream: &[SocketAddr], lease: Duration, refuses: bool) -> Self {
-        let seen = Arc::new(Seen {
+    /// `rejects`: it rejects every version.
+    pub fn with(name: &str, upstream: &[SocketAddr], lease: Duration, rejects: bool) -> Self {
+        let shared = Arc::new(Shared {
             member: Mutex::new(Member::new(Progress::default(), lease.as_nanos() as u64)),
             store: Mutex::default(),
-            dropped: AtomicU64::new(0),
-            flushed: AtomicU64::new(0),
-            taken: Mutex::default(),
-            came: AtomicU64::new(0),
-            said: AtomicU64::new(0),
+            invalidated: AtomicU64::new(0),
+            flushes: AtomicU64::new(0),
+            acked: Mutex::default(),
+            received: AtomicU64::new(0),
+            sent: AtomicU64::new(0),
             reads: AtomicU64::new(0),
             writes: AtomicU64::new(0),
-            stands_still: AtomicBool::new(false),
-            mute: AtomicBool::new(false),
-            refuses,
+            is_paused: AtomicBool::new(false),
+            is_mute: AtomicBool::new(false),
+            rejects,
             boot: BOOTS.fetch_add(1, Ordering::Relaxed),
             end: AtomicBool::new(false),
             start: Instant::now(),
         });
-        let (leaf, name, upstream) = (seen.clone(), name.to_owned(), upstream.to_vec());
+        let (leaf, name, upstream) = (shared.clone(), name.to_owned(), upstream.to_vec());
         let thread = std::thread::spawn(move || {
             for addr in upstream.iter().cycle() {
                 if leaf.end.load(Ordering::Relaxed) {
                     return;
                 }
                 if let Ok(stream) = TcpStream::connect_timeout(addr, Duration::from_secs(1)) {
-                    // The next in turn is asked, whatever it was.
+                    // Whatever the error was, the next one is tried.
                     let _ = follow(&leaf, &name, stream);
                 }
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL);
             }
         });
-        Leaf { seen, thread: Some(thread) }
+        Leaf { shared, thread: Some(thread) }
     }
 }
 
 impl Drop for Leaf {
     fn drop(&mut self) {
-        self.seen.end.store(true, Ordering::Relaxed);
+        self.shared.end.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.join().expect("a leaf did not panic");
         }
     }
 }
 
-fn say(leaf: &Seen, stream: &mut TcpStream, frame: &FromProxy) -> std::io::Result<()> {
-    let bytes = encode(frame).map_err(|e| std::io::Error::other(e.to_string()))?;
-    leaf.said.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+fn send(leaf: &Shared, stream: &mut TcpStream, message: &ProxyMessage) -> std::io::Result<()> {
+    let bytes = encode(message).map_err(|e| std::io::Error::other(e.to_string()))?;
+    leaf.sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
     leaf.writes.fetch_add(1, Ordering::Relaxed);
     stream.write_all(&bytes)
 }
 
-fn hello(leaf: &Seen, name: &str, stream: &mut TcpStream) -> std::io::Result<()> {
-    let hello = FromProxy::Hello {
+fn send_hello(leaf: &Shared, name: &str, stream: &mut TcpStream) -> std::io::Result<()> {
+    let hello = ProxyMessage::Hello {
         protocol: PROTOCOL,
         instance: name.into(),
         boot: leaf.boot,
         labels: BTreeMap::new(),
-        frame_most: FRAME_MOST,
+        max_frame_bytes: MAX_FRAME_BYTES,
         running: None,
         purges: Some(leaf.progress()),
     };
-    say(leaf, stream, &hello)?;
-    purged(leaf, stream)
+    send(leaf, stream, &hello)?;
+    send_ack(leaf, stream)
 }
 
-fn purged(leaf: &Seen, stream: &mut TcpStream) -> std::io::Result<()> {
-    if leaf.mute.load(Ordering::Relaxed) {
+fn send_ack(leaf: &Shared, stream: &mut TcpStream) -> std::io::Result<()> {
+    if leaf.is_mute.load(Ordering::Relaxed) {
         return Ok(());
     }
     let Progress { epoch, through } = leaf.progress();
-    say(leaf, stream, &FromProxy::Purged { epoch, through, lacking: 0, names: Vec::new() })
+    send(leaf, stream, &ProxyMessage::PurgeAck { epoch, through, lagging: 0, names: Vec::new() })
 }
 
-fn follow(leaf: &Seen, name: &str, mut stream: TcpStream) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(LOOK))?;
+fn follow(leaf: &Shared, name: &str, mut stream: TcpStream) -> std::io::Result<()> {
+    stream.set_read_timeout(Some(POLL))?;
     stream.set_nodelay(true)?;
-    hello(leaf, name, &mut stream)?;
-    let (mut came, mut part, mut said) = (Vec::new(), vec![0; 64 << 10], Instant::now());
+    send_hello(leaf, name, &mut stream)?;
+    let (mut buffer, mut chunk, mut last_heartbeat) = (Vec::new(), vec![0; 64 << 10], Instant::now());
     while !leaf.end.load(Ordering::Relaxed) {
-        if leaf.stands_still.load(Ordering::Relaxed) {
-            std::thread::sleep(LOOK);
+        if leaf.is_paused.load(Ordering::Relaxed) {
+            std::thread::sleep(POLL);
             continue;
         }
-        if said.elapsed() > ALIVE {
-            said = Instant::now();
-            say(leaf, &mut stream, &FromProxy::Alive)?;
+        if last_heartbeat.elapsed() > HEARTBEAT_INTERVAL {
+            last_heartbeat = Instant::now();
+            send(leaf, &mut stream, &ProxyMessage::Heartbeat)?;
         }
-        match stream.read(&mut part) {
+        match stream.read(&mut chunk) {
             Ok(0) => return Ok(()),
             Ok(n) => {
-                leaf.came.fetch_add(n as u64, Ordering::Relaxed);
+                leaf.received.fetch_add(n as u64, Ordering::Relaxed);
                 leaf.reads.fetch_add(1, Ordering::Relaxed);
-                came.extend_from_slice(&part[..n]);
+                buffer.extend_from_slice(&chunk[..n]);
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(e) => return Err(e),
         }
         let before = leaf.progress();
-        loop {
-            let frame = decode::<FromService>(&mut came, FRAME_MOST);
-            let Some(frame) = frame.map_err(|e| std::io::Error::other(e.to_string()))? else { break };
-            match frame {
-                FromService::Purges { epoch, after, keys } => {
-                    let mut member = leaf.member.lock().expect("whole");
-                    match member.purges(leaf.now(), epoch, after, &keys.0) {
-                        Told::Drop(keys) => {
-                            let mut store = leaf.store.lock().expect("whole");
-                            keys.iter().for_each(|key| _ = store.remove(key));
-                            leaf.dropped.fetch_add(keys.len() as u64, Ordering::Relaxed);
-                        }
-                        Told::Ask => {
-                            drop(member);
-                            hello(leaf, name, &mut stream)?;
-                        }
-                        Told::DropAll | Told::Nothing => {}
-                    }
-                }
-                FromService::Flush { epoch, through } => {
-                    let mut member = leaf.member.lock().expect("whole");
-                    if member.flush(Progress { epoch, through }) == Told::DropAll {
-                        leaf.store.lock().expect("whole").clear();
-                        leaf.flushed.fetch_add(1, Ordering::Relaxed);
-                    }
-                }
-                FromService::Full { stamp, .. } | FromService::Delta { stamp, .. } if leaf.refuses => {
-                    say(leaf, &mut stream, &FromProxy::Refused { stamp, reasons: vec!["not here".into()] })?;
-                }
-                FromService::Full { stamp, .. } | FromService::Delta { stamp, .. } => {
-                    *leaf.taken.lock().expect("whole") = Some(stamp);
-                    say(leaf, &mut stream, &FromProxy::Taken { stamp })?;
-                }
-                FromService::Goodbye { .. } => return Ok(()),
-                FromService::Current { .. } | FromService::Alive => {}
+        while let Some(message) = decode(&mut buffer, MAX_FRAME_BYTES).map_err(std::io::Error::other)? {
+            if let ControlFlow::Break(()) = handle(leaf, name, &mut stream, message)? {
+                return Ok(());
             }
         }
         if before != leaf.progress() {
-            purged(leaf, &mut stream)?;
+            send_ack(leaf, &mut stream)?;
         }
     }
     Ok(())
 }
+
+/// Handles one message; a break ends the connection.
+fn handle(
+    leaf: &Shared,
+    name: &str,
+    stream: &mut TcpStream,
+    message: ServiceMessage,
+) -> std::io::Result<ControlFlow<()>> {
+    match message {
+        ServiceMessage::Purges { epoch, after, keys } => {
+            let mut member = leaf.member.lock().expect("not poisoned");
+            match member.receive_purges(leaf.now(), epoch, after, &keys.0) {
+                MemberAction::Invalidate(keys) => {
+                    let mut store = leaf.store.lock().expect("not poisoned");
+                    keys.iter().for_each(|key| _ = store.remove(key));
+                    leaf.invalidated.fetch_add(keys.len() as u64, Ordering::Relaxed);
+                }
+                MemberAction::Resync => {
+                    drop(member);
+                    send_hello(leaf, name, stream)?;
+                }
+                MemberAction::InvalidateAll | MemberAction::Ignore => {}
+            }
+        }
+        ServiceMessage::Flush { epoch, through } => {
+            let mut member = leaf.member.lock().expect("not poisoned");
+            if member.receive_flush(Progress { epoch, through }) == MemberAction::InvalidateAll {
+                leaf.store.lock().expect("not poisoned").clear();
+                leaf.flushes.fetch_add(1, Ordering::Relaxed);
+            }
+        }
+        ServiceMessage::Snapshot { stamp, .. } | ServiceMessage::Delta { stamp, .. } if leaf.rejects => {
+            send(leaf, stream, &ProxyMessage::Nack { stamp, reasons: vec!["not here".into()] })?;
+        }
+        ServiceMessage::Snapshot { stamp, .. } | ServiceMessage::Delta { stamp, .. } => {
+            *leaf.acked.lock().expect("not poisoned") = Some(stamp);
+            send(leaf, stream, &ProxyMessage::Ack { stamp })?;
+        }
+        ServiceMessage::Goodbye { .. } => return Ok(ControlFlow::Break(())),
+        ServiceMessage::UpToDate { .. } | ServiceMessage::Heartbeat => {}
+    }
+    Ok(ControlFlow::Continue(()))
+}
--- a/crates/control/tests/fanout/main.rs
+++ b/crates/control/tests/fanout/main.rs
@@ -1,9 +1,9 @@
-//! Purges and versions through a tree of real processes: the built program as root and relays, leaves in the test.
+//! Purges and versions through a tree of real processes: the program as root and relays, with leaves in the test.
 
-mod hard;
+mod faults;
 mod leaf;
+mod link;
 mod path;
 mod rate;
 mod roots;
 mod tree;
-mod wire;
--- a/crates/control/tests/fanout/path.rs
+++ b/crates/control/tests/fanout/path.rs
@@ -2,16 +2,16 @@
 
 use crate::leaf::Leaf;
 use crate::tree::{until, Process};
-use aniseyoke_control::frame::{FromOperator, ToOperator};
+use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
 use serde_json::json;
 use std::time::Duration;
 
 const LEASE: Duration = Duration::from_secs(3);
-/// Relays that need not wait long for those they knew before.
+/// Arguments by which relays wait only shortly for the children that they had before.
 pub const QUICK: [&str; 4] = ["--lease", "1s", "--grace", "1s"];
 
 #[test]
-fn a_purge_reaches_all_leaves_and_the_root_knows() {
+fn a_purge_reaches_all_leaves_and_the_root_knows_it() {
     let dir = tempfile::tempdir().expect("a folder");
     let root = Process::root(dir.path(), None, &QUICK);
     let region =
@@ -22,63 +22,65 @@
     let leaves: Vec<Leaf> =
         (0..6).map(|n| Leaf::start(&format!("leaf-{n}"), &[sites[n % 2].proxies], LEASE)).collect();
     for leaf in &leaves {
-        leaf.holds("a");
-        leaf.holds("b");
-        until("fresh", || leaf.fresh());
+        leaf.store_object("a");
+        leaf.store_object("b");
+        until("fresh", || leaf.is_fresh());
     }
-    // Each was told once to drop what it held before it was known where it stands.
-    leaves.iter().for_each(|leaf| ["a", "b"].iter().for_each(|key| leaf.holds(key)));
-    root.done(0);
+    // Each was flushed once, before its position was known.
+    leaves.iter().for_each(|leaf| ["a", "b"].iter().for_each(|key| leaf.store_object(key)));
+    root.wait_applied(0);
     let (_, through) = root.purge("p", 1, &["a"]);
     assert_eq!(through, 1);
-    root.done(1);
+    root.wait_applied(1);
     for leaf in &leaves {
         assert!(leaf.serves("b") && !leaf.serves("a"));
         assert_eq!(leaf.progress().through, 1);
     }
-    // The same call again has the same answer, and nothing is sent.
+    // A retried call gets the same answer, and nothing is sent.
     assert_eq!(root.purge("p", 1, &["a"]).1, 1);
     assert_eq!(root.purge("q", 1, &["b"]).1, 2);
-    root.done(2);
-    assert!(leaves.iter().all(|leaf| leaf.dropped() == 2 && !leaf.serves("b")));
-    let Ok(ToOperator::Purges { took, .. }) = root.call(&FromOperator::Purges) else { panic!("no answer") };
-    assert_eq!((took.count, took.short), (2, 0), "{took:?}");
-    assert!(took.most < 5000.0, "{took:?}");
+    root.wait_applied(2);
+    assert!(leaves.iter().all(|leaf| leaf.invalidated() == 2 && !leaf.serves("b")));
+    let Ok(OperatorResponse::PurgeStatus { latency, .. }) = root.call(&OperatorRequest::PurgeStatus) else {
+        panic!("no answer")
+    };
+    assert_eq!((latency.count, latency.incomplete), (2, 0), "{latency:?}");
+    assert!(latency.max < 5000.0, "{latency:?}");
 }
 
 #[test]
-fn a_version_reaches_all_leaves_under_its_own_stamp_and_refusals_are_named_at_the_root() {
+fn a_version_reaches_all_leaves_under_its_own_stamp_and_rejections_are_reported_at_the_root() {
     let dir = tempfile::tempdir().expect("a folder");
     let root = Process::root(dir.path(), None, &QUICK);
     let region = Process::relay("region", None, &[root.proxies], &QUICK);
     let site = Process::relay("site", None, &[region.proxies], &QUICK);
     let leaves = ["a", "b"].map(|name| Leaf::start(name, &[site.proxies], LEASE));
     let publish = |n: u64| match root
-        .call(&FromOperator::Publish { body: json!({ "n": n }), plan: Default::default() })
+        .call(&OperatorRequest::Publish { body: json!({ "n": n }), plan: Default::default() })
     {
-        Ok(ToOperator::Published { stamp }) => stamp,
+        Ok(OperatorResponse::Published { stamp }) => stamp,
         other => panic!("{other:?}"),
     };
-    let row = || match root.call(&FromOperator::Status) {
-        Ok(ToOperator::Status { proxies, .. }) => proxies.into_iter().next(),
+    let status = || match root.call(&OperatorRequest::Status) {
+        Ok(OperatorResponse::Status { proxies, .. }) => proxies.into_iter().next(),
         other => panic!("{other:?}"),
     };
-    let below = |count: usize| match site.call(&FromOperator::Status) {
-        Ok(ToOperator::Status { proxies, .. }) => proxies.len() == count,
+    let has_children = |count: usize| match site.call(&OperatorRequest::Status) {
+        Ok(OperatorResponse::Status { proxies, .. }) => proxies.len() == count,
         other => panic!("{other:?}"),
     };
-    until("both are there, and the relays", || below(2) && row().is_some());
+    until("leaves and relays are connected", || has_children(2) && status().is_some());
     for n in 0..3 {
         let stamp = publish(n);
-        until("taken by the whole subtree", || row().is_some_and(|row| row.running == Some(stamp)));
-        assert!(leaves.iter().all(|leaf| *leaf.taken.lock().expect("whole") == Some(stamp)));
+        until("acknowledged by the whole subtree", || status().is_some_and(|s| s.running == Some(stamp)));
+        assert!(leaves.iter().all(|leaf| *leaf.acked.lock().expect("not poisoned") == Some(stamp)));
     }
-    let _refusing = Leaf::with("c", &[site.proxies], LEASE, true);
-    until("c is there", || below(3));
+    let _rejecting = Leaf::with("c", &[site.proxies], LEASE, true);
+    until("c is connected", || has_children(3));
     let stamp = publish(9);
-    until("refused", || row().is_some_and(|row| row.refused.is_some()));
-    let (refused, reasons) = row().and_then(|row| row.refused).expect("refused");
-    assert_eq!((refused, reasons.join("")), (stamp, "site: c: not here".into()));
-    let published = site.call(&FromOperator::Halt { why: "no".into() });
-    assert!(matches!(published, Ok(ToOperator::No { .. })), "{published:?}");
+    until("rejected", || status().is_some_and(|s| s.rejected.is_some()));
+    let (rejected, reasons) = status().and_then(|s| s.rejected).expect("rejected");
+    assert_eq!((rejected, reasons.join("")), (stamp, "site: c: not here".into()));
+    let published = site.call(&OperatorRequest::Halt { reason: "no".into() });
+    assert!(matches!(published, Ok(OperatorResponse::Rejected { .. })), "{published:?}");
 }
--- a/crates/control/tests/fanout/tree.rs
+++ b/crates/control/tests/fanout/tree.rs
@@ -1,7 +1,7 @@
 //! A root and relays as child processes on ports of their own.
 
-use aniseyoke_control::frame::{FromOperator, ToOperator};
-use aniseyoke_control::service::call;
+use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
+use aniseyoke_control::operators::{call, CallError};
 use std::io::{BufRead as _, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,29 +10,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Whatever is waited for comes within this time, or the test fails.
-pub const WITHIN: Duration = Duration::from_secs(60);
+/// The time limit of every wait.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until something is so.
-pub fn until(what: &str, mut so: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !so() {
-        assert!(start.elapsed() < WITHIN, "not within {WITHIN:?}: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A root or a relay. It is killed when this is dropped.
+/// A root or a relay. It is killed on drop.
 pub struct Process {
     child: Child,
     pub proxies: SocketAddr,
-    pub door: SocketAddr,
-    said: Arc<Mutex<Vec<String>>>,
+    pub operators: SocketAddr,
+    logged: Arc<Mutex<Vec<String>>>,
 }
 
 fn addr(lines: &Receiver<String>, what: &str) -> SocketAddr {
     loop {
-        let line = lines.recv_timeout(WITHIN).unwrap_or_else(|e| panic!("{what}: {e}"));
+        let line = lines.recv_timeout(TIMEOUT).unwrap_or_else(|e| panic!("{what}: {e}"));
         if let Some((_, addr)) = line.split_once(what) {
             return addr.trim().parse().expect("an address");
         }
@@ -47,21 +47,21 @@
             .spawn()
             .expect("started");
         let (tell, lines) = channel();
-        let said = Arc::new(Mutex::new(Vec::new()));
-        let (keep, err) = (said.clone(), child.stderr.take().expect("its errors"));
+        let logged = Arc::new(Mutex::new(Vec::new()));
+        let (keep, err) = (logged.clone(), child.stderr.take().expect("its errors"));
         std::thread::spawn(move || {
             for line in BufReader::new(err).lines().map_while(Result::ok) {
-                keep.lock().expect("whole").push(line.clone());
-                // Nobody waits for these any more, later.
+                keep.lock().expect("not poisoned").push(line.clone());
+                // The receiver ends once the addresses are known.
                 let _ = tell.send(line);
             }
         });
         let proxies = addr(&lines, "proxies connect at");
-        let door = addr(&lines, "operators call at");
-        Process { child, proxies, door, said }
+        let operators = addr(&lines, "operators call at");
+        Process { child, proxies, operators, logged }
     }
 
-    /// The root, with its log in this folder, and what else it is told.
+    /// A root with its log in this folder, and with further arguments.
     pub fn root(dir: &Path, listen: Option<SocketAddr>, more: &[&str]) -> Self {
         let listen = listen.map_or("127.0.0.1:0".into(), |at| at.to_string());
         let dir = dir.to_str().expect("text");
@@ -69,7 +69,7 @@
         Self::start(&[&args, more].concat())
     }
 
-    /// A relay that follows these.
+    /// A relay of these upstreams.
     pub fn relay(name: &str, listen: Option<SocketAddr>, upstream: &[SocketAddr], more: &[&str]) -> Self {
         let listen = listen.map_or("127.0.0.1:0".into(), |at| at.to_string());
         let upstream: Vec<String> = upstream.iter().map(SocketAddr::to_string).collect();
@@ -78,48 +78,48 @@
         Self::start(&[&args, &["--upstream", &upstream][..], more].concat())
     }
 
-    /// Ends it at once.
+    /// Kills it.
     pub fn kill(&mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("ended");
     }
 
-    /// Whether it has said this.
-    pub fn said(&self, what: &str) -> bool {
-        self.said.lock().expect("whole").iter().any(|line| line.contains(what))
+    /// Whether it has logged this.
+    pub fn has_logged(&self, what: &str) -> bool {
+        self.logged.lock().expect("not poisoned").iter().any(|line| line.contains(what))
     }
 
-    /// Makes an operator's call.
-    pub fn call(&self, what: &FromOperator) -> Result<ToOperator, String> {
+    /// Sends an operator's request.
+    pub fn call(&self, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        runtime.block_on(call(self.door, what))
+        runtime.block_on(call(self.operators, request))
     }
 
-    /// Has objects dropped; where the log stands then.
+    /// Purges objects; the position of the log afterwards.
     pub fn purge(&self, publisher: &str, sequence: u64, keys: &[&str]) -> (u64, u64) {
         let keys = keys.iter().map(|key| (*key).to_owned()).collect();
-        let call = FromOperator::Purge { publisher: publisher.into(), sequence, keys };
+        let call = OperatorRequest::Purge { publisher: publisher.into(), sequence, keys };
         match self.call(&call) {
-            Ok(ToOperator::Purging { epoch, through }) => (epoch, through),
+            Ok(OperatorResponse::PurgeAccepted { epoch, through }) => (epoch, through),
             other => panic!("{other:?}"),
         }
     }
 
-    /// How far purges are: done, how many lack something, and their names.
-    pub fn far(&self) -> (u64, u64, Vec<String>) {
-        match self.call(&FromOperator::Purges) {
-            Ok(ToOperator::Purges { done, lacking, unnamed, .. }) => {
-                (done, lacking.len() as u64 + unnamed, lacking)
+    /// How far purges have been applied, how many members lag, and their names.
+    pub fn purge_status(&self) -> (u64, u64, Vec<String>) {
+        match self.call(&OperatorRequest::PurgeStatus) {
+            Ok(OperatorResponse::PurgeStatus { applied, lagging, unnamed, .. }) => {
+                (applied, lagging.len() as u64 + unnamed, lagging)
             }
             other => panic!("{other:?}"),
         }
     }
 
-    /// Waits until all below have done everything through this number.
-    pub fn done(&self, through: u64) {
-        until(&format!("{through} done everywhere"), || {
-            let (done, lacking, _) = self.far();
-            done >= through && lacking == 0
+    /// Waits until everyone has applied all purges up to this number.
+    pub fn wait_applied(&self, through: u64) {
+        until(&format!("{through} applied everywhere"), || {
+            let (applied, lagging, _) = self.purge_status();
+            applied >= through && lagging == 0
         });
     }
 }
--- a/crates/control/tests/wire_forms.rs
+++ b/crates/control/tests/wire_forms.rs
@@ -1,12 +1,14 @@
 //! The JSON text of every message and every stored value, byte for byte: names in the code may change, these may not.
 
-use aniseyoke_control::commit::{Change, Record, ToLeader, ToMember};
-use aniseyoke_control::frame::{encode, FromOperator, FromProxy, FromService, ToOperator, Took, HEAD};
-use aniseyoke_control::publisher::Row;
+use aniseyoke_control::commit::{Change, LeaderMessage, MemberMessage, Record};
+use aniseyoke_control::frame::{
+    encode, OperatorRequest, OperatorResponse, ProxyMessage, ProxyStatus, PurgeLatency, ServiceMessage,
+    HEADER_BYTES,
+};
 use aniseyoke_control::purge_log::{Call, PurgeLog};
 use aniseyoke_control::rollout::{Plan, Stage};
 use aniseyoke_control::store::Kept;
-use aniseyoke_control::{Body, Stamp, Version};
+use aniseyoke_control::{CanonicalJson, Stamp, Version};
 use aniseyoke_fanout::{Keys, Progress};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -40,22 +42,22 @@
 
 #[test]
 fn hello_is_pinned() {
-    let hello = FromProxy::Hello {
+    let hello = ProxyMessage::Hello {
         protocol: 1,
         instance: "a".into(),
         boot: 3,
         labels: labels(),
-        frame_most: 4,
+        max_frame_bytes: 4,
         running: Some((STAMP, "d".into())),
         purges: Some(Progress { epoch: 5, through: 6 }),
     };
     pinned(&hello, HELLO);
-    let hello = FromProxy::Hello {
+    let hello = ProxyMessage::Hello {
         protocol: 1,
         instance: "a".into(),
         boot: 3,
         labels: BTreeMap::new(),
-        frame_most: 4,
+        max_frame_bytes: 4,
         running: None,
         purges: None,
     };
@@ -66,90 +68,100 @@
 fn messages_of_a_proxy_are_pinned() {
     let stamp = STAMP;
     pinned(
-        &FromProxy::Purged { epoch: 1, through: 2, lacking: 3, names: vec!["a@1".into()] },
+        &ProxyMessage::PurgeAck { epoch: 1, through: 2, lagging: 3, names: vec!["a@1".into()] },
         r#"{"type":"purged","epoch":1,"through":2,"lacking":3,"names":["a@1"]}"#,
     );
     pinned(
-        &FromProxy::Purged { epoch: 1, through: 2, lacking: 0, names: Vec::new() },
+        &ProxyMessage::PurgeAck { epoch: 1, through: 2, lagging: 0, names: Vec::new() },
         r#"{"type":"purged","epoch":1,"through":2}"#,
     );
-    pinned(&FromProxy::Taken { stamp }, r#"{"type":"taken","stamp":{"epoch":1,"number":2}}"#);
+    pinned(&ProxyMessage::Ack { stamp }, r#"{"type":"taken","stamp":{"epoch":1,"number":2}}"#);
     pinned(
-        &FromProxy::Refused { stamp, reasons: vec!["r".into()] },
+        &ProxyMessage::Nack { stamp, reasons: vec!["r".into()] },
         r#"{"type":"refused","stamp":{"epoch":1,"number":2},"reasons":["r"]}"#,
     );
-    pinned(&FromProxy::Whole, r#"{"type":"whole"}"#);
+    pinned(&ProxyMessage::SnapshotRequest, r#"{"type":"whole"}"#);
     pinned(
-        &FromProxy::Report { stamp, served: 3, refused: 4, failed: 5 },
+        &ProxyMessage::Report { stamp, served: 3, rejected: 4, failed: 5 },
         r#"{"type":"report","stamp":{"epoch":1,"number":2},"served":3,"refused":4,"failed":5}"#,
     );
-    pinned(&FromProxy::Alive, r#"{"type":"alive"}"#);
+    pinned(&ProxyMessage::Heartbeat, r#"{"type":"alive"}"#);
 }
 
 #[test]
 fn messages_of_a_service_are_pinned() {
     let stamp = STAMP;
-    let body = Body::new(&json!({"b": 1, "a": [true]}));
+    let body = CanonicalJson::new(&json!({"b": 1, "a": [true]}));
     pinned(
-        &FromService::Full { stamp, digest: "d".into(), body },
+        &ServiceMessage::Snapshot { stamp, digest: "d".into(), body },
         r#"{"type":"full","stamp":{"epoch":1,"number":2},"digest":"d","body":{"a":[true],"b":1}}"#,
     );
     let (base, patch) = (Stamp { epoch: 1, number: 1 }, json_patch::diff(&json!({"a": 1}), &json!({"a": 2})));
     pinned(
-        &FromService::Delta { base, stamp, digest: "d".into(), patch },
+        &ServiceMessage::Delta { base, stamp, digest: "d".into(), patch },
         r#"{"type":"delta","base":{"epoch":1,"number":1},"stamp":{"epoch":1,"number":2},"digest":"d","patch":[{"op":"replace","path":"/a","value":2}]}"#,
     );
-    pinned(&FromService::Current { stamp }, r#"{"type":"current","stamp":{"epoch":1,"number":2}}"#);
+    pinned(&ServiceMessage::UpToDate { stamp }, r#"{"type":"current","stamp":{"epoch":1,"number":2}}"#);
     pinned(
-        &FromService::Purges { epoch: 1, after: 2, keys: Keys(vec![3]) },
+        &ServiceMessage::Purges { epoch: 1, after: 2, keys: Keys(vec![3]) },
         r#"{"type":"purges","epoch":1,"after":2,"keys":"AAAAAAAAAAM="}"#,
     );
-    pinned(&FromService::Flush { epoch: 1, through: 2 }, r#"{"type":"flush","epoch":1,"through":2}"#);
-    pinned(&FromService::Alive, r#"{"type":"alive"}"#);
-    pinned(&FromService::Goodbye { why: "w".into() }, r#"{"type":"goodbye","why":"w"}"#);
+    pinned(&ServiceMessage::Flush { epoch: 1, through: 2 }, r#"{"type":"flush","epoch":1,"through":2}"#);
+    pinned(&ServiceMessage::Heartbeat, r#"{"type":"alive"}"#);
+    pinned(&ServiceMessage::Goodbye { reason: "w".into() }, r#"{"type":"goodbye","why":"w"}"#);
 }
 
 #[test]
 fn calls_of_operators_are_pinned() {
     const PLAN: &str = r#"{"stages":[{"percent":5,"labels":{"site":"a"},"hold_ms":10}],"margin":0.02}"#;
     pinned(
-        &FromOperator::Publish { body: json!({"a": 1}), plan: plan() },
+        &OperatorRequest::Publish { body: json!({"a": 1}), plan: plan() },
         &format!(r#"{{"type":"publish","body":{{"a":1}},"plan":{PLAN}}}"#),
     );
     pinned(
-        &FromOperator::RollBack { to: STAMP, plan: plan() },
+        &OperatorRequest::RollBack { to: STAMP, plan: plan() },
         &format!(r#"{{"type":"roll-back","to":{{"epoch":1,"number":2}},"plan":{PLAN}}}"#),
     );
-    pinned(&FromOperator::Halt { why: "w".into() }, r#"{"type":"halt","why":"w"}"#);
-    pinned(&FromOperator::Status, r#"{"type":"status"}"#);
+    pinned(&OperatorRequest::Halt { reason: "w".into() }, r#"{"type":"halt","why":"w"}"#);
+    pinned(&OperatorRequest::Status, r#"{"type":"status"}"#);
     pinned(
-        &FromOperator::Purge { publisher: "p".into(), sequence: 1, keys: vec!["k".into()] },
+        &OperatorRequest::Purge { publisher: "p".into(), sequence: 1, keys: vec!["k".into()] },
         r#"{"type":"purge","publisher":"p","sequence":1,"keys":["k"]}"#,
     );
-    pinned(&FromOperator::Purges, r#"{"type":"purges"}"#);
+    pinned(&OperatorRequest::PurgeStatus, r#"{"type":"purges"}"#);
 }
 
 #[test]
 fn answers_to_operators_are_pinned() {
-    pinned(&ToOperator::Published { stamp: STAMP }, r#"{"type":"published","stamp":{"epoch":1,"number":2}}"#);
-    pinned(&ToOperator::No { why: "w".into() }, r#"{"type":"no","why":"w"}"#);
-    let row = Row {
+    pinned(
+        &OperatorResponse::Published { stamp: STAMP },
+        r#"{"type":"published","stamp":{"epoch":1,"number":2}}"#,
+    );
+    pinned(&OperatorResponse::Rejected { reason: "w".into() }, r#"{"type":"no","why":"w"}"#);
+    let status = ProxyStatus {
         instance: "a".into(),
         boot: 3,
         running: Some(STAMP),
         wanted: None,
-        took: Some(4),
-        refused: Some((STAMP, vec!["r".into()])),
+        ack_latency: Some(4),
+        rejected: Some((STAMP, vec!["r".into()])),
     };
     pinned(
-        &ToOperator::Status { newest: Some(STAMP), rollout: Some("stage 0".into()), proxies: vec![row] },
+        &OperatorResponse::Status {
+            newest: Some(STAMP),
+            rollout: Some("stage 0".into()),
+            proxies: vec![status],
+        },
         r#"{"type":"status","newest":{"epoch":1,"number":2},"rollout":"stage 0","proxies":[{"instance":"a","boot":3,"running":{"epoch":1,"number":2},"wanted":null,"took":4,"refused":[{"epoch":1,"number":2},["r"]]}]}"#,
     );
-    pinned(&ToOperator::Purging { epoch: 1, through: 2 }, r#"{"type":"purging","epoch":1,"through":2}"#);
-    let took = Took { count: 1, p50: 2.0, p99: 3.0, most: 4.0, short: 5 };
-    let lacking = vec!["a@1".to_owned()];
     pinned(
-        &ToOperator::Purges { epoch: 1, newest: 2, done: 3, lacking, unnamed: 4, took },
+        &OperatorResponse::PurgeAccepted { epoch: 1, through: 2 },
+        r#"{"type":"purging","epoch":1,"through":2}"#,
+    );
+    let latency = PurgeLatency { count: 1, p50: 2.0, p99: 3.0, max: 4.0, incomplete: 5 };
+    let lagging = vec!["a@1".to_owned()];
+    pinned(
+        &OperatorResponse::PurgeStatus { epoch: 1, newest: 2, applied: 3, lagging, unnamed: 4, latency },
         r#"{"type":"purges","epoch":1,"newest":2,"done":3,"lacking":["a@1"],"unnamed":4,"took":{"count":1,"p50":2.0,"p99":3.0,"most":4.0,"short":5}}"#,
     );
 }
@@ -159,25 +171,31 @@
     const CHANGE: &str = r#"{"stamp":{"epoch":1,"number":2},"digest":"d"}"#;
     const AT: &str = r#"{"epoch":1,"number":2}"#;
     pinned(
-        &ToLeader::Renew { asked: 3, runs: Some(change()), prepared: None },
+        &MemberMessage::Heartbeat { sent_at: 3, running: Some(change()), prepared: None },
         &format!(r#"{{"type":"renew","asked":3,"runs":{CHANGE},"prepared":null}}"#),
     );
-    pinned(&ToLeader::Prepared { change: change() }, &format!(r#"{{"type":"prepared","change":{CHANGE}}}"#));
     pinned(
-        &ToLeader::Refused { change: change(), why: "w".into() },
+        &MemberMessage::VoteCommit { change: change() },
+        &format!(r#"{{"type":"prepared","change":{CHANGE}}}"#),
+    );
+    pinned(
+        &MemberMessage::VoteAbort { change: change(), reason: "w".into() },
         &format!(r#"{{"type":"refused","change":{CHANGE},"why":"w"}}"#),
     );
-    pinned(&ToMember::Prepare { change: change() }, &format!(r#"{{"type":"prepare","change":{CHANGE}}}"#));
-    pinned(&ToMember::Commit { change: change() }, &format!(r#"{{"type":"commit","change":{CHANGE}}}"#));
-    pinned(&ToMember::Abort { stamp: STAMP }, &format!(r#"{{"type":"abort","stamp":{AT}}}"#));
     pinned(
-        &ToMember::Granted { asked: 3, committed: Some(change()) },
+        &LeaderMessage::Prepare { change: change() },
+        &format!(r#"{{"type":"prepare","change":{CHANGE}}}"#),
+    );
+    pinned(&LeaderMessage::Commit { change: change() }, &format!(r#"{{"type":"commit","change":{CHANGE}}}"#));
+    pinned(&LeaderMessage::Abort { stamp: STAMP }, &format!(r#"{{"type":"abort","stamp":{AT}}}"#));
+    pinned(
+        &LeaderMessage::Lease { requested_at: 3, committed: Some(change()) },
         &format!(r#"{{"type":"granted","asked":3,"committed":{CHANGE}}}"#),
     );
     pinned(&Record::Begin { change: change() }, &format!(r#"{{"type":"begin","change":{CHANGE}}}"#));
     pinned(&Record::Commit { stamp: STAMP }, &format!(r#"{{"type":"commit","stamp":{AT}}}"#));
     pinned(
-        &Record::Abort { stamp: STAMP, why: "w".into() },
+        &Record::Abort { stamp: STAMP, reason: "w".into() },
         &format!(r#"{{"type":"abort","stamp":{AT},"why":"w"}}"#),
     );
 }
@@ -193,9 +211,9 @@
 
 #[test]
 fn a_frame_is_its_length_and_its_text() {
-    let bytes = encode(&FromProxy::Alive).expect("short");
+    let bytes = encode(&ProxyMessage::Heartbeat).expect("short");
     assert_eq!(bytes, b"\x00\x00\x00\x10{\"type\":\"alive\"}");
-    assert_eq!(HEAD, 4);
+    assert_eq!(HEADER_BYTES, 4);
 }
 
 #[test]
--- a/crates/fanout/src/keys.rs
+++ b/crates/fanout/src/keys.rs
@@ -1,51 +1,52 @@
-//! What goes over the wire of purges: where somebody stands, and keys as one base64 text.
+//! Parts of the wire format of purges: a position in the log, and keys as one base64 text.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The bytes of a key.
-const KEY: usize = 8;
+/// The size of a key, in bytes.
+const KEY_BYTES: usize = 8;
 
-/// Where somebody stands in the log of purges.
+/// A position in the log of purges. The default value means that the holder has no object that a purge could concern.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Progress {
-    /// The log's epoch; 0 with 0: it holds nothing that a purge could concern.
+    /// The log's epoch; 0 in the default value.
     pub epoch: u64,
-    /// Everything through this number is done.
+    /// All entries up to and including this number have been applied.
     pub through: u64,
 }
 
 impl Progress {
-    /// Whether it holds nothing yet that a purge could concern.
+    /// Whether the holder has no object that a purge could concern.
     pub fn is_empty(&self) -> bool {
         *self == Progress::default()
     }
 }
 
-/// Keys of purges, in their order: XXH3-64 of each object's key. Written as one base64 text (RFC 4648, section 4) of
-/// eight bytes each, the highest first.
+/// Keys of purges, in the order of the log: XXH3-64 of each object's key. Serialized as one base64 text (RFC 4648,
+/// section 4) of eight bytes each, in big-endian order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Keys(pub Vec<u64>);
 
 impl Serialize for Keys {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let bytes: Vec<u8> = self.0.iter().flat_map(|key| key.to_be_bytes()).collect();
-        to.serialize_str(&STANDARD.encode(bytes))
+        serializer.serialize_str(&STANDARD.encode(bytes))
     }
 }
 
 impl<'de> Deserialize<'de> for Keys {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
         let bytes = STANDARD.decode(&text).map_err(|e| D::Error::custom(format!("keys: {e}")))?;
-        if !bytes.len().is_multiple_of(KEY) {
-            return Err(D::Error::custom(format!("keys: {} bytes are no multiple of {KEY}", bytes.len())));
+        if !bytes.len().is_multiple_of(KEY_BYTES) {
+            let length = bytes.len();
+            return Err(D::Error::custom(format!("keys: {length} bytes are no multiple of {KEY_BYTES}")));
         }
-        let (whole, _) = bytes.as_chunks::<KEY>();
-        Ok(Keys(whole.iter().map(|key| u64::from_be_bytes(*key)).collect()))
+        let (chunks, _) = bytes.as_chunks::<KEY_BYTES>();
+        Ok(Keys(chunks.iter().map(|chunk| u64::from_be_bytes(*chunk)).collect()))
     }
 }
 
--- a/crates/fanout/src/keys/tests.rs
+++ b/crates/fanout/src/keys/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_key_is_its_eight_bytes_the_highest_first() {
+fn a_key_is_eight_bytes_in_big_endian_order() {
     let text = serde_json::to_string(&Keys(vec![1, 0xffee_ddcc_bbaa_9988])).expect("JSON");
     assert_eq!(
         text,
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn what_is_no_text_of_keys_is_told_by_name() {
+fn malformed_keys_are_rejected_with_a_clear_error() {
     for (text, why) in [("\"AAAA\"", "no multiple of 8"), ("\"*\"", "keys: "), ("7", "string")] {
-        let error = serde_json::from_str::<Keys>(text).expect_err("turned down").to_string();
+        let error = serde_json::from_str::<Keys>(text).expect_err("rejected").to_string();
         assert!(error.contains(why), "{text}: {error}");
     }
 }
--- a/crates/fanout/src/lib.rs
+++ b/crates/fanout/src/lib.rs
@@ -1,23 +1,26 @@
-//! Purges told to a whole fleet through regions and sites.
+//! Distribution of cache purges to a whole fleet through a tree of relays.
 //!
-//! The root numbers purges in a bounded [`log`]; a [`relay`], the root's and those at regions and sites alike, passes
-//! them on in batches, replays what was missed, and gathers what its subtree has done; a [`member`] is a leaf's side:
-//! it drops duplicates, asks again after a gap, and knows when it may not claim any more to have missed nothing. All of
-//! it is without I/O and clock: frames and times go in, actions come out. `docs/design-fanout.md` says why it is so.
+//! The root appends purges to a bounded [`log`], which numbers them. A [`relay`] runs at the root and at every region and
+//! site: it forwards purges in batches, replays what a child missed, and aggregates the acknowledgements of its subtree.
+//! A [`member`] is a leaf of the tree: it drops duplicates, asks for a resync after a gap, and knows when it may no longer
+//! claim to have seen every purge. Nothing here does I/O or reads a clock: frames and times go in, actions come out.
+//! `docs/design-fanout.md` explains the design.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod keys;
 pub mod log;
 pub mod member;
 pub mod publishers;
 pub mod relay;
+pub mod settings;
 
 pub use keys::{Keys, Progress};
 pub use log::Log;
-pub use member::{Member, Told};
+pub use member::{Member, MemberAction};
 pub use publishers::Publishers;
-pub use relay::{Action, Relay, Settings};
+pub use relay::{Relay, RelayAction};
+pub use settings::Settings;
 
-/// Nanoseconds from any fixed point.
+/// Nanoseconds since an arbitrary fixed point.
 pub type Nanos = u64;
--- a/crates/fanout/src/member.rs
+++ b/crates/fanout/src/member.rs
@@ -1,94 +1,103 @@
-//! A leaf's side of the purges: where it stands, what is new to it, and until when it may claim to have missed nothing.
+//! A leaf's side of the purges: its position in the log, which purges are new to it, and whether it may still claim to
+//! have seen all of them.
 
 use crate::{Nanos, Progress};
 
-/// It asks again no more often than this.
-const ASK: Nanos = 1_000_000_000;
+/// The shortest time between two requests for a resync.
+const RESYNC_INTERVAL: Nanos = 1_000_000_000;
 
-/// What is to be done with what came.
+/// What the owner of a [`Member`] has to do with a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told<'a> {
-    /// Nothing: it is known already, or from an epoch that is over.
-    Nothing,
-    /// Drop the objects of these keys, then tell [`Member::progress`].
-    Drop(&'a [u64]),
-    /// Drop every object that was held before, then tell [`Member::progress`].
-    DropAll,
-    /// Something is missing: say hello again with [`Member::progress`].
-    Ask,
+pub enum MemberAction<'a> {
+    /// Nothing: the frame is a duplicate, or of an earlier epoch.
+    Ignore,
+    /// Drop the objects with these keys, then acknowledge [`Member::progress`].
+    Invalidate(&'a [u64]),
+    /// Drop every object, then acknowledge [`Member::progress`].
+    InvalidateAll,
+    /// Entries are missing: send `hello` again with [`Member::progress`].
+    Resync,
 }
 
-/// A leaf's side. It takes 64 bytes or less; what it hands out is done before anything else comes in.
+/// A leaf's state, at most 64 bytes. Its owner carries out each action before it passes in the next frame.
 #[derive(Clone, Debug)]
 pub struct Member {
-    at: Progress,
+    position: Progress,
     lease: Nanos,
-    /// When it was last told that it has everything, by whoever had that from the root.
-    renewed: Option<Nanos>,
-    asked: Option<Nanos>,
+    /// When the upstream last said that this member has seen every purge, as the root knew it.
+    confirmed_at: Option<Nanos>,
+    resync_requested_at: Option<Nanos>,
 }
 
 impl Member {
-    /// A member that stands at `at`: the default where it holds no object yet. For `lease` nanoseconds after it was told
-    /// that it has everything it may claim to be fresh.
-    pub fn new(at: Progress, lease: Nanos) -> Self {
-        Member { at, lease, renewed: None, asked: None }
+    /// A member at this position; the default one where it holds no object yet. `lease`: for so many nanoseconds after a
+    /// confirmation that it has seen every purge it may claim to be fresh.
+    pub fn new(position: Progress, lease: Nanos) -> Self {
+        Member { position, lease, confirmed_at: None, resync_requested_at: None }
     }
 
-    /// Through where it has done everything: for `hello`, for the `purged` that follows each `hello`, and for one whenever
-    /// it has changed. Without the one after `hello` it counts as lacking.
+    /// Up to where all purges have been applied. It goes into `hello`, and into the `purged` that follows each `hello` and
+    /// each change. Without the `purged` after `hello` the member counts as lagging.
     pub fn progress(&self) -> Progress {
-        self.at
+        self.position
     }
 
-    /// Whether it may serve what it holds as fresh. Where it may not, objects are to be checked at their origin first, or
+    /// Whether the member may serve its objects as fresh. Otherwise objects have to be revalidated at their origin, or
     /// served as stale where the operator allows that.
-    pub fn fresh(&self, now: Nanos) -> bool {
-        self.renewed.is_some_and(|renewed| now.saturating_sub(renewed) <= self.lease)
+    pub fn is_fresh(&self, now: Nanos) -> bool {
+        self.confirmed_at.is_some_and(|confirmed| now.saturating_sub(confirmed) <= self.lease)
     }
 
-    fn ask(&mut self, now: Nanos) -> Told<'static> {
-        if self.asked.is_some_and(|asked| now.saturating_sub(asked) < ASK) {
-            return Told::Nothing;
+    fn request_resync(&mut self, now: Nanos) -> MemberAction<'static> {
+        if self.resync_requested_at.is_some_and(|at| now.saturating_sub(at) < RESYNC_INTERVAL) {
+            return MemberAction::Ignore;
         }
-        self.asked = Some(now);
-        Told::Ask
+        self.resync_requested_at = Some(now);
+        MemberAction::Resync
     }
 
-    /// Entries `after + 1` and on have come; with no keys, word that nothing newer than `after` is known.
-    pub fn purges<'a>(&mut self, now: Nanos, epoch: u64, after: u64, keys: &'a [u64]) -> Told<'a> {
-        if epoch < self.at.epoch {
-            return Told::Nothing;
+    /// The upstream sent the entries from `after + 1` on; without keys, a heartbeat: nothing newer than `after` is known.
+    pub fn receive_purges<'a>(
+        &mut self,
+        now: Nanos,
+        epoch: u64,
+        after: u64,
+        keys: &'a [u64],
+    ) -> MemberAction<'a> {
+        if epoch < self.position.epoch {
+            return MemberAction::Ignore;
         }
-        if self.at.is_empty() || epoch > self.at.epoch {
-            return self.ask(now);
+        if self.position.is_empty() || epoch > self.position.epoch {
+            return self.request_resync(now);
         }
-        // Danger: to go on over a gap would claim what was never done.
-        let Some(known) = self.at.through.checked_sub(after) else { return self.ask(now) };
+        // Danger: to continue past a gap would acknowledge entries that were never applied.
+        let Some(known) = self.position.through.checked_sub(after) else {
+            return self.request_resync(now);
+        };
         if keys.is_empty() {
             if known == 0 {
-                self.renewed = Some(now);
+                self.confirmed_at = Some(now);
             }
-            return Told::Nothing;
+            return MemberAction::Ignore;
         }
         match keys.get(usize::try_from(known).unwrap_or(usize::MAX)..) {
             Some(new) if !new.is_empty() => {
-                self.at.through = self.at.through.saturating_add(new.len() as u64);
-                Told::Drop(new)
+                self.position.through = self.position.through.saturating_add(new.len() as u64);
+                MemberAction::Invalidate(new)
             }
-            _ => Told::Nothing,
+            _ => MemberAction::Ignore,
         }
     }
 
-    /// What it lacks is no longer kept: after everything is dropped it stands at `at`.
-    pub fn flush(&mut self, at: Progress) -> Told<'static> {
-        let behind = (self.at.epoch, self.at.through) < (at.epoch, at.through);
+    /// The upstream no longer has the entries that this member lacks: once every object is dropped, its position is this.
+    pub fn receive_flush(&mut self, position: Progress) -> MemberAction<'static> {
+        let behind = (self.position.epoch, self.position.through) < (position.epoch, position.through);
         if !behind {
-            return Told::Nothing;
+            return MemberAction::Ignore;
         }
-        self.at = at;
-        self.asked = None;
-        Told::DropAll
+        self.position = position;
+        self.resync_requested_at = None;
+        MemberAction::InvalidateAll
     }
 }
 
--- a/crates/fanout/src/relay.rs
+++ b/crates/fanout/src/relay.rs
@@ -1,181 +1,155 @@
-//! A relay: what has come from upstream, who below has done what, what is due to whom, and what is told upstream. The
-//! root is one that numbers purges itself.
+//! A relay: the log as received from its upstream, the children that are fed from it, and the report of what its whole
+//! subtree has applied. The root is a relay that numbers purges itself.
 
-mod below;
-mod bring;
-mod report;
+mod child;
+mod downstream;
+mod upstream;
 
 use crate::log::Log;
-use crate::{Nanos, Progress};
-use below::{Absent, Below};
+use crate::{Nanos, Progress, Settings};
+use child::{Child, DepartedChild, LaggingBelow};
 use rustc_hash::{FxBuildHasher, FxHashMap};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::BuildHasher;
 
-/// A connection.
+/// A connection to a child.
 pub type Id = u64;
 
 const SECOND: Nanos = 1_000_000_000;
-/// It asks upstream again no more often than this.
-const ASK: Nanos = SECOND;
-/// A replay goes on no sooner than this.
-const PACE: Nanos = SECOND / 100;
-/// Marks of how far the log was, over the time of grace.
-const MARKS: usize = 16;
-
-/// Times and bounds of a relay.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
-    /// What comes within this time after the first goes out as one.
-    pub batch: Nanos,
-    /// What is done below is told upstream no more often than this.
-    pub report: Nanos,
-    /// The root says as often that nothing newer is known.
-    pub beat: Nanos,
-    /// Who is behind for longer is not waited for, but named.
-    pub grace: Nanos,
-    /// Who has had entries for so long, and says nothing of them, is let go.
-    pub stuck: Nanos,
-    /// How long a member may claim to be fresh after it was told so. A relay names itself as lacking for this long, and
-    /// the grace, after its start, since it can't know yet who was below it before.
-    pub lease: Nanos,
-    /// Who has gone is named for so long. Not under `lease`: until then it may claim to be fresh.
-    pub forget: Nanos,
-    /// Flushes of those below are spread over this time.
-    pub spread: Nanos,
-    /// Entries that were sent to one below and not done yet, at most.
-    pub window: usize,
-    /// Entries of one frame, at most.
-    pub frame: usize,
-    /// Members below, at most; as many are remembered that have gone.
-    pub members: usize,
-    /// Names that are told, at most; more are counted.
-    pub names: usize,
-}
-
-impl Default for Settings {
-    fn default() -> Self {
-        Settings {
-            batch: SECOND / 10,
-            report: SECOND / 50,
-            beat: SECOND,
-            grace: 2 * SECOND,
-            stuck: 10 * SECOND,
-            lease: 5 * SECOND,
-            forget: 60 * SECOND,
-            spread: 10 * SECOND,
-            window: 16 << 10,
-            frame: 4 << 10,
-            members: 20_000,
-            names: 16,
-        }
-    }
-}
-
-/// What a relay wants done.
+/// The shortest time between two requests for a resync.
+const RESYNC_INTERVAL: Nanos = SECOND;
+/// The shortest time between two batches of a replay.
+const REPLAY_INTERVAL: Nanos = SECOND / 100;
+/// How many positions of the log are recorded over the time of grace.
+const POSITION_SAMPLES: usize = 16;
+
+/// What a relay asks its owner to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Send these entries, or word that nothing newer is known where there are none, to all of these.
+pub enum RelayAction {
+    /// Send these entries to all of these children; without keys, a heartbeat: nothing newer is known.
     Purges {
-        /// To whom.
+        /// The children.
         to: Vec<Id>,
         /// The log's epoch.
         epoch: u64,
-        /// The number before the first of them.
+        /// The number before the first entry.
         after: u64,
-        /// Their keys.
+        /// The keys of the entries.
         keys: Vec<u64>,
     },
-    /// Tell one to drop everything.
+    /// Tell a child to drop every object.
     Flush {
-        /// To whom.
+        /// The child.
         to: Id,
-        /// Where it stands then.
-        at: Progress,
+        /// Its position afterwards.
+        position: Progress,
     },
-    /// Say hello upstream again, with [`Relay::progress`].
-    Ask,
-    /// Tell upstream how far all below are.
+    /// Send `hello` to the upstream again, with [`Relay::progress`].
+    Resync,
+    /// Send a report to the upstream.
     Report(Report),
-    /// End a connection, and why.
-    LetGo(Id, String),
-    /// Tell those on call.
-    Say(String),
+    /// Close a child's connection, for this reason.
+    Disconnect(Id, String),
+    /// Write a warning to the log.
+    Warn(String),
 }
 
-/// How far all below are.
+/// Up to where a whole subtree has applied purges, and who lags.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Everything through here is done by all, but those that lack something of it.
-    pub at: Progress,
-    /// How many lack something of it.
-    pub lacking: u64,
+    /// Everyone has applied everything up to here, except those that lag.
+    pub position: Progress,
+    /// How many lag behind it.
+    pub lagging: u64,
     /// Some of them, as `name@number`.
     pub names: Vec<String>,
 }
 
+/// A child's `hello`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ChildHello<'a> {
+    /// Its name, the same after a restart.
+    pub name: &'a str,
+    /// A number drawn when its process started.
+    pub boot: u64,
+    /// Its position in the log.
+    pub position: Progress,
+    /// How many entries of one frame it accepts.
+    pub max_frame_entries: usize,
+}
+
+/// The lowest position that a child needs and this log no longer has.
+#[derive(Clone, Copy, Debug)]
+struct Refetch {
+    /// When the upstream is asked for it.
+    due: Nanos,
+    /// The number before the first entry needed.
+    after: u64,
+}
+
 /// A relay, or the root.
 pub struct Relay {
     name: String,
-    root: bool,
+    is_root: bool,
     settings: Settings,
     log: Log,
-    below: FxHashMap<Id, Below>,
-    absent: BTreeMap<String, Absent>,
-    /// When what has come goes out.
-    due: Option<Nanos>,
-    /// Upstream has said that nothing newer is known, and it has not been passed on.
-    renewed: bool,
-    beaten: Nanos,
+    children: FxHashMap<Id, Child>,
+    departed: BTreeMap<String, DepartedChild>,
+    /// When the next batch is sent to children.
+    send_due_at: Option<Nanos>,
+    /// A heartbeat that was not forwarded yet.
+    heartbeat_pending: bool,
+    /// When the root last sent a heartbeat.
+    last_heartbeat: Nanos,
     started: Nanos,
-    asked: Option<Nanos>,
-    /// The lowest number that somebody below needs and this log lacks, and when upstream is asked for it.
-    rewind: Option<(Nanos, u64)>,
-    /// Upstream no longer keeps anything before this, in this epoch.
-    floor: u64,
-    /// How far the log was, in the order of time.
-    marks: VecDeque<(Nanos, u64)>,
-    reported: Report,
-    report_at: Nanos,
-    changed: bool,
-    /// What is done is told again, alike or not.
-    tell: bool,
-    ahead: bool,
+    resync_requested_at: Option<Nanos>,
+    refetch: Option<Refetch>,
+    /// The upstream no longer has entries before this number of this epoch.
+    upstream_floor: u64,
+    /// The newest number of the log at recent times, oldest first.
+    recent_positions: VecDeque<(Nanos, u64)>,
+    last_report: Report,
+    next_report: Nanos,
+    report_changed: bool,
+    /// The next report is sent even if it equals the last one.
+    force_report: bool,
+    /// A child knows a higher number of this epoch than this log.
+    child_ahead: bool,
 }
 
 impl Relay {
-    /// A relay that knows nothing yet, for so many entries.
-    pub fn new(name: &str, settings: Settings, entries: usize, now: Nanos) -> Self {
-        Self::with(name, settings, Log::new(Progress::default(), entries), false, now)
+    /// A relay with an empty log of this capacity.
+    pub fn new(name: &str, settings: Settings, log_capacity: usize, now: Nanos) -> Self {
+        Self::with_log(name, settings, Log::new(Progress::default(), log_capacity), false, now)
     }
 
     /// The root, with its log.
     pub fn root(name: &str, settings: Settings, log: Log, now: Nanos) -> Self {
-        Self::with(name, settings, log, true, now)
+        Self::with_log(name, settings, log, true, now)
     }
 
-    fn with(name: &str, settings: Settings, log: Log, root: bool, now: Nanos) -> Self {
-        let reported = Report { at: log.at(), ..Report::default() };
+    fn with_log(name: &str, settings: Settings, log: Log, is_root: bool, now: Nanos) -> Self {
+        let last_report = Report { position: log.position(), ..Report::default() };
         Relay {
             name: name.to_owned(),
-            root,
+            is_root,
             settings,
             log,
-            below: FxHashMap::default(),
-            absent: BTreeMap::new(),
-            due: None,
-            renewed: false,
-            beaten: now,
+            children: FxHashMap::default(),
+            departed: BTreeMap::new(),
+            send_due_at: None,
+            heartbeat_pending: false,
+            last_heartbeat: now,
             started: now,
-            asked: None,
-            rewind: None,
-            floor: 0,
-            marks: VecDeque::new(),
-            reported,
-            report_at: now,
-            changed: true,
-            tell: false,
-            ahead: false,
+            resync_requested_at: None,
+            refetch: None,
+            upstream_floor: 0,
+            recent_positions: VecDeque::new(),
+            last_report,
+            next_report: now,
+            report_changed: true,
+            force_report: false,
+            child_ahead: false,
         }
     }
 
@@ -184,271 +158,305 @@
         &self.log
     }
 
-    /// How far all below are, as it was last told.
-    pub fn reported(&self) -> &Report {
-        &self.reported
+    /// The last report to the upstream.
+    pub fn last_report(&self) -> &Report {
+        &self.last_report
     }
 
-    /// Where it stands, for `hello` upstream: all below have done it, and what comes next can be joined to the log.
+    /// The relay's position for its own `hello`: the whole subtree has applied everything up to it, and the log can be
+    /// continued from it.
     pub fn progress(&self) -> Progress {
-        let through = self.reported.at.through.min(self.log.newest());
+        let through = self.last_report.position.through.min(self.log.newest());
         Progress { epoch: self.log.epoch(), through }
     }
 
-    /// Whether somebody below knows more of this epoch than the root does: its log is an older one that came back, and
-    /// numbers would be given out twice. The root is to begin anew.
-    pub fn is_outrun(&self) -> bool {
-        self.root && self.ahead
+    /// Whether a child knows a higher number of this epoch than the root: the root's log was restored from an older
+    /// state, and would assign numbers twice. The root has to start a new epoch.
+    pub fn is_behind_children(&self) -> bool {
+        self.is_root && self.child_ahead
     }
 
-    /// The root begins a new epoch: everybody is told to drop everything.
-    pub fn begin_anew(&mut self, now: Nanos, epoch: u64) {
-        self.ahead = false;
-        self.moved_to(now, Progress { epoch, through: 0 }, 0);
+    /// The root starts a new epoch: every child will be flushed.
+    pub fn start_epoch(&mut self, now: Nanos, epoch: u64) {
+        self.child_ahead = false;
+        self.reset_log(now, Progress { epoch, through: 0 }, 0);
     }
 
-    /// Numbers purges at the root; where the log stands then.
-    pub fn number(&mut self, now: Nanos, keys: &[u64]) -> Progress {
+    /// Appends purges to the root's log and returns the log's new position.
+    pub fn append(&mut self, now: Nanos, keys: &[u64]) -> Progress {
         for key in keys {
             self.log.append(*key);
         }
-        self.grown(now);
-        self.log.at()
+        self.log_extended(now);
+        self.log.position()
+    }
+
+    fn log_extended(&mut self, now: Nanos) {
+        self.record_position(now);
+        self.report_changed = true;
+        self.schedule_send(now.saturating_add(self.settings.batch));
     }
 
-    fn grown(&mut self, now: Nanos) {
-        self.mark(now);
-        self.changed = true;
-        self.due.get_or_insert(now.saturating_add(self.settings.batch));
+    /// Sends to children at this time, or earlier where that is planned already.
+    fn schedule_send(&mut self, at: Nanos) {
+        self.send_due_at.get_or_insert(at);
     }
 
-    fn mark(&mut self, now: Nanos) {
-        let apart = self.settings.grace / MARKS as u64;
-        if self.marks.back().is_none_or(|(at, _)| now.saturating_sub(*at) >= apart) {
-            self.marks.push_back((now, self.log.newest()));
+    fn record_position(&mut self, now: Nanos) {
+        let grace = self.settings.grace;
+        let interval = grace / POSITION_SAMPLES as u64;
+        let is_older = |at: Nanos, than: Nanos| now.saturating_sub(at) >= than;
+        if self.recent_positions.back().is_none_or(|(at, _)| is_older(*at, interval)) {
+            self.recent_positions.push_back((now, self.log.newest()));
         }
-        // One older than the grace is kept.
-        while self.marks.get(1).is_some_and(|(at, _)| now.saturating_sub(*at) >= self.settings.grace) {
-            self.marks.pop_front();
+        // The newest of those that are older than the grace stays.
+        while self.recent_positions.get(1).is_some_and(|(at, _)| is_older(*at, grace)) {
+            self.recent_positions.pop_front();
         }
     }
 
-    /// How far the log was a grace ago.
-    fn expected(&self, now: Nanos) -> u64 {
-        let old = self.marks.front().filter(|(at, _)| now.saturating_sub(*at) >= self.settings.grace);
+    /// The newest number of the log one grace ago.
+    fn position_before_grace(&self, now: Nanos) -> u64 {
+        let oldest = self.recent_positions.front();
+        let old = oldest.filter(|(at, _)| now.saturating_sub(*at) >= self.settings.grace);
         old.map_or(0, |(_, newest)| *newest)
     }
 
-    /// Entries `after + 1` and on have come from upstream; with no keys, word that nothing newer is known.
-    pub fn purges(&mut self, now: Nanos, epoch: u64, after: u64, keys: &[u64], actions: &mut Vec<Action>) {
+    /// The upstream sent the entries from `after + 1` on; without keys, a heartbeat: nothing newer is known.
+    pub fn receive_purges(
+        &mut self,
+        now: Nanos,
+        epoch: u64,
+        after: u64,
+        keys: &[u64],
+        actions: &mut Vec<RelayAction>,
+    ) {
         if epoch < self.log.epoch() {
             return;
         }
         if epoch > self.log.epoch() {
-            return self.ask(now, actions);
+            return self.request_resync(now, actions);
         }
         match self.log.extend(after, keys) {
-            Err(_) => self.ask(now, actions),
+            Err(_) => self.request_resync(now, actions),
             Ok(0) if keys.is_empty() && after == self.log.newest() => {
-                self.renewed = true;
-                self.due.get_or_insert(now.saturating_add(self.settings.batch));
+                self.heartbeat_pending = true;
+                self.schedule_send(now.saturating_add(self.settings.batch));
             }
             Ok(0) => {}
-            Ok(_) => self.grown(now),
+            Ok(_) => self.log_extended(now),
         }
     }
 
-    fn ask(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        if self.asked.is_none_or(|asked| now.saturating_sub(asked) >= ASK) {
-            self.asked = Some(now);
-            actions.push(Action::Ask);
+    fn request_resync(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
+        if self.resync_requested_at.is_none_or(|at| now.saturating_sub(at) >= RESYNC_INTERVAL) {
+            self.resync_requested_at = Some(now);
+            actions.push(RelayAction::Resync);
         }
     }
 
-    /// What it lacks is no longer kept upstream.
-    pub fn flush(&mut self, now: Nanos, at: Progress) {
-        let here = self.log.at();
-        if (here.epoch, here.through) >= (at.epoch, at.through) {
+    /// The upstream no longer has the entries that this relay lacks.
+    pub fn receive_flush(&mut self, now: Nanos, position: Progress) {
+        let own = self.log.position();
+        if (own.epoch, own.through) >= (position.epoch, position.through) {
             return;
         }
-        let knew = !self.progress().is_empty();
-        let floor = if knew { at.through } else { 0 };
-        self.moved_to(now, at, floor);
+        let floor = if self.progress().is_empty() { 0 } else { position.through };
+        self.reset_log(now, position, floor);
     }
 
-    fn moved_to(&mut self, now: Nanos, at: Progress, floor: u64) {
-        let anew = at.epoch != self.log.epoch();
-        self.log.reset(at);
-        if anew {
-            self.marks.clear();
-            self.reported = Report { at, ..Report::default() };
-            self.below.values_mut().for_each(|b| b.lacking = (0, Vec::new()));
+    fn reset_log(&mut self, now: Nanos, position: Progress, upstream_floor: u64) {
+        let is_new_epoch = position.epoch != self.log.epoch();
+        self.log.reset(position);
+        if is_new_epoch {
+            self.recent_positions.clear();
+            self.last_report = Report { position, ..Report::default() };
+            self.children.values_mut().for_each(|child| child.lagging = LaggingBelow::default());
         }
-        (self.asked, self.rewind, self.floor) = (None, None, floor);
-        self.grown(now);
-        for b in self.below.values_mut() {
-            (b.sent, b.flush) = (None, None);
-            if b.done.epoch == b.at.epoch {
-                b.at.through = b.at.through.max(b.done.through);
+        self.resync_requested_at = None;
+        self.refetch = None;
+        self.upstream_floor = upstream_floor;
+        self.log_extended(now);
+        for child in self.children.values_mut() {
+            child.sent = None;
+            child.flush_due = None;
+            if child.acked.epoch == child.joined_at.epoch {
+                child.joined_at.through = child.joined_at.through.max(child.acked.through);
             }
         }
-        let ids: Vec<Id> = self.below.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.align(now, id));
+        let ids: Vec<Id> = self.children.keys().copied().collect();
+        ids.into_iter().for_each(|id| self.align_child(now, id));
     }
 
-    /// The connection upstream is there, and hello was said on it.
-    pub fn connected(&mut self, now: Nanos) {
-        self.asked = None;
-        self.changed = true;
-        self.tell = true;
-        self.report_at = now;
+    /// The connection to the upstream is established, and `hello` was sent on it.
+    pub fn upstream_connected(&mut self, now: Nanos) {
+        self.resync_requested_at = None;
+        self.report_changed = true;
+        self.force_report = true;
+        self.next_report = now;
     }
 
-    /// One below has said hello and takes purges; again on the same connection, where something is missing there. It
-    /// counts as lacking until it has said how far it is ([`Self::purged`]), too.
-    /// `most`: it reads frames of so many entries. False where there are too many already: it is to be let go.
-    pub fn joined(&mut self, now: Nanos, id: Id, who: (&str, u64), at: Progress, most: usize) -> bool {
-        let (name, boot) = who;
-        // The same process on another connection: the old one is dead, whatever the system says.
-        let old = self.below.iter().find(|(old, b)| **old != id && b.name == name && b.boot == boot);
-        let old = old.map(|(old, _)| *old).and_then(|old| self.below.remove(&old));
-        if self.below.len() >= self.settings.members && !self.below.contains_key(&id) {
+    /// A child sent `hello`, for the first time or, where it lacks entries, again on the same connection. It counts as
+    /// lagging until it acknowledges a position ([`Self::child_acked`]). False if there are too many children: its
+    /// connection has to be closed.
+    pub fn child_connected(&mut self, now: Nanos, id: Id, hello: ChildHello<'_>) -> bool {
+        let ChildHello { name, boot, position, max_frame_entries } = hello;
+        // The same process on another connection: the old one is dead, even if the system has not noticed yet.
+        let is_same = |child: &Child| child.name == name && child.boot == boot;
+        let old = self.children.iter().find(|(old, child)| **old != id && is_same(child));
+        let old = old.map(|(old, _)| *old).and_then(|old| self.children.remove(&old));
+        if self.children.len() >= self.settings.max_children && !self.children.contains_key(&id) {
             return false;
         }
-        let absent = self.absent.remove(name).map(|absent| absent.lacking);
-        let mut lacking = old.map(|old| old.lacking).or(absent).unwrap_or_default();
-        let (mut done, mut told) = (at, false);
-        if let Some(again) = self.below.get(&id) {
-            // Danger: a relay that goes back to fetch what one below it lacks has still done what it said.
-            if again.done.epoch == at.epoch {
-                done.through = done.through.max(again.done.through);
+        let departed = self.departed.remove(name).map(|departed| departed.lagging);
+        let mut lagging = old.map(|old| old.lagging).or(departed).unwrap_or_default();
+        let (mut acked, mut has_acked) = (position, false);
+        if let Some(before) = self.children.get(&id) {
+            // Danger: a relay that goes back to fetch what its child lacks has still applied what it acknowledged.
+            if before.acked.epoch == position.epoch {
+                acked.through = acked.through.max(before.acked.through);
             }
-            (lacking, told) = (again.lacking.clone(), again.told);
+            lagging = before.lagging.clone();
+            has_acked = before.has_acked;
         }
-        let frame = self.settings.frame.min(most).max(1);
-        let below = Below {
+        let child = Child {
             name: name.to_owned(),
             boot,
-            at,
-            done,
-            told,
+            joined_at: position,
+            acked,
+            has_acked,
             sent: None,
-            flush: None,
-            heard: now,
-            lacking,
-            frame,
+            flush_due: None,
+            last_ack: now,
+            lagging,
+            max_frame_entries: self.settings.max_frame_entries.min(max_frame_entries).max(1),
         };
-        self.below.insert(id, below);
-        self.changed = true;
-        self.align(now, id);
+        self.children.insert(id, child);
+        self.report_changed = true;
+        self.align_child(now, id);
         true
     }
 
-    /// Finds where the one below joins the log.
-    fn align(&mut self, now: Nanos, id: Id) {
+    /// Decides how a child joins the log: by a replay, by a flush, or after entries were fetched again from upstream.
+    fn align_child(&mut self, now: Nanos, id: Id) {
         let (epoch, newest) = (self.log.epoch(), self.log.newest());
-        let Some(b) = self.below.get_mut(&id).filter(|_| epoch > 0) else { return };
-        self.due.get_or_insert(now.saturating_add(self.settings.batch));
-        let behind = newest.saturating_sub(b.at.through);
-        if b.at.is_empty() {
-            b.flush = Some(now);
-        } else if b.at.epoch > epoch {
-            // Upstream is to tell of that epoch first.
-        } else if b.at.epoch < epoch {
-            b.flush = Some(now.saturating_add(spread(&b.name, self.settings.spread)));
-        } else if self.log.keeps(b.at.through) {
-            self.ahead |= b.at.through > newest;
-            b.sent = Some(b.at.through);
-        } else if self.root || b.at.through < self.floor || behind > self.log.most() as u64 {
-            b.flush = Some(now.saturating_add(spread(&b.name, self.settings.spread)));
+        let Some(child) = self.children.get_mut(&id).filter(|_| epoch > 0) else { return };
+        let batch_end = now.saturating_add(self.settings.batch);
+        self.send_due_at.get_or_insert(batch_end);
+        let position = child.joined_at;
+        let spread_flush = now.saturating_add(flush_delay(&child.name, self.settings.flush_spread));
+        if position.is_empty() {
+            child.flush_due = Some(now);
+        } else if position.epoch > epoch {
+            // The upstream has to announce that epoch first.
+        } else if position.epoch < epoch {
+            child.flush_due = Some(spread_flush);
+        } else if self.log.retains_after(position.through) {
+            self.child_ahead |= position.through > newest;
+            child.sent = Some(position.through);
+        } else if self.is_root
+            || position.through < self.upstream_floor
+            || newest.saturating_sub(position.through) > self.log.capacity() as u64
+        {
+            child.flush_due = Some(spread_flush);
         } else {
-            // Danger: after a restart of this relay a flush of all below would empty a whole site.
-            let due = now.saturating_add(self.settings.batch);
-            let (due, lowest) = self.rewind.unwrap_or((due, b.at.through));
-            self.rewind = Some((due, lowest.min(b.at.through)));
+            // Danger: after a restart of this relay a flush of all children would empty a whole site.
+            let planned = self.refetch.unwrap_or(Refetch { due: batch_end, after: position.through });
+            self.refetch = Some(Refetch { after: planned.after.min(position.through), ..planned });
         }
     }
 
-    /// One below says how far it, or all below it, are.
-    pub fn purged(&mut self, now: Nanos, id: Id, report: Report) {
-        let names = self.settings.names;
-        let Some(b) = self.below.get_mut(&id) else { return };
-        b.heard = now;
-        let Report { at, lacking, names: mut named } = report;
-        if (at.epoch, at.through) >= (b.done.epoch, b.done.through) {
-            b.done = at;
-            named.truncate(names);
-            named.iter_mut().for_each(report::shorten);
-            (b.lacking, b.told) = ((lacking, named), true);
-            self.changed = true;
+    /// A child reports up to where it, or its whole subtree, has applied purges.
+    pub fn child_acked(&mut self, now: Nanos, id: Id, report: Report) {
+        let Some(child) = self.children.get_mut(&id) else { return };
+        child.last_ack = now;
+        let Report { position, lagging, mut names } = report;
+        if (position.epoch, position.through) >= (child.acked.epoch, child.acked.through) {
+            names.truncate(self.settings.max_names);
+            names.iter_mut().for_each(upstream::truncate_name);
+            child.acked = position;
+            child.lagging = LaggingBelow { count: lagging, names };
+            child.has_acked = true;
+            self.report_changed = true;
         }
-        if b.sent.is_some_and(|sent| sent < self.log.newest()) {
-            self.due.get_or_insert(now.saturating_add(self.settings.batch));
+        if child.sent.is_some_and(|sent| sent < self.log.newest()) {
+            self.schedule_send(now.saturating_add(self.settings.batch));
         }
     }
 
-    /// What was to be sent to one, from after this number on, could not be: too much waits for it already.
-    pub fn untaken(&mut self, now: Nanos, id: Id, after: u64) {
-        if let Some(b) = self.below.get_mut(&id) {
-            b.sent = b.sent.map(|sent| sent.min(after));
-            self.due.get_or_insert(now.saturating_add(self.settings.batch.max(PACE)));
+    /// Entries from `after + 1` on could not be sent to a child, since its queue is full.
+    pub fn send_failed(&mut self, now: Nanos, id: Id, after: u64) {
+        if let Some(child) = self.children.get_mut(&id) {
+            child.sent = child.sent.map(|sent| sent.min(after));
+            self.schedule_send(now.saturating_add(self.settings.batch.max(REPLAY_INTERVAL)));
         }
     }
 
-    /// A connection has ended.
-    pub fn gone(&mut self, now: Nanos, id: Id) {
-        let Some(b) = self.below.remove(&id) else { return };
-        self.changed = true;
-        if self.below.values().any(|other| other.name == b.name) {
+    /// A child's connection has ended.
+    pub fn child_disconnected(&mut self, now: Nanos, id: Id) {
+        let Some(child) = self.children.remove(&id) else { return };
+        self.report_changed = true;
+        if self.children.values().any(|other| other.name == child.name) {
             return;
         }
-        if self.absent.len() >= self.settings.members {
-            let oldest = self.absent.iter().min_by_key(|(_, a)| a.since).map(|(name, _)| name.clone());
-            oldest.map(|name| self.absent.remove(&name));
+        if self.departed.len() >= self.settings.max_children {
+            let oldest = self.departed.iter().min_by_key(|(_, departed)| departed.since);
+            if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+                self.departed.remove(&name);
+            }
         }
-        self.absent.insert(b.name, Absent { since: now, done: b.done, lacking: b.lacking });
+        let departed = DepartedChild { since: now, acked: child.acked, lagging: child.lagging };
+        self.departed.insert(child.name, departed);
     }
 
-    /// When it is to be called again at the latest.
-    pub fn next(&self, now: Nanos) -> Nanos {
-        let due = [self.due, self.rewind.map(|r| r.0)].into_iter().flatten().min();
-        let report = self.changed.then_some(self.report_at);
-        let idle = now.saturating_add(self.settings.beat.min(SECOND) / 4);
-        [due, report].into_iter().flatten().min().map_or(idle, |at| at.min(idle)).max(now)
+    /// When [`Self::tick`] has to be called at the latest.
+    pub fn next_tick(&self, now: Nanos) -> Nanos {
+        let report = self.report_changed.then_some(self.next_report);
+        let due = [self.send_due_at, self.refetch.map(|refetch| refetch.due), report];
+        let idle = now.saturating_add(self.settings.heartbeat_interval.min(SECOND) / 4);
+        due.into_iter().flatten().fold(idle, Nanos::min).max(now)
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        self.mark(now);
-        if self.root && now.saturating_sub(self.beaten) >= self.settings.beat {
-            self.beaten = now;
-            self.renewed = true;
-            self.due.get_or_insert(now);
+    /// Lets time pass, and does what is due.
+    pub fn tick(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
+        self.record_position(now);
+        let since_heartbeat = now.saturating_sub(self.last_heartbeat);
+        if self.is_root && since_heartbeat >= self.settings.heartbeat_interval {
+            self.last_heartbeat = now;
+            self.heartbeat_pending = true;
+            self.schedule_send(now);
+        }
+        self.disconnect_stuck(now, actions);
+        if let Some(Refetch { after, .. }) = self.refetch.take_if(|refetch| refetch.due <= now) {
+            self.refetch_after(now, after, actions);
         }
-        self.let_go(now, actions);
-        let rewind = self.rewind.take_if(|(due, _)| *due <= now);
-        if let Some((_, through)) = rewind {
-            let at = Progress { epoch: self.log.epoch(), through };
-            actions.push(Action::Say(format!("the log is fetched again from {through} on, for those below")));
-            self.log.reset(at);
-            self.asked = Some(now);
-            actions.push(Action::Ask);
-            self.below.values_mut().filter(|b| b.at.epoch == at.epoch && b.sent.is_none()).for_each(|b| {
-                b.sent = Some(b.at.through);
-            });
+        if self.send_due_at.is_some_and(|due| due <= now) {
+            self.send_due_at = None;
+            self.send_due(now, actions);
         }
-        if self.due.is_some_and(|due| due <= now) {
-            self.due = None;
-            self.bring(now, actions);
+        self.send_report(now, actions);
+    }
+
+    /// Resets the log to an earlier position and asks the upstream to replay from there.
+    fn refetch_after(&mut self, now: Nanos, through: u64, actions: &mut Vec<RelayAction>) {
+        let position = Progress { epoch: self.log.epoch(), through };
+        let warning = format!("the log of purges is fetched again from {through} on, for children that lag");
+        actions.push(RelayAction::Warn(warning));
+        self.log.reset(position);
+        self.resync_requested_at = Some(now);
+        actions.push(RelayAction::Resync);
+        for child in self.children.values_mut() {
+            if child.joined_at.epoch == position.epoch && child.sent.is_none() {
+                child.sent = Some(child.joined_at.through);
+            }
         }
-        self.report(now, actions);
     }
 }
 
-/// When, of this time, the one of this name is flushed.
-fn spread(name: &str, over: Nanos) -> Nanos {
+/// How much later than others the child of this name is flushed, within this time.
+fn flush_delay(name: &str, spread: Nanos) -> Nanos {
     let hash = FxBuildHasher.hash_one(name);
-    ((u128::from(hash) * u128::from(over)) >> 64) as Nanos
+    ((u128::from(hash) * u128::from(spread)) >> 64) as Nanos
 }
 
 #[cfg(test)]
