--- a/crates/fanout/tests/net/mod.rs
+++ b/crates/fanout/tests/net/mod.rs
@@ -1,42 +1,42 @@
 //! A tree in one thread: connections are queues, time passes in steps of ten milliseconds.
 
-use aniseyoke_fanout::relay::Report;
-use aniseyoke_fanout::{Action, Log, Member, Nanos, Progress, Relay, Settings, Told};
+use aniseyoke_fanout::relay::{ChildHello, Report};
+use aniseyoke_fanout::{Log, Member, MemberAction, Nanos, Progress, Relay, RelayAction, Settings};
 use std::collections::{BTreeMap, VecDeque};
 
 const MS: Nanos = 1_000_000;
 const STEP: Nanos = 10 * MS;
 const LEASE: Nanos = 1000 * MS;
 
-/// What happens to a tree; numbers are taken modulo what there is.
+/// An event in a tree; indices are taken modulo the number of nodes.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// So many purges are numbered.
+    /// The root appends so many purges.
     Purge(usize),
-    /// So many steps pass.
-    Pass(u64),
-    /// A connection ends; the upper end learns it later.
+    /// Time passes, in steps.
+    Wait(u64),
+    /// A connection unnoticed_ends; the upper end learns it later.
     Cut(usize, bool),
-    /// What goes up or comes down on a connection is lost until it is cut, or till the next such.
+    /// Frames up, frames down on a connection are lost until it is cut, or until the next such event.
     Lose(usize, bool, bool),
-    /// What is on its way down on a connection is lost.
+    /// The frames in flight down a connection are lost.
     Drop(usize),
-    /// Whatever is on its way on a connection comes twice.
-    Twice(usize),
-    /// A relay is back at once, and knows nothing.
+    /// Every frame in flight on a connection is duplicated.
+    Duplicate(usize),
+    /// A relay restarts, and loses its state.
     RestartRelay(usize),
-    /// So is a leaf.
+    /// A leaf restarts, and loses its state.
     RestartLeaf(usize),
-    /// The root is back with its log.
+    /// The root restarts with its log.
     RestartRoot,
-    /// And without.
+    /// The root restarts without its log.
     LoseLog,
 }
 
 #[derive(Clone)]
 enum Up {
     Hello(Progress),
-    Done(Report),
+    Ack(Report),
 }
 
 #[derive(Clone)]
@@ -45,9 +45,9 @@
     Flush(Progress),
 }
 
-/// The connection of a relay or a leaf to what is above it.
+/// The connection of a relay or a leaf to its upstream.
 struct Conn {
-    /// None: there is no connection.
+    /// None while there is no connection.
     id: Option<u64>,
     /// Relay 0 is the root.
     to: usize,
@@ -67,29 +67,29 @@
     entries: usize,
     seed: u64,
     ids: u64,
-    /// What was numbered, by epoch.
-    truth: BTreeMap<u64, Vec<u64>>,
+    /// The keys that the root appended, by epoch.
+    appended: BTreeMap<u64, Vec<u64>>,
     epoch: u64,
     /// The root, and the relays.
     relays: Vec<Relay>,
     members: Vec<Member>,
     /// Relays but the root, then leaves.
     nodes: Vec<Node>,
-    /// Ends that upper ends have not learnt yet.
-    ends: Vec<(Nanos, usize, u64)>,
+    /// Ends that upper unnoticed_ends have not learnt yet.
+    unnoticed_ends: Vec<(Nanos, usize, u64)>,
 }
 
 fn settings(root: bool) -> Settings {
     Settings {
         batch: if root { 0 } else { 30 * MS },
-        beat: 200 * MS,
+        heartbeat_interval: 200 * MS,
         grace: if root { 600 * MS } else { 300 * MS },
         lease: LEASE,
-        forget: 3 * LEASE,
-        spread: 200 * MS,
-        stuck: 2 * LEASE,
+        departed_retention: 3 * LEASE,
+        flush_spread: 200 * MS,
+        ack_timeout: 2 * LEASE,
         window: 16,
-        frame: 4,
+        max_frame_entries: 4,
         ..Settings::default()
     }
 }
@@ -109,16 +109,16 @@
             entries,
             seed: seed | 1,
             ids: 0,
-            truth: BTreeMap::from([(1, Vec::new())]),
+            appended: BTreeMap::from([(1, Vec::new())]),
             epoch: 1,
             relays: all,
             members: (0..leaves).map(|_| Member::new(Progress::default(), LEASE)).collect(),
             nodes: (0..relays + leaves).map(node).collect(),
-            ends: Vec::new(),
+            unnoticed_ends: Vec::new(),
         }
     }
 
-    fn chance(&mut self, of: u64) -> u64 {
+    fn random(&mut self, of: u64) -> u64 {
         // Xorshift: enough to vary the order of what comes.
         self.seed ^= self.seed << 13;
         self.seed ^= self.seed >> 7;
@@ -126,41 +126,41 @@
         self.seed % of
     }
 
-    fn below(&self) -> usize {
+    fn relay_count(&self) -> usize {
         self.relays.len() - 1
     }
 
     pub fn newest(&self) -> Progress {
-        self.relays[0].log().at()
+        self.relays[0].log().position()
     }
 
     pub fn leaves(&self) -> impl Iterator<Item = Progress> + '_ {
         self.members.iter().map(Member::progress)
     }
 
-    pub fn reported(&self) -> &Report {
-        self.relays[0].reported()
+    pub fn last_report(&self) -> &Report {
+        self.relays[0].last_report()
     }
 
     pub fn all_fresh(&self) -> bool {
-        self.members.iter().all(|member| member.fresh(self.now))
+        self.members.iter().all(|member| member.is_fresh(self.now))
     }
 
     pub fn play(&mut self, op: Op) {
-        let (relays, nodes, leaves) = (self.below(), self.nodes.len(), self.members.len());
+        let (relays, nodes, leaves) = (self.relay_count(), self.nodes.len(), self.members.len());
         match op {
             Op::Purge(count) => {
-                let truth = self.truth.get_mut(&self.epoch).expect("this epoch's");
-                let first = truth.len() as u64 * 10 + self.epoch;
+                let appended = self.appended.get_mut(&self.epoch).expect("the current epoch");
+                let first = appended.len() as u64 * 10 + self.epoch;
                 let keys: Vec<u64> = (0..count as u64).map(|n| first + n).collect();
-                truth.extend(&keys);
-                self.relays[0].number(self.now, &keys);
+                appended.extend(&keys);
+                self.relays[0].append(self.now, &keys);
             }
-            Op::Pass(steps) => (0..steps).for_each(|_| self.step()),
+            Op::Wait(steps) => (0..steps).for_each(|_| self.step()),
             Op::Cut(n, late) => self.cut(n % nodes, late),
             Op::Lose(n, up, down) => self.nodes[n % nodes].conn.lose = (up, down),
             Op::Drop(n) => self.nodes[n % nodes].conn.down.clear(),
-            Op::Twice(n) => {
+            Op::Duplicate(n) => {
                 let conn = &mut self.nodes[n % nodes].conn;
                 conn.up = conn.up.iter().flat_map(|m| [m.clone(), m.clone()]).collect();
                 conn.down = conn.down.iter().flat_map(|m| [m.clone(), m.clone()]).collect();
@@ -175,7 +175,7 @@
             Op::RestartRoot => self.restart(0),
             Op::LoseLog => {
                 self.epoch += 1;
-                self.truth.insert(self.epoch, Vec::new());
+                self.appended.insert(self.epoch, Vec::new());
                 self.restart(0);
             }
         }
@@ -187,10 +187,10 @@
                 self.cut(node, false);
             }
         }
-        self.ends.retain(|(_, to, _)| *to != relay);
+        self.unnoticed_ends.retain(|(_, to, _)| *to != relay);
         self.relays[relay] = if relay == 0 {
             let mut log = Log::new(Progress { epoch: self.epoch, through: 0 }, self.entries);
-            self.truth[&self.epoch].iter().for_each(|key| _ = log.append(*key));
+            self.appended[&self.epoch].iter().for_each(|key| _ = log.append(*key));
             Relay::root("root", settings(true), log, self.now)
         } else {
             self.cut(relay - 1, true);
@@ -200,9 +200,9 @@
     }
 
     fn cut(&mut self, node: usize, late: bool) {
-        let wait = 100 * MS + self.chance(200) * MS;
-        let relays = self.below();
-        let other = 1 + self.chance(relays as u64) as usize;
+        let wait = 100 * MS + self.random(200) * MS;
+        let relays = self.relay_count();
+        let other = 1 + self.random(relays as u64) as usize;
         let conn = &mut self.nodes[node].conn;
         conn.lose = (false, false);
         conn.up.clear();
@@ -214,22 +214,22 @@
             conn.to = other;
         }
         if late {
-            self.ends.push((self.now + 500 * MS, to, id));
+            self.unnoticed_ends.push((self.now + 500 * MS, to, id));
         } else {
-            self.relays[to].gone(self.now, id);
+            self.relays[to].child_disconnected(self.now, id);
         }
     }
 
-    /// Where a node stands.
-    fn stands(&self, node: usize) -> Progress {
-        let relays = self.below();
+    /// The position of a node.
+    fn position_of(&self, node: usize) -> Progress {
+        let relays = self.relay_count();
         match node.checked_sub(relays) {
             Some(leaf) => self.members[leaf].progress(),
             None => self.relays[node + 1].progress(),
         }
     }
 
-    fn say(&mut self, node: usize, what: Up) {
+    fn send_up(&mut self, node: usize, what: Up) {
         let conn = &mut self.nodes[node].conn;
         if conn.id.is_some() && !conn.lose.0 {
             conn.up.push_back(what);
@@ -238,26 +238,27 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        let ends: Vec<_> = self.ends.extract_if(.., |(at, _, _)| *at <= self.now).collect();
-        ends.into_iter().for_each(|(_, to, id)| self.relays[to].gone(self.now, id));
+        let unnoticed_ends: Vec<_> =
+            self.unnoticed_ends.extract_if(.., |(at, _, _)| *at <= self.now).collect();
+        unnoticed_ends.into_iter().for_each(|(_, to, id)| self.relays[to].child_disconnected(self.now, id));
         for node in 0..self.nodes.len() {
             let conn = &mut self.nodes[node].conn;
             if conn.id.is_none() && conn.retry <= self.now {
                 self.ids += 1;
                 conn.id = Some(self.ids);
-                let stands = self.stands(node);
-                self.say(node, Up::Hello(stands));
-                if node < self.below() {
-                    self.relays[node + 1].connected(self.now);
+                let position = self.position_of(node);
+                self.send_up(node, Up::Hello(position));
+                if node < self.relay_count() {
+                    self.relays[node + 1].upstream_connected(self.now);
                 } else {
-                    self.say(node, Up::Done(Report { at: stands, ..Report::default() }));
+                    self.send_up(node, Up::Ack(Report { position, ..Report::default() }));
                 }
             }
-            for _ in 0..self.chance(6) {
-                self.come_up(node);
+            for _ in 0..self.random(6) {
+                self.deliver_up(node);
             }
-            for _ in 0..self.chance(6) {
-                self.come_down(node);
+            for _ in 0..self.random(6) {
+                self.deliver_down(node);
             }
         }
         for relay in 0..self.relays.len() {
@@ -268,79 +269,85 @@
         self.check();
     }
 
-    fn come_up(&mut self, node: usize) {
+    fn deliver_up(&mut self, node: usize) {
         let (boot, conn) = (self.nodes[node].boot, &mut self.nodes[node].conn);
         let (Some(id), to) = (conn.id, conn.to) else { return };
         match conn.up.pop_front() {
-            Some(Up::Hello(at)) => {
-                assert!(self.relays[to].joined(self.now, id, (&format!("n{node}"), boot), at, 4));
+            Some(Up::Hello(position)) => {
+                let name = format!("n{node}");
+                let hello = ChildHello { name: &name, boot, position, max_frame_entries: 4 };
+                assert!(self.relays[to].child_connected(self.now, id, hello));
             }
-            Some(Up::Done(report)) => self.relays[to].purged(self.now, id, report),
+            Some(Up::Ack(report)) => self.relays[to].child_acked(self.now, id, report),
             None => {}
         }
     }
 
-    fn come_down(&mut self, node: usize) {
+    fn deliver_down(&mut self, node: usize) {
         let Some(frame) = self.nodes[node].conn.down.pop_front() else { return };
-        let relays = self.below();
+        let relays = self.relay_count();
         let Some(leaf) = node.checked_sub(relays) else {
             let (relay, mut actions) = (node + 1, Vec::new());
             match frame {
                 Down::Purges(epoch, after, keys) => {
-                    self.relays[relay].purges(self.now, epoch, after, &keys, &mut actions);
+                    self.relays[relay].receive_purges(self.now, epoch, after, &keys, &mut actions);
                 }
-                Down::Flush(at) => self.relays[relay].flush(self.now, at),
+                Down::Flush(at) => self.relays[relay].receive_flush(self.now, at),
             }
             return self.act(relay, actions);
         };
-        let (member, truth) = (&mut self.members[leaf], &self.truth);
+        let (member, appended) = (&mut self.members[leaf], &self.appended);
         let before = member.progress();
-        let mut asks = false;
+        let mut needs_resync = false;
         match frame {
-            Down::Purges(epoch, after, keys) => match member.purges(self.now, epoch, after, &keys) {
-                Told::Drop(keys) => {
+            Down::Purges(epoch, after, keys) => match member.receive_purges(self.now, epoch, after, &keys) {
+                MemberAction::Invalidate(keys) => {
                     let from = before.through as usize;
-                    assert_eq!(keys, &truth[&epoch][from..from + keys.len()], "dropped in their order");
+                    assert_eq!(
+                        keys,
+                        &appended[&epoch][from..from + keys.len()],
+                        "invalidated in the order of the log"
+                    );
                 }
-                Told::Ask => asks = true,
-                Told::DropAll => panic!("entries are no flush"),
-                Told::Nothing => {}
+                MemberAction::Resync => needs_resync = true,
+                MemberAction::InvalidateAll => panic!("entries can't flush a member"),
+                MemberAction::Ignore => {}
             },
-            Down::Flush(at) => _ = member.flush(at),
+            Down::Flush(at) => _ = member.receive_flush(at),
         }
-        let at = member.progress();
-        if asks {
-            self.say(node, Up::Hello(at));
+        let position = member.progress();
+        if needs_resync {
+            self.send_up(node, Up::Hello(position));
         }
-        if at != before {
-            self.say(node, Up::Done(Report { at, ..Report::default() }));
+        if position != before {
+            self.send_up(node, Up::Ack(Report { position, ..Report::default() }));
         }
     }
 
-    fn act(&mut self, relay: usize, actions: Vec<Action>) {
+    fn act(&mut self, relay: usize, actions: Vec<RelayAction>) {
         let node = relay.checked_sub(1);
         for action in actions {
             match action {
-                Action::Purges { to, epoch, after, keys } => {
+                RelayAction::Purges { to, epoch, after, keys } => {
                     to.into_iter()
                         .for_each(|id| self.send(relay, id, Down::Purges(epoch, after, keys.clone())));
                 }
-                Action::Flush { to, at } => self.send(relay, to, Down::Flush(at)),
-                Action::Ask => {
-                    let node = node.expect("the root has nobody to ask");
-                    let stands = self.stands(node);
-                    self.say(node, Up::Hello(stands));
+                RelayAction::Flush { to, position } => self.send(relay, to, Down::Flush(position)),
+                RelayAction::Resync => {
+                    let node = node.expect("the root has no upstream");
+                    let position = self.position_of(node);
+                    self.send_up(node, Up::Hello(position));
                 }
-                Action::Report(report) => node.into_iter().for_each(|node| {
-                    if report.at.epoch > 0 {
-                        self.say(node, Up::Done(report.clone()));
+                RelayAction::Report(report) => node.into_iter().for_each(|node| {
+                    if report.position.epoch > 0 {
+                        self.send_up(node, Up::Ack(report.clone()));
                     }
                 }),
-                Action::LetGo(id, _) => {
+                RelayAction::Disconnect(id, _) => {
                     let found = self.nodes.iter().position(|n| n.conn.id == Some(id));
                     found.into_iter().for_each(|node| self.cut(node, false));
                 }
-                Action::Say(_) => {}
+                RelayAction::Warn(_) => {}
             }
         }
     }
@@ -352,35 +359,35 @@
         }
     }
 
-    /// What must be so at any time.
+    /// Invariants that hold at any time.
     fn check(&self) {
-        let Report { at, lacking, .. } = self.reported();
+        let Report { position: reported, lagging, .. } = self.last_report();
         for (leaf, member) in self.members.iter().enumerate() {
-            let stands = member.progress();
-            let numbered = self.truth.get(&stands.epoch).map_or(0, |truth| truth.len() as u64);
-            assert!(stands.is_empty() || stands.through <= numbered);
-            if *lacking == 0 && member.fresh(self.now) {
-                let has = (stands.epoch, stands.through) >= (at.epoch, at.through);
+            let position = member.progress();
+            let appended = self.appended.get(&position.epoch).map_or(0, |keys| keys.len() as u64);
+            assert!(position.is_empty() || position.through <= appended);
+            if *lagging == 0 && member.is_fresh(self.now) {
+                let has = (position.epoch, position.through) >= (reported.epoch, reported.through);
                 assert!(
                     has,
-                    "{at:?} is told as done, and leaf {leaf} stands at {stands:?} at {}",
+                    "{reported:?} is reported as applied, and leaf {leaf} is at {position:?} at {}",
                     self.now / MS
                 );
             }
         }
     }
 
-    /// Nothing breaks any more, and some time passes.
-    pub fn mend(&mut self) {
+    /// Reconnects everyone without further faults, until all have everything or a limit of time is over.
+    pub fn recover(&mut self) {
         for node in 0..self.nodes.len() {
             self.cut(node, false);
             self.nodes[node].conn.lose = (false, false);
         }
         let start = self.now;
         let done = |net: &Self| {
-            net.reported().at == net.newest()
-                && net.reported().lacking == 0
-                && net.leaves().all(|at| at == net.newest())
+            net.last_report().position == net.newest()
+                && net.last_report().lagging == 0
+                && net.leaves().all(|position| position == net.newest())
                 && net.all_fresh()
         };
         while self.now < start + 120_000 * MS && !done(self) {
--- a/crates/fanout/tests/tree.rs
+++ b/crates/fanout/tests/tree.rs
@@ -1,4 +1,4 @@
-//! A root, relays and leaves under any order of cuts, losses, duplicates and restarts.
+//! A root, relays and leaves under random sequences of disconnects, losses, duplicates and restarts.
 
 mod net;
 
@@ -9,12 +9,12 @@
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         8 => (1usize..30).prop_map(Op::Purge),
-        6 => (1u64..40).prop_map(Op::Pass),
-        1 => (40u64..500).prop_map(Op::Pass),
+        6 => (1u64..40).prop_map(Op::Wait),
+        1 => (40u64..500).prop_map(Op::Wait),
         3 => (any::<usize>(), any::<bool>()).prop_map(|(n, late)| Op::Cut(n, late)),
         2 => (any::<usize>(), any::<bool>(), any::<bool>()).prop_map(|(n, up, down)| Op::Lose(n, up, down)),
         3 => any::<usize>().prop_map(Op::Drop),
-        2 => any::<usize>().prop_map(Op::Twice),
+        2 => any::<usize>().prop_map(Op::Duplicate),
         2 => any::<usize>().prop_map(Op::RestartRelay),
         2 => any::<usize>().prop_map(Op::RestartLeaf),
         1 => Just(Op::RestartRoot),
@@ -25,21 +25,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// Who claims to stand at N has dropped each through N, or everything; done is told, with nobody lacking, only when
+    /// Who claims to stand at N has dropped each through N, or everything; done is told, with nobody lagging, only when
     /// all who claim to be fresh have it; and after all is mended everybody has everything. `Net` asserts the first two
     /// at each of its steps.
     #[test]
-    fn nothing_is_claimed_that_is_not_done(ops in prop::collection::vec(op(), 1..60), entries in prop_oneof![Just(20usize), Just(100_000)], seed in any::<u64>()) {
+    fn no_position_is_claimed_that_was_not_applied(ops in prop::collection::vec(op(), 1..60), entries in prop_oneof![Just(20usize), Just(100_000)], seed in any::<u64>()) {
         let mut net = Net::new(2, 4, entries, seed);
         for op in ops {
             net.play(op);
         }
-        net.mend();
+        net.recover();
         let newest = net.newest();
         let all: Vec<Progress> = net.leaves().collect();
-        prop_assert!(all.iter().all(|at| *at == newest), "{newest:?} {all:?}");
-        let report = net.reported();
-        prop_assert_eq!((report.at, report.lacking), (newest, 0), "{:?}", report.names);
+        prop_assert!(all.iter().all(|position| *position == newest), "{newest:?} {all:?}");
+        let report = net.last_report();
+        prop_assert_eq!((report.position, report.lagging), (newest, 0), "{:?}", report.names);
         prop_assert!(net.all_fresh());
     }
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -6,8 +6,8 @@
 use crate::day::{proxy_config, Day};
 use crate::site::Site;
 use crate::trial::{Percentiles, Program, Running, Subject, Usage};
+use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::Hosted;
-use aniseyoke_control::publisher::Row;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
 use hdrhistogram::Histogram;
@@ -188,14 +188,14 @@
 fn all_run(service: &Hosted, stamp: Stamp, proxies: usize) -> Result<Histogram<u64>, String> {
     let until = Instant::now() + WITHIN;
     loop {
-        let rows = service.rows();
-        let run: Vec<&Row> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
+        let rows = service.statuses();
+        let run: Vec<&ProxyStatus> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
         if run.len() == proxies {
             let mut took = histogram();
-            run.iter().filter_map(|r| r.took).for_each(|ns| took.saturating_record(ns / 1000));
+            run.iter().filter_map(|r| r.ack_latency).for_each(|ns| took.saturating_record(ns / 1000));
             return Ok(took);
         }
-        if let Some((_, why)) = rows.iter().filter_map(|r| r.refused.as_ref()).find(|r| r.0 == stamp) {
+        if let Some((_, why)) = rows.iter().filter_map(|r| r.rejected.as_ref()).find(|r| r.0 == stamp) {
             return Err(format!("version {stamp} is turned down: {}", why.join("; ")));
         }
         if Instant::now() > until {
@@ -228,9 +228,9 @@
         proxies.push(program.start(me, &config, &folder.path().join(format!("proxy-{me}")))?);
     }
     let until = Instant::now() + WITHIN;
-    while service.rows().len() < size.proxies {
+    while service.statuses().len() < size.proxies {
         if Instant::now() > until {
-            return Err(format!("only {} proxies found the service", service.rows().len()));
+            return Err(format!("only {} proxies found the service", service.statuses().len()));
         }
         std::thread::sleep(LOOK);
     }
@@ -241,7 +241,8 @@
     let mut versions = Vec::new();
     for n in 0..=size.versions {
         let cpu = service.cpu();
-        let (stamp, _) = service.publish(body(&day, size.routes, n), Plan::default())?;
+        let (stamp, _) =
+            service.publish(body(&day, size.routes, n), Plan::default()).map_err(|e| e.to_string())?;
         let in_force = Percentiles::from(&all_run(&service, stamp, size.proxies)?);
         let service_ms = (service.cpu() - cpu).as_secs_f64() * 1e3;
         versions.push(Took { in_force, service_ms });
--- a/crates/lab/src/scale/member.rs
+++ b/crates/lab/src/scale/member.rs
@@ -6,9 +6,9 @@
 use super::tally::Tally;
 use crate::clock::mix;
 use aniseyoke_control::follower::{Action, Identity, Times};
-use aniseyoke_control::frame::{decode, encode, FromProxy, FromService, PROTOCOL};
+use aniseyoke_control::frame::{decode, encode, ProxyMessage, ServiceMessage, PROTOCOL};
 use aniseyoke_control::Follower;
-use aniseyoke_fanout::{Member, Progress, Told};
+use aniseyoke_fanout::{Member, MemberAction, Progress};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -25,7 +25,7 @@
 /// Its relay takes a frame within this time.
 const TAKES_WITHIN: Duration = Duration::from_secs(5);
 /// Longer frames it does not read, in bytes.
-const FRAME_MOST: usize = 16 << 20;
+const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Bytes read at once.
 pub const PART: usize = 64 << 10;
 /// So long after it was told that it has everything it may claim to be fresh.
@@ -160,7 +160,7 @@
         instance: spec.name.clone(),
         boot: mix(seed, 1, 1),
         labels: spec.labels.clone(),
-        frame_most: FRAME_MOST,
+        max_frame_bytes: MAX_FRAME_BYTES,
     };
     let follower = Follower::new(identity.clone(), spec.services.len(), None, Times::default(), seed);
     let purges = shared.purging.then(|| Member::new(Progress::default(), LEASE));
@@ -217,7 +217,7 @@
         }
         loop {
             let before = self.came.len();
-            match decode::<FromService>(&mut self.came, FRAME_MOST) {
+            match decode::<ServiceMessage>(&mut self.came, MAX_FRAME_BYTES) {
                 Ok(Some(frame)) => {
                     self.count(before - self.came.len(), false);
                     self.frame(frame, actions);
@@ -241,28 +241,28 @@
         self.shared.faults.set(self.shared.faults.get() + 1);
     }
 
-    fn frame(&mut self, frame: FromService, actions: &mut Vec<Action>) {
+    fn frame(&mut self, frame: ServiceMessage, actions: &mut Vec<Action>) {
         let at = now();
         match (&frame, &mut self.purges) {
-            (FromService::Purges { epoch, after, keys }, Some(member)) => {
-                match member.purges(at, *epoch, *after, &keys.0) {
-                    Told::Drop(_) | Told::DropAll => self.purged(false, actions),
-                    Told::Ask => {
+            (ServiceMessage::Purges { epoch, after, keys }, Some(member)) => {
+                match member.receive_purges(at, *epoch, *after, &keys.0) {
+                    MemberAction::Invalidate(_) | MemberAction::InvalidateAll => self.purged(false, actions),
+                    MemberAction::Resync => {
                         let hello = self.hello();
                         actions.push(Action::Send(hello));
                     }
-                    Told::Nothing => {}
+                    MemberAction::Ignore => {}
                 }
             }
-            (FromService::Flush { epoch, through }, Some(member)) => {
+            (ServiceMessage::Flush { epoch, through }, Some(member)) => {
                 let at = Progress { epoch: *epoch, through: *through };
-                if matches!(member.flush(at), Told::DropAll) {
+                if matches!(member.receive_flush(at), MemberAction::InvalidateAll) {
                     self.purged(true, actions);
                 }
             }
             _ => {}
         }
-        self.follower.frame(at, frame, actions);
+        self.follower.receive(at, frame, actions);
     }
 
     /// Everything through where it stands now is done.
@@ -279,17 +279,17 @@
         }
         self.anew.0 = false;
         self.shared.up[self.n].set(true);
-        actions.push(Action::Send(FromProxy::Purged { epoch, through, lacking: 0, names: Vec::new() }));
+        actions.push(Action::Send(ProxyMessage::PurgeAck { epoch, through, lagging: 0, names: Vec::new() }));
     }
 
-    fn hello(&self) -> FromProxy {
-        let Identity { instance, boot, labels, frame_most } = self.identity.clone();
-        FromProxy::Hello {
+    fn hello(&self) -> ProxyMessage {
+        let Identity { instance, boot, labels, max_frame_bytes } = self.identity.clone();
+        ProxyMessage::Hello {
             protocol: PROTOCOL,
             instance,
             boot,
             labels,
-            frame_most,
+            max_frame_bytes,
             running: self.follower.running().map(|v| (v.stamp, v.digest.clone())),
             purges: self.purges.as_ref().map(Member::progress),
         }
@@ -320,7 +320,7 @@
                     self.came = Vec::new();
                     self.shared.up[self.n].set(false);
                 }
-                Action::Send(FromProxy::Hello { .. }) => {
+                Action::Send(ProxyMessage::Hello { .. }) => {
                     let hello = self.hello();
                     self.send(&hello).await;
                 }
@@ -335,18 +335,18 @@
                     }
                     self.follower.applied(now(), Ok(()), &mut more);
                 }
-                Action::Say(what) => {
-                    if what.contains("turned down") || what.contains("disagree") {
+                Action::Warn(what) => {
+                    if what.contains("is rejected") || what.contains("disagree") {
                         self.fault();
                     }
                 }
-                Action::Keep(_) => {}
+                Action::Persist(_) => {}
             }
             waiting.extend(more);
         }
     }
 
-    async fn send(&mut self, frame: &FromProxy) {
+    async fn send(&mut self, frame: &ProxyMessage) {
         let Some(stream) = &mut self.stream else { return };
         let bytes = encode(frame).unwrap_or_default();
         match timeout(TAKES_WITHIN, stream.write_all(&bytes)).await {
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -216,7 +216,7 @@
         let first = publish::version(self.body(day, 0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        runtime.block_on(aniseyoke_control::service::call(door, &first))?;
+        runtime.block_on(aniseyoke_control::operators::call(door, &first)).map_err(|e| e.to_string())?;
         loop {
             self.listen(LOOK);
             let (up, _, versions) = self.stand();
--- a/crates/lab/src/scale/publish.rs
+++ b/crates/lab/src/scale/publish.rs
@@ -1,9 +1,9 @@
 //! Purges and changes, made as operators make them: each at its time, whatever became of the ones before.
 
 use super::now;
-use aniseyoke_control::frame::{FromOperator, ToOperator};
+use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
+use aniseyoke_control::operators::call;
 use aniseyoke_control::rollout::Plan;
-use aniseyoke_control::service::call;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -47,7 +47,7 @@
 }
 
 /// What is to be made: by which call, for the `n`th of what is due.
-pub type Call = Box<dyn Fn(usize) -> FromOperator + Send>;
+pub type Call = Box<dyn Fn(usize) -> OperatorRequest + Send>;
 
 impl Log {
     /// What is known of purges or of versions, so far.
@@ -81,19 +81,19 @@
                 let called_at = now();
                 while !log.stop.load(Ordering::Relaxed) {
                     match timeout(ANSWERS_WITHIN, call(door, &what(n))).await {
-                        Ok(Ok(ToOperator::Purging { through, .. })) => {
+                        Ok(Ok(OperatorResponse::PurgeAccepted { through, .. })) => {
                             let made = Made { number: through, due, due_at, called_at, answered_at: now() };
                             log.purges.lock().unwrap_or_else(PoisonError::into_inner).push(made);
                             break;
                         }
-                        Ok(Ok(ToOperator::Published { stamp })) => {
+                        Ok(Ok(OperatorResponse::Published { stamp })) => {
                             let number = stamp.number;
                             let made = Made { number, due, due_at, called_at, answered_at: now() };
                             log.changes.lock().unwrap_or_else(PoisonError::into_inner).push(made);
                             break;
                         }
                         Ok(Ok(other)) => log.failed(format!("{other:?}")),
-                        Ok(Err(why)) => log.failed(why),
+                        Ok(Err(error)) => log.failed(error.to_string()),
                         Err(_) => log.failed(format!("{door}: no answer in time")),
                     }
                     sleep(AGAIN).await;
@@ -104,8 +104,8 @@
 }
 
 /// The `n`th purge of a publisher, as a call.
-pub fn purge(publisher: usize, n: usize) -> FromOperator {
-    FromOperator::Purge {
+pub fn purge(publisher: usize, n: usize) -> OperatorRequest {
+    OperatorRequest::Purge {
         publisher: format!("publisher-{publisher}"),
         sequence: n as u64 + 1,
         keys: vec![format!("object-{publisher}-{n}")],
@@ -113,6 +113,6 @@
 }
 
 /// A version, as a call.
-pub fn version(body: Value) -> FromOperator {
-    FromOperator::Publish { body, plan: Plan::default() }
+pub fn version(body: Value) -> OperatorRequest {
+    OperatorRequest::Publish { body, plan: Plan::default() }
 }
--- a/crates/lab/src/slopes/control.rs
+++ b/crates/lab/src/slopes/control.rs
@@ -2,9 +2,11 @@
 
 use super::{Family, Quantity, Setup};
 use crate::trial::{tie, Usage};
-use aniseyoke_control::frame::{encode, FromOperator, FromProxy, ToOperator, FRAME_MOST, HEAD, PROTOCOL};
+use aniseyoke_control::frame::{
+    encode, OperatorRequest, OperatorResponse, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL,
+};
+use aniseyoke_control::operators::call;
 use aniseyoke_control::rollout::Plan;
-use aniseyoke_control::service::call;
 use aniseyoke_control::Stamp;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -263,14 +265,14 @@
 
     /// Publishes; the moment is that before the call.
     fn publish(&self, routes: u64, changed: u64) -> Result<Instant, String> {
-        let publish = FromOperator::Publish { body: body(routes, changed), plan: Plan::default() };
+        let publish = OperatorRequest::Publish { body: body(routes, changed), plan: Plan::default() };
         let at = Instant::now();
-        match self.calls.block_on(call(self.service.operators, &publish))? {
-            ToOperator::Published { .. } => Ok(at),
-            ToOperator::No { why } => Err(why),
-            ToOperator::Status { .. } | ToOperator::Purging { .. } | ToOperator::Purges { .. } => {
-                Err("the service answered another call".into())
-            }
+        match self.calls.block_on(call(self.service.operators, &publish)).map_err(|e| e.to_string())? {
+            OperatorResponse::Published { .. } => Ok(at),
+            OperatorResponse::Rejected { reason } => Err(reason),
+            OperatorResponse::Status { .. }
+            | OperatorResponse::PurgeAccepted { .. }
+            | OperatorResponse::PurgeStatus { .. } => Err("the service answered another call".into()),
         }
     }
 
@@ -347,13 +349,13 @@
 ) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
-    let bytes = |frame: FromProxy| encode(&frame).map_err(|e| std::io::Error::other(e.to_string()));
-    let hello = FromProxy::Hello {
+    let bytes = |frame: ProxyMessage| encode(&frame).map_err(|e| std::io::Error::other(e.to_string()));
+    let hello = ProxyMessage::Hello {
         protocol: PROTOCOL,
         instance: format!("proxy-{n}"),
         boot: 1,
         labels: BTreeMap::new(),
-        frame_most: FRAME_MOST,
+        max_frame_bytes: MAX_FRAME_BYTES,
         running: None,
         purges: None,
     };
@@ -365,10 +367,10 @@
     let read = async move {
         let mut part = vec![0; PART];
         loop {
-            let mut head = [0; HEAD];
+            let mut head = [0; HEADER_BYTES];
             reads.read_exact(&mut head).await?;
             let length = u32::from_be_bytes(head) as usize;
-            counted.fetch_add((HEAD + length) as u64, Ordering::Relaxed);
+            counted.fetch_add((HEADER_BYTES + length) as u64, Ordering::Relaxed);
             let (mut left, mut stamp) = (length, None);
             while left > 0 {
                 let most = left.min(part.len());
@@ -395,11 +397,11 @@
                 Some((due, stamp)) = came.recv() => {
                     tokio::time::sleep_until(due).await;
                     running = Some(stamp);
-                    FromProxy::Taken { stamp }
+                    ProxyMessage::Ack { stamp }
                 }
                 _ = reports.tick() => match running {
-                    Some(stamp) => FromProxy::Report { stamp, served: 1000, refused: 1, failed: 0 },
-                    None => FromProxy::Alive,
+                    Some(stamp) => ProxyMessage::Report { stamp, served: 1000, rejected: 1, failed: 0 },
+                    None => ProxyMessage::Heartbeat,
                 },
             };
             writes.write_all(&bytes(frame)?).await?;
--- a/crates/lab/src/slopes/proxy.rs
+++ b/crates/lab/src/slopes/proxy.rs
@@ -129,7 +129,10 @@
         let (mut n, begun) = (0u64, Instant::now());
         let rest = stand.look(LOOKED_AT, || {
             n += 1;
-            stand.service.publish(body(&stand.day, ROUTES_FEW, n), Plan::default())?;
+            stand
+                .service
+                .publish(body(&stand.day, ROUTES_FEW, n), Plan::default())
+                .map_err(|e| e.to_string())?;
             let due = begun + Duration::from_secs_f64(n as f64 / rate);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             Ok(())
@@ -214,7 +217,7 @@
         let config = proxy_config(&day, 0, discovery, &known);
         let proxy = program.start(0, &config, &folder.path().join("proxy"))?;
         let stand = Stand { day, service, proxy, list, control, _folder: folder, _stand_ins: stop };
-        stand.until("it found no service", || !stand.service.rows().is_empty())?;
+        stand.until("it found no service", || !stand.service.statuses().is_empty())?;
         Ok(stand)
     }
 
@@ -231,8 +234,11 @@
 
     /// Publishes a version and waits until the proxy runs it.
     fn publish(&self, routes: u64, changed: u64) -> Result<Stamp, String> {
-        let (stamp, _) = self.service.publish(body(&self.day, routes, changed), Plan::default())?;
-        let runs = || self.service.rows().iter().any(|row| row.running == Some(stamp));
+        let (stamp, _) = self
+            .service
+            .publish(body(&self.day, routes, changed), Plan::default())
+            .map_err(|e| e.to_string())?;
+        let runs = || self.service.statuses().iter().any(|row| row.running == Some(stamp));
         self.until(&format!("it does not run version {stamp}"), runs)?;
         Ok(stamp)
     }
--- a/crates/lab/tests/versions.rs
+++ b/crates/lab/tests/versions.rs
@@ -1,6 +1,6 @@
 //! Good, broken and out-of-order versions of the configuration under load: every request keeps its one final answer.
 
-use aniseyoke_control::frame::{encode, FromProxy, FromService};
+use aniseyoke_control::frame::{encode, ProxyMessage, ServiceMessage};
 use aniseyoke_control::publisher::Publisher;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::{Stamp, Version};
@@ -26,8 +26,11 @@
     let stamp = |number| Stamp { epoch: 1, number };
     let limits =
         |n: u64| json!({ "limits": { "node": { "start": 4.0 + n as f64 }, "queue": { "most": n % 40 } } });
-    let full =
-        |v: &Version| FromService::Full { stamp: v.stamp, digest: v.digest.clone(), body: v.body.clone() };
+    let full = |v: &Version| ServiceMessage::Snapshot {
+        stamp: v.stamp,
+        digest: v.digest.clone(),
+        body: v.body.clone(),
+    };
     let mut came = Vec::new();
     for n in 1.. {
         if stop.load(Ordering::Relaxed) {
@@ -37,7 +40,11 @@
         let good = Version::new(stamp(3 * n), &body);
         let frame = match n % 4 {
             0 => full(&Version::new(stamp(3 * n), &json!({ "log": { "burst": 0 } }))),
-            1 => FromService::Full { stamp: good.stamp, digest: "0".repeat(64), body: good.body.clone() },
+            1 => ServiceMessage::Snapshot {
+                stamp: good.stamp,
+                digest: "0".repeat(64),
+                body: good.body.clone(),
+            },
             2 => full(&Version::new(stamp(3 * n / 2), &limits(n))),
             _ => full(&good),
         };
@@ -55,10 +62,10 @@
             Ok(length) => came.extend_from_slice(&part[..length]),
             Err(_) => {}
         }
-        while let Ok(Some(frame)) = aniseyoke_control::frame::decode::<FromProxy>(&mut came, 1 << 16) {
+        while let Ok(Some(frame)) = aniseyoke_control::frame::decode::<ProxyMessage>(&mut came, 1 << 16) {
             match frame {
-                FromProxy::Taken { .. } => heard.taken.fetch_add(1, Ordering::Relaxed),
-                FromProxy::Refused { .. } => heard.refused.fetch_add(1, Ordering::Relaxed),
+                ProxyMessage::Ack { .. } => heard.taken.fetch_add(1, Ordering::Relaxed),
+                ProxyMessage::Nack { .. } => heard.refused.fetch_add(1, Ordering::Relaxed),
                 _ => 0,
             };
         }
@@ -97,17 +104,17 @@
     let mut publisher = Publisher::new(1);
     let mut out = Vec::new();
     publisher.publish(0, json!({}), Plan::default(), &mut out).expect("published");
-    let hello = FromProxy::Hello {
+    let hello = ProxyMessage::Hello {
         protocol: 1,
         instance: "a".into(),
         boot: 1,
         labels: Default::default(),
-        frame_most: 1 << 16,
+        max_frame_bytes: 1 << 16,
         running: None,
         purges: None,
     };
-    publisher.frame(0, 1, hello, &mut out);
+    publisher.receive(0, 1, hello, &mut out);
     let version = Version::new(Stamp { epoch: 1, number: 1 }, &json!({}));
-    let frame = FromService::Full { stamp: version.stamp, digest: version.digest, body: version.body };
+    let frame = ServiceMessage::Snapshot { stamp: version.stamp, digest: version.digest, body: version.body };
     assert_eq!(out[0].bytes.to_vec(), encode(&frame).expect("short"));
 }
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -2,7 +2,7 @@
 //! keeps it on disk.
 
 use super::serving::{Order, Ready};
-use super::{frame_most, Below, InForce, KEPT};
+use super::{max_frame_bytes, Below, InForce, KEPT};
 use crate::config::Names;
 use crate::keeping::Keeping;
 use crate::operator::log_levels;
@@ -10,7 +10,7 @@
 use aniseyoke_config::model::Control;
 use aniseyoke_config::Fault;
 use aniseyoke_control::client::{follow, Host};
-use aniseyoke_control::follower::{Follower, Identity, Times};
+use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
 use aniseyoke_control::Version;
 use aniseyoke_core::{Plan, Tally};
@@ -66,16 +66,16 @@
         at: SocketAddr,
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
-        let frame_most = frame_most(self.below.platform.memory);
+        let max_frame_bytes = max_frame_bytes(self.below.platform.memory);
         let boot = u64::try_from(unix().as_nanos()).unwrap_or(u64::MAX);
         let instance = control.instance.unwrap_or_else(|| at.to_string());
-        let identity = Identity { instance, boot, labels: control.labels, frame_most };
+        let identity = Identity { instance, boot, labels: control.labels, max_frame_bytes };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
         let follows = move || {
             let running = running.map(Arc::unwrap_or_clone);
             let follower = Follower::new(identity, control.services.len(), running, Times::default(), boot);
-            let services = follow(follower, control.services, frame_most, self);
+            let services = follow(follower, control.services, max_frame_bytes, self);
             tokio::task::LocalSet::new().block_on(&runtime, services);
         };
         std::thread::Builder::new().name("versions".into()).spawn(follows).map(drop)
@@ -123,7 +123,7 @@
 }
 
 impl Host for Subscription {
-    async fn apply(&self, version: Version) -> Result<(), Vec<String>> {
+    async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         let (now, nodes) = self.ask(Order::Look).await?;
         let below = self.below.clone();
@@ -135,16 +135,17 @@
         Ok(())
     }
 
-    fn keep(&self, version: Version) {
+    fn persist(&self, version: Version) {
         let at_ms = unix_ms();
         self.keeping.iter().for_each(|k| k.keep(Kept { version: version.clone(), at_ms }));
     }
 
-    fn say(&self, what: &str) {
+    fn warn(&self, what: &str) {
         tracing::warn!("{what}");
     }
 
-    fn answered(&self) -> [u64; 3] {
-        self.tally.take()
+    fn take_request_counts(&self) -> RequestCounts {
+        let [served, rejected, failed] = self.tally.take();
+        RequestCounts { served, rejected, failed }
     }
 }
--- a/crates/proxy/src/versions/mod.rs
+++ b/crates/proxy/src/versions/mod.rs
@@ -22,8 +22,8 @@
 }
 
 /// The longest frame with a version that a proxy of so much memory can take, in bytes.
-fn frame_most(memory: usize) -> usize {
-    (reserve(memory) / TAKES).min(aniseyoke_control::frame::FRAME_MOST)
+fn max_frame_bytes(memory: usize) -> usize {
+    (reserve(memory) / TAKES).min(aniseyoke_control::frame::MAX_FRAME_BYTES)
 }
 
 /// The file in the folder that keeps the last good version.
--- a/crates/proxy/tests/versions.rs
+++ b/crates/proxy/tests/versions.rs
@@ -2,8 +2,8 @@
 
 mod rig;
 
+use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::Hosted;
-use aniseyoke_control::publisher::Row;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::store::{Disk, Kept, Store};
 use aniseyoke_control::{Stamp, Version};
@@ -28,17 +28,17 @@
         self.0.publish(body, Plan::default()).expect("published").0
     }
 
-    fn row(&self) -> Option<Row> {
-        self.0.rows().into_iter().next()
+    fn row(&self) -> Option<ProxyStatus> {
+        self.0.statuses().into_iter().next()
     }
 
     fn runs(&self, stamp: Stamp) {
         until("it runs", || self.row().is_some_and(|r| r.running == Some(stamp)));
-        assert!(self.row().is_some_and(|r| r.took.is_some()), "it was told so");
+        assert!(self.row().is_some_and(|r| r.ack_latency.is_some()), "it was told so");
     }
 
     fn refusal(&self, stamp: Stamp) -> String {
-        let refused = || self.row().and_then(|r| r.refused).filter(|(s, _)| *s == stamp);
+        let refused = || self.row().and_then(|r| r.rejected).filter(|(s, _)| *s == stamp);
         until("it is turned down", || refused().is_some());
         refused().expect("told").1.join("; ")
     }
@@ -89,7 +89,7 @@
     let mut proxy = site.start(&[relay.addr]);
     let door = proxy.door();
     let first = control.publish(json!({}));
-    until("it came through the relay", || relay.rows().first().is_some_and(|r| r.running == Some(first)));
+    until("it came through the relay", || relay.statuses().first().is_some_and(|r| r.running == Some(first)));
     for body in [one_at_a_time(), json!({})] {
         let stamp = control.publish(body);
         control.runs(stamp);
