--- a/crates/control/src/version.rs
+++ b/crates/control/src/version.rs
@@ -9,7 +9,7 @@
 /// Identifies a version. Stamps are ordered by epoch, then by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// How often the service has started without its former state, as from nothing or from a backup.
+    /// Rises with each start of the service, be it from nothing, after a restart or from a backup.
     pub epoch: u64,
     /// The number of the version within the epoch, from 1.
     pub number: u64,
