--- a/crates/control/src/epoch.rs
+++ b/crates/control/src/epoch.rs
@@ -1,8 +1,8 @@
 //! The number of the service's current epoch, which rises with each start.
 
+use crate::checksummed_file::Files;
 use std::io;
 use std::path::{Path, PathBuf};
-use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The file in the service's folder.
 const FILE: &str = "epoch";
@@ -18,20 +18,21 @@
 }
 
 /// Stores and returns the number of a new epoch: at least one more than the last one, which a file in the folder holds.
-/// Danger: a folder that was restored from a backup brings an old epoch back; the current time in seconds is never less
-/// than the number of restarts, so that the new epoch is past it.
+/// Danger: a folder that was restored from a backup brings an old epoch back; `seconds`, the current Unix time, is never
+/// less than the number of restarts, so that the new epoch is past it.
 ///
 /// # Errors
-/// If the file can't be written.
-pub fn next(folder: &Path) -> Result<u64, EpochError> {
+/// If the last epoch can't be read, or the new one is not known to be on disk: it might be assigned twice.
+pub fn raise(files: &mut impl Files, folder: &Path, seconds: u64) -> Result<u64, EpochError> {
     let path = folder.join(FILE);
-    let last = std::fs::read_to_string(&path).ok().and_then(|text| text.trim().parse::<u64>().ok());
-    let seconds = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_secs());
+    raise_in(files, &path, &folder.join(NEW_FILE), seconds).map_err(|source| EpochError { path, source })
+}
+
+fn raise_in(files: &mut impl Files, path: &Path, new: &Path, seconds: u64) -> io::Result<u64> {
+    let text = files.read(path)?.and_then(|bytes| String::from_utf8(bytes).ok());
+    let last = text.and_then(|text| text.trim().parse::<u64>().ok());
     let epoch = seconds.max(last.unwrap_or(0) + 1);
-    let new = folder.join(NEW_FILE);
-    let written = std::fs::write(&new, format!("{epoch}\n")).and_then(|()| std::fs::rename(&new, &path));
-    match written {
-        Ok(()) => Ok(epoch),
-        Err(source) => Err(EpochError { path, source }),
-    }
+    files.write(new, format!("{epoch}\n").as_bytes())?;
+    files.rename(new, path)?;
+    Ok(epoch)
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -4,6 +4,8 @@
 use aniseyoke_control::epoch::EpochError;
 use aniseyoke_control::operators::CallError;
 use aniseyoke_control::publisher::PublishError;
+use aniseyoke_control::purge_log::PurgeLogError;
+use aniseyoke_control::store::StoreError;
 use std::fmt::Display;
 
 /// Why a command fails.
@@ -27,8 +29,11 @@
     #[error("the runtime can't be started: {0}")]
     Runtime(std::io::Error),
     /// The log of purges can't be opened.
-    #[error("{0}")]
-    PurgeLog(String),
+    #[error(transparent)]
+    PurgeLog(#[from] PurgeLogError),
+    /// The stored version can't be read.
+    #[error(transparent)]
+    Store(#[from] StoreError),
     /// No epoch can be started.
     #[error(transparent)]
     Epoch(#[from] EpochError),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -10,6 +10,7 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+pub mod checksummed_file;
 pub mod client;
 mod clock;
 pub mod commit;
@@ -28,7 +29,7 @@
 pub mod purges;
 pub mod relay;
 pub mod rollout;
-pub mod sealed;
+
 pub mod service;
 pub mod store;
 pub mod version;
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,15 +1,19 @@
 //! A service's side of the protocol: the history of versions, which proxy runs which, and who is sent what. No I/O, no
 //! clock.
 
+mod subscriber;
+
 use crate::follower::RequestCounts;
 use crate::frame::{FrameError, ProxyMessage, ProxyStatus, ServiceMessage, HEADER_BYTES, PROTOCOL};
 use crate::outgoing::{encode_update, goodbye, unicast, Id, OutgoingFrame};
 use crate::rollout::{Plan, PlanError, ResponseCounts, Rollout, RolloutState};
+use crate::store::StoreError;
 use crate::version::{Stamp, Version};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::sync::Arc;
+use subscriber::{truncate_reasons, Subscriber};
 
 /// Nanoseconds since an arbitrary fixed point.
 type Nanos = u64;
@@ -25,12 +29,6 @@
 const IDLE_TIMEOUT: Nanos = 20 * SECOND;
 /// A heartbeat is sent to a proxy if nothing else was for so long.
 const HEARTBEAT_INTERVAL: Nanos = 5 * SECOND;
-/// How many reasons of a rejection are kept, and the longest of them in bytes.
-const MAX_REASONS: usize = 20;
-const MAX_REASON_BYTES: usize = 500;
-/// The longest name or label of a proxy, in bytes, and how many labels it may have.
-const MAX_NAME_BYTES: usize = 256;
-const MAX_LABELS: usize = 32;
 
 /// Why a version can't be published.
 #[derive(Debug, thiserror::Error)]
@@ -41,6 +39,9 @@
     /// Its frame can't be encoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
+    /// It can't be stored.
+    #[error("it can't be stored, and is not published: {0}")]
+    Storage(#[from] StoreError),
     /// The version to roll back to is not in the history.
     #[error("version {0} is not in the history any more")]
     Unknown(Stamp),
@@ -54,22 +55,6 @@
     },
 }
 
-struct Subscriber {
-    instance: String,
-    boot: u64,
-    labels: BTreeMap<String, String>,
-    max_frame_bytes: usize,
-    /// The version that it runs, and its digest.
-    running: Option<(Stamp, String)>,
-    ack_latency: Option<Nanos>,
-    /// The version that it was sent and has not answered yet.
-    in_flight: Option<Stamp>,
-    /// The last version that it rejected, and the reasons.
-    rejected: Option<(Stamp, Vec<String>)>,
-    last_received: Nanos,
-    last_sent: Nanos,
-}
-
 struct HistoryEntry {
     version: Version,
     /// The size of its frame.
@@ -77,6 +62,21 @@
     published_at: Nanos,
 }
 
+/// A version that can be published.
+pub struct PreparedVersion {
+    version: Version,
+    /// Its snapshot.
+    bytes: Arc<[u8]>,
+    plan: Plan,
+}
+
+impl PreparedVersion {
+    /// The version.
+    pub fn version(&self) -> &Version {
+        &self.version
+    }
+}
+
 /// A service's state.
 pub struct Publisher {
     epoch: u64,
@@ -117,15 +117,8 @@
 
     /// All connected proxies, in the order of their names.
     pub fn statuses(&self) -> Vec<ProxyStatus> {
-        let status = |s: &Subscriber| ProxyStatus {
-            instance: s.instance.clone(),
-            boot: s.boot,
-            running: s.running.as_ref().map(|(stamp, _)| *stamp),
-            ack_latency: s.ack_latency,
-            wanted: self.wanted(s),
-            rejected: s.rejected.clone(),
-        };
-        let mut all: Vec<ProxyStatus> = self.subscribers.values().map(status).collect();
+        let statuses = self.subscribers.values().map(|s| s.status(self.wanted(s)));
+        let mut all: Vec<ProxyStatus> = statuses.collect();
         all.sort_by(|a, b| a.instance.cmp(&b.instance).then(a.boot.cmp(&b.boot)));
         all
     }
@@ -149,22 +142,45 @@
         plan: Plan,
         out: &mut Vec<OutgoingFrame>,
     ) -> Result<Stamp, PublishError> {
+        let prepared = self.prepare(&body, plan)?;
+        Ok(self.publish_prepared(now, prepared, out))
+    }
+
+    /// Checks a body and assigns it the stamp under which it is published, unless another version is published before.
+    ///
+    /// # Errors
+    /// As [`Self::publish`].
+    pub fn prepare(&self, body: &Value, plan: Plan) -> Result<PreparedVersion, PublishError> {
         plan.check()?;
         let number = self.newest().map_or(0, |v| v.stamp.number) + 1;
-        let stamp = Stamp { epoch: self.epoch, number };
-        self.start_rollout(now, Version::new(stamp, &body), plan, out)?;
-        Ok(stamp)
+        let version = Version::new(Stamp { epoch: self.epoch, number }, body);
+        let bytes = encode_update(None, &version)?;
+        Ok(PreparedVersion { version, bytes, plan })
     }
 
-    fn start_rollout(
+    /// Publishes the version that was prepared last, and returns its stamp.
+    pub fn publish_prepared(
         &mut self,
         now: Nanos,
-        version: Version,
-        plan: Plan,
+        prepared: PreparedVersion,
         out: &mut Vec<OutgoingFrame>,
-    ) -> Result<(), PublishError> {
+    ) -> Stamp {
+        let stamp = prepared.version.stamp;
+        self.start_rollout(now, prepared, out);
+        stamp
+    }
+
+    /// The body of a version in the history.
+    ///
+    /// # Errors
+    /// If the version is not in the history any more.
+    pub fn body_of(&self, stamp: Stamp) -> Result<Value, PublishError> {
+        self.version(stamp).map(|v| v.body.value()).ok_or(PublishError::Unknown(stamp))
+    }
+
+    fn start_rollout(&mut self, now: Nanos, prepared: PreparedVersion, out: &mut Vec<OutgoingFrame>) {
+        let PreparedVersion { version, bytes, plan } = prepared;
         let stamp = version.stamp;
-        let bytes = encode_update(None, &version)?;
         if let Some(before) = self.rollout.take() {
             if before.state() == &RolloutState::Complete {
                 self.baseline = Some(before.stamp());
@@ -176,7 +192,6 @@
         self.encoded.insert((None, stamp), bytes);
         self.rollout = Some(Rollout::new(now, stamp, plan));
         self.send_to_all(now, out);
-        Ok(())
     }
 
     fn trim_history(&mut self) {
@@ -210,7 +225,9 @@
             }
             _ => {}
         }
-        self.start_rollout(now, version, Plan::default(), out)
+        let bytes = encode_update(None, &version)?;
+        self.start_rollout(now, PreparedVersion { version, bytes, plan: Plan::default() }, out);
+        Ok(())
     }
 
     /// How many proxies were sent a version and have not answered.
@@ -234,7 +251,7 @@
         plan: Plan,
         out: &mut Vec<OutgoingFrame>,
     ) -> Result<Stamp, PublishError> {
-        let body = self.version(to).map(|v| v.body.value()).ok_or(PublishError::Unknown(to))?;
+        let body = self.body_of(to)?;
         self.publish(now, body, plan, out)
     }
 
@@ -313,12 +330,7 @@
         mut reasons: Vec<String>,
         out: &mut Vec<OutgoingFrame>,
     ) {
-        reasons.truncate(MAX_REASONS);
-        for reason in &mut reasons {
-            let max = MAX_REASON_BYTES.min(reason.len());
-            let end = (0..=max).rev().find(|n| reason.is_char_boundary(*n));
-            reason.truncate(end.unwrap_or(0));
-        }
+        truncate_reasons(&mut reasons);
         let Some(s) = self.subscribers.get_mut(&id) else { return };
         s.in_flight = s.in_flight.filter(|in_flight| *in_flight != stamp);
         if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == stamp) {
@@ -360,15 +372,11 @@
     }
 
     fn reason_to_reject(&self, id: Id, protocol: u32, s: &Subscriber) -> Option<String> {
-        let is_long = |text: &str| text.len() > MAX_NAME_BYTES;
         if protocol != PROTOCOL {
             return Some(format!("this service speaks version {PROTOCOL} of the protocol, not {protocol}"));
         }
-        if s.instance.is_empty() || is_long(&s.instance) {
-            return Some("the name of the instance is empty or too long".to_owned());
-        }
-        if s.labels.len() > MAX_LABELS || s.labels.iter().any(|(k, v)| is_long(k) || is_long(v)) {
-            return Some("there are too many labels, or one is too long".to_owned());
+        if let Some(reason) = s.invalid_identity() {
+            return Some(reason.to_owned());
         }
         if self.subscribers.len() >= MAX_SUBSCRIBERS && !self.subscribers.contains_key(&id) {
             return Some(format!("the limit of {MAX_SUBSCRIBERS} proxies is reached"));
@@ -381,10 +389,7 @@
         let Some(s) = self.subscribers.get(&id) else { return };
         let Some(wanted) = self.wanted(s) else { return };
         let Some(version) = self.version(wanted) else { return };
-        let runs =
-            s.running.as_ref().is_some_and(|(stamp, digest)| *stamp == wanted && *digest == version.digest);
-        let has_rejected = s.rejected.as_ref().is_some_and(|(stamp, _)| *stamp == wanted);
-        if runs || has_rejected || s.in_flight == Some(wanted) {
+        if s.runs(version) || s.has_rejected(wanted) || s.in_flight == Some(wanted) {
             return;
         }
         // A delta only from what the proxy surely has: the same stamp with the same digest.
--- a/crates/control/src/publisher/tests.rs
+++ b/crates/control/src/publisher/tests.rs
@@ -4,6 +4,7 @@
 use crate::rollout::Stage;
 use proptest::prelude::*;
 use serde_json::json;
+use std::collections::BTreeMap;
 
 fn decoded(out: &[OutgoingFrame]) -> Vec<(Id, ServiceMessage)> {
     let one = |o: &OutgoingFrame| {
--- a/crates/control/src/purge_queue.rs
+++ b/crates/control/src/purge_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of publishers' requests in front of the purge writer.
 
 use crate::frame::OperatorResponse;
-use crate::purge_log::Call;
+use crate::purge_log::PurgeRequest;
 use aniseyoke_fanout::publishers::MAX_NAME_BYTES;
 use tokio::sync::{mpsc, oneshot};
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,7 +14,7 @@
 /// A request that waits for its response.
 pub(crate) struct PendingPurge {
     /// The request.
-    pub request: Call,
+    pub request: PurgeRequest,
     /// Where its response goes. The caller may have given up already.
     pub response: oneshot::Sender<OperatorResponse>,
 }
@@ -49,7 +49,7 @@
         }
         let keys = keys.iter().map(|key| xxh3_64(key.as_bytes())).collect();
         let (response, received) = oneshot::channel();
-        let request = Call { publisher, sequence, keys };
+        let request = PurgeRequest { publisher, sequence, keys };
         if self.0.try_send(PendingPurge { request, response }).is_err() {
             return reject(format!("{MAX_REQUESTS} requests wait already: retry this one"));
         }
--- a/crates/control/src/purge_writer.rs
+++ b/crates/control/src/purge_writer.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::frame::OperatorResponse;
-use crate::purge_log::{Call, PurgeLog};
+use crate::purge_log::{PurgeLog, PurgeLogError, PurgeRequest};
 use crate::purge_queue::{PendingPurge, MAX_REQUESTS};
 use crate::purges::PurgeDriver;
 use aniseyoke_fanout::publishers::CallStatus;
@@ -25,12 +25,23 @@
     /// How long requests are collected before they are written.
     pub batch: Duration,
     pub warn: fn(&str),
+    /// Why the last attempt to start a new epoch failed. It is logged once.
+    pub epoch_failure: Option<String>,
+}
+
+/// Why no new epoch can be started.
+#[derive(Debug, thiserror::Error)]
+enum EpochFailure<E: Display> {
+    #[error("no new epoch can be started: {0}")]
+    Number(E),
+    #[error("the log of purges can't start a new epoch: {0}")]
+    Log(PurgeLogError),
 }
 
 /// A batch without the requests that were numbered before.
 #[derive(Default)]
 struct NewRequests {
-    requests: Vec<Call>,
+    requests: Vec<PurgeRequest>,
     /// Where each response goes, with the index of its request. A request that was retried within the batch has several.
     responses: Vec<(oneshot::Sender<OperatorResponse>, usize)>,
 }
@@ -51,10 +62,11 @@
                 Err(_) => None,
             };
             if purges.with_relay(|relay| relay.is_behind_children()) {
-                match next_epoch() {
-                    Ok(epoch) => self.start_epoch(clock, &purges, epoch),
-                    Err(error) => (self.warn)(&format!("no new epoch can be started: {error}")),
+                if let Err(failure) = self.start_epoch(clock, &purges, &next_epoch) {
+                    self.reject_until_started(first, failure.to_string());
+                    continue;
                 }
+                self.epoch_failure = None;
             }
             let Some(first) = first else { continue };
             sleep(self.batch).await;
@@ -67,16 +79,31 @@
     }
 
     /// A child knows more than this log, which was therefore restored from an older state.
-    fn start_epoch(&mut self, clock: Clock, purges: &PurgeDriver, epoch: u64) {
-        match self.log.begin_anew(epoch) {
-            Ok(()) => {
-                let what = "the log of purges is older than what is known downstream";
-                (self.warn)(&format!("{what}: epoch {epoch} starts"));
-                self.publishers = Publishers::default();
-                purges.start_epoch(clock.now(), epoch);
-            }
-            Err(error) => (self.warn)(&format!("the log of purges can't start a new epoch: {error}")),
+    fn start_epoch<E: Display>(
+        &mut self,
+        clock: Clock,
+        purges: &PurgeDriver,
+        next_epoch: impl Fn() -> Result<u64, E>,
+    ) -> Result<(), EpochFailure<E>> {
+        let epoch = next_epoch().map_err(EpochFailure::Number)?;
+        self.log.start_epoch(epoch).map_err(EpochFailure::Log)?;
+        let what = "the log of purges is older than what is known downstream";
+        (self.warn)(&format!("{what}: epoch {epoch} starts"));
+        self.publishers = Publishers::default();
+        purges.start_epoch(clock.now(), epoch);
+        Ok(())
+    }
+
+    /// Rejects a request while no new epoch could be started. Danger: the next numbers of the old log were assigned before,
+    /// and children would skip them.
+    fn reject_until_started(&mut self, request: Option<PendingPurge>, reason: String) {
+        if self.epoch_failure.as_ref() != Some(&reason) {
+            (self.warn)(&reason);
+        }
+        if let Some(request) = request {
+            request.reject(reason.clone());
         }
+        self.epoch_failure = Some(reason);
     }
 
     async fn write(mut self, clock: Clock, purges: &PurgeDriver, batch: Vec<PendingPurge>) -> Self {
@@ -85,7 +112,7 @@
         if requests.is_empty() {
             return self;
         }
-        let PurgeWriter { mut log, publishers, batch, warn } = self;
+        let PurgeWriter { mut log, publishers, batch, warn, epoch_failure } = self;
         let written = tokio::task::spawn_blocking(move || {
             let result = log.append(&requests);
             (log, requests, result)
@@ -95,7 +122,7 @@
             warn("the thread that writes the log of purges has panicked: no purges are accepted until a restart");
             return std::future::pending().await;
         };
-        self = PurgeWriter { log, publishers, batch, warn };
+        self = PurgeWriter { log, publishers, batch, warn, epoch_failure };
         if let Err(error) = result {
             (self.warn)(&format!("purges can't be stored: {error}"));
             for (response, _) in responses {
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -5,7 +5,7 @@
 use crate::frame::{ServiceMessage, MAX_FRAME_BYTES};
 use crate::operators;
 use crate::publisher::Publisher;
-use crate::purge_log::PurgeLog;
+use crate::purge_log::{OpenedLog, PurgeLog, PurgeLogError};
 use crate::purge_queue::purge_queue;
 use crate::purge_writer::PurgeWriter;
 use crate::purges::PurgeDriver;
@@ -59,15 +59,15 @@
     ///
     /// # Errors
     /// As [`PurgeLog::open`].
-    pub fn open(publisher: Publisher, folder: &Path, config: RootConfig) -> Result<Self, String> {
+    pub fn open(publisher: Publisher, folder: &Path, config: RootConfig) -> Result<Self, PurgeLogError> {
         let RootConfig { settings, log_capacity, batch, epoch, warn } = config;
-        let opened = PurgeLog::open(folder, log_capacity, epoch)?;
-        opened.say.iter().for_each(|what| warn(what));
+        let OpenedLog { disk, log, publishers, warnings } = PurgeLog::open(folder, log_capacity, epoch)?;
+        warnings.iter().for_each(|what| warn(what));
         // What the writer has collected is sent at once.
         let settings = Settings { batch: 0, ..settings };
-        let purges = Rc::new(PurgeDriver::root("root", settings, opened.log, warn));
+        let purges = Rc::new(PurgeDriver::root("root", settings, log, warn));
         let service = Service::with_purges(publisher, Some(purges.clone()), false);
-        let writer = PurgeWriter { log: opened.file, publishers: opened.publishers, batch, warn };
+        let writer = PurgeWriter { log: disk, publishers, batch, warn, epoch_failure: None };
         Ok(Root { service, purges, writer })
     }
 
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -9,9 +9,10 @@
 use crate::purge_queue::PurgeQueue;
 use crate::purges::PurgeDriver;
 use crate::rollout::Plan;
+use crate::store::StoreError;
 use crate::version::{Stamp, Version};
 use serde_json::Value;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,17 +32,22 @@
 /// How much is read at once, and up to which size short frames are written as one, in bytes.
 pub(crate) const READ_BYTES: usize = 16 << 10;
 
+/// Stores a version on disk.
+type StoreVersion = Box<dyn FnMut(&Version) -> Result<(), StoreError>>;
+
 /// A running service.
 pub struct Service {
     publisher: RefCell<Publisher>,
     connections: Rc<Connections>,
     clock: Clock,
-    /// Notified when a version was published.
-    pub published: Notify,
     /// Notified when a proxy has answered a version, or has disconnected.
     pub(crate) answered: Notify,
     purges: Option<Rc<PurgeDriver>>,
     purge_queue: RefCell<Option<PurgeQueue>>,
+    /// Stores each version before it is published.
+    store: RefCell<Option<StoreVersion>>,
+    /// Whether a version could not be stored: the disk may hold it nevertheless, in place of the newest one.
+    is_store_stale: Cell<bool>,
     is_relay: bool,
 }
 
@@ -58,10 +64,11 @@
             publisher: RefCell::new(publisher),
             connections: Rc::default(),
             clock: Clock::start(),
-            published: Notify::new(),
             answered: Notify::new(),
             purges,
             purge_queue: RefCell::default(),
+            store: RefCell::default(),
+            is_store_stale: Cell::new(false),
             is_relay,
         })
     }
@@ -111,19 +118,39 @@
     /// # Errors
     /// As [`Publisher::adopt`].
     pub(crate) fn adopt(&self, version: Version) -> Result<(), PublishError> {
-        self.update(|p, now, out| p.adopt(now, version, out))?;
-        self.published.notify_one();
-        Ok(())
+        self.update(|p, now, out| p.adopt(now, version, out))
+    }
+
+    /// Stores each version from now on, before it is published.
+    pub fn store_with(&self, store: impl FnMut(&Version) -> Result<(), StoreError> + 'static) {
+        *self.store.borrow_mut() = Some(Box::new(store));
+    }
+
+    fn store(&self, version: &Version) -> Result<(), StoreError> {
+        self.store.borrow_mut().as_mut().map_or(Ok(()), |store| store(version))
+    }
+
+    /// After a version that could not be stored, stores the newest one again, so that a restart finds it. True once it is
+    /// stored, or where nothing has to be done.
+    pub fn repair_store(&self) -> bool {
+        if self.is_store_stale.get() {
+            let is_stored = self.newest().is_none_or(|newest| self.store(&newest).is_ok());
+            self.is_store_stale.set(!is_stored);
+        }
+        !self.is_store_stale.get()
     }
 
-    /// Publishes a version.
+    /// Publishes a version, once it is stored. Danger: a service that is killed after its response would otherwise restart
+    /// with the version before, to which all proxies would return.
     ///
     /// # Errors
-    /// As [`Publisher::publish`].
+    /// As [`Publisher::publish`], and if it can't be stored.
     pub fn publish(&self, body: Value, plan: Plan) -> Result<Stamp, PublishError> {
-        let stamp = self.update(|p, now, out| p.publish(now, body, plan, out))?;
-        self.published.notify_one();
-        Ok(stamp)
+        let prepared = self.with_publisher(|p| p.prepare(&body, plan))?;
+        let stored = self.store(prepared.version());
+        self.is_store_stale.set(stored.is_err());
+        stored?;
+        Ok(self.update(|p, now, out| p.publish_prepared(now, prepared, out)))
     }
 
     /// Publishes the body of an earlier version as a new version.
@@ -131,9 +158,8 @@
     /// # Errors
     /// As [`Publisher::roll_back`].
     pub(crate) fn roll_back(&self, to: Stamp, plan: Plan) -> Result<Stamp, PublishError> {
-        let stamp = self.update(|p, now, out| p.roll_back(now, to, plan, out));
-        self.published.notify_one();
-        stamp
+        let body = self.with_publisher(|p| p.body_of(to))?;
+        self.publish(body, plan)
     }
 
     /// Halts the rollout of the newest version.
--- a/crates/control/tests/wire_forms.rs
+++ b/crates/control/tests/wire_forms.rs
@@ -5,9 +5,9 @@
     encode, OperatorRequest, OperatorResponse, ProxyMessage, ProxyStatus, PurgeLatency, ServiceMessage,
     HEADER_BYTES,
 };
-use aniseyoke_control::purge_log::{Call, PurgeLog};
+use aniseyoke_control::purge_log::{PurgeLog, PurgeRequest};
 use aniseyoke_control::rollout::{Plan, Stage};
-use aniseyoke_control::store::Kept;
+use aniseyoke_control::store::StoredVersion;
 use aniseyoke_control::{CanonicalJson, Stamp, Version};
 use aniseyoke_fanout::{Keys, Progress};
 use serde::de::DeserializeOwned;
@@ -202,9 +202,9 @@
 
 #[test]
 fn a_stored_version_is_pinned() {
-    let kept = Kept { version: Version::new(STAMP, &json!({"a": 1})), at_ms: 7 };
+    let stored = StoredVersion { version: Version::new(STAMP, &json!({"a": 1})), at_ms: 7 };
     pinned(
-        &kept,
+        &stored,
         r#"{"version":{"stamp":{"epoch":1,"number":2},"digest":"015abd7f5cc57a2dd94b7590f04ad8084273905ee33ec5cebeae62276a97f862","body":{"a":1}},"at_ms":7}"#,
     );
 }
@@ -220,7 +220,7 @@
 fn the_bytes_of_a_purge_log_are_pinned() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
-    opened.file.append(&[Call { publisher: "p".into(), sequence: 1, keys: vec![2] }]).expect("kept");
+    opened.disk.append(&[PurgeRequest { publisher: "p".into(), sequence: 1, keys: vec![2] }]).expect("kept");
     let bytes = std::fs::read(folder.path().join("purges-00000000000000000000")).expect("there");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, "00000018a1c8718b1b362fe6414e50555247453100000000000000070000000000000000000000192bc27ed07562bc9600000000000000010000000170000000010000000000000002");
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -5,7 +5,7 @@
 use crate::keeping::Keeping;
 use crate::wall::unix_ms;
 use aniseyoke_config::model::List;
-use aniseyoke_control::sealed::{Disk, Found, Sealed};
+use aniseyoke_control::checksummed_file::{ChecksummedFile, Disk, Loaded};
 use aniseyoke_pace::kept::{judge, Label};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -84,16 +84,16 @@
         tracing::warn!("{name}: the kept list is not used: {length} bytes are more than {FILE_MOST}");
         return None;
     }
-    let kept: Kept = match Sealed::new(Disk, file.to_owned(), MAGIC).find() {
-        Ok(Found::Nothing) => return None,
-        Ok(Found::Whole(payload)) => match serde_json::from_slice(&payload) {
+    let kept: Kept = match ChecksummedFile::new(Disk, file.to_owned(), MAGIC).load() {
+        Ok(Loaded::Missing) => return None,
+        Ok(Loaded::Intact(payload)) => match serde_json::from_slice(&payload) {
             Ok(kept) => kept,
             Err(e) => {
                 tracing::warn!("{name}: the kept list can't be read and is not used: {e}");
                 return None;
             }
         },
-        Ok(Found::Damaged { why, aside }) => {
+        Ok(Loaded::Damaged { reason: why, quarantined: aside }) => {
             let aside = aside.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
             tracing::warn!("{name}: the kept list is damaged, not used and {aside}: {why}");
             return None;
@@ -130,11 +130,11 @@
         list: Option<&Members>,
     ) -> Result<Self, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let mut store = Sealed::new(Disk, file, MAGIC);
+        let mut store = ChecksummedFile::new(Disk, file, MAGIC);
         let mut failing = false;
         let write = move |kept: Kept| {
             let payload = serde_json::to_vec(&kept).map_err(std::io::Error::from);
-            let done = payload.and_then(|payload| store.keep(&payload));
+            let done = payload.and_then(|payload| store.save(&payload));
             match (&done, failing) {
                 (Err(e), false) => {
                     tracing::warn!("{}: the list could not be kept: {e}", store.path().display());
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -11,7 +11,7 @@
 use aniseyoke_config::Fault;
 use aniseyoke_control::client::{follow, Host};
 use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
-use aniseyoke_control::store::{Disk, Found, Kept, Store};
+use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
 use aniseyoke_core::{Plan, Tally};
 use aniseyoke_decision::api::Entry;
@@ -26,7 +26,7 @@
     orders: mpsc::Sender<Order>,
     tally: Arc<Tally>,
     /// The one writer of the last good version, where there is a folder for it.
-    keeping: Option<Keeping<Kept>>,
+    keeping: Option<Keeping<StoredVersion>>,
 }
 
 impl Subscription {
@@ -42,13 +42,13 @@
     ) -> std::io::Result<Self> {
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
-            Keeping::start(move |kept: Kept| {
+            Keeping::start(move |kept: StoredVersion| {
                 let stamp = kept.version.stamp;
                 // Another process of this proxy may have kept a later one.
-                if matches!(store.find(), Ok(Found::Good(before)) if before.version.stamp > stamp) {
+                if matches!(store.load(), Ok(Loaded::Valid(before)) if before.version.stamp > stamp) {
                     return;
                 }
-                if let Err(e) = store.keep(&kept) {
+                if let Err(e) = store.save(&kept) {
                     tracing::error!("version {stamp} could not be kept on disk: {e}");
                 }
             })
@@ -137,7 +137,7 @@
 
     fn persist(&self, version: Version) {
         let at_ms = unix_ms();
-        self.keeping.iter().for_each(|k| k.keep(Kept { version: version.clone(), at_ms }));
+        self.keeping.iter().for_each(|k| k.keep(StoredVersion { version: version.clone(), at_ms }));
     }
 
     fn warn(&self, what: &str) {
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,6 +1,6 @@
 //! A replica: the raft state machine, its store, and what results from driving both.
 
-use super::store::{Failed, Store};
+use super::store::{Store, StoreError};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType};
 use raft::{Config, RawNode, ReadOnlyOption, StateRole};
@@ -42,9 +42,10 @@
 /// Why a replica can't continue.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Its store can't be read or written. The process must end: what it sent last may not be on disk.
+    /// Its store can't be read or written. The replica has ended: every further call fails, since memory may be ahead of the
+    /// disk.
     #[error("the log's store: {0}")]
-    Store(Failed),
+    Store(StoreError),
     /// The raft state machine has failed.
     #[error("the log: {0}")]
     Raft(#[from] raft::Error),
@@ -82,6 +83,8 @@
     applied: u64,
     /// Events from the start: a snapshot from the store.
     initial_events: Vec<Event>,
+    /// The error that ended it.
+    failure: Option<String>,
 }
 
 impl Replica {
@@ -115,7 +118,7 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, store, &logger)?;
-        Ok(Replica { node, leading_term: None, applied, initial_events })
+        Ok(Replica { node, leading_term: None, applied, initial_events, failure: None })
     }
 
     /// Its id.
@@ -148,8 +151,23 @@
     /// # Errors
     /// If the replica can't continue.
     pub fn tick(&mut self) -> Result<Output, Error> {
-        self.node.tick();
-        self.drain()
+        self.drive(|replica| {
+            replica.node.tick();
+            replica.drain()
+        })
+    }
+
+    /// Makes a step unless an error has ended the replica. Danger: after an error memory is ahead of the disk, and nothing of
+    /// it may be sent, even once the disk works again.
+    fn drive<T>(&mut self, step: impl FnOnce(&mut Self) -> Result<T, Error>) -> Result<T, Error> {
+        if let Some(failure) = &self.failure {
+            return Err(Error::Store(format!("the replica has ended: {failure}").into()));
+        }
+        let result = step(self);
+        if let Err(error) = &result {
+            self.failure = Some(error.to_string());
+        }
+        result
     }
 
     /// A message of another replica has arrived.
@@ -157,6 +175,10 @@
     /// # Errors
     /// [`Error`]; the inner one if it is not a message of this group.
     pub fn receive(&mut self, bytes: &[u8]) -> Outcome {
+        self.drive(|replica| replica.handle(bytes))
+    }
+
+    fn handle(&mut self, bytes: &[u8]) -> Outcome {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return Ok(Err(Rejected::InvalidMessage)) };
         let is_member = self.node.store().members().voters.contains(&message.from);
         let is_local = raft::raw_node::is_local_msg(message.get_msg_type());
@@ -196,11 +218,11 @@
         if self.leading_term.is_none() {
             return Ok(Err(Rejected::NotLeader(self.leader())));
         }
-        match self.node.propose(Vec::new(), record) {
-            Ok(()) => self.drain().map(Ok),
+        self.drive(|replica| match replica.node.propose(Vec::new(), record) {
+            Ok(()) => replica.drain().map(Ok),
             Err(raft::Error::ProposalDropped) => Ok(Err(Rejected::Full)),
             Err(e) => Err(e.into()),
-        }
+        })
     }
 
     /// Requests that a majority confirms that this replica leads. [`Event::LeadershipConfirmed`] with the same number tells
@@ -212,8 +234,10 @@
         if self.leading_term.is_none() {
             return Ok(Err(Rejected::NotLeader(self.leader())));
         }
-        self.node.read_index(number.to_be_bytes().to_vec());
-        self.drain().map(Ok)
+        self.drive(|replica| {
+            replica.node.read_index(number.to_be_bytes().to_vec());
+            replica.drain().map(Ok)
+        })
     }
 
     /// Replaces the records up to one that was handed out by a snapshot, which is what replicas that lack them get.
@@ -224,7 +248,7 @@
         if index > self.applied {
             return Err(Error::Store(format!("record {index} was not handed out yet").into()));
         }
-        self.node.mut_store().compact(index, snapshot).map_err(Error::Store)
+        self.drive(|replica| replica.node.mut_store().compact(index, snapshot).map_err(Error::Store))
     }
 
     /// Carries out what the raft state machine requests: first to disk, then to the network.
