--- a/crates/control/src/epoch.rs
+++ b/crates/control/src/epoch.rs
@@ -19,7 +19,8 @@
 
 /// Stores and returns the number of a new epoch: at least one more than the last one, which a file in the folder holds.
 /// Danger: a folder that was restored from a backup brings an old epoch back; `seconds`, the current Unix time, is never
-/// less than the number of restarts, so that the new epoch is past it.
+/// less than the number of restarts, so that the new epoch is past it. A wall clock that steps back does not lower the
+/// epoch, which is more than the last one; one that steps forward leaves it ahead for good, which only skips numbers.
 ///
 /// # Errors
 /// If the last epoch can't be read, or the new one is not known to be on disk: it might be assigned twice.
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -19,7 +19,8 @@
 pub struct StoredVersion {
     /// The version.
     pub version: Version,
-    /// When it was stored, in milliseconds of Unix time.
+    /// When it was stored, in milliseconds of Unix time. It is only reported, so that a wall clock that steps makes no version
+    /// too old or too new: versions are ordered by their stamps.
     pub at_ms: u64,
 }
 
