--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -5,6 +5,7 @@
 use crate::frame::{decode, encode, ProxyMessage, ServiceMessage};
 use crate::version::Version;
 use aniseyoke_fanout::Progress;
+use aniseyoke_sockets::{connect, Uninterrupted};
 use std::convert::Infallible;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -90,7 +91,7 @@
 struct Connection {
     number: u64,
     task: Option<AbortHandle>,
-    writer: Option<OwnedWriteHalf>,
+    writer: Option<Uninterrupted<OwnedWriteHalf>>,
 }
 
 impl Connection {
@@ -201,7 +202,7 @@
 
     fn connected(&mut self, stream: TcpStream, actions: &mut Vec<Action>) {
         let (reader, writer) = stream.into_split();
-        self.connection.writer = Some(writer);
+        self.connection.writer = Some(Uninterrupted(writer));
         let reading = read(self.connection.number, reader, self.max_frame_bytes, self.events.clone());
         self.connection.task = Some(tokio::task::spawn_local(reading).abort_handle());
         self.follower.set_purge_progress(self.host.purge_progress());
@@ -252,7 +253,7 @@
         let addr = self.services[service % self.services.len()];
         let (number, events) = (self.connection.number, self.events.clone());
         let task = tokio::task::spawn_local(async move {
-            let event = match TcpStream::connect(addr).await {
+            let event = match connect(addr, || ()).await {
                 Ok(stream) => {
                     // Danger: a short frame would wait for the acknowledgement of the one before it, at each relay on
                     // the way. Where it fails that only costs time.
@@ -271,10 +272,11 @@
 /// Reads a connection until it ends or an invalid frame arrives.
 async fn read(
     number: u64,
-    mut reader: OwnedReadHalf,
+    reader: OwnedReadHalf,
     max_frame_bytes: usize,
     events: mpsc::Sender<NumberedEvent>,
 ) {
+    let mut reader = Uninterrupted(reader);
     let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
     loop {
         let event = match decode::<ServiceMessage>(&mut buffer, max_frame_bytes) {
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -4,6 +4,7 @@
 use crate::publisher::{PublishError, Publisher};
 use crate::service::{Service, ACCEPT_PAUSE, READ_BYTES};
 use crate::version::Stamp;
+use aniseyoke_sockets::{accept_error, connect, AcceptError, ConnectError, Uninterrupted};
 use serde::de::DeserializeOwned;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -35,12 +36,14 @@
                 });
             }
             Ok(_) => {}
+            Err(e) if accept_error(&e) == AcceptError::Passing => {}
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-async fn serve_operator(service: &Service, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_operator(service: &Service, stream: TcpStream) -> io::Result<()> {
+    let mut stream = Uninterrupted(stream);
     let response = match receive::<OperatorRequest>(&mut stream).await? {
         Ok(OperatorRequest::Purge { publisher, sequence, keys }) => match service.purge_queue() {
             Some(queue) => queue.submit(publisher, sequence, &keys).await,
@@ -95,7 +98,9 @@
 }
 
 /// Reads one message. The outer error is one of the connection.
-async fn receive<T: DeserializeOwned>(stream: &mut TcpStream) -> io::Result<Result<T, FrameError>> {
+async fn receive<T: DeserializeOwned>(
+    stream: &mut Uninterrupted<TcpStream>,
+) -> io::Result<Result<T, FrameError>> {
     let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
     loop {
         match decode(&mut buffer, MAX_FRAME_BYTES) {
@@ -112,7 +117,15 @@
 /// Why a request has got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection could not be established, or has failed.
+    /// The connection could not be established.
+    #[error("the control service at {addr}: {source}")]
+    Unreached {
+        /// The service's address for operators.
+        addr: SocketAddr,
+        /// The cause.
+        source: ConnectError,
+    },
+    /// The connection has failed.
     #[error("the control service at {addr}: {source}")]
     Connection {
         /// The service's address for operators.
@@ -135,9 +148,10 @@
 /// # Errors
 /// If the service can't be reached, or does not send a valid response.
 pub async fn call(addr: SocketAddr, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
+    let unreached = |source| CallError::Unreached { addr, source };
     let connection = |source| CallError::Connection { addr, source };
     let frame = |source| CallError::Frame { addr, source };
-    let mut stream = TcpStream::connect(addr).await.map_err(connection)?;
+    let mut stream = Uninterrupted(connect(addr, || ()).await.map_err(unreached)?);
     let bytes = encode(request).map_err(frame)?;
     stream.write_all(&bytes).await.map_err(connection)?;
     receive(&mut stream).await.map_err(connection)?.map_err(frame)
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -11,6 +11,7 @@
 use crate::rollout::Plan;
 use crate::store::StoreError;
 use crate::version::{Stamp, Version};
+use aniseyoke_sockets::{accept_error, AcceptError, Uninterrupted};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -190,6 +191,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().serve_proxy(stream))),
+                Err(e) if accept_error(&e) == AcceptError::Passing => {}
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             }
         }
@@ -200,6 +202,7 @@
         // Where it fails that only costs time.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
+        let (reader, writer) = (Uninterrupted(reader), Uninterrupted(writer));
         tokio::select! {
             () = write_frames(frames, writer) => {}
             () = self.read_messages(id, reader) => {}
@@ -214,7 +217,7 @@
     }
 
     /// Reads a connection until it ends or an invalid frame arrives.
-    async fn read_messages(&self, id: Id, mut reader: OwnedReadHalf) {
+    async fn read_messages(&self, id: Id, mut reader: Uninterrupted<OwnedReadHalf>) {
         let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
             match decode::<ProxyMessage>(&mut buffer, MAX_PROXY_FRAME_BYTES) {
@@ -244,7 +247,7 @@
 }
 
 /// Writes frames until the queue ends, a write fails, or a frame closes the connection.
-async fn write_frames(mut frames: mpsc::Receiver<OutgoingFrame>, mut writer: OwnedWriteHalf) {
+async fn write_frames(mut frames: mpsc::Receiver<OutgoingFrame>, mut writer: Uninterrupted<OwnedWriteHalf>) {
     while let Some(OutgoingFrame { mut bytes, mut close_after, .. }) = frames.recv().await {
         // Short frames that wait together are sent in one segment: otherwise headers would be half of the traffic.
         while !close_after && bytes.len() < READ_BYTES {
