--- a/crates/lab/src/rig/tests.rs
+++ b/crates/lab-rig/src/tests.rs
@@ -1,8 +1,8 @@
 //! The relay is on the path: each fault changes what passes, and nothing else does.
 
-use super::board::{Active, Board, Fault, Group, Party};
-use super::ready::Readiness;
-use super::relay::{self, Counts, Link, Relay};
+use super::board::{ActiveFault, Fault, FaultBoard, LinkEnd, LinkEnds};
+use super::readiness::Readiness;
+use super::relay::{self, Link, Relay, RelayCounters};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -24,23 +24,23 @@
     addr
 }
 
-async fn relayed(board: &Board) -> Relay {
+async fn relayed(board: &FaultBoard) -> Relay {
     let target = echo().await;
-    let link = Link { from: Party::Proxy(0), to: Party::Discovery, target };
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Discovery, target };
     relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap()
 }
 
-fn fault(id: usize, fault: Fault) -> Active {
-    Active {
+fn fault(id: usize, fault: Fault) -> ActiveFault {
+    ActiveFault {
         id,
         fault,
-        a: vec![Group::Range(0, 0)],
-        b: vec![Group::Discovery],
-        part: 1.0,
+        a: vec![LinkEnds::Range(0, 0)],
+        b: vec![LinkEnds::Discovery],
+        fraction: 1.0,
         delay: Duration::from_millis(80),
         jitter: Duration::ZERO,
         rate: 64 * 1024,
-        struck: 0,
+        injected_at: 0,
     }
 }
 
@@ -59,13 +59,13 @@
 
 #[tokio::test]
 async fn bytes_pass_unchanged_and_a_delay_is_added_to_them() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let plain = Instant::now();
     assert_eq!(round(&mut stream, 100_000, Duration::from_secs(5)).await.unwrap().len(), 100_000);
     let plain = plain.elapsed();
-    board.strike(fault(1, Fault::Delay));
+    board.inject(fault(1, Fault::Delay));
     let slow = Instant::now();
     round(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
     // Both directions wait.
@@ -74,18 +74,18 @@
         "{:?} with a delay, {plain:?} without",
         slow.elapsed()
     );
-    assert_eq!(Counts::get(&relay.counts.bytes_back), 100_010);
+    assert_eq!(RelayCounters::get(&relay.counts.bytes_back), 100_010);
 }
 
 #[tokio::test]
 async fn a_partition_holds_bytes_until_it_heals_and_handshakes_of_new_connections_go_unanswered() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
     // Twice, since what keeps handshakes unanswered has to come and go with the fault.
     for id in [1, 2] {
-        board.strike(fault(id, Fault::Partition));
+        board.inject(fault(id, Fault::Partition));
         assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
         for _ in 0..3 {
             let connecting = TcpStream::connect(relay.addr);
@@ -97,7 +97,7 @@
         let waits = TcpStream::connect(relay.addr);
         let heals = async {
             tokio::time::sleep(Duration::from_millis(200)).await;
-            board.lift(id);
+            board.clear(id);
         };
         // What was held comes through once it heals, and the handshake of who still waits.
         let (waited, ()) = tokio::join!(timeout(Duration::from_secs(5), waits), heals);
@@ -108,7 +108,7 @@
     }
     let counts = &relay.counts;
     assert_eq!(
-        (Counts::get(&counts.taken), Counts::get(&counts.held)),
+        (RelayCounters::get(&counts.taken), RelayCounters::get(&counts.held)),
         (3, 2),
         "none but who waited was taken"
     );
@@ -118,7 +118,7 @@
 /// reset; the relay has acknowledged what it holds.
 #[tokio::test]
 async fn what_a_partition_holds_of_a_connection_comes_through_after_a_close_and_not_after_a_reset() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut open = Vec::new();
     for _ in 0..2 {
@@ -126,7 +126,7 @@
         round(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
         open.push(stream);
     }
-    board.strike(fault(1, Fault::Partition));
+    board.inject(fault(1, Fault::Partition));
     for stream in &mut open {
         assert_eq!(round(stream, 100, Duration::from_millis(200)).await, Err("silent".into()));
     }
@@ -134,9 +134,9 @@
     socket2::SockRef::from(&reset).set_linger(Some(Duration::ZERO)).unwrap();
     drop(reset);
     drop(open);
-    board.lift(1);
+    board.clear(1);
     let counts = relay.counts.clone();
-    let came = || (Counts::get(&counts.bytes_to), Counts::get(&counts.given_up));
+    let came = || (RelayCounters::get(&counts.bytes_to), RelayCounters::get(&counts.given_up));
     let both = async {
         while came() != (120, 1) {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -150,20 +150,20 @@
 
 #[tokio::test]
 async fn a_black_hole_holds_bytes_until_it_ends_and_new_connections_are_taken_and_go_unanswered() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    board.strike(fault(1, Fault::BlackHole));
+    board.inject(fault(1, Fault::BlackHole));
     assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
     assert_eq!(round(&mut new, 10, Duration::from_millis(300)).await, Err("silent".into()));
-    board.lift(1);
+    board.clear(1);
     // What was held comes through once it ends, on both.
     let mut rest = [0u8; 10];
     timeout(Duration::from_secs(5), open.read_exact(&mut rest)).await.unwrap().unwrap();
     timeout(Duration::from_secs(5), new.read_exact(&mut rest)).await.unwrap().unwrap();
-    assert_eq!(Counts::get(&relay.counts.held), 2);
+    assert_eq!(RelayCounters::get(&relay.counts.held), 2);
 }
 
 /// A far end that counts the connections that it takes and reads them to their ends.
@@ -187,11 +187,11 @@
 /// Danger: over a real link no handshake comes about in a partition, so that callers that gave up leave nothing behind.
 #[tokio::test]
 async fn callers_that_gave_up_in_a_black_hole_do_not_reach_the_target_when_it_ends() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let (target, taken) = counting().await;
-    let link = Link { from: Party::Proxy(0), to: Party::Discovery, target };
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Discovery, target };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
-    board.strike(fault(1, Fault::BlackHole));
+    board.inject(fault(1, Fault::BlackHole));
     for resets in [false, true] {
         let mut gave_up = TcpStream::connect(relay.addr).await.unwrap();
         gave_up.write_all(b"asked").await.unwrap();
@@ -201,29 +201,29 @@
     }
     let mut waits = TcpStream::connect(relay.addr).await.unwrap();
     assert!(round(&mut waits, 100, Duration::from_millis(200)).await.is_err());
-    board.lift(1);
+    board.clear(1);
     let mut back = vec![0; 100];
     timeout(Duration::from_secs(2), waits.read_exact(&mut back)).await.expect("in time").expect("answered");
     assert_eq!(taken.load(std::sync::atomic::Ordering::Relaxed), 1);
-    assert_eq!(Counts::get(&relay.counts.given_up), 2);
+    assert_eq!(RelayCounters::get(&relay.counts.given_up), 2);
 }
 
 #[tokio::test]
 async fn drops_resets_and_cuts_end_connections_each_in_its_way() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
-    board.strike(fault(1, Fault::Drop));
+    board.inject(fault(1, Fault::Drop));
     let mut dropped = TcpStream::connect(relay.addr).await.unwrap();
     let mut byte = [0u8; 1];
     assert_eq!(timeout(Duration::from_secs(5), dropped.read(&mut byte)).await.unwrap().unwrap(), 0);
-    board.lift(1);
+    board.clear(1);
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    board.strike(fault(2, Fault::Reset));
+    board.inject(fault(2, Fault::Reset));
     let reset = timeout(Duration::from_secs(5), open.read(&mut byte)).await.unwrap();
     assert!(matches!(&reset, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset), "{reset:?}");
-    board.lift(2);
-    board.strike(fault(3, Fault::Cut));
+    board.clear(2);
+    board.inject(fault(3, Fault::Cut));
     let mut cut = TcpStream::connect(relay.addr).await.unwrap();
     let sent = vec![1u8; 10_000];
     let _ = cut.write_all(&sent).await;
@@ -232,30 +232,34 @@
     assert!(got.len() < sent.len(), "all {} bytes came through a cut", got.len());
     let counts = &relay.counts;
     assert_eq!(
-        (Counts::get(&counts.dropped), Counts::get(&counts.reset), Counts::get(&counts.cut)),
+        (
+            RelayCounters::get(&counts.dropped),
+            RelayCounters::get(&counts.reset),
+            RelayCounters::get(&counts.cut)
+        ),
         (1, 1, 1)
     );
 }
 
 #[tokio::test]
 async fn half_open_connections_stay_silent_while_new_ones_are_carried() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    board.strike(fault(1, Fault::HalfOpen));
+    board.inject(fault(1, Fault::HalfOpen));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
     round(&mut new, 10, Duration::from_secs(5)).await.unwrap();
-    board.lift(1);
+    board.clear(1);
     assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
 }
 
 #[tokio::test]
 async fn a_cap_on_bandwidth_slows_a_large_transfer() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let relay = relayed(&board).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
-    board.strike(fault(1, Fault::Bandwidth));
+    board.inject(fault(1, Fault::Bandwidth));
     let began = Instant::now();
     // 64 KiB each way at 64 KiB a second.
     round(&mut stream, 64 * 1024, Duration::from_secs(10)).await.unwrap();
@@ -264,15 +268,15 @@
 
 #[tokio::test]
 async fn a_target_that_is_gone_is_a_reset() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let gone = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
-    let link = Link { from: Party::Proxy(0), to: Party::Ledger, target: gone };
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Ledger, target: gone };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let mut byte = [0u8; 1];
     let read = timeout(Duration::from_secs(5), stream.read(&mut byte)).await.unwrap();
     assert!(read.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-    assert_eq!(Counts::get(&relay.counts.unreached), 1);
+    assert_eq!(RelayCounters::get(&relay.counts.unreached), 1);
 }
 
 /// The median time of a small round trip, of so many.
@@ -290,7 +294,7 @@
 /// Danger: a relay that adds much would make the figures of proxies its own.
 #[tokio::test]
 async fn a_relay_adds_less_than_a_millisecond_at_the_median() {
-    let board = Board::default();
+    let board = FaultBoard::default();
     let mut straight = TcpStream::connect(echo().await).await.unwrap();
     let mut through = TcpStream::connect(relayed(&board).await.addr).await.unwrap();
     let (straight, through) = (median(&mut straight, 400).await, median(&mut through, 400).await);
