--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -13,7 +13,7 @@
 use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
 use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
-use aniseyoke_core::{Plan, Tally};
+use aniseyoke_core::{EngineConfig, RequestCounters};
 use aniseyoke_decision::api::Entry;
 use aniseyoke_routes::review::{review, Breakage, Configuration};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 pub struct Subscription {
     below: Arc<Below>,
     orders: mpsc::Sender<Order>,
-    tally: Arc<Tally>,
+    tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
     keeping: Option<Keeping<StoredVersion>>,
 }
@@ -38,7 +38,7 @@
         control: &Control,
         below: Arc<Below>,
         orders: mpsc::Sender<Order>,
-        tally: Arc<Tally>,
+        tally: Arc<RequestCounters>,
     ) -> std::io::Result<Self> {
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
@@ -96,11 +96,11 @@
 }
 
 /// Reads a version and judges it against what runs.
-fn read(below: &Below, now: &Plan, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
+fn read(below: &Below, now: &EngineConfig, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
     let told = |faults: Vec<ConfigError>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let (resolved, plan) = below.with(Some(&version)).map_err(told)?;
     let side = |plan| -> Configuration<'_> {
-        let Plan { settings, routing, .. }: &Plan = plan;
+        let EngineConfig { settings, routing, .. }: &EngineConfig = plan;
         Configuration { settings, routing }
     };
     let harm = review(side(now), side(&plan), nodes);
@@ -151,7 +151,7 @@
     }
 
     fn take_request_counts(&self) -> RequestCounts {
-        let [served, rejected, failed] = self.tally.take();
-        RequestCounts { served, rejected, failed }
+        let counts = self.tally.take();
+        RequestCounts { served: counts.served, rejected: counts.rejected, failed: counts.failed }
     }
 }
