--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,7 +1,7 @@
 //! What operators have ordered and what must outlive the process: bans and the drain, in one small file that
 //! old and new process share while one replaces the other.
 
-use aniseyoke_control::sealed::{Disk, Files};
+use aniseyoke_control::checksummed_file::{Disk, Files};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -2,7 +2,7 @@
 //! keeps it on disk.
 
 use super::serving::{Order, Ready};
-use super::{frame_most, Below, InForce, KEPT};
+use super::{max_frame_bytes, Below, InForce, KEPT};
 use crate::config::Names;
 use crate::keeping::Keeping;
 use crate::operator::log_levels;
@@ -10,8 +10,8 @@
 use aniseyoke_config::model::Control;
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::client::{follow, Host};
-use aniseyoke_control::follower::{Follower, Identity, Times};
-use aniseyoke_control::store::{Disk, Found, Kept, Store};
+use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
+use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
 use aniseyoke_core::{EngineConfig, RequestCounters};
 use aniseyoke_decision::api::Entry;
@@ -26,7 +26,7 @@
     orders: mpsc::Sender<Order>,
     tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
-    keeping: Option<Keeping<Kept>>,
+    keeping: Option<Keeping<StoredVersion>>,
 }
 
 impl Subscription {
@@ -43,13 +43,13 @@
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
             let mut failing = false;
-            Keeping::start(move |kept: &Kept| {
+            Keeping::start(move |kept: &StoredVersion| {
                 let stamp = kept.version.stamp;
                 // Another process of this proxy may have kept a later one.
-                if matches!(store.find(), Ok(Found::Good(before)) if before.version.stamp > stamp) {
+                if matches!(store.load(), Ok(Loaded::Valid(before)) if before.version.stamp > stamp) {
                     return true;
                 }
-                let done = store.keep(kept);
+                let done = store.save(kept);
                 match (&done, failing) {
                     (Err(e), false) => tracing::error!("version {stamp} could not be kept on disk: {e}"),
                     (Ok(()), true) => tracing::info!("version {stamp} is kept on disk"),
@@ -72,16 +72,16 @@
         at: SocketAddr,
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
-        let frame_most = frame_most(self.below.platform.memory);
+        let max_frame_bytes = max_frame_bytes(self.below.platform.memory);
         let boot = u64::try_from(unix().as_nanos()).unwrap_or(u64::MAX);
         let instance = control.instance.unwrap_or_else(|| at.to_string());
-        let identity = Identity { instance, boot, labels: control.labels, frame_most };
+        let identity = Identity { instance, boot, labels: control.labels, max_frame_bytes };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
         let follows = move || {
             let running = running.map(Arc::unwrap_or_clone);
             let follower = Follower::new(identity, control.services.len(), running, Times::default(), boot);
-            let services = follow(follower, control.services, frame_most, self);
+            let services = follow(follower, control.services, max_frame_bytes, self);
             tokio::task::LocalSet::new().block_on(&runtime, services);
         };
         std::thread::Builder::new().name("versions".into()).spawn(follows).map(drop)
@@ -129,7 +129,7 @@
 }
 
 impl Host for Subscription {
-    async fn apply(&self, version: Version) -> Result<(), Vec<String>> {
+    async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         let (now, nodes) = self.ask(Order::Look).await?;
         let below = self.below.clone();
@@ -141,17 +141,17 @@
         Ok(())
     }
 
-    fn keep(&self, version: Version) {
+    fn persist(&self, version: Version) {
         let at_ms = unix_ms();
-        self.keeping.iter().for_each(|k| k.keep(Kept { version: version.clone(), at_ms }));
+        self.keeping.iter().for_each(|k| k.keep(StoredVersion { version: version.clone(), at_ms }));
     }
 
-    fn say(&self, what: &str) {
+    fn warn(&self, what: &str) {
         tracing::warn!("{what}");
     }
 
-    fn answered(&self) -> [u64; 3] {
+    fn take_request_counts(&self) -> RequestCounts {
         let counts = self.tally.take();
-        [counts.served, counts.rejected, counts.failed]
+        RequestCounts { served: counts.served, rejected: counts.rejected, failed: counts.failed }
     }
 }
--- a/crates/proxy/tests/stored.rs
+++ b/crates/proxy/tests/stored.rs
@@ -5,7 +5,7 @@
 
 use aniseyoke_control::hosted::Hosted;
 use aniseyoke_control::rollout::Plan as Rollout;
-use aniseyoke_control::store::{Disk, Found, Store};
+use aniseyoke_control::store::{Disk, Loaded, Store};
 use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
 use rig::*;
 use serde_json::{json, Value};
@@ -244,10 +244,10 @@
         let body = json!({ "log": { "burst": 7 } });
         let (stamp, _) = service.publish(body, Rollout::default()).expect("published");
         until("it could not be written", || armed.forced("failing") > 0);
-        let kept = || match Store::new(Disk, site.path("aniseyoke-version")).find().expect("read") {
-            Found::Good(kept) => Some(kept.version.stamp),
-            Found::Nothing => None,
-            Found::Damaged { why, .. } => panic!("{why}"),
+        let kept = || match Store::new(Disk, site.path("aniseyoke-version")).load().expect("read") {
+            Loaded::Valid(kept) => Some(kept.version.stamp),
+            Loaded::Missing => None,
+            Loaded::Damaged { reason: why, .. } => panic!("{why}"),
         };
         assert_eq!(kept(), None);
         armed.change(&Plan::default()).expect("changed");
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -10,31 +10,31 @@
 
 /// Entries by index.
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-/// What else raft keeps, by name.
+/// The hard state and the snapshot, by name.
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
-const HARD: &str = "hard";
+const HARD_STATE: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
 
-/// Why the store can't be read or written.
-pub type Failed = Box<dyn std::error::Error + Send + Sync>;
+/// Why the store can't be read or written: an error of redb, of the file system, of raft, or of the data.
+pub type StoreError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Bytes that are written anew at once.
-const PART: usize = 1 << 20;
+/// How many bytes are rewritten at once.
+const REWRITE_BYTES: usize = 1 << 20;
 
-/// Writes every byte again as it is, and has the disk take them. Danger: what is found may stand in memory only, if the sync
-/// of it failed in a process that then ended; a later sync would say nothing of that.
-fn write_anew(bytes: &impl StorageBackend) -> std::io::Result<()> {
-    let length = bytes.len()?;
-    let mut part = vec![0; PART];
+/// Writes every byte again, and syncs them. Danger: what is read may be in the page cache only, if its sync failed in a
+/// process that has ended since; a later sync would not report that.
+fn rewrite(backend: &impl StorageBackend) -> std::io::Result<()> {
+    let length = backend.len()?;
+    let mut chunk = vec![0; REWRITE_BYTES];
     let mut at = 0;
     while at < length {
-        let size = usize::try_from(length - at).unwrap_or(PART).min(PART);
-        bytes.read(at, &mut part[..size])?;
-        bytes.write(at, &part[..size])?;
+        let size = usize::try_from(length - at).unwrap_or(REWRITE_BYTES).min(REWRITE_BYTES);
+        backend.read(at, &mut chunk[..size])?;
+        backend.write(at, &chunk[..size])?;
         at += size as u64;
     }
     if length > 0 {
-        bytes.sync_data()?;
+        backend.sync_data()?;
     }
     Ok(())
 }
@@ -43,28 +43,28 @@
 pub struct Store {
     disk: Database,
     hard: HardState,
-    /// What the entries before the first one come to; empty at the start but for the members.
+    /// Replaces the entries before the first one; at the start it holds only the members.
     snapshot: Snapshot,
-    /// From the one behind the snapshot on.
+    /// The entries after the snapshot.
     entries: Vec<Entry>,
 }
 
 impl Store {
-    /// Opens the log in a file, or begins one there with these members.
+    /// Opens the log in a file, or creates one there with these members.
     ///
     /// # Errors
-    /// If the file can't be had, is no log, or is one of other members.
-    pub fn open(path: &Path, members: &[u64]) -> Result<Self, Failed> {
+    /// If the file can't be opened, is not a log, or is the log of other members.
+    pub fn open(path: &Path, members: &[u64]) -> Result<Self, StoreError> {
         if !path.exists() {
-            Self::begin(path, members)?;
+            Self::create(path, members)?;
         }
         let file = OpenOptions::new().read(true).write(true).open(path)?;
         Self::open_on(FileBackend::new(file)?, members)
     }
 
-    /// Makes a log under another name and gives it its own once it is complete. Danger: one whose making was cut short could
-    /// never be opened again; and one whose name is not on disk is gone after a power loss, with every vote in it.
-    fn begin(path: &Path, members: &[u64]) -> Result<(), Failed> {
+    /// Creates a log under a temporary name, which is renamed once it is complete. Danger: a log whose creation was interrupted
+    /// could never be opened; and one whose name is not synced is gone after a power loss, with every vote in it.
+    fn create(path: &Path, members: &[u64]) -> Result<(), StoreError> {
         let mut new = path.as_os_str().to_owned();
         new.push(".new");
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&new)?;
@@ -76,22 +76,22 @@
         Ok(())
     }
 
-    /// As [`Self::open`], on anything that holds bytes.
+    /// As [`Self::open`], on any storage backend.
     ///
     /// # Errors
     /// As [`Self::open`].
-    pub fn open_on(bytes: impl StorageBackend, members: &[u64]) -> Result<Self, Failed> {
-        write_anew(&bytes)?;
-        let disk = Database::builder().create_with_backend(bytes)?;
-        let begin = disk.begin_write()?;
-        begin.open_table(LOG)?;
-        begin.open_table(META)?;
-        begin.commit()?;
+    pub fn open_on(backend: impl StorageBackend, members: &[u64]) -> Result<Self, StoreError> {
+        rewrite(&backend)?;
+        let disk = Database::builder().create_with_backend(backend)?;
+        let tables = disk.begin_write()?;
+        tables.open_table(LOG)?;
+        tables.open_table(META)?;
+        tables.commit()?;
         let (mut hard, mut snapshot, mut entries) = (HardState::default(), None, Vec::new());
         {
             let read = disk.begin_read()?;
             let meta = read.open_table(META)?;
-            if let Some(bytes) = meta.get(HARD)? {
+            if let Some(bytes) = meta.get(HARD_STATE)? {
                 hard = HardState::parse_from_bytes(bytes.value())?;
             }
             if let Some(bytes) = meta.get(SNAPSHOT)? {
@@ -103,7 +103,7 @@
         }
         let snapshot = match snapshot {
             Some(snapshot) => snapshot,
-            None if !entries.is_empty() => return Err("it has records, and not whose they are".into()),
+            None if !entries.is_empty() => return Err("it has records without their members".into()),
             None => {
                 let mut first = Snapshot::default();
                 first.mut_metadata().mut_conf_state().voters = members.to_vec();
@@ -113,43 +113,44 @@
                 first
             }
         };
-        // Danger: with other members there could be two majorities that know nothing of each other.
+        // Danger: with other members there could be two majorities that do not know of each other.
         let sorted = |ids: &[u64]| ids.iter().copied().collect::<std::collections::BTreeSet<u64>>();
-        let held = sorted(&snapshot.get_metadata().get_conf_state().voters);
-        if held != sorted(members) {
-            return Err(format!("it is a log of members {held:?}, and not of {members:?}").into());
+        let stored = sorted(&snapshot.get_metadata().get_conf_state().voters);
+        if stored != sorted(members) {
+            return Err(format!("it is a log of members {stored:?}, and not of {members:?}").into());
         }
         let mut store = Store { disk, hard, snapshot, entries };
-        // Entries that a snapshot covers stay until the next write; they do not count.
-        let behind = store.behind();
-        store.entries.retain(|e| e.index > behind);
-        let whole = store.entries.iter().zip(behind + 1..).all(|(entry, index)| entry.index == index);
-        if !whole {
+        // Entries that the snapshot covers stay on disk until the next write, and are ignored.
+        let snapshot_index = store.snapshot_index();
+        store.entries.retain(|e| e.index > snapshot_index);
+        let contiguous =
+            store.entries.iter().zip(snapshot_index + 1..).all(|(entry, index)| entry.index == index);
+        if !contiguous {
             return Err("the log has a gap".into());
         }
         Ok(store)
     }
 
     /// The index of the last entry that the snapshot covers.
-    fn behind(&self) -> u64 {
+    fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    fn place(&self, index: u64) -> Option<usize> {
-        usize::try_from(index.checked_sub(self.behind() + 1)?).ok()
+    fn offset(&self, index: u64) -> Option<usize> {
+        usize::try_from(index.checked_sub(self.snapshot_index() + 1)?).ok()
     }
 
-    /// Entries that are kept.
+    /// How many entries it holds.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether it holds no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What the entries that are not kept any more come to.
+    /// The snapshot that replaces earlier entries.
     pub fn snapshot_data(&self) -> &[u8] {
         self.snapshot.get_data()
     }
@@ -159,20 +160,20 @@
         self.snapshot.get_metadata().get_conf_state()
     }
 
-    /// Writes what raft says has to be on disk, in one step: entries, in place of any from their first on, and the hard
-    /// state. All of it is there afterwards, or none.
+    /// Writes what raft requires on disk in one transaction: entries, which replace any from their first one on, and the hard
+    /// state.
     ///
     /// # Errors
-    /// If it is not on disk; memory is as it was.
-    pub(crate) fn write(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), Failed> {
+    /// If it is not on disk; memory is unchanged.
+    pub(crate) fn write(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
         if entries.is_empty() && hard.is_none() {
             return Ok(());
         }
-        let place = match entries.first() {
-            Some(first) => self.place(first.index).filter(|at| *at <= self.entries.len()),
+        let offset = match entries.first() {
+            Some(first) => self.offset(first.index).filter(|offset| *offset <= self.entries.len()),
             None => Some(self.entries.len()),
         };
-        let place = place.ok_or("entries leave a gap in the log, or are covered by its snapshot")?;
+        let offset = offset.ok_or("entries leave a gap in the log, or are covered by its snapshot")?;
         let write = self.disk.begin_write()?;
         {
             let mut log = write.open_table(LOG)?;
@@ -183,12 +184,12 @@
                 log.insert(entry.index, &*entry.write_to_bytes()?)?;
             }
             if let Some(hard) = hard {
-                write.open_table(META)?.insert(HARD, &*hard.write_to_bytes()?)?;
+                write.open_table(META)?.insert(HARD_STATE, &*hard.write_to_bytes()?)?;
             }
         }
         write.commit()?;
         if !entries.is_empty() {
-            self.entries.truncate(place);
+            self.entries.truncate(offset);
             self.entries.extend_from_slice(entries);
         }
         hard.into_iter().for_each(|hard| self.hard = hard.clone());
@@ -200,51 +201,51 @@
         self.hard.commit = index;
     }
 
-    /// Takes a snapshot of another replica in place of what is here.
+    /// Replaces everything by a snapshot of another replica.
     ///
     /// # Errors
     /// As [`Self::write`].
-    pub(crate) fn replace(&mut self, snapshot: Snapshot) -> Result<(), Failed> {
+    pub(crate) fn replace(&mut self, snapshot: Snapshot) -> Result<(), StoreError> {
         let index = snapshot.get_metadata().index;
-        if index < self.behind() {
-            return Err("a snapshot is older than the one that is here".into());
+        if index < self.snapshot_index() {
+            return Err("the snapshot is older than the one in the store".into());
         }
         let mut hard = self.hard.clone();
         hard.term = hard.term.max(snapshot.get_metadata().term);
         hard.commit = index;
-        self.cover(snapshot, hard, |_| false)
+        self.install_snapshot(snapshot, hard, |_| false)
     }
 
-    /// Drops entries up to one that was agreed on and applied; `data` is what they come to.
+    /// Replaces the entries up to a committed and applied one by a snapshot.
     ///
     /// # Errors
-    /// As [`Self::write`], and if that entry is not here.
-    pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), Failed> {
-        if index <= self.behind() {
+    /// As [`Self::write`], and if that entry is not in the store.
+    pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), StoreError> {
+        if index <= self.snapshot_index() {
             return Ok(());
         }
         let term = self.term(index)?;
         let mut snapshot = self.snapshot.clone();
         (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (index, term);
         snapshot.data = data.into();
-        self.cover(snapshot, self.hard.clone(), |entry| entry > index)
+        self.install_snapshot(snapshot, self.hard.clone(), |entry| entry > index)
     }
 
-    fn cover(
+    fn install_snapshot(
         &mut self,
         snapshot: Snapshot,
         hard: HardState,
-        stays: impl Fn(u64) -> bool,
-    ) -> Result<(), Failed> {
+        retain: impl Fn(u64) -> bool,
+    ) -> Result<(), StoreError> {
         let write = self.disk.begin_write()?;
         {
             let mut meta = write.open_table(META)?;
             meta.insert(SNAPSHOT, &*snapshot.write_to_bytes()?)?;
-            meta.insert(HARD, &*hard.write_to_bytes()?)?;
-            write.open_table(LOG)?.retain(|index, _| stays(index))?;
+            meta.insert(HARD_STATE, &*hard.write_to_bytes()?)?;
+            write.open_table(LOG)?.retain(|index, _| retain(index))?;
         }
         write.commit()?;
-        self.entries.retain(|e| stays(e.index));
+        self.entries.retain(|e| retain(e.index));
         (self.snapshot, self.hard) = (snapshot, hard);
         Ok(())
     }
@@ -262,8 +263,8 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        let from = self.place(low).ok_or(Raft::Store(StorageError::Compacted))?;
-        let to = self.place(high).ok_or(Raft::Store(StorageError::Compacted))?;
+        let from = self.offset(low).ok_or(Raft::Store(StorageError::Compacted))?;
+        let to = self.offset(high).ok_or(Raft::Store(StorageError::Compacted))?;
         let part = self.entries.get(from..to).ok_or(Raft::Store(StorageError::Unavailable))?;
         let mut part = part.to_vec();
         raft::util::limit_size(&mut part, max_size.into());
@@ -271,23 +272,23 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.behind() {
+        if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        let at = self.place(index).ok_or(Raft::Store(StorageError::Compacted))?;
+        let at = self.offset(index).ok_or(Raft::Store(StorageError::Compacted))?;
         self.entries.get(at).map(|e| e.term).ok_or(Raft::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.behind() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.behind() + self.entries.len() as u64)
+        Ok(self.snapshot_index() + self.entries.len() as u64)
     }
 
     fn snapshot(&self, index: u64, _to: u64) -> raft::Result<Snapshot> {
-        if self.behind() < index {
+        if self.snapshot_index() < index {
             return Err(Raft::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
--- a/crates/replica/tests/storage.rs
+++ b/crates/replica/tests/storage.rs
@@ -1,6 +1,6 @@
 //! A replica on a disk that fails for a while, on a machine that loses its power: what it answered for is still there.
 
-use aniseyoke_replica::{Event, Out, Replica, Store};
+use aniseyoke_replica::{Event, Output, Replica, Store};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 use rand::rngs::SmallRng;
@@ -136,9 +136,9 @@
     panic!("it never started: {:?}", replica(machine, id, members).err());
 }
 
-fn agreed(out: &Out, into: &mut Vec<String>) {
+fn agreed(out: &Output, into: &mut Vec<String>) {
     for event in &out.events {
-        if let Event::Agreed(_, record) = event {
+        if let Event::Committed(_, record) = event {
             into.push(String::from_utf8_lossy(record).into_owned());
         }
     }
@@ -148,7 +148,7 @@
 fn lead(replica: &mut Replica, into: &mut Vec<String>) -> Option<()> {
     for _ in 0..LONG {
         agreed(&replica.tick().ok()?, into);
-        if replica.leads().is_some() {
+        if replica.leading_term().is_some() {
             return Some(());
         }
     }
@@ -259,7 +259,7 @@
 }
 
 /// Who is given a vote.
-fn granted(out: &Out) -> impl Iterator<Item = u64> + '_ {
+fn granted(out: &Output) -> impl Iterator<Item = u64> + '_ {
     out.messages.iter().filter_map(|(to, bytes)| {
         let message = Message::parse_from_bytes(bytes).expect("a message");
         let vote = message.get_msg_type() == MessageType::MsgRequestVoteResponse && !message.reject;
@@ -274,7 +274,7 @@
         for candidate in [1, 3, 1, 3] {
             let mut two = started(machine, 2, &[1, 2, 3]);
             for asks in [candidate, 4 - candidate] {
-                match two.step(&vote_wanted(asks, 2, term)) {
+                match two.receive(&vote_wanted(asks, 2, term)) {
                     Ok(out) => voted.extend(granted(&out.expect("a message"))),
                     Err(_) => says_nothing_more(&mut two),
                 }
