--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use aniseyoke_benchlink::wire::{self, Line};
-use aniseyoke_decision::api::{Action, Columns, Entry, Event, ListKind, Nanos, ServerId};
+use aniseyoke_decision::api::{Action, Entry, Event, ListKind, Nanos, ReportColumns, ServerId};
 use aniseyoke_decision::Balancer;
 use rustc_hash::FxHashMap;
 use std::io::{self, BufRead, Write};
@@ -13,7 +13,7 @@
 struct Adapter {
     now: Nanos,
     balancers: FxHashMap<String, Balancer>,
-    columns: FxHashMap<String, Columns>,
+    columns: FxHashMap<String, ReportColumns>,
     names: FxHashMap<ServerId, String>,
     pages: [Option<Vec<Entry>>; 16],
     in_batch: bool,
@@ -58,7 +58,7 @@
             }
             Line::Entry(..) => return Err("entry without a list".into()),
             Line::New { instance, seed, settings } => {
-                self.columns.insert(instance.clone(), settings.report);
+                self.columns.insert(instance.clone(), settings.report_columns);
                 self.balancers.insert(instance, Balancer::new(*settings, seed));
             }
             Line::Members { instance, kind, page } => {
@@ -69,7 +69,7 @@
                         list.ok_or(format!("list {page} was never sent"))?
                     }
                 };
-                self.event(&instance, Event::List { kind, entries });
+                self.event(&instance, Event::EndpointList { kind, entries });
             }
             Line::Stop(instance) => {
                 self.columns.remove(&instance);
@@ -77,7 +77,7 @@
             }
             Line::Outcome(instance, outcome, row) => {
                 if let Some(load) = self.columns.get(&instance).and_then(|c| c.load(&row)) {
-                    self.event(&instance, Event::Load { server: outcome.server, load });
+                    self.event(&instance, Event::LoadReport { server: outcome.server, load });
                 }
                 self.event(&instance, Event::Outcome(outcome));
             }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -85,12 +85,12 @@
     Ok(match part(p, "reason")? {
         "done" => Status::Ok,
         "err" => Status::Error,
-        "busy" => Status::Full,
+        "busy" => Status::Rejected,
         "etimedout" => Status::Timeout,
         "econnrefused" => Status::ConnectFailed,
         "econnreset" => Status::Reset,
         "ecanceled" => Status::Cancelled,
-        "skipped" => Status::Moot,
+        "skipped" => Status::NotSent,
         "enoent" => Status::Miss,
         v => return Err(format!("reason is unknown: {v:?}")),
     })
@@ -148,9 +148,9 @@
             Line::Outcome(instance, outcome, load(p)?)
         }
         "tick_due" => Line::Event(instance(p)?, Event::Timer(number(p, "handle")?)),
-        "expired" => Line::Event(instance(p)?, Event::Expired(number(p, "corr")?)),
+        "expired" => Line::Event(instance(p)?, Event::ClientLeft(number(p, "corr")?)),
         "first" => {
-            let event = Line::Event(instance(p)?, Event::First(number(p, "corr")?));
+            let event = Line::Event(instance(p)?, Event::AnswerBegun(number(p, "corr")?));
             let _ = (number::<u64>(p, "n")?, part(p, "node")?, part(p, "elapsed_ns")?);
             event
         }
@@ -223,10 +223,10 @@
             writeln!(out, "deliver {instance} {id} {} {timeout}", named(server))
         }
         Action::Cancel { id, attempt } => writeln!(out, "abandon {instance} {id} {attempt}"),
-        Action::Refuse { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
+        Action::Reject { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(out, "abort {instance} {id}"),
         Action::Timer { token, delay } => writeln!(out, "arm {instance} {token} {delay}"),
-        Action::Close(server) => writeln!(out, "close {instance} {}", named(server)),
+        Action::CloseIdle(server) => writeln!(out, "close {instance} {}", named(server)),
         Action::Subscribe => writeln!(out, "stream_changes {instance} 1"),
     };
 }
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -133,9 +133,13 @@
     let Ok(Line::New { settings: s, .. }) = wire::parse(line) else { panic!("no start") };
     assert_eq!((&s.classes[0].only.zones, &s.classes[0].only.kinds), (&Some(vec![0, 2]), &Some(vec![1])));
     assert_eq!(s.classes[1].only.zones, Some(vec![]), "an empty list allows none");
-    assert_eq!((s.classes[1].effect, s.classes[1].group), (Effect::Unsafe, Group::Cell), "the strictest");
+    assert_eq!(
+        (s.classes[1].idempotency, s.classes[1].group),
+        (Idempotency::NonIdempotent, Group::Cell),
+        "the strictest"
+    );
     assert_eq!(s.classes[2].only.zones, None);
-    assert_eq!((s.let_go, s.marks_retry), (500, true));
+    assert_eq!((s.drain_close_within, s.clients_mark_retries), (500, true));
 }
 
 #[test]
@@ -144,10 +148,10 @@
     let actions = [
         Action::Send { id: 1, server: server_id("node_a"), timeout: 80 },
         Action::Cancel { id: 1, attempt: 0 },
-        Action::Refuse { id: 2, retry_after: 5 },
+        Action::Reject { id: 2, retry_after: 5 },
         Action::Fail { id: 3 },
         Action::Timer { token: 4, delay: 6 },
-        Action::Close(server_id("node_a")),
+        Action::CloseIdle(server_id("node_a")),
         Action::Subscribe,
     ];
     for a in &actions {
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -185,8 +185,8 @@
             class: request.class as usize,
             tenant: request.tenant.map(|t| t as usize),
             job: job.clone(),
-            cancel: core.plan.settings.cancel,
-            window: class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window),
+            cancel: core.plan.settings.cancellation,
+            window: class.filter(|c| c.idempotency == Idempotency::WithKey).map(|c| c.dedup_window),
             patience: patience_left,
             deadline: (!comes).then(|| now.saturating_add(patience_left)),
             answer: Some(answer),
@@ -211,7 +211,7 @@
                 *since = now;
             }
         }
-        self.feed(core, Event::Taken(id));
+        self.feed(core, Event::BodyReceived(id));
     }
 
     /// The client has gone, or has been told that it is too late: nothing more is done for the request.
@@ -219,7 +219,7 @@
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
-            self.feed(core, Event::Expired(id));
+            self.feed(core, Event::ClientLeft(id));
             let mut events = VecDeque::new();
             self.close(core, id, &mut events);
             self.feed_all(core, events);
@@ -235,7 +235,7 @@
         }
         let (server, mut first) = (pending.attempts[number].server, false);
         let mut events: VecDeque<Event> =
-            ended.load.map(|load| Event::Load { server, load }).into_iter().collect();
+            ended.load.map(|load| Event::LoadReport { server, load }).into_iter().collect();
         if let Some(response) = ended.answer {
             if let Some(answer) = pending.answer.take() {
                 let _ = answer.send(Answer::Served(response));
@@ -256,7 +256,7 @@
         let now = self.clock.now();
         if core.limits.as_mut().is_some_and(|l| l.overdue(now, (id, number))) {
             let mut events = VecDeque::new();
-            self.settle(core, id, number, Status::Full, None, &mut events);
+            self.settle(core, id, number, Status::Rejected, None, &mut events);
             self.feed_all(core, events);
         }
     }
@@ -280,7 +280,7 @@
         match action {
             Action::Send { id, server, timeout } => self.send(core, id, server, timeout, events),
             Action::Cancel { id, attempt } => self.call_off(core, id, attempt as usize, events),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(core, id, Answer::Refused(Duration::from_nanos(retry_after)), events);
             }
             Action::Fail { id } => self.answer(core, id, Answer::Failed, events),
@@ -289,7 +289,7 @@
                     engine.feed(&mut engine.core.borrow_mut(), Event::Timer(token))
                 });
             }
-            Action::Close(server) => self.fleet.close_idle(server),
+            Action::CloseIdle(server) => self.fleet.close_idle(server),
             // The receiver is gone only when the proxy ends.
             Action::Subscribe => drop(self.watch.send(())),
         }
@@ -322,7 +322,7 @@
         let wait = if timeout == 0 { left } else { timeout.min(left) };
         pending.attempts.push(Attempt { server, sent: now, wait, at: At::Queue, void: false });
         if pending.answer.is_none() || left == 0 {
-            return self.settle(core, id, number, Status::Moot, None, events);
+            return self.settle(core, id, number, Status::NotSent, None, events);
         }
         let Some(limits) = core.limits.as_mut() else { return self.start(core, id, number) };
         let (class, tenant, deadline) = (pending.class, pending.tenant, now.saturating_add(wait));
@@ -331,7 +331,7 @@
         match limits.wanted(now, wanted, &mut steps) {
             Verdict::Go => self.start(core, id, number),
             Verdict::Wait(wait) => self.later(wait, move |engine| engine.waited(id, number)),
-            Verdict::Turned => self.settle(core, id, number, Status::Full, None, events),
+            Verdict::Turned => self.settle(core, id, number, Status::Rejected, None, events),
         }
         self.follow(core, steps, events);
     }
@@ -364,7 +364,9 @@
         for step in steps {
             match step {
                 limits::Step::Start((id, number)) => self.start(core, id, number),
-                limits::Step::Turn((id, number)) => self.settle(core, id, number, Status::Full, None, events),
+                limits::Step::Turn((id, number)) => {
+                    self.settle(core, id, number, Status::Rejected, None, events)
+                }
             }
         }
     }
@@ -392,7 +394,7 @@
             let (elapsed, mut steps) = (now.saturating_sub(since), Vec::new());
             let done = limits::Done { server, class, status, elapsed, hit };
             let room = limits.done(now, done, &mut steps);
-            events.extend(room.map(|room| Event::Room { server, room }));
+            events.extend(room.map(|room| Event::ConcurrencyLimit { server, limit: room }));
             self.follow(core, steps, events);
         }
         Self::forget(core, id);
@@ -411,7 +413,7 @@
             }
             At::Queue => {
                 core.limits.as_mut().map(|l| l.leave(now, (id, number)));
-                Status::Moot
+                Status::NotSent
             }
             At::Over => return,
         };
--- a/crates/core/src/engine/news.rs
+++ b/crates/core/src/engine/news.rs
@@ -34,7 +34,7 @@
         if let Some(limits) = core.limits.as_mut() {
             entries.iter().for_each(|e| limits.listed(e));
         }
-        events.push_back(Event::List { kind, entries });
+        events.push_back(Event::EndpointList { kind, entries });
     }
 
     /// What is in force.
@@ -45,7 +45,7 @@
     /// The entries of the list as discovery tells them, but for nodes that operators have taken out.
     pub fn standing(&self) -> Vec<Entry> {
         let core = self.core.borrow();
-        let open = core.listing.entries().filter(|(e, _)| !core.balancer.excluded(e.server));
+        let open = core.listing.entries().filter(|(e, _)| !core.balancer.is_excluded(e.server));
         open.map(|(e, _)| e.clone()).collect()
     }
 
@@ -74,12 +74,15 @@
                 if let Some(limits) = core.limits.take() {
                     let (waiting, nodes) = limits.release();
                     waiting.into_iter().for_each(|(id, number)| self.start(core, id, number));
-                    events
-                        .extend(nodes.into_iter().map(|server| Event::Room { server, room: f64::INFINITY }));
+                    events.extend(
+                        nodes
+                            .into_iter()
+                            .map(|server| Event::ConcurrencyLimit { server, limit: f64::INFINITY }),
+                    );
                 }
             }
         }
-        core.balancer.retune(plan.settings.clone());
+        core.balancer.update_settings(plan.settings.clone());
         let old = std::mem::replace(&mut core.plan, plan);
         let changed = core.listing.changed(&old.routing.overlay, &core.plan.routing.overlay);
         if !changed.is_empty() {
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -84,8 +84,13 @@
     let queue =
         QueueRules { most: 1, interval: Duration::from_millis(200), target: Duration::from_millis(200) };
     let rules = Rules { node: one, queue, ..Rules::default() };
-    let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
-    let settings = Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() };
+    let class = Class {
+        latency_objective: 1_000_000_000,
+        deadline: 2_000_000_000,
+        priority_weight: 1.0,
+        ..Class::default()
+    };
+    let settings = Settings { classes: vec![class], proxies: 1, cancellation: true, ..Settings::default() };
     let entry = Entry { server: server_id("a"), weight: 1.0, ..Entry::default() };
     let (watch, _) = mpsc::unbounded_channel();
     let plan = plan(settings, Some(rules));
@@ -168,8 +173,14 @@
     play(|fleet, engine| async move {
         let (mut first, mut second) = (ask(&engine, 1), ask(&engine, 2));
         assert_eq!((fleet.started(), engine.queued()), (1, Some((1, 0))));
-        let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
-        let settings = Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() };
+        let class = Class {
+            latency_objective: 1_000_000_000,
+            deadline: 2_000_000_000,
+            priority_weight: 1.0,
+            ..Class::default()
+        };
+        let settings =
+            Settings { classes: vec![class], proxies: 1, cancellation: true, ..Settings::default() };
         engine.retune(plan(settings.clone(), None)).expect("sound");
         assert_eq!((fleet.started(), engine.queued()), (2, None));
         fleet.end(1, Status::Ok);
--- a/crates/core/src/limits/concurrency.rs
+++ b/crates/core/src/limits/concurrency.rs
@@ -101,7 +101,7 @@
     pub fn ended(&mut self, now: Nanos, status: Status, elapsed: Nanos, ratio: Option<f64>) {
         let (used, at_ease) = (self.used(), self.at_ease());
         self.out = self.out.saturating_sub(1);
-        let lost = matches!(status, Status::Timeout | Status::Full);
+        let lost = matches!(status, Status::Timeout | Status::Rejected);
         if lost || ratio.is_some() {
             self.lost += LOST_GAIN * (f64::from(u8::from(lost)) - self.lost);
         }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here reads a clock or a socket: the caller hands in the time, says what it sends and how that ended, and is
 //! told what to do ([`Verdict`], [`Step`]). No server is chosen here either. The decision module is told of each
-//! node's room by `Event::Room` and chooses by it; what it has sent to a node that has no room left waits here, at that
+//! node's room by `Event::ConcurrencyLimit` and chooses by it; what it has sent to a node that has no room left waits here, at that
 //! node's [`Queue`], for a bounded time, and is given back as never run when its time or its turn is over.
 
 mod concurrency;
@@ -133,12 +133,12 @@
         rules.check()?;
         Ok(Limits {
             shares: Shares::new(&settings.tenants, settings.proxies),
-            worths: settings.classes.iter().map(|c| c.worth.max(0.0)).collect(),
-            over_share: settings.over_share_worth.clamp(0.0, 1.0),
+            worths: settings.classes.iter().map(|c| c.priority_weight.max(0.0)).collect(),
+            over_share: settings.over_quota_weight.clamp(0.0, 1.0),
             usual: vec![Usual::default(); settings.classes.len()],
             rules,
             nodes: FxHashMap::default(),
-            origin_kind: settings.origin_kind.filter(|_| settings.aside),
+            origin_kind: settings.origin_kind.filter(|_| settings.cache_aside),
             origins: FxHashSet::default(),
             waiting: FxHashMap::default(),
             turned: 0,
--- a/crates/core/src/limits/tests.rs
+++ b/crates/core/src/limits/tests.rs
@@ -12,12 +12,12 @@
 const NODE: ServerId = 7;
 
 fn settings() -> Settings {
-    let class = |worth| Class { worth, deadline: SECOND, ..Class::default() };
+    let class = |worth| Class { priority_weight: worth, deadline: SECOND, ..Class::default() };
     let tenants = vec![Tenant { quota_rps: 300.0 }, Tenant { quota_rps: 100.0 }];
     Settings {
         classes: vec![class(1.0), class(4.0)],
         tenants,
-        over_share_worth: 0.05,
+        over_quota_weight: 0.05,
         proxies: 1,
         ..Settings::default()
     }
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -7,7 +7,7 @@
 pub type Nanos = u64;
 /// Stable identity of a server: the same value at every proxy (see [`server_id`]).
 pub type ServerId = u64;
-/// So many parts of the fleet can be told apart, so that a bucket keeps its number when one is added.
+/// The most pools there can be, so that a bucket keeps its number when one is added.
 pub const POOLS_MOST: usize = 63;
 /// Identity of a request at this proxy; below 2^52, never used twice.
 pub type RequestId = u64;
@@ -21,19 +21,19 @@
     h ^ (h >> 32)
 }
 
-/// May a request of a class run again?
+/// Whether a request of a class may run again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
     #[default]
-    Safe,
-    /// Servers of the class's group drop repeats within its window.
-    Keyed,
-    /// Must never run twice.
-    Unsafe,
+    Idempotent,
+    /// It carries an idempotency key: servers of the class's group drop repeats within its window.
+    WithKey,
+    /// It must never run twice.
+    NonIdempotent,
 }
 
-/// Which servers remember a keyed request.
+/// Which servers remember a request with an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Group {
     /// All servers.
@@ -48,27 +48,27 @@
 /// A request class.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Full worth is earned up to here.
-    pub aim: Nanos,
-    /// The client gives up here, counted over all its tries.
+    /// Latency objective: an answer has its full weight up to here.
+    pub latency_objective: Nanos,
+    /// The client gives up here, counted over all its retries.
     pub deadline: Nanos,
     /// Whether it may run again.
-    pub effect: Effect,
-    /// For keyed classes: who drops repeats.
+    pub idempotency: Idempotency,
+    /// With idempotency keys: which servers drop repeats.
     pub group: Group,
-    /// For keyed classes: for how long repeats are dropped.
+    /// With idempotency keys: for how long repeats are dropped.
     pub dedup_window: Nanos,
-    /// Part of the worth that a late answer earns.
-    pub late_value: f64,
-    /// Worth of a request (or of a unit of its work).
-    pub worth: f64,
+    /// Part of its priority weight that a late answer has.
+    pub late_weight: f64,
+    /// Priority weight of a request (or of a unit of its work).
+    pub priority_weight: f64,
     /// The answer is streamed.
     pub stream: bool,
     /// The only servers that the class may be sent to.
     pub only: Pool,
 }
 
-/// A part of the fleet: the servers that fit both.
+/// A pool of servers: those that fit both its zones and its kinds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
     /// Its only zones; `None`: all.
@@ -79,86 +79,86 @@
 
 impl Pool {
     /// Whether a server of this zone and kind is part of it.
-    pub fn holds(&self, zone: u32, kind: u32) -> bool {
+    pub fn contains(&self, zone: u32, kind: u32) -> bool {
         let fits = |set: &Option<Vec<u32>>, at| set.as_ref().is_none_or(|set| set.contains(&at));
         fits(&self.zones, zone) && fits(&self.kinds, kind)
     }
 }
 
-/// A tenant's share.
+/// A tenant's quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second in its share, over all proxies.
+    /// Requests a second within its quota, over all proxies.
     pub quota_rps: f64,
 }
 
-/// What the proxy is told at start.
+/// What the proxy is configured with.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Parts of the fleet that requests may be routed to; at most [`POOLS_MOST`].
+    /// Pools that requests may be routed to; at most [`POOLS_MOST`].
     pub pools: Vec<Pool>,
     /// This proxy's zone.
     pub zone: u32,
     /// How many proxies there are.
     pub proxies: u32,
-    /// This proxy's number.
-    pub me: u32,
-    /// The list of servers must be asked for (else it is pushed).
-    pub must_ask: bool,
-    /// A miss is answered as such and the origin, a kind of its own, is asked by the proxy.
-    pub aside: bool,
-    /// The machine kind of the origin where `aside`.
+    /// This proxy's number among them, from 0.
+    pub proxy_index: u32,
+    /// The endpoint list must be subscribed to (else it is pushed).
+    pub subscribes: bool,
+    /// Cache-aside: a miss is answered as such, and the proxy asks the origin, a kind of its own.
+    pub cache_aside: bool,
+    /// The machine kind of the origin where `cache_aside`.
     pub origin_kind: Option<u32>,
-    /// Worth of a request over its tenant's share, as a part of its class's.
-    pub over_share_worth: f64,
-    /// Worth counts by work (else by request).
-    pub worth_by_work: bool,
+    /// Weight of a request over its tenant's quota, as a part of its class's.
+    pub over_quota_weight: f64,
+    /// Priority weights are for a unit of work (else for a request).
+    pub weight_by_work: bool,
     /// Most attempts for a request (0: one).
     pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub cancel: bool,
-    /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
-    /// Refusals may advise a wait, at most this long (0: no advice).
+    pub cancellation: bool,
+    /// Two attempts of a request may be in flight at once.
+    pub hedging: bool,
+    /// Rejections may advise a wait, at most this long (0: no advice).
     pub max_retry_after: Nanos,
     /// Idle connections close by themselves after this long (0: at once).
-    pub conn_idle: Nanos,
-    /// Price of a new connection for each first try.
-    pub handshake_price: f64,
-    /// Price of an attempt crossing zones.
-    pub cross_zone_price: f64,
-    /// Part of its capacity that a server starts with.
-    pub cold_from: f64,
-    /// A server is warm after this long.
-    pub cold: Nanos,
-    /// A cold server falls when sent more than this multiple of its capacity.
-    pub fall_multiple: f64,
+    pub idle_timeout: Nanos,
+    /// Cost of a new connection, for each first attempt.
+    pub handshake_cost: f64,
+    /// Cost of an attempt that crosses zones.
+    pub cross_zone_cost: f64,
+    /// Slow start: the part of its capacity that a server starts with.
+    pub slow_start_from: f64,
+    /// Slow start: a server has its full capacity after this long.
+    pub slow_start_time: Nanos,
+    /// A server in slow start fails when sent more than this multiple of its capacity.
+    pub overload_multiple: f64,
     /// For this long.
-    pub fall: Nanos,
+    pub overload_window: Nanos,
     /// Idle connections to a draining server must be closed within this time (0: no such rule).
-    pub let_go: Nanos,
-    /// Without a subscription the list must be asked for within this time.
-    pub must_ask_in: Nanos,
-    /// Clients mark the tries that repeat an earlier one.
-    pub marks_retry: bool,
+    pub drain_close_within: Nanos,
+    /// Without a subscription the endpoint list must be asked for within this time.
+    pub poll_within: Nanos,
+    /// Clients mark their retries.
+    pub clients_mark_retries: bool,
     /// Where a row of a load report holds what.
-    pub report: Columns,
+    pub report_columns: ReportColumns,
 }
 
-/// Where a load report that is a bare row holds what; none: it is not told.
+/// Where a load report that is a bare row holds what; `None`: it does not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Columns {
+pub struct ReportColumns {
     /// The part of its cores that is busy.
     pub busy: Option<usize>,
     /// Requests served a second.
     pub rate: Option<usize>,
 }
 
-impl Columns {
+impl ReportColumns {
     /// What a row says.
     pub fn load(&self, row: &[Option<f64>]) -> Option<Load> {
         let at = |column: Option<usize>| row.get(column?).copied().flatten();
@@ -166,7 +166,7 @@
     }
 }
 
-/// What a server says of its load.
+/// A server's report of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
     busy: f64,
@@ -195,12 +195,12 @@
     /// Whether a request of this class, routed to this pool if to any, may be sent to a server of this zone
     /// and kind. A class or pool that is not known allows all.
     pub fn allows(&self, class: usize, pool: Option<usize>, zone: u32, kind: u32) -> bool {
-        self.classes.get(class).is_none_or(|c| c.only.holds(zone, kind))
-            && pool.and_then(|p| self.pools.get(p)).is_none_or(|p| p.holds(zone, kind))
+        self.classes.get(class).is_none_or(|c| c.only.contains(zone, kind))
+            && pool.and_then(|p| self.pools.get(p)).is_none_or(|p| p.contains(zone, kind))
     }
 }
 
-/// State of a server in the list.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
     /// Takes work.
@@ -212,7 +212,7 @@
     Gone,
 }
 
-/// An entry of the list of servers.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
     /// Which server.
@@ -253,26 +253,26 @@
     Ok,
     /// The server returned an error; it may have run.
     Error,
-    /// Turned away unseen; never ran.
-    Full,
+    /// Rejected by the server unprocessed; never ran.
+    Rejected,
     /// No answer in time; it may run.
     Timeout,
     /// No connection; never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Not sent; never ran.
-    Moot,
-    /// No value for the key (aside); never ran.
+    NotSent,
+    /// No value for the key (cache-aside); never ran.
     Miss,
 }
 
 impl Status {
     /// True if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss)
+        matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss)
     }
 }
 
@@ -289,11 +289,11 @@
     pub pool: Option<u32>,
     /// The key, hashed or raw.
     pub key: Option<u64>,
-    /// Time left before the client gives up this try.
+    /// Time left before the client gives up this attempt of its own.
     pub remaining: Nanos,
     /// It writes.
     pub write: bool,
-    /// Its client marked it as a repeat of an earlier try.
+    /// Its client marked it as a retry.
     pub retry: bool,
 }
 
@@ -312,15 +312,15 @@
     pub elapsed: Nanos,
     /// The request is over.
     pub last: bool,
-    /// Hit or miss, where told.
+    /// Hit or miss, where the server says so.
     pub hit: Option<bool>,
 }
 
 /// What happens at the proxy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the servers.
-    List {
+    /// A whole endpoint list, changes of it, or a call for it that failed.
+    EndpointList {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
@@ -332,29 +332,29 @@
     Outcome(Outcome),
     /// A timer ran out.
     Timer(u64),
-    /// The client left; nothing more is owed.
-    Expired(RequestId),
-    /// A streamed answer began.
-    First(RequestId),
+    /// The client left; no answer is owed any more.
+    ClientLeft(RequestId),
+    /// The client is getting its answer.
+    AnswerBegun(RequestId),
     /// The last byte has come of a request that arrived before it: its time runs from now.
-    Taken(RequestId),
+    BodyReceived(RequestId),
     /// Operators took a server out, whatever the list says of it until they give it back.
     Excluded(ServerId),
     /// Operators gave it back.
     Included(ServerId),
-    /// A server has told of its load.
-    Load {
+    /// A server has reported its load.
+    LoadReport {
         /// Which server.
         server: ServerId,
         /// Its load, some time ago.
         load: Load,
     },
-    /// A server's room, as its limit has it now. None is told where nothing is limited.
-    Room {
+    /// A server's concurrency limit has changed. There is none until the first such event.
+    ConcurrencyLimit {
         /// Which server.
         server: ServerId,
-        /// Attempts of this proxy that may be out there at once.
-        room: f64,
+        /// Attempts of this proxy that may be in flight there at once.
+        limit: f64,
     },
 }
 
@@ -377,8 +377,8 @@
         /// Attempt.
         attempt: u32,
     },
-    /// Final answer: not done, a repeat is harmless.
-    Refuse {
+    /// Final answer: rejected, a retry is harmless.
+    Reject {
         /// Request.
         id: RequestId,
         /// Advised wait; 0: none.
@@ -396,8 +396,8 @@
         /// From now.
         delay: Nanos,
     },
-    /// Close the connections to a server that carry no attempt.
-    Close(ServerId),
-    /// Follow the list.
+    /// Close the idle connections to a server.
+    CloseIdle(ServerId),
+    /// Subscribe to the endpoint list.
     Subscribe,
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,14 +1,16 @@
-//! aniseyoke decides, for a proxy that spreads keys over cache servers before a slow origin, which server
-//! gets each request. [`logic`] holds every decision, [`api`] its types: events in, actions out; no clock, socket,
-//! timer or codec.
+//! The decision module of a caching proxy: which cache server gets each request, and which requests are
+//! rejected.
+//!
+//! Every decision is a method of [`Balancer`] in [`logic`], one module for each; the types between it and a
+//! proxy are in [`api`]: events in, actions out. The crate does no I/O and reads no clock.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod api;
-mod follow;
+mod arithmetic;
+mod latency;
 pub mod logic;
-mod numbers;
-mod roster;
-mod times;
+mod servers;
+mod subscription;
 
 pub use logic::Balancer;
--- /dev/null
+++ b/crates/decision/src/logic/lifecycle.rs
@@ -0,0 +1,276 @@
+//! The life of a request: admitted or rejected, its attempts with their time-outs, and its one final answer.
+
+use super::*;
+
+/// The wait that a rejection advises where nothing is overloaded.
+const RETRY_SOON: Nanos = 50 * MS;
+/// The part of a long advised wait that is drawn. Danger: those rejected together return together.
+const JITTER: f64 = 0.5;
+
+impl Balancer {
+    /// A request arrives: it is sent to a server, or gets its final answer at once.
+    pub(super) fn arrival(&mut self, now: Nanos, r: Request, actions: &mut Vec<Action>) {
+        self.traffic.record_arrival(now);
+        self.retry_budget.earn(r.tenant.map(|t| t as usize));
+        let index = r.class as usize;
+        let class = self.settings.classes.get(index).cloned().unwrap_or_default();
+        let objective = self.time_to_objective(&r, &class);
+        let pool = r.pool.map(|p| p as usize);
+        let bucket = r.key.map(|key| self.buckets.bucket_of(index, pool, key));
+        let hopeless = self.is_hopeless(index, objective, &class);
+        let mut request = ActiveRequest {
+            class: index,
+            pool,
+            bucket,
+            write: r.write,
+            objective_at: now.saturating_add(objective),
+            deadline: now.saturating_add(r.remaining),
+            tenant: r.tenant.map(|t| t as usize),
+            arrived: now,
+            judges_servers: !self.is_short(index, objective, &class),
+            settings: self.settings.clone(),
+            ..ActiveRequest::default()
+        };
+        let rejected_part = self.rejected_part(now, &mut request);
+        let mut rejected = hopeless || rejected_part > 0.0 && self.random.draw() < rejected_part;
+        let mut spread = 1;
+        if let Some(bucket) = bucket.filter(|_| !rejected) {
+            spread = self.note_in_bucket(now, bucket);
+            // Danger: a bucket not read yet is no fetch for sure; while fetches come in time none is
+            // rejected.
+            let known = self.buckets.cache_state(bucket);
+            request.fetch_expected = !self.settings.cache_aside && !r.write && !known.cached;
+            rejected = self.origin_rejects(&request, known.read);
+        }
+        let target = match (rejected, self.settings.cache_aside && r.write) {
+            (true, _) => None,
+            (_, true) => self.choose_origin(now, &request),
+            _ => self.choose_server(now, &request, spread),
+        };
+        self.requests.insert(r.id, request);
+        match target {
+            Some(server) if r.remaining > 0 => {
+                self.admission.record_sent();
+                self.send(now, r.id, server, actions);
+            }
+            _ => self.give_up(now, r.id, actions),
+        }
+    }
+
+    /// Counts a request in its bucket; returns how many servers share that.
+    fn note_in_bucket(&mut self, now: Nanos, bucket: u32) -> usize {
+        self.buckets.rank(&self.servers, bucket);
+        let (arrivals, servers) = (self.traffic.arrivals.sum, self.servers.candidates);
+        self.buckets.record_request(now, bucket, arrivals, servers)
+    }
+
+    /// Sends an attempt, if the rules and slow start allow it; gives the request up otherwise, unless another
+    /// attempt is in flight.
+    pub(super) fn send(&mut self, now: Nanos, id: RequestId, index: u32, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let eligible = self.is_eligible(now, request, self.servers.at(index));
+        let (class, fetch, in_flight) = (request.class, request.fetch_expected, request.has_pending());
+        if !(eligible && self.slow_start_admits(now, index)) {
+            if !in_flight {
+                self.give_up(now, id, actions);
+            }
+            return;
+        }
+        // Permits of slow start are spent here, last of all, by whatever is sent.
+        self.slow_start_spend(now, index, class);
+        let to_origin = self.servers.is_origin(self.servers.at(index));
+        if to_origin || fetch {
+            self.origin.in_flight += 1.0;
+        }
+        let after_ejection = self.record_send(now, index);
+        let entry = &self.servers.at(index).entry;
+        let (server, zone, cell) = (entry.server, entry.zone, entry.cell);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.attempts.push(Attempt { server, zone, cell, sent: now, pending: true, may_have_run: false });
+        let timeout = self.attempt_timeout(now, id, to_origin, after_ejection, actions);
+        actions.push(Action::Send { id, server, timeout });
+    }
+
+    /// Counts an attempt at its server; tells whether it is the first after an ejection.
+    fn record_send(&mut self, now: Nanos, index: u32) -> bool {
+        let threshold = self.ejection_threshold(now);
+        self.servers.in_flight += 1.0;
+        let s = self.servers.at_mut(index);
+        s.in_flight += 1.0;
+        let after_ejection = s.failure_evidence >= 0.5 * threshold && s.ejection_time > 0;
+        if after_ejection {
+            // No second attempt there before the answer to this one is due.
+            s.ejected_until = now.saturating_add(s.ejection_time.max(SECOND));
+        }
+        after_ejection
+    }
+
+    /// The time-out of the attempt that a request has just begun; 0: until its client gives up. Arms the
+    /// timer of a hedged request where one may follow.
+    fn attempt_timeout(
+        &self,
+        now: Nanos,
+        id: RequestId,
+        to_origin: bool,
+        after_ejection: bool,
+        actions: &mut Vec<Action>,
+    ) -> Nanos {
+        let Some(request) = self.requests.get(&id) else { return 0 };
+        let more = (request.attempts.len() as u32) < request.settings.max_attempts;
+        let left = request.time_left(now);
+        let class = self.settings.classes.get(request.class);
+        let repeatable = class.is_some_and(|c| c.idempotency != Idempotency::NonIdempotent && !c.stream);
+        let delay = self.hedging_delay(request.class, left, after_ejection);
+        // Danger: work for an answer that is worth nothing any more keeps others waiting.
+        let worthless_late = left > 0.0 && class.is_some_and(|c| c.late_weight <= 0.0);
+        let timeout = if worthless_late { left as Nanos } else { 0 };
+        let in_time = delay + self.traffic.latency(Some(request.class)).mean < left;
+        if !(repeatable && more && !to_origin && in_time) {
+            return timeout;
+        }
+        if request.settings.hedging {
+            // Danger: an answer that got lost, or a server that hangs, holds the request until its
+            // objective. While all servers are slow, the delay grows past what is left and nothing is sent
+            // twice.
+            actions.push(Action::Timer { token: hedging::TOKEN | id, delay: delay as Nanos });
+            timeout
+        } else if self.settings.cache_aside {
+            delay as Nanos
+        } else {
+            timeout
+        }
+    }
+
+    /// An attempt has ended: every part that learns from it does, then the request ends or proceeds.
+    pub(super) fn outcome(&mut self, now: Nanos, o: Outcome, actions: &mut Vec<Action>) {
+        if self.servers.attempt_ended(now, &o, actions) {
+            self.failure_rates.record_connect(o.status);
+        }
+        let to_origin = self.servers.get(o.server).is_some_and(|s| self.servers.is_origin(s));
+        let known = self.requests.get(&o.id).map(|request| (request.class, request.fetch_expected));
+        let class = known.map(|(class, _)| class);
+        let fetch = to_origin || known.is_some_and(|(_, fetch)| fetch);
+        let cut_short = self.was_cut_short(now, &o, class);
+        if fetch {
+            self.origin.record_fetch(now, class, &o, self.failure_rates.failures);
+        }
+        // Without a note an answer no slower than usual passes for a hit.
+        let usual = self.traffic.latency(class).mean_plus(2.0);
+        self.record_outcome(now, &o, class, cut_short);
+        let Some(request) = self.requests.get_mut(&o.id) else { return };
+        if let Some(attempt) = request.attempts.get_mut(o.attempt as usize) {
+            attempt.pending = false;
+            attempt.may_have_run = !o.status.never_ran();
+        }
+        request.failure_cause = FailureCause::of(&o, fetch);
+        self.learn_from_answer(&o, to_origin, (o.elapsed as f64) < usual);
+        if o.last {
+            self.finish(now, &o, actions);
+        } else {
+            self.proceed(now, &o, to_origin, actions);
+        }
+    }
+
+    /// Whether an attempt ended because its client waits for less than the objective. Danger: taken for
+    /// silence, such attempts, which were not late yet, would have servers ejected that are well.
+    fn was_cut_short(&self, now: Nanos, o: &Outcome, class: Option<usize>) -> bool {
+        let objective = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.latency_objective);
+        let over = self.requests.get(&o.id).is_some_and(|r| now.saturating_add(MS) >= r.deadline);
+        over && o.status == Status::Timeout && o.elapsed < objective
+    }
+
+    /// What an answer says of where the bucket is cached and of the class's work; `soon` if it came no
+    /// later than usual.
+    fn learn_from_answer(&mut self, o: &Outcome, to_origin: bool, soon: bool) {
+        let Some(request) = self.requests.get(&o.id) else { return };
+        let answered = o.status == Status::Ok;
+        let counts = !request.write && !matches!(o.status, Status::Cancelled | Status::NotSent);
+        if let Some(bucket) = request.bucket.filter(|_| counts) {
+            self.buckets.record_read(bucket, o.server, answered, o.hit.unwrap_or(soon));
+        }
+        if answered && o.hit != Some(false) && !to_origin {
+            self.work.record_answer(request.class, o.elapsed);
+        }
+    }
+
+    /// The request has had its answer: what it earned is noted, attempts still in flight are cancelled.
+    fn finish(&mut self, now: Nanos, o: &Outcome, actions: &mut Vec<Action>) {
+        let Some(request) = self.close(o.id) else { return };
+        let late = self.settings.classes.get(request.class).map_or(0.0, |c| c.late_weight);
+        let served = o.status == Status::Ok;
+        let mut earned = 0.0;
+        if served {
+            self.admission.within_quota(now, request.tenant, 1.0);
+            earned = if now <= request.objective_at { 1.0 } else { late };
+        }
+        self.admission.record_end(&request, earned);
+        self.record_wait(now, &request, served);
+        if request.settings.cancellation {
+            let pending = request.attempts.iter().enumerate().filter(|(_, a)| a.pending);
+            actions.extend(pending.map(|(n, _)| Action::Cancel { id: o.id, attempt: n as u32 }));
+        }
+    }
+
+    /// Takes a request off the books.
+    fn close(&mut self, id: RequestId) -> Option<ActiveRequest> {
+        let request = self.requests.remove(&id)?;
+        if request.fetch_expected {
+            self.origin.release(request.attempts.iter().filter(|a| a.pending).count() as f64);
+        }
+        Some(request)
+    }
+
+    /// The client has left: nothing more is owed.
+    pub(super) fn client_left(&mut self, now: Nanos, id: RequestId) {
+        let Some(mut request) = self.close(id) else { return };
+        // Danger: clients that leave early show no late servers; taken for that, more was rejected.
+        request.judges_servers &= now >= request.objective_at;
+        self.record_unserved(now, &request);
+    }
+
+    /// The last byte of a request has come: its time runs from now.
+    pub(super) fn body_received(&mut self, now: Nanos, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            let shift = now.saturating_sub(std::mem::replace(&mut request.arrived, now));
+            request.objective_at += shift;
+            request.deadline += shift;
+        }
+    }
+
+    /// Takes note of a request that was not served.
+    fn record_unserved(&mut self, now: Nanos, request: &ActiveRequest) {
+        self.admission.record_end(request, 0.0);
+        self.record_wait(now, request, false);
+    }
+
+    /// The final answer when nothing more can be done: a rejection where it is true that a retry does no
+    /// harm.
+    pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.close(id) else { return };
+        self.record_unserved(now, &request);
+        let class = self.settings.classes.get(request.class);
+        let ran = request.attempts.iter().any(|a| a.pending || a.may_have_run);
+        let harmless = match class.map_or(Idempotency::NonIdempotent, |c| c.idempotency) {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => !ran || class.is_some_and(|c| c.group == Group::All),
+            Idempotency::NonIdempotent => !ran,
+        };
+        if !harmless {
+            return actions.push(Action::Fail { id });
+        }
+        let worthless_late = class.is_some_and(|c| c.late_weight <= 0.0);
+        let too_late = now >= request.objective_at && !request.attempts.is_empty() && worthless_late;
+        let retry_after = self.advised_wait(too_late, request.low_priority);
+        actions.push(Action::Reject { id, retry_after });
+    }
+
+    /// The wait that a rejection advises: a short one to the part that would be admitted then, a long one
+    /// to the rest. Danger: advised to stay away for a few rejections in a hundred, clients do not come again
+    /// at all.
+    fn advised_wait(&mut self, too_late: bool, low_priority: bool) -> Nanos {
+        let stay_away = too_late || self.random.draw() > self.admission.admitted(low_priority);
+        let most = if stay_away { Nanos::MAX } else { RETRY_SOON };
+        let most = self.settings.max_retry_after.min(most) as f64;
+        (most * (1.0 - JITTER * self.random.draw())) as Nanos
+    }
+}
--- a/crates/decision/src/logic/slow_start.rs
+++ b/crates/decision/src/logic/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: what this proxy may send a server that is warming up after a restart.
 //!
-//! A cold server falls when all proxies together send it more than N requests of mean work within the span
-//! that the settings name, with some slack for chance (N + 2 sqrt N + 2). N is `fall_multiple` times its
-//! present capacity. No proxy sees what the others send, so each keeps to its own part of N:
+//! A server that is warming up fails when all proxies together send it more than N requests of mean work
+//! within the window that the settings name, with some slack for chance (N + 2 sqrt N + 2). N is
+//! `overload_multiple` times its present capacity. No proxy sees what the others send, so each keeps to its
+//! own part of N:
 //!
 //! - Permits accrue at [`BUDGET`] of that part.
 //! - What all proxies together have saved up stays within the rest of N plus half of the slack for chance.
@@ -10,7 +11,7 @@
 //!   lapses some time after it was earned, so that at any moment only so many proxies hold one. The
 //!   fraction of a permit that a proxy starts with is drawn at random, which spreads the proxies' turns
 //!   over time.
-//! - For a server that is new to a process that has run for the span, a permit may be held from the start:
+//! - For a server that is new to a process that has run for the window, a permit may be held from the start:
 //!   nobody has sent it anything. Otherwise there is only a fraction, since what was sent before is not
 //!   known.
 //! - A request of a class that takes more work than the mean costs more than one permit.
@@ -19,9 +20,9 @@
 
 /// The part of N that accrues as permits; the rest is left to saved permits, bursts and uneven proxies.
 const BUDGET: f64 = 0.7;
-/// The greatest part of a proxy's requests that is taken to be for one server that is warming up.
+/// The greatest part of a proxy's requests that is assumed to be for one server that is warming up.
 const HOT_PART: f64 = 1.0 / 3.0;
-/// Answers that have to be known of a class before its work is told apart from the mean.
+/// Answers that have to be known of a class before its work is distinguished from the mean.
 const KNOWN: f64 = 20.0;
 /// The gain with which the mean time of an answer is followed.
 const GAIN: f64 = 0.03;
@@ -34,25 +35,25 @@
     /// Whole permits and the fraction of the next one; below zero after a request that cost more than was
     /// held.
     balance: f64,
-    at: Nanos,
+    accrued_at: Nanos,
 }
 
 impl Permits {
     /// So many at first; what is past the most that may be saved does not count.
     pub fn starting_with(balance: f64, now: Nanos) -> Self {
-        Permits { balance, at: now }
+        Permits { balance, accrued_at: now }
     }
 
     /// Nothing accrues for the time up to now.
     pub fn pause_until(&mut self, now: Nanos) {
-        self.at = now;
+        self.accrued_at = now;
     }
 
     /// Adds what has accrued, keeps at most `most`, and tells whether a request may be sent. Below one,
     /// `most` is the part of the time for which a permit that was earned stays good.
     fn accrue(&mut self, now: Nanos, per_second: f64, most: f64) -> bool {
-        self.balance += seconds(self.at, now) * per_second;
-        self.at = now;
+        self.balance += seconds_between(self.accrued_at, now) * per_second;
+        self.accrued_at = now;
         if most >= 1.0 {
             self.balance = self.balance.min(most);
             return self.balance >= 1.0;
@@ -82,7 +83,7 @@
 }
 
 impl MeanTime {
-    fn learn(&mut self, elapsed: Nanos) {
+    fn record(&mut self, elapsed: Nanos) {
         self.count += 1.0;
         self.mean += (1.0 / self.count).max(GAIN) * (elapsed as f64 - self.mean);
     }
@@ -95,10 +96,10 @@
     }
 
     /// An answer to a request of a class took so long.
-    pub fn learn(&mut self, class: usize, elapsed: Nanos) {
+    pub fn record_answer(&mut self, class: usize, elapsed: Nanos) {
         if let Some(own) = self.classes.get_mut(class) {
-            own.learn(elapsed);
-            self.all.learn(elapsed);
+            own.record(elapsed);
+            self.all.record(elapsed);
         }
     }
 
@@ -109,38 +110,55 @@
     }
 }
 
+impl ServerTable {
+    /// The part of its capacity that a server surely has by now.
+    pub(super) fn warm_fraction(&self, now: Nanos, s: &Server) -> f64 {
+        let started = s.entry.started.max(s.included_at);
+        if started == 0 || self.settings.slow_start_time == 0 {
+            return 1.0;
+        }
+        let age = now.saturating_sub(started) as f64 / self.settings.slow_start_time as f64;
+        let from = self.settings.slow_start_from.clamp(0.0, 1.0);
+        (from + (1.0 - from) * age).min(1.0)
+    }
+}
+
 impl Balancer {
     /// Whether a server may be sent a request now, as far as it is warming up.
-    pub(super) fn slow_start_admits(&mut self, now: Nanos, i: u32) -> bool {
-        let s = self.roster.at(i);
-        let warmth = self.roster.warmth(now, s);
-        if warmth >= 1.0 || !self.roster.ranks(s) {
+    pub(super) fn slow_start_admits(&mut self, now: Nanos, index: u32) -> bool {
+        let s = self.servers.at(index);
+        let warm = self.servers.warm_fraction(now, s);
+        if warm >= 1.0 || !self.servers.can_be_candidate(s) {
             return true;
         }
-        let part = 1.0 / s.inverse_weight / self.roster.total_weight.max(1e-9);
-        let span = if self.settings.fall == 0 { 1.0 } else { seconds(0, self.settings.fall) };
+        let part = 1.0 / s.inverse_weight / self.servers.total_weight.max(1e-9);
+        let window = if self.settings.overload_window == 0 {
+            1.0
+        } else {
+            seconds_between(0, self.settings.overload_window)
+        };
         // This proxy's part of N for each second, by its own even share of traffic.
-        let traffic = self.traffic.rate_before(now).min(self.traffic.served_rate());
-        let own = self.settings.fall_multiple * warmth * part * traffic;
+        let traffic = self.traffic.arrival_rate_before(now).min(self.traffic.served_rate());
+        let own = self.settings.overload_multiple * warm * part * traffic;
         if !own.is_finite() {
             return true;
         }
         let proxies = f64::from(self.settings.proxies.max(1));
-        let all = own * span * proxies;
+        let all = own * window * proxies;
         // Danger: permits that all proxies have saved are spent at once when keys of this server turn hot.
-        // No more proxies can spend one within the span than get a request in it.
+        // No more proxies can spend one within the window than get a request in it.
         let saved = ((1.0 - BUDGET) * all + all.sqrt()) / proxies;
-        let asking = (HOT_PART * traffic * span).min(1.0);
+        let asking = (HOT_PART * traffic * window).min(1.0);
         let saved = saved.max((saved / asking.max(f64::MIN_POSITIVE)).min(1.0));
-        self.roster.servers[i as usize].permits.accrue(now, BUDGET * own, saved)
+        self.servers.at_mut(index).permits.accrue(now, BUDGET * own, saved)
     }
 
     /// Takes a request of a class that is sent to a server off what that may be sent while it is warming up.
-    pub(super) fn slow_start_spend(&mut self, now: Nanos, i: u32, class: usize) {
-        let s = self.roster.at(i);
-        if self.roster.warmth(now, s) < 1.0 && self.roster.ranks(s) {
+    pub(super) fn slow_start_spend(&mut self, now: Nanos, index: u32, class: usize) {
+        let s = self.servers.at(index);
+        if self.servers.warm_fraction(now, s) < 1.0 && self.servers.can_be_candidate(s) {
             let cost = self.work.cost(class);
-            self.roster.servers[i as usize].permits.spend(cost);
+            self.servers.at_mut(index).permits.spend(cost);
         }
     }
 }
--- a/crates/decision/tests/common/fleet.rs
+++ b/crates/decision/tests/common/fleet.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-/// Servers that were there before, and when the first cold one starts.
+/// Servers that were there before, and when the first warming one starts.
 pub const SERVERS: u64 = 19;
 pub const START: Nanos = 1_000 * SECOND;
 /// The load runs for so long before that.
@@ -42,19 +42,19 @@
     pub heavy: f64,
     /// Requests a second over all.
     pub rate: f64,
-    /// From five seconds after the start on: times as many requests, and the part of all that asks for keys of cold servers.
+    /// From five seconds after the start on: times as many requests, and the part of all that asks for keys of warming servers.
     pub burst: f64,
     pub hot: f64,
     /// So many keys turn hot.
     pub hot_keys: usize,
-    /// New servers that start cold together.
-    pub cold: u64,
+    /// New servers that start warming together.
+    pub warming: u64,
     /// Further starts of the first of them, from its start on.
     pub restarts: Vec<Nanos>,
-    /// The first cold server is not new: it ran before, and proxies that have not been told send to it as to a warm one.
+    /// The first warming server is not new: it ran before, and proxies that have not been notified send to it as to a warm one.
     pub known: bool,
-    /// Proxies are told of a start so long after it at most (0.3 s at least).
-    pub told_within: Nanos,
+    /// Proxies are notified of a start so long after it at most (0.3 s at least).
+    pub notified_within: Nanos,
     /// When so many proxies take part, from the start on; their settings say so too.
     pub changes: Vec<(Nanos, usize)>,
     /// When this part of all proxies dies and comes back a second later, knowing nothing but the list.
@@ -64,7 +64,7 @@
     /// The part of the attempts at other servers that is reset, and that is answered so late that a hedge is sent.
     pub reset: f64,
     pub late: f64,
-    /// A read that misses at a cold server is stored there, which is counted as one more request.
+    /// A read that misses at a warming server is stored there, which is counted as one more request.
     pub fills: bool,
     /// It ends so long after the start.
     pub length: Nanos,
@@ -82,10 +82,10 @@
             burst: 1.0,
             hot: 0.0,
             hot_keys: 4,
-            cold: 1,
+            warming: 1,
             restarts: Vec::new(),
             known: false,
-            told_within: 1_500 * MS,
+            notified_within: 1_500 * MS,
             changes: Vec::new(),
             killed: Vec::new(),
             heavy_class: (0.0, 1.0),
@@ -97,12 +97,12 @@
     }
 }
 
-/// The fullest span of a cold server, in requests of mean work.
+/// The fullest window of a warming server, in requests of mean work.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fullest {
-    /// From all proxies, and from those that had been told of its start.
+pub struct FullestWindow {
+    /// From all proxies, and from those that had been notified of its start.
     pub got: f64,
-    pub told: f64,
+    pub notified: f64,
     /// What the settings allow then, and that with the slack for chance.
     pub allowed: f64,
     pub bound: f64,
@@ -111,12 +111,12 @@
 /// What came of a play.
 #[derive(Clone, Debug, Default)]
 pub struct Found {
-    /// The span of a cold server that came closest to its bound by what proxies sent that had been told.
-    pub worst: Fullest,
-    /// Spans past their bound of which over two thirds came from proxies that had been told.
-    pub broken: Vec<Fullest>,
-    /// Requests sent to cold servers by proxies that had been told.
-    pub to_cold: u64,
+    /// The window of a warming server that came closest to its bound by what proxies sent that had been notified.
+    pub worst: FullestWindow,
+    /// Windows past their bound of which over two thirds came from proxies that had been notified.
+    pub broken: Vec<FullestWindow>,
+    /// Requests sent to warming servers by proxies that had been notified.
+    pub to_warming: u64,
     /// All requests and those that were answered.
     pub asked: u64,
     pub answered: u64,
@@ -132,7 +132,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Told { proxy: usize, server: usize, started: Nanos },
+    Notified { proxy: usize, server: usize, started: Nanos },
     Started { server: usize },
     Number { proxies: usize },
     Killed { thousandths: u64 },
@@ -141,24 +141,24 @@
     Timer { proxy: usize, token: u64 },
 }
 
-/// A request that reached a cold server.
+/// A request that reached a warming server.
 struct Sent {
     at: Nanos,
     /// The start of the process that it reached.
     started: Nanos,
     work: f64,
-    /// Its proxy had been told of that start.
-    told: bool,
+    /// Its proxy had been notified of that start.
+    notified: bool,
 }
 
-struct Cold {
+struct Warming {
     entry: Entry,
     started: Nanos,
     got: VecDeque<Sent>,
     keys: Vec<u64>,
     stored: std::collections::HashSet<u64>,
-    /// Which start each proxy has been told of.
-    told: Vec<Nanos>,
+    /// Which start each proxy has been notified of.
+    notified: Vec<Nanos>,
 }
 
 struct Member {
@@ -180,7 +180,7 @@
     draw: Draw,
     now: Nanos,
     members: Vec<Member>,
-    cold: Vec<Cold>,
+    warming: Vec<Warming>,
     queue: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
     queued: u64,
     asked: HashMap<(usize, u64), Asked>,
@@ -218,7 +218,7 @@
             draw: Draw(play.seed),
             now: START - BEFORE,
             members: Vec::new(),
-            cold: Vec::new(),
+            warming: Vec::new(),
             queue: BinaryHeap::new(),
             queued: 0,
             asked: HashMap::new(),
@@ -238,11 +238,11 @@
             let balancer = self.fresh(me);
             self.members.push(Member { balancer, up: me < self.play.proxies, weight });
         }
-        for n in 0..self.play.cold {
+        for n in 0..self.play.warming {
             let known = self.play.known && n == 0;
             let entry = entry(if known { 0 } else { SERVERS + n });
             let (got, keys, stored) = Default::default();
-            self.cold.push(Cold { entry, started: START, got, keys, stored, told: vec![0; most] });
+            self.warming.push(Warming { entry, started: START, got, keys, stored, notified: vec![0; most] });
             self.later(START, Due::Started { server: n as usize });
         }
         for me in 0..most {
@@ -262,7 +262,7 @@
 
     fn fresh(&mut self, me: usize) -> Balancer {
         let seed = self.play.seed ^ (me as u64) << 32 ^ (self.draw.unit() * 1e9) as u64;
-        Balancer::new(Settings { me: me as u32, ..self.settings.clone() }, seed)
+        Balancer::new(Settings { proxy_index: me as u32, ..self.settings.clone() }, seed)
     }
 
     fn weigh(&mut self) {
@@ -280,18 +280,18 @@
         self.queue.push(Reverse((at, self.queued, due)));
     }
 
-    /// The whole list as a proxy has been told of it.
+    /// The whole list as a proxy has been notified of it.
     fn whole_list(&mut self, proxy: usize) {
         let mut list = entries(0..SERVERS);
-        for cold in &self.cold {
-            let listed = list.iter_mut().find(|e| e.server == cold.entry.server);
-            match (listed, cold.told[proxy]) {
+        for warming in &self.warming {
+            let listed = list.iter_mut().find(|e| e.server == warming.entry.server);
+            match (listed, warming.notified[proxy]) {
                 (Some(old), at) => old.started = at,
                 (None, 0) => {}
-                (None, at) => list.push(Entry { started: at, ..cold.entry.clone() }),
+                (None, at) => list.push(Entry { started: at, ..warming.entry.clone() }),
             }
         }
-        self.feed(proxy, Event::List { kind: ListKind::Cached, entries: list });
+        self.feed(proxy, Event::EndpointList { kind: ListKind::Cached, entries: list });
     }
 
     fn run_until(&mut self, until: Nanos) {
@@ -305,7 +305,7 @@
 
     fn happen(&mut self, due: Due) {
         match due {
-            Due::Told { proxy, server, started } => self.told(proxy, server, started),
+            Due::Notified { proxy, server, started } => self.notified(proxy, server, started),
             Due::Started { server } => self.started(server),
             Due::Number { proxies } => self.number(proxies),
             Due::Killed { thousandths } => self.kill(thousandths),
@@ -324,31 +324,31 @@
 
     fn started(&mut self, server: usize) {
         let now = self.now;
-        self.cold[server].started = now;
+        self.warming[server].started = now;
         let least = 300 * MS;
         for proxy in 0..self.members.len() {
-            let more = self.draw.unit() * self.play.told_within.saturating_sub(least) as f64;
-            self.later(now + least + more as Nanos, Due::Told { proxy, server, started: now });
+            let more = self.draw.unit() * self.play.notified_within.saturating_sub(least) as f64;
+            self.later(now + least + more as Nanos, Due::Notified { proxy, server, started: now });
         }
     }
 
-    fn told(&mut self, proxy: usize, server: usize, started: Nanos) {
-        let cold = &mut self.cold[server];
-        if started <= cold.told[proxy] {
+    fn notified(&mut self, proxy: usize, server: usize, started: Nanos) {
+        let warming = &mut self.warming[server];
+        if started <= warming.notified[proxy] {
             return;
         }
-        cold.told[proxy] = started;
-        let entries = vec![Entry { started, ..cold.entry.clone() }];
-        self.feed(proxy, Event::List { kind: ListKind::Delta, entries });
+        warming.notified[proxy] = started;
+        let entries = vec![Entry { started, ..warming.entry.clone() }];
+        self.feed(proxy, Event::EndpointList { kind: ListKind::Delta, entries });
     }
 
     fn number(&mut self, proxies: usize) {
         self.active = proxies;
         self.settings.proxies = proxies as u32;
         for me in 0..proxies {
-            let settings = Settings { me: me as u32, ..self.settings.clone() };
+            let settings = Settings { proxy_index: me as u32, ..self.settings.clone() };
             if self.members[me].up {
-                assert!(self.members[me].balancer.retune(settings), "as many classes");
+                assert!(self.members[me].balancer.update_settings(settings), "as many classes");
             } else {
                 self.happen(Due::Back { proxy: me });
             }
@@ -377,7 +377,7 @@
         let heavy = self.draw.unit() < play.heavy && self.members[0].up;
         let proxy = if heavy { 0 } else { even_one };
         let hot = self.now > START + BURST_AT && self.draw.unit() < play.hot;
-        let keys = &self.cold[(self.next % play.cold.max(1)) as usize].keys;
+        let keys = &self.warming[(self.next % play.warming.max(1)) as usize].keys;
         let key = match (hot, keys.is_empty()) {
             (true, false) => keys[(self.draw.unit() * keys.len().min(play.hot_keys) as f64) as usize],
             _ => (self.draw.unit() * KEYS) as u64,
@@ -398,7 +398,7 @@
             match action {
                 Action::Send { id, server, .. } => self.send(proxy, id, server),
                 Action::Timer { token, delay } => self.later(self.now + delay, Due::Timer { proxy, token }),
-                Action::Refuse { id, .. } | Action::Fail { id } => drop(self.asked.remove(&(proxy, id))),
+                Action::Reject { id, .. } | Action::Fail { id } => drop(self.asked.remove(&(proxy, id))),
                 _ => {}
             }
         }
@@ -410,13 +410,13 @@
         asked.attempts += 1;
         self.found.further += u64::from(attempt > 0);
         let (key, class) = (asked.key, asked.class);
-        let cold = self.cold.iter().position(|c| c.entry.server == server && self.now >= c.started);
+        let warming = self.warming.iter().position(|c| c.entry.server == server && self.now >= c.started);
         let work = self.work(class);
-        if let Some(cold) = cold {
-            self.reached(proxy, cold, key, work);
+        if let Some(warming) = warming {
+            self.reached(proxy, warming, key, work);
         }
-        let reset = cold.is_none() && self.draw.unit() < self.play.reset;
-        let late = cold.is_none() && self.draw.unit() < self.play.late;
+        let reset = warming.is_none() && self.draw.unit() < self.play.reset;
+        let late = warming.is_none() && self.draw.unit() < self.play.late;
         let elapsed = if late { 700 * MS } else { (20.0 * work * MS as f64) as Nanos };
         let (at, ok) = (self.now + elapsed, !reset);
         self.later(at, Due::Answer { proxy, id, attempt, server, ok, elapsed });
@@ -430,39 +430,40 @@
 
     fn reached(&mut self, proxy: usize, server: usize, key: u64, work: f64) {
         let (now, with) = (self.now, &self.play.settings);
-        let cold = &mut self.cold[server];
-        let told = cold.told[proxy] == cold.started;
-        self.found.to_cold += u64::from(told);
-        if told && !cold.keys.contains(&key) {
-            cold.keys.push(key);
+        let warming = &mut self.warming[server];
+        let notified = warming.notified[proxy] == warming.started;
+        self.found.to_warming += u64::from(notified);
+        if notified && !warming.keys.contains(&key) {
+            warming.keys.push(key);
         }
-        let fill = self.play.fills && cold.stored.insert(key);
+        let fill = self.play.fills && warming.stored.insert(key);
         let work = work + f64::from(u8::from(fill));
-        while cold.got.front().is_some_and(|one| one.at + with.fall < now) {
-            cold.got.pop_front();
+        while warming.got.front().is_some_and(|one| one.at + with.overload_window < now) {
+            warming.got.pop_front();
         }
-        cold.got.push_back(Sent { at: now, started: cold.started, work, told });
-        let age = (now - cold.started) as f64 / with.cold as f64;
-        let warmth = with.cold_from + (1.0 - with.cold_from) * age;
-        if warmth >= 1.0 {
+        warming.got.push_back(Sent { at: now, started: warming.started, work, notified });
+        let age = (now - warming.started) as f64 / with.slow_start_time as f64;
+        let warm_fraction = with.slow_start_from + (1.0 - with.slow_start_from) * age;
+        if warm_fraction >= 1.0 {
             return;
         }
-        let even = self.play.rate / (SERVERS + self.play.cold - u64::from(self.play.known)) as f64;
-        let allowed = with.fall_multiple * warmth * even * with.fall as f64 / SECOND as f64;
+        let even = self.play.rate / (SERVERS + self.play.warming - u64::from(self.play.known)) as f64;
+        let allowed =
+            with.overload_multiple * warm_fraction * even * with.overload_window as f64 / SECOND as f64;
         let sum = |of: &dyn Fn(&Sent) -> bool| {
-            cold.got.iter().filter(|one| of(one)).map(|one| one.work).sum::<f64>()
+            warming.got.iter().filter(|one| of(one)).map(|one| one.work).sum::<f64>()
         };
-        let (got, by_told) = (sum(&|_| true), sum(&|one| one.told));
-        let span = Fullest { got, told: by_told, allowed, bound: with_chance(allowed) };
-        if by_told / span.bound > self.found.worst.told / self.found.worst.bound.max(1e-9) {
-            self.found.worst = span;
+        let (got, by_notified) = (sum(&|_| true), sum(&|one| one.notified));
+        let window = FullestWindow { got, notified: by_notified, allowed, bound: with_chance(allowed) };
+        if by_notified / window.bound > self.found.worst.notified / self.found.worst.bound.max(1e-9) {
+            self.found.worst = window;
         }
         // A new process has not been sent what the one before it got.
-        let started = cold.started;
-        let (got, by_told) =
-            (sum(&|one| one.started == started), sum(&|one| one.started == started && one.told));
-        if got > span.bound && by_told > got * 2.0 / 3.0 {
-            self.found.broken.push(Fullest { got, told: by_told, ..span });
+        let started = warming.started;
+        let (got, by_notified) =
+            (sum(&|one| one.started == started), sum(&|one| one.started == started && one.notified));
+        if got > window.bound && by_notified > got * 2.0 / 3.0 {
+            self.found.broken.push(FullestWindow { got, notified: by_notified, ..window });
         }
     }
 
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -12,22 +12,22 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: 300 * MS,
+            latency_objective: 300 * MS,
             deadline: 800 * MS,
-            worth: 1.0,
+            priority_weight: 1.0,
             dedup_window: SECOND,
             ..Class::default()
         }],
         proxies: 4,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        cancellation: true,
+        hedging: true,
         max_retry_after: SECOND,
-        cold_from: 0.2,
-        cold: 20 * SECOND,
-        fall_multiple: 3.0,
-        fall: SECOND,
-        must_ask_in: 10 * SECOND,
+        slow_start_from: 0.2,
+        slow_start_time: 20 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: SECOND,
+        poll_within: 10 * SECOND,
         ..Settings::default()
     }
 }
@@ -74,7 +74,7 @@
     }
 
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+        self.event(Event::EndpointList { kind, entries })
     }
 
     /// A request of class 0; returns its id and what was done.
@@ -136,5 +136,5 @@
 }
 
 pub fn finals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
--- a/crates/decision/tests/patience.rs
+++ b/crates/decision/tests/deadlines.rs
@@ -1,5 +1,5 @@
-//! Clients that give their tries less time than others, and the rest of a longer wait: told apart by how many share a
-//! time left, and by what part of all tries is answered so soon.
+//! Clients that give their requests less time than others, and the rest of a longer wait: told apart by how many share a
+//! time left, and by what part of all requests is answered so soon.
 
 mod common;
 
@@ -8,10 +8,10 @@
 
 const USUAL: Nanos = 450 * MS;
 
-/// A proxy of many at which `hasty` tries of a given time left come for each usual one, for some seconds; what is sent
-/// takes `answer`, or is given up after the time left. Returns how many usual and how many hasty tries were sent, and how many
+/// A proxy of many at which `impatient` requests of a given time left come for each usual one, for some seconds; what is sent
+/// takes `answer`, or is given up after the time left. Returns how many usual and how many impatient requests were sent, and how many
 /// of each there were.
-fn among_hasty(seed: u64, hasty: u64, left: Nanos, answer: Nanos) -> [(u64, u64); 2] {
+fn among_impatient(seed: u64, impatient: u64, left: Nanos, answer: Nanos) -> [(u64, u64); 2] {
     let mut p = Proxy::new(Settings { proxies: 300, max_retry_after: SECOND, ..settings() }, seed);
     p.list(ListKind::Cached, entries(0..10));
     let (mut counts, mut out) = ([(0, 0); 2], Vec::new());
@@ -26,12 +26,12 @@
                 p.end_after(id, 0, server, Status::Ok, Some(true), elapsed);
             }
         }
-        // The first seconds have usual tries alone.
-        let is_hasty = n >= 150 && n % (hasty + 1) != 0;
-        let remaining = if is_hasty { left } else { USUAL };
+        // The first seconds have usual requests alone.
+        let is_impatient = n >= 150 && n % (impatient + 1) != 0;
+        let remaining = if is_impatient { left } else { USUAL };
         let key = Some((seed * 1_000_003 + n) * 7919);
         let (id, actions) = p.ask_as(Request { key, remaining, ..Request::default() });
-        let counted = &mut counts[usize::from(is_hasty)];
+        let counted = &mut counts[usize::from(is_impatient)];
         if n >= 300 {
             counted.1 += 1;
         }
@@ -46,10 +46,10 @@
     counts
 }
 
-fn over_a_fleet(hasty: u64, left: Nanos, answer: Nanos) -> [f64; 2] {
+fn over_a_fleet(impatient: u64, left: Nanos, answer: Nanos) -> [f64; 2] {
     let mut sums = [(0, 0); 2];
     for seed in 0..60 {
-        for (sum, one) in sums.iter_mut().zip(among_hasty(seed, hasty, left, answer)) {
+        for (sum, one) in sums.iter_mut().zip(among_impatient(seed, impatient, left, answer)) {
             *sum = (sum.0 + one.0, sum.1 + one.1);
         }
     }
@@ -57,15 +57,15 @@
 }
 
 #[test]
-fn usual_tries_are_sent_while_hasty_ones_outnumber_them() {
-    // Danger: where the time left of most tries passed for the one that clients give, five hasty tries for each usual one
-    // made these look like the rest of a wait, long past its aim; the whole fleet refused six in ten of them unsent.
+fn usual_requests_are_sent_while_impatient_ones_outnumber_them() {
+    // Danger: where the time left of most requests passed for the one that clients give, five impatient requests for each usual one
+    // made these look like the rest of a wait, long past its latency objective; the whole fleet rejected six in ten of them unsent.
     let [usual, _] = over_a_fleet(5, 60 * MS, 100 * MS);
-    assert!(usual > 0.97, "{usual} of the usual tries are sent");
+    assert!(usual > 0.97, "{usual} of the usual requests are sent");
 }
 
 #[test]
-fn hasty_tries_are_sent_while_answers_come_so_soon_and_refused_while_they_do_not() {
+fn impatient_requests_are_sent_while_answers_come_so_soon_and_rejected_while_they_do_not() {
     // Danger: each that is cut costs a server's work and a connection, and its client is back at once.
     let [_, quick] = over_a_fleet(5, 60 * MS, 30 * MS);
     assert!(quick > 0.9, "{quick} are sent while answers take half of their time");
@@ -74,15 +74,15 @@
 }
 
 #[test]
-fn hasty_tries_that_end_without_an_answer_say_nothing_of_the_servers() {
-    // Danger: taken for late answers, they had admission refuse a third of all that came, usual tries among them.
+fn impatient_requests_that_end_without_an_answer_say_nothing_of_the_servers() {
+    // Danger: taken for late answers, they had admission reject a third of all that came, usual requests among them.
     let [usual, _] = over_a_fleet(2, 60 * MS, 70 * MS);
-    assert!(usual > 0.97, "{usual} of the usual tries are sent");
+    assert!(usual > 0.97, "{usual} of the usual requests are sent");
 }
 
 #[test]
-fn a_time_left_beyond_what_tries_are_given_dates_the_request() {
-    // Danger: the last try of a wait looks like one with much time, and is past its aim.
+fn a_time_left_beyond_what_clients_usually_give_dates_the_request() {
+    // Danger: the last attempt of a wait looks like one with much time, and is past its latency objective.
     let mut p = Proxy::with(settings(), entries(0..10));
     let ask = |p: &mut Proxy, remaining| {
         p.now += 20 * MS;
@@ -101,26 +101,32 @@
     for _ in 0..100 {
         assert!(ask(&mut p, USUAL).0);
     }
-    // 700 ms are left of 800: 100 ms have passed of the aim of 300.
+    // 700 ms are left of 800: 100 ms have passed of the latency objective of 300.
     assert_eq!(ask(&mut p, 700 * MS), (true, Some(200 * MS)));
     // 490 ms: 310 have passed, and nothing is worth anything any more.
     assert!(!ask(&mut p, 490 * MS).0);
 }
 
 #[test]
-fn less_time_than_tries_are_given_is_a_hurry_and_no_late_repeat_unless_it_is_marked() {
-    // Danger: who waits for little in all was refused as hopeless, whatever answers took.
-    for (marks_retry, retry, served) in [(true, false, true), (false, false, true), (true, true, false)] {
-        let mut p = Proxy::with(Settings { marks_retry, ..settings() }, entries(0..10));
+fn less_time_than_clients_usually_give_is_a_hurry_and_no_late_retry_unless_it_is_marked() {
+    // Danger: who waits for little in all was rejected as hopeless, whatever answers took.
+    for (clients_mark_retries, retry, served) in
+        [(true, false, true), (false, false, true), (true, true, false)]
+    {
+        let mut p = Proxy::with(Settings { clients_mark_retries, ..settings() }, entries(0..10));
         p.crowd(0..100);
         let short = Request { key: Some(4711), remaining: 250 * MS, retry, ..Request::default() };
-        assert_eq!(sent(&p.ask_as(short).1).is_some(), served, "marks {marks_retry}, marked {retry}");
+        assert_eq!(
+            sent(&p.ask_as(short).1).is_some(),
+            served,
+            "marks {clients_mark_retries}, marked {retry}"
+        );
     }
 }
 
 #[test]
-fn clients_that_leave_before_their_aim_say_nothing_of_the_servers() {
-    // Danger: taken for late answers, they had a tenth of all that came refused unsent, with all servers idle.
+fn clients_that_leave_before_their_objective_say_nothing_of_the_servers() {
+    // Danger: taken for late answers, they had a tenth of all that came rejected unsent, with all servers idle.
     let mut unsent = 0;
     for seed in 0..60 {
         let mut p = Proxy::new(settings(), seed);
@@ -135,7 +141,7 @@
             };
             p.now += 15 * MS;
             if n % 5 < 2 {
-                p.event(Event::Expired(id));
+                p.event(Event::ClientLeft(id));
             } else {
                 p.end(id, 0, server, Status::Ok, Some(true));
             }
--- a/crates/decision/tests/speeds.rs
+++ b/crates/decision/tests/machine_capacity.rs
@@ -16,7 +16,7 @@
 fn report(p: &mut Proxy, n: u64, busy: f64, noise: f64) {
     let served = BEARS[(n % 3) as usize] * busy * (1.0 + noise);
     let load = Load::new(busy, served).expect("sound");
-    p.event(Event::Load { server: entry(n).server, load });
+    p.event(Event::LoadReport { server: entry(n).server, load });
 }
 
 /// The part of the keys that each kind gets from a fresh proxy of this seed once it has heard of its servers.
@@ -35,7 +35,7 @@
 }
 
 /// Each server reports once, in turn and with noise that differs from proxy to proxy.
-fn told(seed: u64) -> Proxy {
+fn after_reports(seed: u64) -> Proxy {
     let mut p = Proxy::new(settings(), seed);
     p.list(ListKind::Cached, site());
     for n in 0..60 {
@@ -53,8 +53,8 @@
 #[test]
 fn keys_go_by_what_a_kind_bears_and_not_by_number_of_machines() {
     let even = shares(&mut Proxy::with(settings(), site()));
-    assert!(even.iter().all(|s| (s - 1.0 / 3.0).abs() < 0.06), "nothing told, all alike: {even:?}");
-    let by_kind = shares(&mut told(3));
+    assert!(even.iter().all(|s| (s - 1.0 / 3.0).abs() < 0.06), "nothing reported, all alike: {even:?}");
+    let by_kind = shares(&mut after_reports(3));
     for (kind, bears) in BEARS.iter().enumerate() {
         let due = bears / BEARS.iter().sum::<f64>();
         assert!((by_kind[kind] - due).abs() < 0.07, "kind {kind}: {} of the keys, due {due}", by_kind[kind]);
@@ -64,7 +64,7 @@
 /// Danger: proxies that know a little different things of the kinds would each fill another server.
 #[test]
 fn proxies_that_heard_noisy_reports_agree_on_nearly_all_keys() {
-    let (mut one, mut other) = (told(1), told(2));
+    let (mut one, mut other) = (after_reports(1), after_reports(2));
     let mut alike = 0;
     for key in 0..1000u64 {
         let mut to = [0; 2];
@@ -88,17 +88,17 @@
     };
     let mut p = Proxy::with(settings(), list(BEARS));
     (0..600).for_each(|n| report(&mut p, n % 60, 0.6, 0.0));
-    let told = shares(&mut p);
+    let parts = shares(&mut p);
     for (kind, bears) in BEARS.iter().enumerate() {
-        assert!((told[kind] - bears / BEARS.iter().sum::<f64>()).abs() < 0.07, "{told:?}");
+        assert!((parts[kind] - bears / BEARS.iter().sum::<f64>()).abs() < 0.07, "{parts:?}");
     }
 }
 
-/// Idle servers, cold ones and the origin say nothing of a kind; nor do servers that are not listed.
+/// Idle servers, ones that are warming up and the origin say nothing of a kind; nor do servers that are not listed.
 #[test]
 fn only_warm_busy_servers_count() {
     let mut s = settings();
-    (s.aside, s.origin_kind) = (true, Some(3));
+    (s.cache_aside, s.origin_kind) = (true, Some(3));
     let mut list = site();
     list.iter_mut().filter(|e| e.kind == 0).for_each(|e| e.started = 999 * SECOND);
     list.push(Entry { kind: 3, ..entry(60) });
@@ -109,7 +109,7 @@
             1 => (entry(n % 60).server, 0.01),
             _ => (if n % 2 == 0 { entry(60).server } else { 4711 }, 0.9),
         };
-        p.event(Event::Load { server, load: Load::new(busy, 500.0 * busy).expect("sound") });
+        p.event(Event::LoadReport { server, load: Load::new(busy, 500.0 * busy).expect("sound") });
     }
     let kept = shares(&mut p);
     let warm = kept[1] / (kept[1] + kept[2]);
@@ -121,17 +121,17 @@
     for (busy, rate) in [(f64::NAN, 1.0), (-0.1, 1.0), (0.5, f64::INFINITY), (0.5, -3.0), (1e9, 1.0)] {
         assert_eq!(Load::new(busy, rate), None, "{busy} {rate}");
     }
-    let columns = Columns { busy: Some(0), rate: Some(2) };
-    let load = columns.load(&[Some(0.5), None, Some(20.0)]).expect("told");
+    let columns = ReportColumns { busy: Some(0), rate: Some(2) };
+    let load = columns.load(&[Some(0.5), None, Some(20.0)]).expect("a load");
     assert_eq!((load.busy(), load.rate()), (0.5, 20.0));
     assert_eq!(columns.load(&[Some(0.5), None, None]), None);
     assert_eq!(columns.load(&[Some(0.5)]), None);
-    assert_eq!(Columns::default().load(&[Some(0.5), Some(1.0), Some(20.0)]), None);
+    assert_eq!(ReportColumns::default().load(&[Some(0.5), Some(1.0), Some(20.0)]), None);
 }
 
-/// Danger: what all other proxies send to a server shows at a thin one in nothing but the server's own reports.
+/// Danger: what all other proxies send to a server shows at one with little traffic in nothing but the server's own reports.
 #[test]
-fn a_server_that_says_it_is_busy_passes_requests_on_while_its_report_is_fresh() {
+fn a_server_that_reports_it_is_busy_passes_requests_on_while_its_report_is_fresh() {
     let mut p = Proxy::with(settings(), site());
     p.crowd(0..300);
     let first = p.served(77, true);
@@ -140,7 +140,7 @@
         for _ in 0..40 {
             // So many others that the key does not count as hot.
             p.crowd(0..600);
-            p.event(Event::Load { server: first, load: Load::new(busy, 30.0).expect("sound") });
+            p.event(Event::LoadReport { server: first, load: Load::new(busy, 30.0).expect("sound") });
             p.now += age;
             here += usize::from(p.served(77, true) == first);
         }
@@ -153,10 +153,10 @@
     assert_eq!(to_first(&mut p, 1.2, 20 * SECOND), 40, "an old report says nothing");
 }
 
-/// Danger: each time that suspicion of a silent server lapses a hundred proxies try it anew, each with a request
+/// Danger: each time that suspicion of a silent server lapses a hundred proxies ask it anew, each with a request
 /// that would wait for most of its time before it is sent elsewhere.
 #[test]
-fn a_trial_of_a_server_that_failed_sends_its_second_copy_sooner() {
+fn the_first_request_after_an_ejection_is_hedged_sooner() {
     let mut p = Proxy::with(settings(), site());
     p.crowd(0..300);
     let mut turn = 0;
@@ -185,7 +185,11 @@
         let (id, actions) = p.ask(77);
         let server = sent(&actions).expect("sent");
         if server == silent {
-            assert!(patience(&actions) <= 90 * MS, "0.3 of the aim: {} ms", patience(&actions) / MS);
+            assert!(
+                patience(&actions) <= 90 * MS,
+                "0.3 of the latency_objective: {} ms",
+                patience(&actions) / MS
+            );
             assert!(usual.iter().all(|p| *p > 120 * MS), "and else longer: {usual:?}");
             assert!(!usual.is_empty(), "it is left alone at first");
             return;
@@ -204,7 +208,7 @@
         for n in 0..600u64 {
             let rate = if n % 3 == 0 { absurd } else { 20.0 };
             let load = Load::new(0.9, rate).expect("sound");
-            p.event(Event::Load { server: entry(n % 60).server, load });
+            p.event(Event::LoadReport { server: entry(n % 60).server, load });
         }
         let got = shares(&mut p);
         assert!(got.iter().all(|s| *s > 0.01), "{absurd}: {got:?}");
--- a/crates/decision/tests/memory.rs
+++ b/crates/decision/tests/memory.rs
@@ -35,8 +35,8 @@
         let actions = match i % 8 {
             0 => p.end(id, 0, server, Status::Timeout, None),
             1 => p.end(id, 0, server, Status::ConnectFailed, None),
-            2 => p.event(Event::Expired(id)),
-            3 => p.event(Event::First(id)),
+            2 => p.event(Event::ClientLeft(id)),
+            3 => p.event(Event::AnswerBegun(id)),
             _ => p.end(id, 0, server, Status::Ok, hit),
         };
         // A second attempt, or the streamed answer, comes to an end too.
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -53,16 +53,16 @@
 const ENDS: [Status; 9] = [
     Status::Ok,
     Status::Error,
-    Status::Full,
+    Status::Rejected,
     Status::Timeout,
     Status::ConnectFailed,
     Status::Reset,
     Status::Cancelled,
-    Status::Moot,
+    Status::NotSent,
     Status::Miss,
 ];
 
-struct Try {
+struct SentAttempt {
     server: ServerId,
     sent: Nanos,
     due: Nanos,
@@ -77,7 +77,7 @@
     under: Rc<Settings>,
     deadline: Nanos,
     over: bool,
-    tries: Vec<Try>,
+    attempts: Vec<SentAttempt>,
 }
 
 /// The world around one proxy, which checks each action as it is made.
@@ -130,23 +130,23 @@
                         State::Ready,
                         "sent to a server that drains or is gone"
                     );
-                    assert!(r.tries.len() < r.under.max_attempts as usize, "too many attempts");
-                    assert!(r.under.second_copies || r.tries.iter().all(|t| !t.pending), "two at once");
+                    assert!(r.attempts.len() < r.under.max_attempts as usize, "too many attempts");
+                    assert!(r.under.hedging || r.attempts.iter().all(|t| !t.pending), "two at once");
                     let class = &self.settings.classes[r.class];
                     let entry = &self.list[&server];
-                    let origin = self.settings.aside && self.settings.origin_kind == Some(entry.kind);
+                    let origin = self.settings.cache_aside && self.settings.origin_kind == Some(entry.kind);
                     let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
                     let holds = |p: &Pool| fits(&p.zones, entry.zone) && fits(&p.kinds, entry.kind);
                     let placed = holds(&r.under.classes[r.class].only);
                     assert!(origin || placed, "sent to a server that is not open to its class");
                     let pool = r.pool.and_then(|p| r.under.pools.get(p));
                     assert!(origin || pool.is_none_or(holds), "sent to a server outside its pool");
-                    for t in r.tries.iter().filter(|t| t.pending || t.ran) {
+                    for t in r.attempts.iter().filter(|t| t.pending || t.ran) {
                         let (old, new) = (&self.list[&t.server], &self.list[&server]);
-                        match class.effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent again"),
-                            Effect::Keyed => {
+                        match class.idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NonIdempotent => panic!("an unsafe request sent again"),
+                            Idempotency::WithKey => {
                                 assert!(now < t.sent + class.dedup_window, "sent outside the window");
                                 match class.group {
                                     Group::All => {}
@@ -157,16 +157,16 @@
                         }
                     }
                     let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
-                    r.tries.push(Try { server, sent: now, due, pending: true, ran: false });
+                    r.attempts.push(SentAttempt { server, sent: now, due, pending: true, ran: false });
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let r = self.asked.get_mut(&id).expect("a known request");
                     assert!(!r.over, "two final answers");
                     let class = &self.settings.classes[r.class];
-                    let ran = r.tries.iter().any(|t| t.pending || t.ran);
+                    let ran = r.attempts.iter().any(|t| t.pending || t.ran);
                     assert!(
-                        !ran || class.effect == Effect::Safe
-                            || (class.effect == Effect::Keyed && class.group == Group::All)
+                        !ran || class.idempotency == Idempotency::Idempotent
+                            || (class.idempotency == Idempotency::WithKey && class.group == Group::All)
                     );
                     r.over = true;
                 }
@@ -177,10 +177,10 @@
                 }
                 Action::Timer { token, delay } => self.timers.push((now + delay, token)),
                 Action::Cancel { id, attempt } => {
-                    assert!(self.asked[&id].under.cancel);
-                    assert!((attempt as usize) < self.asked[&id].tries.len());
+                    assert!(self.asked[&id].under.cancellation);
+                    assert!((attempt as usize) < self.asked[&id].attempts.len());
                 }
-                Action::Close(server) => {
+                Action::CloseIdle(server) => {
                     self.to_close.remove(&server);
                 }
                 Action::Subscribe => {}
@@ -192,15 +192,15 @@
     /// From now on a connection may be idle at this server: it has to be closed in time where it drains.
     fn idle(&mut self, server: ServerId) {
         self.to_close.remove(&server);
-        if self.settings.let_go > 0 && self.list[&server].state == State::Draining {
-            self.to_close.insert(server, self.proxy.now + self.settings.let_go);
+        if self.settings.drain_close_within > 0 && self.list[&server].state == State::Draining {
+            self.to_close.insert(server, self.proxy.now + self.settings.drain_close_within);
         }
     }
 
     fn finish(&mut self, id: RequestId, n: usize, status: Status) {
         let now = self.proxy.now;
         let r = self.asked.get_mut(&id).expect("asked");
-        let t = &mut r.tries[n];
+        let t = &mut r.attempts[n];
         (t.pending, t.ran) = (false, !status.never_ran());
         let (server, sent) = (t.server, t.sent);
         r.over |= status == Status::Ok;
@@ -223,7 +223,7 @@
     fn pass(&mut self, until: Nanos) {
         loop {
             let due = self.asked.iter().flat_map(|(id, r)| {
-                r.tries.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, t)| (t.due, *id, n))
+                r.attempts.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, t)| (t.due, *id, n))
             });
             let due = due.min();
             let timer = self.timers.iter().copied().min();
@@ -262,7 +262,7 @@
                 let pool = self.settings.pools.len().checked_sub(1);
                 let pool = pool.filter(|_| !key.is_multiple_of(3)).map(|most| key as usize % (most + 1));
                 let (class_at, under) = (class as usize, self.settings.clone());
-                let asked = Asked { class: class_at, pool, under, deadline, over: false, tries: vec![] };
+                let asked = Asked { class: class_at, pool, under, deadline, over: false, attempts: vec![] };
                 self.asked.insert(id, asked);
                 let base = Request::default();
                 let request = Request {
@@ -283,7 +283,7 @@
                     .asked
                     .iter()
                     .flat_map(|(id, r)| {
-                        r.tries.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, _)| (*id, n))
+                        r.attempts.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, _)| (*id, n))
                     })
                     .collect();
                 if let Some((id, n)) = pending.get(which % pending.len().max(1)) {
@@ -306,14 +306,17 @@
             }
             Step::Swap { which } => {
                 self.settings = self.versions[which % self.versions.len()].clone();
-                assert!(self.proxy.balancer.retune((*self.settings).clone()), "as many classes and tenants");
+                assert!(
+                    self.proxy.balancer.update_settings((*self.settings).clone()),
+                    "as many classes and tenants"
+                );
             }
             Step::Leave { which } => {
                 let open: Vec<RequestId> =
                     self.asked.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(which % open.len().max(1)) {
                     self.asked.get_mut(id).expect("asked").over = true;
-                    let actions = self.proxy.event(Event::Expired(*id));
+                    let actions = self.proxy.event(Event::ClientLeft(*id));
                     self.check(actions);
                 }
             }
@@ -342,10 +345,10 @@
 fn classes() -> Settings {
     let mut s = settings();
     let base = s.classes[0].clone();
-    let keyed = |group| Class { effect: Effect::Keyed, group, ..base.clone() };
+    let keyed = |group| Class { idempotency: Idempotency::WithKey, group, ..base.clone() };
     s.classes.push(keyed(Group::All));
     s.classes.push(keyed(Group::Cell));
-    s.classes.push(Class { effect: Effect::Unsafe, ..base.clone() });
+    s.classes.push(Class { idempotency: Idempotency::NonIdempotent, ..base.clone() });
     s
 }
 
@@ -356,22 +359,29 @@
 
 #[test]
 fn rules_hold_with_one_attempt_at_a_time_and_an_asked_list() {
-    hold(Settings { second_copies: false, must_ask: true, cancel: false, ..classes() });
+    hold(Settings { hedging: false, subscribes: true, cancellation: false, ..classes() });
 }
 
 #[test]
 fn rules_hold_with_tenants_reports_and_prices() {
     let tenants = vec![Tenant { quota_rps: 5.0 }, Tenant { quota_rps: f64::NAN }, Tenant { quota_rps: -1.0 }];
-    let prices = Settings { handshake_price: 0.05, cross_zone_price: 0.1, ..classes() };
-    hold(Settings { tenants, over_share_worth: 0.05, conn_idle: SECOND, ..prices });
+    let prices = Settings { handshake_cost: 0.05, cross_zone_cost: 0.1, ..classes() };
+    hold(Settings { tenants, over_quota_weight: 0.05, idle_timeout: SECOND, ..prices });
 }
 
 #[test]
 fn settings_that_make_no_sense_break_no_rule() {
     let mut s = classes();
-    s.classes.iter_mut().for_each(|c| (c.worth, c.late_value) = (f64::NAN, -3.0));
-    let odd = Settings { proxies: 0, cold: 0, fall: 0, fall_multiple: f64::NAN, cold_from: 7.0, ..s };
-    hold(Settings { over_share_worth: f64::INFINITY, max_retry_after: 0, must_ask_in: 0, ..odd });
+    s.classes.iter_mut().for_each(|c| (c.priority_weight, c.late_weight) = (f64::NAN, -3.0));
+    let odd = Settings {
+        proxies: 0,
+        slow_start_time: 0,
+        overload_window: 0,
+        overload_multiple: f64::NAN,
+        slow_start_from: 7.0,
+        ..s
+    };
+    hold(Settings { over_quota_weight: f64::INFINITY, max_retry_after: 0, poll_within: 0, ..odd });
 }
 
 #[test]
@@ -379,7 +389,7 @@
 fn the_checker_catches_a_second_effect() {
     let mut w = World::new(classes());
     w.step(Step::Ask { class: 3, key: 1, remaining: 500, write: false });
-    let server = w.asked[&1].tries[0].server;
+    let server = w.asked[&1].attempts[0].server;
     w.check(vec![Action::Send { id: 1, server, timeout: 0 }]);
 }
 
@@ -405,7 +415,7 @@
 fn the_checker_catches_a_lost_request() {
     let mut w = World::new(classes());
     let (pool, under, deadline) = (None, w.settings.clone(), w.proxy.now + MS);
-    let request = Asked { class: 0, pool, under, deadline, over: false, tries: vec![] };
+    let request = Asked { class: 0, pool, under, deadline, over: false, attempts: vec![] };
     w.asked.insert(99, request);
     w.pass(w.proxy.now + SECOND);
 }
@@ -419,26 +429,26 @@
     let mut s = classes();
     let base = s.classes[0].clone();
     s.classes.push(Class { only: part(&[0, 2], &[0]), ..base });
-    Settings { let_go: 100 * MS, ..s }
+    Settings { drain_close_within: 100 * MS, ..s }
 }
 
 #[test]
 fn rules_hold_with_placement_and_closing_on_drains() {
     hold(placed());
-    hold(Settings { aside: true, origin_kind: Some(1), ..placed() });
+    hold(Settings { cache_aside: true, origin_kind: Some(1), ..placed() });
     let mut nowhere = placed();
     nowhere.classes[4].only.zones = Some(vec![]);
-    hold(Settings { cold_from: f64::NAN, ..nowhere });
+    hold(Settings { slow_start_from: f64::NAN, ..nowhere });
 }
 
 /// Danger: a request that is sent by half of one version and half of another obeys neither.
 #[test]
 fn rules_hold_while_pools_and_features_change_under_requests() {
     let one = Settings { pools: vec![part(&[0], &[]), part(&[1, 2], &[0])], ..placed() };
-    let two = Settings { pools: vec![part(&[1], &[])], second_copies: false, max_attempts: 1, ..placed() };
-    let none = Settings { pools: vec![part(&[], &[]), part(&[2], &[1])], cancel: false, ..placed() };
+    let two = Settings { pools: vec![part(&[1], &[])], hedging: false, max_attempts: 1, ..placed() };
+    let none = Settings { pools: vec![part(&[], &[]), part(&[2], &[1])], cancellation: false, ..placed() };
     hold_through(vec![one.clone(), two.clone(), none.clone(), placed()]);
-    let aside = |s: Settings| Settings { aside: true, origin_kind: Some(1), ..s };
+    let aside = |s: Settings| Settings { cache_aside: true, origin_kind: Some(1), ..s };
     hold_through([two, one, none, placed()].into_iter().map(aside).collect());
 }
 
@@ -469,6 +479,6 @@
 
 #[test]
 fn rules_hold_aside() {
-    hold(Settings { aside: true, origin_kind: Some(0), ..classes() });
-    hold(Settings { aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
+    hold(Settings { cache_aside: true, origin_kind: Some(0), ..classes() });
+    hold(Settings { cache_aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
 }
--- a/crates/decision/tests/slow_start.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -1,5 +1,5 @@
 //! What servers that are warming up are sent by all proxies together, which know of each other only how many they are: in
-//! no span of the rule, wherever it begins, more than N and the slack that is left to chance.
+//! no window of the rule, wherever it begins, more than N and the slack that is left to chance.
 
 mod common;
 
@@ -25,22 +25,25 @@
     Play { proxies, rate, ..Play::default() }
 }
 
-/// Plays each on some seeds, prints the worst span, and fails where one is past its bound.
+/// Plays each on some seeds, prints the worst window, and fails where one is past its bound.
 fn hold(what: &str, usual: u64, plays: impl IntoIterator<Item = Play>) {
-    let (mut past, mut to_cold) = (Vec::new(), 0);
+    let (mut past, mut to_warming) = (Vec::new(), 0);
     for one in plays {
         let mut worst: Option<(u64, Found)> = None;
         for seed in 1..=seeds(usual) {
             let found = play(&Play { seed, ..one.clone() });
             let name = format!("{what}, {} proxies, {} a second, seed {seed}", one.proxies, one.rate);
-            to_cold += found.to_cold;
+            to_warming += found.to_warming;
             // A proxy that sees a request in some seconds may earn no permit in the time that is played.
             let sees_some = one.rate / one.proxies as f64 > 0.5;
-            assert!(found.to_cold > 0 || !sees_some, "nothing was sent to cold servers: {name}");
+            assert!(
+                found.to_warming > 0 || !sees_some,
+                "nothing was sent to servers that are warming up: {name}"
+            );
             // What a proxy holds when it is killed gets no answer.
             let least = if one.killed.is_empty() { 0.97 } else { 0.9 };
             assert!(found.answered as f64 > least * found.asked as f64, "{name}: {found:?}");
-            let ratio = |f: &Found| f.worst.told / f.worst.bound;
+            let ratio = |f: &Found| f.worst.notified / f.worst.bound;
             if ratio(&found) > 1.0 || !found.broken.is_empty() {
                 past.push(format!("{name}: {:?}, {} broken", found.worst, found.broken.len()));
             }
@@ -51,11 +54,11 @@
         let Some((seed, found)) = worst else { continue };
         let w = found.worst;
         println!(
-            "{what}: {} proxies: worst {:.0} of N {:.1}, bound {:.1} ({:.2}), seed {seed}; {} sent to cold servers",
-            one.proxies, w.told, w.allowed, w.bound, w.told / w.bound, found.to_cold
+            "{what}: {} proxies: worst {:.0} of N {:.1}, bound {:.1} ({:.2}), seed {seed}; {} sent to servers that are warming up",
+            one.proxies, w.notified, w.allowed, w.bound, w.notified / w.bound, found.to_warming
         );
     }
-    assert!(to_cold > 0, "{what}: nothing was sent to cold servers");
+    assert!(to_warming > 0, "{what}: nothing was sent to servers that are warming up");
     assert!(past.is_empty(), "past the bound:\n{}", past.join("\n"));
 }
 
@@ -131,24 +134,24 @@
 
 #[test]
 fn a_start_that_proxies_hear_of_late_stays_within_the_budget() {
-    let plays = FLEETS.map(|n| Play { known: true, told_within: 6 * SECOND, hot: 0.3, ..fleet(n) });
-    hold("told late", 2, plays);
+    let plays = FLEETS.map(|n| Play { known: true, notified_within: 6 * SECOND, hot: 0.3, ..fleet(n) });
+    hold("notified late", 2, plays);
 }
 
 #[test]
-fn several_cold_servers_at_once_stay_within_their_budgets() {
-    let plays = FLEETS.map(|n| Play { cold: 12, hot: 0.6, ..fleet(n) });
-    hold("several cold servers", 2, plays);
+fn several_servers_that_warm_up_at_once_stay_within_their_budgets() {
+    let plays = FLEETS.map(|n| Play { warming: 12, hot: 0.6, ..fleet(n) });
+    hold("several servers that are warming up", 2, plays);
 }
 
-/// The figures of other deployments: a colder start, a longer span, another multiple.
+/// The figures of other deployments: a lower start, a longer window, another multiple.
 #[test]
 fn other_figures_of_the_rule_stay_within_the_budget() {
-    let other = |cold_from, cold, fall_multiple, fall| Settings {
-        cold_from,
-        cold,
-        fall_multiple,
-        fall,
+    let other = |slow_start_from, slow_start_time, overload_multiple, overload_window| Settings {
+        slow_start_from,
+        slow_start_time,
+        overload_multiple,
+        overload_window,
         ..settings()
     };
     for with in [
--- a/crates/decision/tests/cold_sum.rs
+++ b/crates/decision/tests/slow_start_budget.rs
@@ -1,5 +1,5 @@
-//! What one cold server is sent by all proxies together, which know of each other only how many they are: never more in a
-//! span of the rule than N + 2 root of N + 2, N being what the settings allow it then.
+//! What one server that is warming up is sent by all proxies together, which know of each other only how many they are: never more in a
+//! window of the rule than N + 2 root of N + 2, N being what the settings allow it then.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{entries, entry, settings, MS, SECOND};
 use std::collections::VecDeque;
 
-/// Servers that were there before, and when the cold one starts.
+/// Servers that were there before, and when the new one starts.
 const SERVERS: u64 = 19;
 const START: Nanos = 1_000 * SECOND;
 /// So long after its start it is looked at.
@@ -24,7 +24,7 @@
     heavy: f64,
     /// Requests a second over all.
     rate: f64,
-    /// From five seconds after the start on: times as many requests, and the part of all that asks for keys of the cold server.
+    /// From five seconds after the start on: times as many requests, and the part of all that asks for keys of the server that is warming up.
     burst: f64,
     hot: f64,
     seed: u64,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The fullest span of the cold server: what it got, N, and N + 2 root of N + 2.
+/// The fullest window of the server that is warming up: what it got, N, and N + 2 root of N + 2.
 fn fullest(load: Load, with: &Settings) -> (f64, f64, f64) {
     let mut draw = Draw(load.seed);
     let mut sum = 0.0;
@@ -54,35 +54,39 @@
     let weights: Vec<f64> = weights.collect();
     let mut proxies: Vec<Balancer> = (0..load.proxies)
         .map(|me| {
-            let own = Settings { proxies: load.proxies as u32, me: me as u32, ..with.clone() };
+            let own = Settings { proxies: load.proxies as u32, proxy_index: me as u32, ..with.clone() };
             Balancer::new(own, load.seed ^ (me as u64) << 32)
         })
         .collect();
     let mut now = START - 10 * SECOND;
     let mut actions = Vec::new();
     for p in &mut proxies {
-        p.handle(now, Event::List { kind: ListKind::Cached, entries: entries(0..SERVERS) }, &mut actions);
+        p.handle(
+            now,
+            Event::EndpointList { kind: ListKind::Cached, entries: entries(0..SERVERS) },
+            &mut actions,
+        );
     }
-    let cold = Entry { started: START, ..entry(SERVERS) };
+    let warming = Entry { started: START, ..entry(SERVERS) };
     // Each hears of it at a time of its own.
-    let mut told: Vec<(Nanos, usize)> = (0..load.proxies)
+    let mut notified: Vec<(Nanos, usize)> = (0..load.proxies)
         .map(|p| (START + 300 * MS + (draw.unit() * 1_200.0 * MS as f64) as Nanos, p))
         .collect();
-    told.sort_unstable();
-    let mut told = VecDeque::from(told);
+    notified.sort_unstable();
+    let mut notified = VecDeque::from(notified);
     let (mut got, mut its_keys) = (VecDeque::<Nanos>::new(), Vec::<u64>::new());
     let mut worst = (0.0, 1.0, 1.0);
     let even = load.rate / (SERVERS + 1) as f64;
-    let span = with.fall as f64 / SECOND as f64;
+    let window = with.overload_window as f64 / SECOND as f64;
     let mut id = 0;
-    while now < START + PLAYED.min(with.cold) {
+    while now < START + PLAYED.min(with.slow_start_time) {
         let late = now > START + 5 * SECOND;
         let rate = load.rate * if late { load.burst } else { 1.0 };
         now += (-(1.0 - draw.unit()).ln() / rate * SECOND as f64) as Nanos;
-        while told.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((at, p)) = told.pop_front() else { break };
-            let entries = vec![cold.clone()];
-            proxies[p].handle(at, Event::List { kind: ListKind::Delta, entries }, &mut actions);
+        while notified.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((at, p)) = notified.pop_front() else { break };
+            let entries = vec![warming.clone()];
+            proxies[p].handle(at, Event::EndpointList { kind: ListKind::Delta, entries }, &mut actions);
         }
         let drawn = draw.unit() * sum;
         let even_one = weights.partition_point(|upto| *upto <= drawn).min(load.proxies - 1);
@@ -98,17 +102,17 @@
         proxies[p].handle(now, Event::Arrival(request), &mut actions);
         let sent = common::sent(&actions);
         let Some(server) = sent else { continue };
-        if server == cold.server {
+        if server == warming.server {
             if !its_keys.contains(&key) {
                 its_keys.push(key);
             }
-            while got.front().is_some_and(|at| at + with.fall < now) {
+            while got.front().is_some_and(|at| at + with.overload_window < now) {
                 got.pop_front();
             }
             got.push_back(now);
-            let age = (now - START) as f64 / with.cold as f64;
-            let warmth = with.cold_from + (1.0 - with.cold_from) * age;
-            let allowed = with.fall_multiple * warmth * even * span;
+            let age = (now - START) as f64 / with.slow_start_time as f64;
+            let warm_fraction = with.slow_start_from + (1.0 - with.slow_start_from) * age;
+            let allowed = with.overload_multiple * warm_fraction * even * window;
             let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
             if got.len() as f64 / bound > worst.0 / worst.2 {
                 worst = (got.len() as f64, allowed, bound);
@@ -125,7 +129,7 @@
 fn past(loads: impl Iterator<Item = Load>, seeds: u64) -> Vec<String> {
     let one = |load: Load| {
         let (got, allowed, bound) = fullest(load, &settings());
-        assert!(got > 0.0, "nothing was sent to the cold server: {load:?}");
+        assert!(got > 0.0, "nothing was sent to the server that is warming up: {load:?}");
         (got > bound).then(|| format!("{got} of N {allowed:.1}, {bound:.1} with chance: {load:?}"))
     };
     let loads: Vec<Load> = loads.collect();
@@ -134,7 +138,7 @@
 
 /// Danger: what each proxy does alone adds up, most of all where a proxy's part of N is far under one request.
 #[test]
-fn a_cold_server_gets_no_more_than_its_budget_from_all_proxies_together() {
+fn a_server_that_is_warming_up_gets_no_more_than_its_budget_from_all_proxies_together() {
     let mut loads = Vec::new();
     for proxies in [20, 30, 300, 2_500] {
         for (uneven, heavy) in [(0.0, 0.0), (0.6, 0.0), (1.2, 0.3)] {
@@ -146,10 +150,10 @@
     assert_eq!(past(loads.into_iter(), 1), Vec::<String>::new());
 }
 
-/// Danger: leave that was saved while other keys were asked for is spent at once when a few keys of the cold server draw a
-/// third of all requests; a span's income comes on top.
+/// Danger: permits that were saved while other keys were asked for is spent at once when a few keys of the server that is warming up draw a
+/// third of all requests; a window's income comes on top.
 #[test]
-fn keys_that_turn_hot_at_a_cold_server_spend_no_more_than_its_budget() {
+fn keys_that_turn_hot_at_a_server_that_is_warming_up_spend_no_more_than_its_budget() {
     let loads =
         [20, 30].map(|proxies| Load { proxies, rate: 20_000.0, burst: 1.0, hot: 0.3, ..Load::default() });
     assert_eq!(past(loads.into_iter(), 1), Vec::<String>::new());
--- a/crates/lab/src/day/settings.rs
+++ b/crates/lab/src/day/settings.rs
@@ -75,15 +75,15 @@
 /// The same in the module's own terms, for a proxy in simulated time. Its nodes report their load.
 pub fn module_settings(day: &Day, me: usize) -> Settings {
     let class = |c: &super::Class| api::Class {
-        aim: nanos(c.aim),
+        latency_objective: nanos(c.aim),
         deadline: nanos(c.give_up),
-        effect: match c.effect {
-            Effect::Safe => api::Effect::Safe,
-            Effect::Keyed => api::Effect::Keyed,
-            Effect::Unsafe => api::Effect::Unsafe,
+        idempotency: match c.effect {
+            Effect::Safe => api::Idempotency::Idempotent,
+            Effect::Keyed => api::Idempotency::WithKey,
+            Effect::Unsafe => api::Idempotency::NonIdempotent,
         },
         dedup_window: nanos(day.site.ledger.repeats),
-        worth: c.worth,
+        priority_weight: c.worth,
         ..api::Class::default()
     };
     let tenant = |t: &super::Tenant| api::Tenant { quota_rps: day.load.rate * t.share * SHARE_ROOM };
@@ -92,23 +92,23 @@
         classes: day.load.classes.iter().map(class).collect(),
         tenants: day.load.tenants.iter().map(tenant).collect(),
         proxies: day.site.proxy.count as u32,
-        me: me as u32,
-        must_ask: true,
-        aside: true,
+        proxy_index: me as u32,
+        subscribes: true,
+        cache_aside: true,
         origin_kind: Some(cache.kinds.len() as u32),
-        over_share_worth: 0.05,
-        worth_by_work: true,
+        over_quota_weight: 0.05,
+        weight_by_work: true,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        cancellation: true,
+        hedging: true,
         max_retry_after: 2_000_000_000,
-        conn_idle: 30_000_000_000,
-        handshake_price: 0.02,
-        cold_from: cache.cold_from,
-        cold: nanos(cache.cold),
-        fall_multiple: cache.fall_multiple,
-        fall: nanos(cache.fall),
-        must_ask_in: nanos(day.site.roster.must_ask_in),
+        idle_timeout: 30_000_000_000,
+        handshake_cost: 0.02,
+        slow_start_from: cache.cold_from,
+        slow_start_time: nanos(cache.cold),
+        overload_multiple: cache.fall_multiple,
+        overload_window: nanos(cache.fall),
+        poll_within: nanos(day.site.roster.must_ask_in),
         ..Settings::default()
     }
 }
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -59,14 +59,14 @@
 impl Host {
     pub fn new(day: &Day, me: usize, options: &Options) -> Self {
         let settings = module_settings(day, me);
-        let place = Place::new(settings.me, settings.proxies);
+        let place = Place::new(settings.proxy_index, settings.proxies);
         let seed = mix(day.seed, 0x5eed, me as u64);
         Host {
             caller: Caller::new(day, me, options.list.as_ref()),
             opens: options.opening.map(|rates| (Opens::new(place, 0, 0), rates)),
             started: FxHashMap::default(),
             ledger_kind: day.site.cache.kinds.len() as u32,
-            conn_idle: settings.conn_idle,
+            conn_idle: settings.idle_timeout,
             balancer: Balancer::new(settings, seed),
             pending: FxHashMap::default(),
             next: 1,
@@ -80,7 +80,7 @@
 
     /// Gives the module an event; what it says is left in `actions`.
     pub fn feed(&mut self, now: Nanos, event: Event) {
-        if let Event::List { kind, entries } = &event {
+        if let Event::EndpointList { kind, entries } = &event {
             self.meet(now, *kind, entries);
             for entry in entries {
                 if entry.state == State::Ready {
--- a/crates/lab/src/sim/lists.rs
+++ b/crates/lab/src/sim/lists.rs
@@ -143,6 +143,6 @@
                 false => polls.failed(now),
             }
         }
-        self.feed(proxy, Event::List { kind: ListKind::Failed, entries: Vec::new() });
+        self.feed(proxy, Event::EndpointList { kind: ListKind::Failed, entries: Vec::new() });
     }
 }
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -20,7 +20,7 @@
         for p in 0..self.hosts.len() {
             self.hosts[p].version = self.world.roster().version();
             let entries = self.world.roster().all().into_iter().map(|line| self.entry(line)).collect();
-            self.feed(p as u32, Event::List { kind: ListKind::Cached, entries });
+            self.feed(p as u32, Event::EndpointList { kind: ListKind::Cached, entries });
         }
         if let Some(first) = self.plan.peek() {
             let due = first.due;
@@ -170,7 +170,7 @@
         self.hosts[proxy as usize].version = self.world.roster().version();
         self.hosts[proxy as usize].subscribed = true;
         let entries = lines.into_iter().map(|line| self.entry(line)).collect();
-        self.feed(proxy, Event::List { kind, entries });
+        self.feed(proxy, Event::EndpointList { kind, entries });
     }
 
     /// Gives a proxy's module an event, and does what it says.
@@ -189,12 +189,12 @@
         match action {
             Action::Send { id, server, timeout } => self.send(proxy, id, server, timeout),
             Action::Cancel { id, attempt } => self.call_off(proxy, id, attempt as usize),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(proxy, id, Fate::Refused, Some(Duration::from_nanos(retry_after)));
             }
             Action::Fail { id } => self.answer(proxy, id, Fate::Failed, None),
             Action::Timer { token, delay } => self.later(delay, Happening::Timer(proxy, token)),
-            Action::Close(server) => drop(self.hosts[proxy as usize].idle.remove(&server)),
+            Action::CloseIdle(server) => drop(self.hosts[proxy as usize].idle.remove(&server)),
             Action::Subscribe if self.options.list.is_some() => self.ask_list(proxy, true),
             Action::Subscribe => self.later(LIST_TAKES, Happening::Told(proxy)),
         }
@@ -252,7 +252,7 @@
             },
         );
         if pending_answered(host, id) || left == 0 {
-            return self.end_attempt(ticket, Status::Moot);
+            return self.end_attempt(ticket, Status::NotSent);
         }
         if kept == Some(false) {
             self.counts.reused += 1;
@@ -280,7 +280,7 @@
         if let Some((opens, _)) = &mut self.hosts[proxy as usize].opens {
             if let Err(wait) = opens.take(EPOCH + now, server) {
                 if now + wait > by {
-                    return self.end_attempt(ticket, Status::Moot);
+                    return self.end_attempt(ticket, Status::NotSent);
                 }
                 return self.later(wait, Happening::Open(ticket));
             }
@@ -345,14 +345,14 @@
         if !ledger && !matches!(back, Back::Unreached | Back::Reset) {
             if let Some(load) = self.world.load(self.now, member) {
                 let server = self.server(member);
-                self.feed(proxy, Event::Load { server, load });
+                self.feed(proxy, Event::LoadReport { server, load });
             }
         }
         match back {
             Back::Served { hit } => self.served(ticket, hit),
             Back::Miss => self.end_attempt(ticket, Status::Miss),
             Back::Error => self.end_attempt(ticket, Status::Error),
-            Back::Full => self.end_attempt(ticket, Status::Full),
+            Back::Full => self.end_attempt(ticket, Status::Rejected),
             Back::Unreached => self.end_attempt(ticket, Status::ConnectFailed),
             Back::Reset => self.end_attempt(ticket, Status::Reset),
         }
@@ -391,7 +391,7 @@
             self.toll.out(out.member, out.ledger, false);
         }
         let (proxy, id, number) = (out.proxy, out.request, out.number);
-        let usable = matches!(status, Status::Ok | Status::Miss | Status::Error | Status::Full);
+        let usable = matches!(status, Status::Ok | Status::Miss | Status::Error | Status::Rejected);
         if !usable {
             let mut effects = std::mem::take(&mut self.effects);
             self.world.quit(ticket, &mut effects);
@@ -461,7 +461,7 @@
         }
         let arrived = pending.arrived;
         self.count(arrived, cause);
-        self.feed(proxy, Event::Expired(id));
+        self.feed(proxy, Event::ClientLeft(id));
         self.close(proxy, id);
         true
     }
--- a/crates/memcached/src/mapping.rs
+++ b/crates/memcached/src/mapping.rs
@@ -6,7 +6,7 @@
 
 use crate::meaning::{may_carry, repeat, Repeat};
 use crate::{Head, Opcode};
-use aniseyoke_decision::api::Effect;
+use aniseyoke_decision::api::Idempotency;
 use std::collections::HashMap;
 use std::fmt;
 use strum::VariantArray;
@@ -110,7 +110,7 @@
 pub struct Mapping {
     rules: Vec<Rule>,
     tenants: Tenants,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     repeat_bit: bool,
 }
 
@@ -147,7 +147,7 @@
     pub fn new(
         rules: Vec<Rule>,
         tenants: Tenants,
-        effects: &[Effect],
+        effects: &[Idempotency],
         repeat_bit: bool,
     ) -> Result<Self, Vec<Fault>> {
         let mut faults = Vec::new();
@@ -189,7 +189,7 @@
         let class = self.rules.iter().find(fits).ok_or(Unmeant::NoClass)?.class;
         // Danger: a class that is repeated at will runs what is bound to a version a second time, and tells a client
         // that its own first run was somebody else's.
-        let effect = self.effects.get(class).copied().unwrap_or(Effect::Unsafe);
+        let effect = self.effects.get(class).copied().unwrap_or(Idempotency::NonIdempotent);
         if !may_carry(effect, repeat(operation, head.cas)) {
             return Err(Unmeant::Bound);
         }
@@ -218,7 +218,8 @@
     use super::*;
     use bytes::Bytes;
 
-    const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Unsafe, Effect::Keyed];
+    const EFFECTS: [Idempotency; 3] =
+        [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::WithKey];
 
     fn rule(operations: &[Opcode], prefix: &str, class: usize) -> Rule {
         Rule { operations: operations.to_vec(), prefix: prefix.into(), class }
--- a/crates/memcached/src/meaning.rs
+++ b/crates/memcached/src/meaning.rs
@@ -4,7 +4,7 @@
 //! that: a counter must not be put into a class that may be repeated at will. Whoever maps operations to classes asks here.
 
 use crate::{Opcode, Status};
-use aniseyoke_decision::api::{self, Effect};
+use aniseyoke_decision::api::{self, Idempotency};
 
 /// What it would mean for an operation to run a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,8 +32,8 @@
 
 /// Whether a class of this effect may carry an operation. Nodes that drop repeats of keyed requests give the first answer
 /// again, so that neither harm comes of one.
-pub fn may_carry(effect: Effect, repeat: Repeat) -> bool {
-    effect != Effect::Safe || repeat == Repeat::Harmless
+pub fn may_carry(effect: Idempotency, repeat: Repeat) -> bool {
+    effect != Idempotency::Idempotent || repeat == Repeat::Harmless
 }
 
 /// What an answer of a node means.
@@ -64,7 +64,7 @@
         ) => Outcome::Final,
         // Turned away before it was looked at: it never ran.
         Some(Status::Busy | Status::Temporary | Status::NoMemory | Status::WrongBucket) => {
-            Outcome::Failed(api::Status::Full)
+            Outcome::Failed(api::Status::Rejected)
         }
         // The operators' own slip; it never ran, and says nothing good of the node.
         Some(Status::AuthError | Status::AuthContinue) => Outcome::Failed(api::Status::ConnectFailed),
@@ -114,13 +114,18 @@
             .iter()
             .copied()
             .filter(|o| {
-                !o.quiet() && may_carry(Effect::Safe, repeat(*o, 0)) && o.key() == opcode::Presence::Must
+                !o.quiet()
+                    && may_carry(Idempotency::Idempotent, repeat(*o, 0))
+                    && o.key() == opcode::Presence::Must
             })
             .collect();
         use Opcode::*;
         assert_eq!(carried, [Get, Set, Replace, GetK, Touch, Gat, SaslAuth, SaslStep, GatK]);
-        assert!(Opcode::VARIANTS.iter().copied().all(|o| may_carry(Effect::Unsafe, repeat(o, 9))));
-        assert!(!may_carry(Effect::Safe, repeat(SetQ, 1)), "it is bound to a version");
+        assert!(Opcode::VARIANTS
+            .iter()
+            .copied()
+            .all(|o| may_carry(Idempotency::NonIdempotent, repeat(o, 9))));
+        assert!(!may_carry(Idempotency::Idempotent, repeat(SetQ, 1)), "it is bound to a version");
         assert!(Opcode::VARIANTS.iter().copied().all(|o| repeat(o, 0) == repeat(o.loud(), 0)));
     }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -155,7 +155,7 @@
             .map_err(|e| format!("settings: {e}"))?;
         // Danger: lists that are pushed come unasked on the simulator's wire alone. On sockets nobody hears of a change
         // who has no watch open, and it counts as told all the same.
-        let pushed = !std::mem::replace(&mut settings.must_ask, true);
+        let pushed = !std::mem::replace(&mut settings.subscribes, true);
         let names = Names {
             classes: names(told, "categories")?,
             tenants: names(told, "customers")?,
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -116,7 +116,7 @@
     let descriptors = Descriptors::new(places.part(&others));
     let budget = Budget::new(places.held(&others));
     let settings = config.settings.clone();
-    let (connect_timeout, conn_idle) = (config.connect_timeout, settings.conn_idle);
+    let (connect_timeout, conn_idle) = (config.connect_timeout, settings.idle_timeout);
     let upstreams =
         Upstreams::new(descriptors.clone(), budget.clone(), connect_timeout, conn_idle, beyond.opening);
     let (watch, asked) = mpsc::unbounded_channel();
@@ -125,7 +125,7 @@
     // discovery that is down. A process that takes over asks for the whole list.
     let version = config.known.as_ref().filter(|_| !handed).map(|known| known.version);
     let (addr, names) = (config.discovery, Rc::new(config.names));
-    let discovery = Discovery::new(addr, version, settings.must_ask_in, names.clone(), beyond.paced);
+    let discovery = Discovery::new(addr, version, settings.poll_within, names.clone(), beyond.paced);
     let known = config.known.as_ref().map_or_else(Vec::new, |known| names.entries(known));
     let engine = Engine::new(beyond.plan, config.seed, &known, upstreams.clone(), watch);
     let engine = engine.map_err(|fault| fault.to_string())?;
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -5,7 +5,7 @@
 use crate::upload::{self, Fault};
 use crate::upstream::{Job, TIME_LEFT};
 use aniseyoke_core::Asked;
-use aniseyoke_decision::api::{self, Effect, Nanos};
+use aniseyoke_decision::api::{self, Idempotency, Nanos};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -52,7 +52,10 @@
             return Err((StatusCode::BAD_REQUEST, "no X-Correlation-Id, or a bad one"));
         }
         let key_of_repeats = only(&IDEMPOTENCY_KEY, "more than one Idempotency-Key")?;
-        if write && settings.effect == Effect::Keyed && key_of_repeats.is_none_or(|k| k.is_empty()) {
+        if write
+            && settings.idempotency == Idempotency::WithKey
+            && key_of_repeats.is_none_or(|k| k.is_empty())
+        {
             return Err((StatusCode::BAD_REQUEST, "no Idempotency-Key"));
         }
         let body = upload::read(body, write, &self.budget).await.map_err(|fault| match fault {
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -88,8 +88,8 @@
     if !features.retries {
         settings.max_attempts = 1;
     }
-    settings.second_copies &= features.second_copies;
-    settings.cancel &= features.cancelling;
+    settings.hedging &= features.second_copies;
+    settings.cancellation &= features.cancelling;
 }
 
 /// Lays what the operator sets over what the platform says.
@@ -203,7 +203,7 @@
         let caps = |text: &str| {
             let resolved = resolve([Source::File("f.toml".into(), text.into())]).expect("sound by itself");
             let s = plan(&resolved, &platform).expect("sound").settings;
-            (s.max_attempts, s.cancel, s.second_copies)
+            (s.max_attempts, s.cancellation, s.hedging)
         };
         assert_eq!(caps(""), (4, true, false));
         assert_eq!(caps("[features]\nretries = false\ncancelling = false"), (1, false, false));
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -68,11 +68,11 @@
     let (each_second, again, swapped) = (log.clone(), log.clone(), log);
     let about = Rc::new(RefCell::new(about(&resolved, file.as_deref(), last.as_deref())));
     let platform = below.clone();
-    let place = Place::new(plan.settings.me, plan.settings.proxies);
+    let place = Place::new(plan.settings.proxy_index, plan.settings.proxies);
     let paced = resolved.operator.list.as_ref().map(|rules| {
         let (held, keeper) = discovery::begin(rules, &mut config);
         // Danger: what is pushed counts as told at once; to wait for a slot then is to use nodes that have been taken away.
-        let polls = (!config.pushed).then(|| discovery::polls(rules, plan.settings.must_ask_in, place));
+        let polls = (!config.pushed).then(|| discovery::polls(rules, plan.settings.poll_within, place));
         if polls.is_none() {
             tracing::info!("list: the platform pushes its lists, so that calls are not paced");
         }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -309,7 +309,7 @@
         };
         tokio::select! {
             biased;
-            () = tether.idle.notified() => Status::Moot.into(),
+            () = tether.idle.notified() => Status::NotSent.into(),
             ended = self.exchange(server, job, wait, tether) => ended,
             () = over => {
                 let written = tether.socket.borrow().as_ref().is_some_and(|s| s.whole());
@@ -330,11 +330,11 @@
         loop {
             // Danger: a wait for a permit must come before the body is taken up: what an attempt has read of an upload is
             // gone with it.
-            let Some(idle) = self.permit(server, due, wait).await else { return Status::Moot.into() };
+            let Some(idle) = self.permit(server, due, wait).await else { return Status::NotSent.into() };
             let asked = job.waits(tether).await;
             let idle = idle.filter(|idle| !asked || idle.clean());
-            let Some(body) = job.body.send() else { return Status::Moot.into() };
-            let Some((addr, epoch)) = self.open_to(server) else { return Status::Moot.into() };
+            let Some(body) = job.body.send() else { return Status::NotSent.into() };
+            let Some((addr, epoch)) = self.open_to(server) else { return Status::NotSent.into() };
             let (mut connection, reused) = match idle.or_else(|| self.newest(server)) {
                 Some(connection) => (connection, true),
                 None => match self.connect(addr).await {
@@ -354,7 +354,7 @@
             // Danger: while the connection came up the node may have been told to drain or have restarted, or
             // the request may have had its answer. Nothing may be written then.
             if tether.shut() || self.open_to(server).is_none_or(|(_, now)| now != epoch) {
-                return Status::Moot.into();
+                return Status::NotSent.into();
             }
             connection.socket.begin(ANSWER_MOST);
             tether.socket.replace(Some(connection.socket.clone()));
@@ -366,7 +366,7 @@
             let Ok(response) = sent else {
                 // The client's own failure says nothing of the node.
                 if upload.is_some_and(|u| u.failed()) {
-                    return Status::Moot.into();
+                    return Status::NotSent.into();
                 }
                 // Danger: after its last byte the request may have run, and is not for this side to repeat.
                 if connection.socket.whole() {
@@ -499,7 +499,7 @@
                 Some(permit) => break permit,
                 None if self.yield_idle() => tokio::task::yield_now().await,
                 // Danger: to call this a failed connection would blame the node for our own shortage.
-                None => return Err(Status::Moot),
+                None => return Err(Status::NotSent),
             }
         };
         let connecting = tokio::time::timeout(self.connect_timeout, TcpStream::connect(addr)).await;
@@ -560,7 +560,7 @@
     match head.status {
         StatusCode::OK => Status::Ok,
         StatusCode::NOT_FOUND => Status::Miss,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Status::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Status::Rejected,
         _ => Status::Error,
     }
 }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -38,5 +38,5 @@
         waiter: None,
     };
     let ended = upstreams.within(1, &job, Duration::from_secs(30), &Tether::default()).await;
-    assert_eq!(ended.status, Status::Moot);
+    assert_eq!(ended.status, Status::NotSent);
 }
--- a/crates/routes/src/review.rs
+++ b/crates/routes/src/review.rs
@@ -42,7 +42,7 @@
     fn of(side: Side<'_>, entries: &[Entry]) -> Self {
         let mut by = FxHashMap::default();
         for entry in entries {
-            let origin = side.settings.aside && side.settings.origin_kind == Some(entry.kind);
+            let origin = side.settings.cache_aside && side.settings.origin_kind == Some(entry.kind);
             if !origin && side.routing.overlay.laid(entry).state == State::Ready {
                 *by.entry((entry.zone, entry.kind)).or_default() += 1;
             }
@@ -170,7 +170,7 @@
 
     #[test]
     fn the_origin_is_no_node_that_a_class_could_live_on() {
-        let aside = |s: Settings| Settings { aside: true, origin_kind: Some(9), ..s };
+        let aside = |s: Settings| Settings { cache_aside: true, origin_kind: Some(9), ..s };
         let (now, then) = (aside(settings(&[])), aside(settings(&[3])));
         let mut all = nodes();
         all.push(Entry { server: 9, zone: 3, kind: 9, ..Entry::default() });
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// Reads settings from `path=value` pairs; unknown paths are passed over.
 pub fn settings<'a>(pairs: impl IntoIterator<Item = &'a str>) -> Result<Settings, String> {
-    let mut s = Settings { conn_idle: CONN_IDLE_UNTOLD, ..Settings::default() };
+    let mut s = Settings { idle_timeout: CONN_IDLE_UNTOLD, ..Settings::default() };
     let (mut origin, mut retry_after) = (-1i64, true);
     for pair in pairs {
         let Some((path, v)) = pair.split_once('=') else {
@@ -48,20 +48,20 @@
                     continue;
                 };
                 match field {
-                    "promise_ns" => set(&mut c.aim, path, v)?,
+                    "promise_ns" => set(&mut c.latency_objective, path, v)?,
                     "deadline_ns" => set(&mut c.deadline, path, v)?,
                     "dedup_window_ns" => set(&mut c.dedup_window, path, v)?,
-                    "late_value" => set(&mut c.late_value, path, v)?,
-                    "value" => set(&mut c.worth, path, v)?,
+                    "late_value" => set(&mut c.late_weight, path, v)?,
+                    "value" => set(&mut c.priority_weight, path, v)?,
                     "allowed_in" => c.only.zones = Some(row(path, v)?),
                     "allowed_on" => c.only.kinds = Some(row(path, v)?),
                     "stream" => set(&mut c.stream, path, v)?,
                     "effect" => {
-                        c.effect = match v {
-                            "safe" => Effect::Safe,
-                            "keyed" => Effect::Keyed,
+                        c.idempotency = match v {
+                            "safe" => Idempotency::Idempotent,
+                            "keyed" => Idempotency::WithKey,
                             // Anything new is held to the strictest rule.
-                            _ => Effect::Unsafe,
+                            _ => Idempotency::NonIdempotent,
                         }
                     }
                     "group" => {
@@ -82,31 +82,31 @@
             _ => match path {
                 "zone" => set(&mut s.zone, path, v)?,
                 "n_instances" => set(&mut s.proxies, path, v)?,
-                "self_index" => set(&mut s.me, path, v)?,
-                "discovery" => s.must_ask = v == "subscribe",
-                "family_info.mode" => s.aside = v == "aside",
+                "self_index" => set(&mut s.proxy_index, path, v)?,
+                "discovery" => s.subscribes = v == "subscribe",
+                "family_info.mode" => s.cache_aside = v == "aside",
                 "report.columns" => {
                     let at = |name| v.split(',').position(|column| column == name);
-                    s.report = Columns { busy: at("load_share"), rate: at("tps") };
+                    s.report_columns = ReportColumns { busy: at("load_share"), rate: at("tps") };
                 }
                 "family_info.origin_kind" => set(&mut origin, path, v)?,
-                "over_share_worth" => set(&mut s.over_share_worth, path, v)?,
-                "worth_by" => s.worth_by_work = v == "work",
+                "over_share_worth" => set(&mut s.over_quota_weight, path, v)?,
+                "worth_by" => s.weight_by_work = v == "work",
                 "caps.attempts_cap" => set(&mut s.max_attempts, path, v)?,
-                "caps.cancelling" => set(&mut s.cancel, path, v)?,
-                "caps.second_copies" => set(&mut s.second_copies, path, v)?,
+                "caps.cancelling" => set(&mut s.cancellation, path, v)?,
+                "caps.second_copies" => set(&mut s.hedging, path, v)?,
                 "caps.retry_after" => set(&mut retry_after, path, v)?,
                 "caps.max_retry_after_ns" => set(&mut s.max_retry_after, path, v)?,
-                "caps.conn_idle_ns" => set(&mut s.conn_idle, path, v)?,
-                "deductions.handshake" => set(&mut s.handshake_price, path, v)?,
-                "deductions.cross_zone" => set(&mut s.cross_zone_price, path, v)?,
-                "client_habits.marks_retry" => set(&mut s.marks_retry, path, v)?,
-                "rules.cold_from" => set(&mut s.cold_from, path, v)?,
-                "rules.cold_ns" => set(&mut s.cold, path, v)?,
-                "rules.fall_multiple" => set(&mut s.fall_multiple, path, v)?,
-                "rules.fall_ns" => set(&mut s.fall, path, v)?,
-                "rules.let_go_in_ns" => set(&mut s.let_go, path, v)?,
-                "rules.must_ask_in_ns" => set(&mut s.must_ask_in, path, v)?,
+                "caps.conn_idle_ns" => set(&mut s.idle_timeout, path, v)?,
+                "deductions.handshake" => set(&mut s.handshake_cost, path, v)?,
+                "deductions.cross_zone" => set(&mut s.cross_zone_cost, path, v)?,
+                "client_habits.marks_retry" => set(&mut s.clients_mark_retries, path, v)?,
+                "rules.cold_from" => set(&mut s.slow_start_from, path, v)?,
+                "rules.cold_ns" => set(&mut s.slow_start_time, path, v)?,
+                "rules.fall_multiple" => set(&mut s.overload_multiple, path, v)?,
+                "rules.fall_ns" => set(&mut s.overload_window, path, v)?,
+                "rules.let_go_in_ns" => set(&mut s.drain_close_within, path, v)?,
+                "rules.must_ask_in_ns" => set(&mut s.poll_within, path, v)?,
                 _ => {}
             },
         }
