--- a/crates/decision/tests/robustness.rs
+++ b/crates/decision/tests/robustness.rs
@@ -40,6 +40,29 @@
     assert!(sent(&p.ask(1).1).is_some(), "the old list stays in use");
 }
 
+/// Requests that take and have such times, with outcomes and timers of every kind.
+fn use_with_odd_figures(p: &mut Proxy, long: Nanos) {
+    for i in 0..200u64 {
+        p.now = if i == 150 { u64::MAX - 1 } else { p.now.saturating_add(MS) };
+        let (class, tenant) = ((i % 3) as u32, Some((i % 2) as u32));
+        let key = (i % 7 > 0).then_some(i % 7);
+        let request =
+            Request { class, tenant, key, remaining: long, write: i % 5 == 0, ..Request::default() };
+        let (id, mut actions) = p.ask_as(request);
+        for attempt in 0..3 {
+            let Some(server) = sent(&actions) else { break };
+            let status = [Status::Ok, Status::Miss, Status::Timeout, Status::ConnectFailed][i as usize % 4];
+            let (elapsed, last) = (long, status == Status::Ok);
+            let hit = Some(i % 2 == 0);
+            actions = p.event(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit }));
+        }
+        for token in [id, i << 56, 1 << 56 | id, 2 << 56 | i, u64::MAX] {
+            p.event(Event::Timer(token));
+        }
+        p.event(Event::ClientLeft(id));
+    }
+}
+
 #[test]
 fn settings_and_figures_that_make_no_sense_never_panic() {
     for odd in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 0.0, 1e300] {
@@ -79,27 +102,7 @@
             let mut p = Proxy::new(s, long);
             let list = (0..8).map(|n| Entry { weight: odd, started: long * (n % 2), ..entry(n) }).collect();
             p.list(ListKind::Cached, list);
-            for i in 0..200u64 {
-                p.now = if i == 150 { u64::MAX - 1 } else { p.now.saturating_add(MS) };
-                let (class, tenant) = ((i % 3) as u32, Some((i % 2) as u32));
-                let key = (i % 7 > 0).then_some(i % 7);
-                let request =
-                    Request { class, tenant, key, remaining: long, write: i % 5 == 0, ..Request::default() };
-                let (id, mut actions) = p.ask_as(request);
-                for attempt in 0..3 {
-                    let Some(server) = sent(&actions) else { break };
-                    let status =
-                        [Status::Ok, Status::Miss, Status::Timeout, Status::ConnectFailed][i as usize % 4];
-                    let (elapsed, last) = (long, status == Status::Ok);
-                    let hit = Some(i % 2 == 0);
-                    actions =
-                        p.event(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit }));
-                }
-                for token in [id, i << 56, 1 << 56 | id, 2 << 56 | i, u64::MAX] {
-                    p.event(Event::Timer(token));
-                }
-                p.event(Event::ClientLeft(id));
-            }
+            use_with_odd_figures(&mut p, long);
             p.list(ListKind::Failed, Vec::new());
         }
     }
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -121,55 +121,8 @@
         let now = self.proxy.now;
         for action in actions {
             match action {
-                Action::Send { id, server, timeout } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "sent after the final answer");
-                    assert!(now <= r.deadline, "sent after the deadline");
-                    assert_eq!(
-                        self.list[&server].state,
-                        State::Ready,
-                        "sent to a server that drains or is gone"
-                    );
-                    assert!(r.attempts.len() < r.under.max_attempts as usize, "too many attempts");
-                    assert!(r.under.hedging || r.attempts.iter().all(|t| !t.pending), "two at once");
-                    let class = &self.settings.classes[r.class];
-                    let entry = &self.list[&server];
-                    let origin = self.settings.cache_aside && self.settings.origin_kind == Some(entry.kind);
-                    let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
-                    let holds = |p: &Pool| fits(&p.zones, entry.zone) && fits(&p.kinds, entry.kind);
-                    let placed = holds(&r.under.classes[r.class].only);
-                    assert!(origin || placed, "sent to a server that is not open to its class");
-                    let pool = r.pool.and_then(|p| r.under.pools.get(p));
-                    assert!(origin || pool.is_none_or(holds), "sent to a server outside its pool");
-                    for t in r.attempts.iter().filter(|t| t.pending || t.ran) {
-                        let (old, new) = (&self.list[&t.server], &self.list[&server]);
-                        match class.idempotency {
-                            Idempotency::Idempotent => {}
-                            Idempotency::NonIdempotent => panic!("an unsafe request sent again"),
-                            Idempotency::WithKey => {
-                                assert!(now < t.sent + class.dedup_window, "sent outside the window");
-                                match class.group {
-                                    Group::All => {}
-                                    Group::Zone => assert_eq!(old.zone, new.zone),
-                                    Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
-                                }
-                            }
-                        }
-                    }
-                    let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
-                    r.attempts.push(SentAttempt { server, sent: now, due, pending: true, ran: false });
-                }
-                Action::Reject { id, .. } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "two final answers");
-                    let class = &self.settings.classes[r.class];
-                    let ran = r.attempts.iter().any(|t| t.pending || t.ran);
-                    assert!(
-                        !ran || class.idempotency == Idempotency::Idempotent
-                            || (class.idempotency == Idempotency::WithKey && class.group == Group::All)
-                    );
-                    r.over = true;
-                }
+                Action::Send { id, server, timeout } => self.check_send(id, server, timeout),
+                Action::Reject { id, .. } => self.check_rejection(id),
                 Action::Fail { id } => {
                     let r = self.asked.get_mut(&id).expect("a known request");
                     assert!(!r.over, "two final answers");
@@ -189,6 +142,40 @@
         assert!(self.to_close.values().all(|until| now <= *until), "idle at a draining server for too long");
     }
 
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
+        let now = self.proxy.now;
+        let r = self.asked.get_mut(&id).expect("a known request");
+        assert!(!r.over, "sent after the final answer");
+        assert!(now <= r.deadline, "sent after the deadline");
+        assert_eq!(self.list[&server].state, State::Ready, "sent to a server that drains or is gone");
+        assert!(r.attempts.len() < r.under.max_attempts as usize, "too many attempts");
+        assert!(r.under.hedging || r.attempts.iter().all(|t| !t.pending), "two at once");
+        let class = &self.settings.classes[r.class];
+        let entry = &self.list[&server];
+        let origin = self.settings.cache_aside && self.settings.origin_kind == Some(entry.kind);
+        let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
+        let holds = |p: &Pool| fits(&p.zones, entry.zone) && fits(&p.kinds, entry.kind);
+        let placed = holds(&r.under.classes[r.class].only);
+        assert!(origin || placed, "sent to a server that is not open to its class");
+        let pool = r.pool.and_then(|p| r.under.pools.get(p));
+        assert!(origin || pool.is_none_or(holds), "sent to a server outside its pool");
+        check_repeats(r, class, &self.list, server, now);
+        let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
+        r.attempts.push(SentAttempt { server, sent: now, due, pending: true, ran: false });
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let r = self.asked.get_mut(&id).expect("a known request");
+        assert!(!r.over, "two final answers");
+        let class = &self.settings.classes[r.class];
+        let ran = r.attempts.iter().any(|t| t.pending || t.ran);
+        assert!(
+            !ran || class.idempotency == Idempotency::Idempotent
+                || (class.idempotency == Idempotency::WithKey && class.group == Group::All)
+        );
+        r.over = true;
+    }
+
     /// From now on a connection may be idle at this server: it has to be closed in time where it drains.
     fn idle(&mut self, server: ServerId) {
         self.to_close.remove(&server);
@@ -252,32 +239,34 @@
         self.list.values().filter(|e| e.state != State::Gone).cloned().collect()
     }
 
+    fn ask(&mut self, class: u32, key: u64, remaining: u64, write: bool) {
+        let class = class % self.settings.classes.len() as u32;
+        let id = self.asked.len() as u64 + 1;
+        let deadline = self.proxy.now + remaining * MS;
+        // Of each three keys two are routed to pools, where there are any.
+        let pool = self.settings.pools.len().checked_sub(1);
+        let pool = pool.filter(|_| !key.is_multiple_of(3)).map(|most| key as usize % (most + 1));
+        let (class_at, under) = (class as usize, self.settings.clone());
+        let asked = Asked { class: class_at, pool, under, deadline, over: false, attempts: vec![] };
+        self.asked.insert(id, asked);
+        let base = Request::default();
+        let request = Request {
+            class,
+            pool: pool.map(|p| p as u32),
+            key: Some(key),
+            tenant: Some(key as u32 % 4),
+            remaining: remaining * MS,
+            write,
+            ..base
+        };
+        let (got, actions) = self.proxy.ask_as(request);
+        assert_eq!(got, id);
+        self.check(actions);
+    }
+
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { class, key, remaining, write } => {
-                let class = class % self.settings.classes.len() as u32;
-                let id = self.asked.len() as u64 + 1;
-                let deadline = self.proxy.now + remaining * MS;
-                // Of each three keys two are routed to pools, where there are any.
-                let pool = self.settings.pools.len().checked_sub(1);
-                let pool = pool.filter(|_| !key.is_multiple_of(3)).map(|most| key as usize % (most + 1));
-                let (class_at, under) = (class as usize, self.settings.clone());
-                let asked = Asked { class: class_at, pool, under, deadline, over: false, attempts: vec![] };
-                self.asked.insert(id, asked);
-                let base = Request::default();
-                let request = Request {
-                    class,
-                    pool: pool.map(|p| p as u32),
-                    key: Some(key),
-                    tenant: Some(key as u32 % 4),
-                    remaining: remaining * MS,
-                    write,
-                    ..base
-                };
-                let (got, actions) = self.proxy.ask_as(request);
-                assert_eq!(got, id);
-                self.check(actions);
-            }
+            Step::Ask { class, key, remaining, write } => self.ask(class, key, remaining, write),
             Step::End { which, status } => {
                 let pending: Vec<(RequestId, usize)> = self
                     .asked
@@ -324,6 +313,25 @@
     }
 }
 
+/// A further attempt at a server, after others that may have run.
+fn check_repeats(r: &Asked, class: &Class, list: &BTreeMap<ServerId, Entry>, server: ServerId, now: Nanos) {
+    for t in r.attempts.iter().filter(|t| t.pending || t.ran) {
+        let (old, new) = (&list[&t.server], &list[&server]);
+        match class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => panic!("an unsafe request sent again"),
+            Idempotency::WithKey => {
+                assert!(now < t.sent + class.dedup_window, "sent outside the window");
+                match class.group {
+                    Group::All => {}
+                    Group::Zone => assert_eq!(old.zone, new.zone),
+                    Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
+                }
+            }
+        }
+    }
+}
+
 fn hold(settings: Settings) {
     hold_through(vec![settings]);
 }
--- a/crates/decision/tests/slow_start_budget.rs
+++ b/crates/decision/tests/slow_start_budget.rs
@@ -42,43 +42,79 @@
     }
 }
 
-/// The fullest window of the server that is warming up: what it got, N, and N + 2 root of N + 2.
-fn fullest(load: Load, with: &Settings) -> (f64, f64, f64) {
-    let mut draw = Draw(load.seed);
+/// What the server that is warming up has got, and its fullest window.
+struct Received {
+    with: Settings,
+    /// An even share of the requests a second.
+    even: f64,
+    at: VecDeque<Nanos>,
+    /// What it got, N, and N + 2 root of N + 2.
+    fullest: (f64, f64, f64),
+}
+
+impl Received {
+    fn one(&mut self, now: Nanos) {
+        let with = &self.with;
+        while self.at.front().is_some_and(|at| at + with.overload_window < now) {
+            self.at.pop_front();
+        }
+        self.at.push_back(now);
+        let window = with.overload_window as f64 / SECOND as f64;
+        let age = (now - START) as f64 / with.slow_start_time as f64;
+        let warm_fraction = with.slow_start_from + (1.0 - with.slow_start_from) * age;
+        let allowed = with.overload_multiple * warm_fraction * self.even * window;
+        let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
+        let got = self.at.len() as f64;
+        if got / bound > self.fullest.0 / self.fullest.2 {
+            self.fullest = (got, allowed, bound);
+        }
+    }
+}
+
+/// Weights of the proxies, summed up to each.
+fn summed_weights(load: &Load, draw: &mut Draw) -> Vec<f64> {
     let mut sum = 0.0;
     let weights = (0..load.proxies).map(|_| {
         let normal = (0..12).map(|_| draw.unit()).sum::<f64>() - 6.0;
         sum += (load.uneven * normal).exp().clamp(1.0 / 6.0, 6.0);
         sum
     });
-    let weights: Vec<f64> = weights.collect();
-    let mut proxies: Vec<Balancer> = (0..load.proxies)
-        .map(|me| {
-            let own = Settings { proxies: load.proxies as u32, proxy_index: me as u32, ..with.clone() };
-            Balancer::new(own, load.seed ^ (me as u64) << 32)
-        })
+    weights.collect()
+}
+
+/// The proxies, with the list of the servers that were there before.
+fn proxies(load: &Load, with: &Settings, now: Nanos) -> Vec<Balancer> {
+    let one = |index: usize| {
+        let own = Settings { proxies: load.proxies as u32, proxy_index: index as u32, ..with.clone() };
+        let mut balancer = Balancer::new(own, load.seed ^ (index as u64) << 32);
+        let (kind, entries) = (ListKind::Cached, entries(0..SERVERS));
+        balancer.handle(now, Event::EndpointList { kind, entries }, &mut Vec::new());
+        balancer
+    };
+    (0..load.proxies).map(one).collect()
+}
+
+/// When each proxy hears of the new server.
+fn notifications(load: &Load, draw: &mut Draw) -> VecDeque<(Nanos, usize)> {
+    let mut all: Vec<(Nanos, usize)> = (0..load.proxies)
+        .map(|p| (START + 300 * MS + (draw.unit() * 1_200.0 * MS as f64) as Nanos, p))
         .collect();
+    all.sort_unstable();
+    VecDeque::from(all)
+}
+
+/// The fullest window of the server that is warming up: what it got, N, and N + 2 root of N + 2.
+fn fullest(load: Load, with: &Settings) -> (f64, f64, f64) {
+    let mut draw = Draw(load.seed);
+    let weights = summed_weights(&load, &mut draw);
+    let sum = weights.last().copied().unwrap_or(0.0);
     let mut now = START - 10 * SECOND;
-    let mut actions = Vec::new();
-    for p in &mut proxies {
-        p.handle(
-            now,
-            Event::EndpointList { kind: ListKind::Cached, entries: entries(0..SERVERS) },
-            &mut actions,
-        );
-    }
+    let mut proxies = proxies(&load, with, now);
     let warming = Entry { started: START, ..entry(SERVERS) };
-    // Each hears of it at a time of its own.
-    let mut notified: Vec<(Nanos, usize)> = (0..load.proxies)
-        .map(|p| (START + 300 * MS + (draw.unit() * 1_200.0 * MS as f64) as Nanos, p))
-        .collect();
-    notified.sort_unstable();
-    let mut notified = VecDeque::from(notified);
-    let (mut got, mut its_keys) = (VecDeque::<Nanos>::new(), Vec::<u64>::new());
-    let mut worst = (0.0, 1.0, 1.0);
-    let even = load.rate / (SERVERS + 1) as f64;
-    let window = with.overload_window as f64 / SECOND as f64;
-    let mut id = 0;
+    let mut notified = notifications(&load, &mut draw);
+    let (even, at) = (load.rate / (SERVERS + 1) as f64, VecDeque::new());
+    let mut received = Received { with: with.clone(), even, at, fullest: (0.0, 1.0, 1.0) };
+    let (mut its_keys, mut actions, mut id) = (Vec::<u64>::new(), Vec::new(), 0);
     while now < START + PLAYED.min(with.slow_start_time) {
         let late = now > START + 5 * SECOND;
         let rate = load.rate * if late { load.burst } else { 1.0 };
@@ -100,29 +136,18 @@
         actions.clear();
         let request = Request { id, key: Some(key), remaining: 800 * MS, ..Request::default() };
         proxies[p].handle(now, Event::Arrival(request), &mut actions);
-        let sent = common::sent(&actions);
-        let Some(server) = sent else { continue };
+        let Some(server) = common::sent(&actions) else { continue };
         if server == warming.server {
             if !its_keys.contains(&key) {
                 its_keys.push(key);
             }
-            while got.front().is_some_and(|at| at + with.overload_window < now) {
-                got.pop_front();
-            }
-            got.push_back(now);
-            let age = (now - START) as f64 / with.slow_start_time as f64;
-            let warm_fraction = with.slow_start_from + (1.0 - with.slow_start_from) * age;
-            let allowed = with.overload_multiple * warm_fraction * even * window;
-            let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-            if got.len() as f64 / bound > worst.0 / worst.2 {
-                worst = (got.len() as f64, allowed, bound);
-            }
+            received.one(now);
         }
         let (status, elapsed) = (Status::Ok, 20 * MS);
         let outcome = Outcome { id, attempt: 0, server, status, elapsed, last: true, hit: Some(true) };
         proxies[p].handle(now, Event::Outcome(outcome), &mut actions);
     }
-    worst
+    received.fullest
 }
 
 /// Plays some seeds; what went past its bound.
