--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -7,6 +7,7 @@
 use crate::purges::Purges;
 use crate::rollout::Plan;
 use crate::version::{Stamp, Version};
+use aniseyoke_sockets::{accept_error, connect, AcceptError, Uninterrupted};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -37,6 +38,9 @@
     end: Rc<Notify>,
 }
 
+/// Has the disk take a version.
+type Storing = Box<dyn FnMut(&Version) -> Result<(), String>>;
+
 /// A running service.
 pub struct Service {
     publisher: RefCell<Publisher>,
@@ -44,12 +48,14 @@
     start: Instant,
     next: Cell<Id>,
     operators: Cell<usize>,
-    /// Told when a version was published.
-    pub published: Notify,
     /// Told when somebody said what became of a version, or has gone.
     pub(crate) answered: Notify,
     purges: Option<Rc<Purges>>,
     taker: RefCell<Option<Taker>>,
+    /// What has a version on disk before it is published.
+    storing: RefCell<Option<Storing>>,
+    /// A version could not be stored: the disk may hold it all the same, in place of the newest.
+    unsettled: Cell<bool>,
     /// Versions come from upstream.
     relays: bool,
 }
@@ -69,10 +75,11 @@
             start: Instant::now(),
             next: Cell::new(1),
             operators: Cell::new(0),
-            published: Notify::new(),
             answered: Notify::new(),
             purges,
             taker: RefCell::default(),
+            storing: RefCell::default(),
+            unsettled: Cell::new(false),
             relays,
         })
     }
@@ -124,9 +131,7 @@
     /// # Errors
     /// As [`Publisher::adopt`].
     pub(crate) fn adopt(&self, version: Version) -> Result<(), String> {
-        self.act(|p, now, out| p.adopt(now, version, out))?;
-        self.published.notify_one();
-        Ok(())
+        self.act(|p, now, out| p.adopt(now, version, out))
     }
 
     fn act<T>(&self, what: impl FnOnce(&mut Publisher, u64, &mut Vec<Outgoing>) -> T) -> T {
@@ -146,14 +151,38 @@
         done
     }
 
-    /// Publishes a version.
+    /// From now on a version is published once this has stored it.
+    pub fn stores(&self, storing: impl FnMut(&Version) -> Result<(), String> + 'static) {
+        *self.storing.borrow_mut() = Some(Box::new(storing));
+    }
+
+    fn store(&self, version: &Version) -> Result<(), String> {
+        self.storing.borrow_mut().as_mut().map_or(Ok(()), |storing| storing(version))
+    }
+
+    /// After a version that could not be stored: stores the one that is in force again, so that a restart finds it. True once
+    /// it is, or where nothing is to be done.
+    pub fn settle(&self) -> bool {
+        if self.unsettled.get() {
+            let settled = self.newest().is_none_or(|newest| self.store(&newest).is_ok());
+            self.unsettled.set(!settled);
+        }
+        !self.unsettled.get()
+    }
+
+    /// Publishes a version, once it is stored. Danger: a service that is killed after its answer begins with the one before,
+    /// and has all proxies go back to it.
     ///
     /// # Errors
-    /// As [`Publisher::publish`].
+    /// As [`Publisher::publish`], and if it could not be stored.
     pub fn publish(&self, body: Value, plan: Plan) -> Result<Stamp, String> {
-        let stamp = self.act(|p, now, out| p.publish(now, body, plan, out))?;
-        self.published.notify_one();
-        Ok(stamp)
+        let prepared = self.look(|p| p.prepare(&body, plan))?;
+        if let Err(why) = self.store(&prepared.version) {
+            self.unsettled.set(true);
+            return Err(format!("it can't be stored, and is not published: {why}"));
+        }
+        self.unsettled.set(false);
+        Ok(self.act(|p, now, out| p.publish_prepared(now, prepared, out)))
     }
 
     /// Takes proxies in, for good.
@@ -175,6 +204,7 @@
                     self.next.set(id + 1);
                     tokio::task::spawn_local(self.clone().subscriber(id, stream));
                 }
+                Err(e) if accept_error(&e) == AcceptError::Passing => {}
                 // Danger: without descriptors accept fails at once, and again.
                 Err(_) => sleep(Duration::from_millis(20)).await,
             }
@@ -187,7 +217,8 @@
         self.writers.borrow_mut().insert(id, Writer { queue: writer, end: end.clone() });
         // It only costs time.
         let _ = stream.set_nodelay(true);
-        let (mut reads, mut writes) = stream.into_split();
+        let (reads, writes) = stream.into_split();
+        let (mut reads, mut writes) = (Uninterrupted(reads), Uninterrupted(writes));
         let write = async {
             while let Some(Outgoing { mut bytes, mut last, .. }) = waiting.recv().await {
                 // Short frames that wait together go as one segment: headers would be half of what they take.
@@ -255,12 +286,14 @@
                     });
                 }
                 Ok(_) => {}
+                Err(e) if accept_error(&e) == AcceptError::Passing => {}
                 Err(_) => sleep(Duration::from_millis(20)).await,
             }
         }
     }
 
-    async fn operator(&self, mut stream: TcpStream) -> std::io::Result<()> {
+    async fn operator(&self, stream: TcpStream) -> std::io::Result<()> {
+        let mut stream = Uninterrupted(stream);
         let answer = match receive::<FromOperator>(&mut stream).await? {
             Ok(FromOperator::Purge { publisher, sequence, keys }) => {
                 let taker = self.taker.borrow().clone();
@@ -289,9 +322,8 @@
             }
             FromOperator::Publish { body, plan } => told(self.publish(body, plan)),
             FromOperator::RollBack { to, plan } => {
-                let stamp = self.act(|p, now, out| p.roll_back(now, to, plan, out));
-                self.published.notify_one();
-                told(stamp)
+                let body = self.look(|p| p.body_of(to));
+                told(body.and_then(|body| self.publish(body, plan)))
             }
             FromOperator::Halt { why } => {
                 self.publisher.borrow_mut().halt(&why);
@@ -321,7 +353,7 @@
 
 /// Reads one message; an error of the wire is the outer one.
 async fn receive<T: serde::de::DeserializeOwned>(
-    stream: &mut TcpStream,
+    stream: &mut Uninterrupted<TcpStream>,
 ) -> std::io::Result<Result<T, Malformed>> {
     let (mut came, mut part) = (Vec::new(), vec![0; PART]);
     loop {
@@ -342,7 +374,8 @@
 /// If the service can't be reached, or does not answer in its own terms.
 pub async fn call(door: std::net::SocketAddr, call: &FromOperator) -> Result<ToOperator, String> {
     let told = |e: std::io::Error| format!("the control service at {door}: {e}");
-    let mut stream = TcpStream::connect(door).await.map_err(told)?;
+    let unreached = |e| format!("the control service at {door}: {e}");
+    let mut stream = Uninterrupted(connect(door, || ()).await.map_err(unreached)?);
     let bytes = encode(call).map_err(|e| e.to_string())?;
     stream.write_all(&bytes).await.map_err(told)?;
     receive(&mut stream).await.map_err(told)?.map_err(|e| e.to_string())
--- /dev/null
+++ b/crates/lab-memcached-server/src/server.rs
@@ -0,0 +1,182 @@
+//! A [`Store`] on a socket: a memcached server for the binary protocol, as far as clients can tell.
+
+use super::{Response, Store};
+use aniseyoke_memcached::decode::InvalidRequest;
+use aniseyoke_memcached::{
+    encode, sasl, semantics, Decoder, Direction, Header, Limits, Opcode, Part, ProtocolError, Status,
+};
+use bytes::{Bytes, BytesMut};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+use std::io;
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+/// What is read at once, in bytes.
+const READ_SIZE: usize = 16 << 10;
+/// Answers are written once so much of them waits, or nothing more has come, in bytes.
+const WRITE_THRESHOLD: usize = 64 << 10;
+
+/// A server that clients connect to.
+pub struct Server {
+    store: RefCell<Store>,
+    limits: Limits,
+    /// Users and their passwords; where there are none, nobody has to show who they are.
+    users: BTreeMap<String, String>,
+}
+
+/// The state of one connection.
+struct Session {
+    user: Option<String>,
+    out: Vec<u8>,
+    /// Nothing more is read.
+    closing: bool,
+}
+
+impl Session {
+    fn answer(&mut self, to: &Header, response: &Response) {
+        let Response { status, extras, key, value, cas } = response;
+        let head =
+            Header { extras: *extras, key: key.clone(), cas: *cas, ..Header::response_to(to, *status) };
+        // Keys come from packets and values are bounded, so that the format has room for them.
+        let _ = encode::packet(Direction::Response, &head, value, &mut self.out);
+    }
+}
+
+impl Server {
+    /// A server of a store whose values are at most `max_value_bytes` long.
+    pub fn new(store: Store, max_value_bytes: usize, users: BTreeMap<String, String>) -> Rc<Self> {
+        let limits = Limits { value: max_value_bytes, ..Limits::default() };
+        Rc::new(Server { store: RefCell::new(store), limits, users })
+    }
+
+    /// Requests that changed something.
+    pub fn mutations(&self) -> u64 {
+        self.store.borrow().mutations()
+    }
+
+    /// Serves, for good.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener) -> Infallible {
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    let server = self.clone();
+                    // A connection that breaks is its client's matter.
+                    tokio::task::spawn_local(async move { server.serve_connection(stream).await });
+                }
+                // Danger: without descriptors accept fails at once, and again.
+                Err(_) => tokio::time::sleep(std::time::Duration::from_millis(20)).await,
+            }
+        }
+    }
+
+    async fn serve_connection(&self, mut stream: TcpStream) -> io::Result<()> {
+        stream.set_nodelay(true)?;
+        let mut decoder = Decoder::new(Direction::Request, self.limits);
+        let mut session = Session { user: None, out: Vec::new(), closing: false };
+        let (mut input, mut value) = (BytesMut::with_capacity(READ_SIZE), BytesMut::new());
+        let mut request: Option<(Header, Option<InvalidRequest>)> = None;
+        while !session.closing {
+            match decoder.next(&mut input) {
+                Ok(Some(Part::Header(head))) => request = Some((head, None)),
+                Ok(Some(Part::Invalid(head, bad))) => request = Some((head, Some(bad))),
+                Ok(Some(Part::Value(part))) => value.extend_from_slice(&part),
+                Ok(Some(Part::End)) => {
+                    if let Some((head, bad)) = request.take() {
+                        self.apply(&mut session, &head, bad, value.split().freeze());
+                    }
+                }
+                Ok(None) => {
+                    stream.write_all(&session.out).await?;
+                    session.out.clear();
+                    input.reserve(READ_SIZE);
+                    if stream.read_buf(&mut input).await? == 0 {
+                        return Ok(());
+                    }
+                }
+                Err(fault) => {
+                    send_last_error(&mut session, fault);
+                    break;
+                }
+            }
+            if session.out.len() > WRITE_THRESHOLD {
+                stream.write_all(&session.out).await?;
+                session.out.clear();
+            }
+        }
+        stream.write_all(&session.out).await?;
+        stream.shutdown().await
+    }
+
+    fn apply(&self, session: &mut Session, head: &Header, bad: Option<InvalidRequest>, value: Bytes) {
+        let (opcode, status) = match (head.operation(), bad) {
+            (Some(opcode), None) => (opcode, None),
+            (_, Some(InvalidRequest::UnknownOpcode)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
+            (Some(opcode), Some(_)) => (opcode, Some(Status::Invalid)),
+        };
+        let open_to_all =
+            matches!(opcode, Opcode::SaslList | Opcode::SaslAuth | Opcode::SaslStep | Opcode::Version);
+        let unauthenticated = !self.users.is_empty() && session.user.is_none() && !open_to_all;
+        if let Some(status) = status.or(unauthenticated.then_some(Status::AuthError)) {
+            return session.answer(head, &Response::status_only(status));
+        }
+        match opcode {
+            Opcode::SaslList => {
+                let value = Bytes::from_static(sasl::PLAIN_MECHANISM);
+                session.answer(head, &Response { value, ..Response::ok(0) });
+            }
+            Opcode::SaslAuth | Opcode::SaslStep => {
+                let credentials =
+                    sasl::parse_plain(&value).filter(|_| &head.key[..] == sasl::PLAIN_MECHANISM);
+                let user =
+                    credentials.filter(|p| self.users.get(p.user).is_some_and(|right| right == p.password));
+                session.user = user.map(|p| p.user.to_owned());
+                let right = session.user.is_some() || self.users.is_empty();
+                let response = Response { value: Bytes::from_static(b"Authenticated"), ..Response::ok(0) };
+                session
+                    .answer(head, &if right { response } else { Response::status_only(Status::AuthError) });
+            }
+            Opcode::Stat => self.stat(session, head),
+            _ => {
+                let response = self.store.borrow_mut().apply(unix_seconds(), head, value);
+                if semantics::has_response(opcode, response.status) {
+                    session.answer(head, &response);
+                }
+                session.closing = opcode.without_quiet() == Opcode::Quit;
+            }
+        }
+    }
+
+    /// A packet for each figure, and one without a key behind them.
+    fn stat(&self, session: &mut Session, head: &Header) {
+        let figures = [("pid", std::process::id().to_string()), ("cmd_ran", self.mutations().to_string())];
+        for (name, figure) in figures {
+            let (key, value) = (Bytes::from_static(name.as_bytes()), Bytes::from(figure));
+            session.answer(head, &Response { key, value, ..Response::ok(0) });
+        }
+        session.answer(head, &Response::ok(0));
+    }
+}
+
+/// The last word on a connection from which nothing more can be read.
+fn send_last_error(session: &mut Session, fault: ProtocolError) {
+    match fault {
+        ProtocolError::TextProtocol => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
+        ProtocolError::ValueTooLarge { opaque, opcode, .. } => {
+            let head = Header { opcode, opaque, ..Header::request(Opcode::Noop) };
+            session.answer(&head, &Response::status_only(Status::TooLarge));
+        }
+        ProtocolError::InconsistentLengths { .. } => {
+            session.answer(&Header::request(Opcode::Noop), &Response::status_only(Status::Invalid))
+        }
+        ProtocolError::UnknownMagic(_) | ProtocolError::InvalidResponse => {}
+    }
+}
+
+/// Unix time in seconds.
+fn unix_seconds() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
+}
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,9 @@
 //! The laboratory's command line.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 mod cli;
+mod pass_through;
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -6,7 +6,7 @@
 use crate::wall::unix_ms;
 use aniseyoke_config::model::List;
 use aniseyoke_control::sealed::{Disk, Found, Sealed};
-use aniseyoke_pace::kept::{judge, Label};
+use aniseyoke_pace::retained_list::{check_age, ListMetadata};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -103,9 +103,10 @@
             return None;
         }
     };
-    let label = Label { site: kept.site.clone(), version: kept.list.version, at_ms: kept.at_ms };
+    let label =
+        ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
     let known = config.known.as_ref().map(|known| known.version);
-    match judge(&label, site, known, unix_ms(), fresh_for) {
+    match check_age(&label, site, known, unix_ms(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
             let age = age.as_secs();
@@ -132,8 +133,8 @@
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let mut store = Sealed::new(Disk, file, MAGIC);
         let mut failing = false;
-        let write = move |kept: Kept| {
-            let payload = serde_json::to_vec(&kept).map_err(std::io::Error::from);
+        let write = move |kept: &Kept| {
+            let payload = serde_json::to_vec(kept).map_err(std::io::Error::from);
             let done = payload.and_then(|payload| store.keep(&payload));
             match (&done, failing) {
                 (Err(e), false) => {
@@ -143,6 +144,7 @@
                 _ => {}
             }
             failing = done.is_err();
+            !failing
         };
         let keeping = Keeping::start(write).map_err(|e| format!("no thread: {e}"))?;
         Ok(Keeper { site, entries: list.map(by_id), version: None, written: None, anew, keeping })
