--- a/crates/core/src/engine/configuration.rs
+++ b/crates/core/src/engine/configuration.rs
@@ -52,7 +52,7 @@
             Some(limits) => Self::apply_limits(state, limits, &config.settings)?,
             None => self.remove_limits(state, &mut events),
         }
-        state.balancer.retune(config.settings.clone());
+        state.balancer.update_settings(config.settings.clone());
         let old = std::mem::replace(&mut state.config, config);
         let (old_overlay, new_overlay) = (&old.routing.overlay, &state.config.routing.overlay);
         let changed = state.endpoint_list.changed_by(old_overlay, new_overlay);
@@ -86,7 +86,7 @@
             self.start_attempt(state, id, number);
         }
         for server in released.servers {
-            events.push_back(Event::Room { server, room: f64::INFINITY });
+            events.push_back(Event::ConcurrencyLimit { server, limit: f64::INFINITY });
         }
     }
 }
--- a/crates/core/src/engine/requests.rs
+++ b/crates/core/src/engine/requests.rs
@@ -6,7 +6,7 @@
 use crate::deadline::deadline_margin;
 use crate::pending_response::{AbandonRequest, Answer, PendingResponse};
 use crate::transport::{Job, Transport};
-use aniseyoke_decision::api::{Effect, Event, Nanos, Request, RequestId};
+use aniseyoke_decision::api::{Event, Idempotency, Nanos, Request, RequestId};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -61,12 +61,12 @@
     ) -> OpenRequest<T> {
         let settings = &state.config.settings;
         let class = settings.classes.get(request.class as usize);
-        let with_key = class.filter(|class| class.effect == Effect::Keyed);
+        let with_key = class.filter(|class| class.idempotency == Idempotency::WithKey);
         OpenRequest {
             class: request.class as usize,
             tenant: request.tenant.map(|tenant| tenant as usize),
             job,
-            may_cancel: settings.cancel,
+            may_cancel: settings.cancellation,
             idempotency_window: with_key.map(|class| class.dedup_window),
             client_patience: request.remaining,
             deadline,
@@ -97,7 +97,7 @@
                 *started_at = now;
             }
         }
-        self.handle_event(state, Event::Taken(id));
+        self.handle_event(state, Event::BodyReceived(id));
     }
 
     /// Gives the final answer, if none was given.
@@ -136,7 +136,7 @@
         if request.answer_sender.take().is_none() {
             return;
         }
-        self.handle_event(state, Event::Expired(id));
+        self.handle_event(state, Event::ClientLeft(id));
         let mut events = VecDeque::new();
         self.close_request(state, id, &mut events);
         self.handle_events(state, events);
--- a/crates/core/src/limits/concurrency.rs
+++ b/crates/core/src/limits/concurrency.rs
@@ -108,7 +108,7 @@
     pub fn attempt_ended(&mut self, now: Nanos, status: Status, elapsed: Nanos, latency_ratio: Option<f64>) {
         let (was_utilized, was_lightly_loaded) = (self.is_utilized(), self.is_lightly_loaded());
         self.in_flight = self.in_flight.saturating_sub(1);
-        let lost = matches!(status, Status::Timeout | Status::Full);
+        let lost = matches!(status, Status::Timeout | Status::Rejected);
         if lost || latency_ratio.is_some() {
             self.loss_rate += LOSS_RATE_GAIN * (f64::from(u8::from(lost)) - self.loss_rate);
         }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here reads a clock or a socket: the caller passes the time, asks for admission of each attempt, reports how the
 //! attempt ended, and does what it is told ([`Admission`], [`QueueAction`]). No server is chosen here either: the decision
-//! module hears each node's limit by `Event::Room` and chooses by it. What it sends to a node without capacity waits in that
+//! module hears each node's limit by `Event::ConcurrencyLimit` and chooses by it. What it sends to a node without capacity waits in that
 //! node's [`Queue`] for a bounded time, and is given back as rejected and never executed when it does not get its turn.
 
 mod concurrency;
@@ -66,12 +66,12 @@
         config.check()?;
         Ok(Limits {
             quotas: TenantQuotas::new(&settings.tenants, settings.proxies),
-            class_weights: settings.classes.iter().map(|class| class.worth.max(0.0)).collect(),
-            over_quota_weight: settings.over_share_worth.clamp(0.0, 1.0),
+            class_weights: settings.classes.iter().map(|class| class.priority_weight.max(0.0)).collect(),
+            over_quota_weight: settings.over_quota_weight.clamp(0.0, 1.0),
             latencies: vec![TypicalLatency::default(); settings.classes.len()],
             config,
             nodes: FxHashMap::default(),
-            origin_kind: settings.origin_kind.filter(|_| settings.aside),
+            origin_kind: settings.origin_kind.filter(|_| settings.cache_aside),
             origins: FxHashSet::default(),
             waiting: FxHashMap::default(),
             rejected: 0,
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -53,16 +53,16 @@
 const ENDS: [Status; 9] = [
     Status::Ok,
     Status::Error,
-    Status::Full,
+    Status::Rejected,
     Status::Timeout,
     Status::ConnectFailed,
     Status::Reset,
     Status::Cancelled,
-    Status::Moot,
+    Status::NotSent,
     Status::Miss,
 ];
 
-struct Try {
+struct SentAttempt {
     server: ServerId,
     sent: Nanos,
     due: Nanos,
@@ -77,7 +77,7 @@
     under: Rc<Settings>,
     deadline: Nanos,
     over: bool,
-    tries: Vec<Try>,
+    attempts: Vec<SentAttempt>,
 }
 
 /// The world around one proxy, which checks each action as it is made.
@@ -121,55 +121,8 @@
         let now = self.proxy.now;
         for action in actions {
             match action {
-                Action::Send { id, server, timeout } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "sent after the final answer");
-                    assert!(now <= r.deadline, "sent after the deadline");
-                    assert_eq!(
-                        self.list[&server].state,
-                        State::Ready,
-                        "sent to a server that drains or is gone"
-                    );
-                    assert!(r.tries.len() < r.under.max_attempts as usize, "too many attempts");
-                    assert!(r.under.second_copies || r.tries.iter().all(|t| !t.pending), "two at once");
-                    let class = &self.settings.classes[r.class];
-                    let entry = &self.list[&server];
-                    let origin = self.settings.aside && self.settings.origin_kind == Some(entry.kind);
-                    let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
-                    let holds = |p: &Pool| fits(&p.zones, entry.zone) && fits(&p.kinds, entry.kind);
-                    let placed = holds(&r.under.classes[r.class].only);
-                    assert!(origin || placed, "sent to a server that is not open to its class");
-                    let pool = r.pool.and_then(|p| r.under.pools.get(p));
-                    assert!(origin || pool.is_none_or(holds), "sent to a server outside its pool");
-                    for t in r.tries.iter().filter(|t| t.pending || t.ran) {
-                        let (old, new) = (&self.list[&t.server], &self.list[&server]);
-                        match class.effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent again"),
-                            Effect::Keyed => {
-                                assert!(now < t.sent + class.dedup_window, "sent outside the window");
-                                match class.group {
-                                    Group::All => {}
-                                    Group::Zone => assert_eq!(old.zone, new.zone),
-                                    Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
-                                }
-                            }
-                        }
-                    }
-                    let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
-                    r.tries.push(Try { server, sent: now, due, pending: true, ran: false });
-                }
-                Action::Refuse { id, .. } => {
-                    let r = self.asked.get_mut(&id).expect("a known request");
-                    assert!(!r.over, "two final answers");
-                    let class = &self.settings.classes[r.class];
-                    let ran = r.tries.iter().any(|t| t.pending || t.ran);
-                    assert!(
-                        !ran || class.effect == Effect::Safe
-                            || (class.effect == Effect::Keyed && class.group == Group::All)
-                    );
-                    r.over = true;
-                }
+                Action::Send { id, server, timeout } => self.check_send(id, server, timeout),
+                Action::Reject { id, .. } => self.check_rejection(id),
                 Action::Fail { id } => {
                     let r = self.asked.get_mut(&id).expect("a known request");
                     assert!(!r.over, "two final answers");
@@ -177,10 +130,10 @@
                 }
                 Action::Timer { token, delay } => self.timers.push((now + delay, token)),
                 Action::Cancel { id, attempt } => {
-                    assert!(self.asked[&id].under.cancel);
-                    assert!((attempt as usize) < self.asked[&id].tries.len());
+                    assert!(self.asked[&id].under.cancellation);
+                    assert!((attempt as usize) < self.asked[&id].attempts.len());
                 }
-                Action::Close(server) => {
+                Action::CloseIdle(server) => {
                     self.to_close.remove(&server);
                 }
                 Action::Subscribe => {}
@@ -189,18 +142,52 @@
         assert!(self.to_close.values().all(|until| now <= *until), "idle at a draining server for too long");
     }
 
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
+        let now = self.proxy.now;
+        let r = self.asked.get_mut(&id).expect("a known request");
+        assert!(!r.over, "sent after the final answer");
+        assert!(now <= r.deadline, "sent after the deadline");
+        assert_eq!(self.list[&server].state, State::Ready, "sent to a server that drains or is gone");
+        assert!(r.attempts.len() < r.under.max_attempts as usize, "too many attempts");
+        assert!(r.under.hedging || r.attempts.iter().all(|t| !t.pending), "two at once");
+        let class = &self.settings.classes[r.class];
+        let entry = &self.list[&server];
+        let origin = self.settings.cache_aside && self.settings.origin_kind == Some(entry.kind);
+        let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
+        let holds = |p: &Pool| fits(&p.zones, entry.zone) && fits(&p.kinds, entry.kind);
+        let placed = holds(&r.under.classes[r.class].only);
+        assert!(origin || placed, "sent to a server that is not open to its class");
+        let pool = r.pool.and_then(|p| r.under.pools.get(p));
+        assert!(origin || pool.is_none_or(holds), "sent to a server outside its pool");
+        check_repeats(r, class, &self.list, server, now);
+        let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
+        r.attempts.push(SentAttempt { server, sent: now, due, pending: true, ran: false });
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let r = self.asked.get_mut(&id).expect("a known request");
+        assert!(!r.over, "two final answers");
+        let class = &self.settings.classes[r.class];
+        let ran = r.attempts.iter().any(|t| t.pending || t.ran);
+        assert!(
+            !ran || class.idempotency == Idempotency::Idempotent
+                || (class.idempotency == Idempotency::WithKey && class.group == Group::All)
+        );
+        r.over = true;
+    }
+
     /// From now on a connection may be idle at this server: it has to be closed in time where it drains.
     fn idle(&mut self, server: ServerId) {
         self.to_close.remove(&server);
-        if self.settings.let_go > 0 && self.list[&server].state == State::Draining {
-            self.to_close.insert(server, self.proxy.now + self.settings.let_go);
+        if self.settings.drain_close_within > 0 && self.list[&server].state == State::Draining {
+            self.to_close.insert(server, self.proxy.now + self.settings.drain_close_within);
         }
     }
 
     fn finish(&mut self, id: RequestId, n: usize, status: Status) {
         let now = self.proxy.now;
         let r = self.asked.get_mut(&id).expect("asked");
-        let t = &mut r.tries[n];
+        let t = &mut r.attempts[n];
         (t.pending, t.ran) = (false, !status.never_ran());
         let (server, sent) = (t.server, t.sent);
         r.over |= status == Status::Ok;
@@ -223,7 +210,7 @@
     fn pass(&mut self, until: Nanos) {
         loop {
             let due = self.asked.iter().flat_map(|(id, r)| {
-                r.tries.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, t)| (t.due, *id, n))
+                r.attempts.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, t)| (t.due, *id, n))
             });
             let due = due.min();
             let timer = self.timers.iter().copied().min();
@@ -252,38 +239,40 @@
         self.list.values().filter(|e| e.state != State::Gone).cloned().collect()
     }
 
+    fn ask(&mut self, class: u32, key: u64, remaining: u64, write: bool) {
+        let class = class % self.settings.classes.len() as u32;
+        let id = self.asked.len() as u64 + 1;
+        let deadline = self.proxy.now + remaining * MS;
+        // Of each three keys two are routed to pools, where there are any.
+        let pool = self.settings.pools.len().checked_sub(1);
+        let pool = pool.filter(|_| !key.is_multiple_of(3)).map(|most| key as usize % (most + 1));
+        let (class_at, under) = (class as usize, self.settings.clone());
+        let asked = Asked { class: class_at, pool, under, deadline, over: false, attempts: vec![] };
+        self.asked.insert(id, asked);
+        let base = Request::default();
+        let request = Request {
+            class,
+            pool: pool.map(|p| p as u32),
+            key: Some(key),
+            tenant: Some(key as u32 % 4),
+            remaining: remaining * MS,
+            write,
+            ..base
+        };
+        let (got, actions) = self.proxy.ask_as(request);
+        assert_eq!(got, id);
+        self.check(actions);
+    }
+
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { class, key, remaining, write } => {
-                let class = class % self.settings.classes.len() as u32;
-                let id = self.asked.len() as u64 + 1;
-                let deadline = self.proxy.now + remaining * MS;
-                // Of each three keys two are routed to pools, where there are any.
-                let pool = self.settings.pools.len().checked_sub(1);
-                let pool = pool.filter(|_| !key.is_multiple_of(3)).map(|most| key as usize % (most + 1));
-                let (class_at, under) = (class as usize, self.settings.clone());
-                let asked = Asked { class: class_at, pool, under, deadline, over: false, tries: vec![] };
-                self.asked.insert(id, asked);
-                let base = Request::default();
-                let request = Request {
-                    class,
-                    pool: pool.map(|p| p as u32),
-                    key: Some(key),
-                    tenant: Some(key as u32 % 4),
-                    remaining: remaining * MS,
-                    write,
-                    ..base
-                };
-                let (got, actions) = self.proxy.ask_as(request);
-                assert_eq!(got, id);
-                self.check(actions);
-            }
+            Step::Ask { class, key, remaining, write } => self.ask(class, key, remaining, write),
             Step::End { which, status } => {
                 let pending: Vec<(RequestId, usize)> = self
                     .asked
                     .iter()
                     .flat_map(|(id, r)| {
-                        r.tries.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, _)| (*id, n))
+                        r.attempts.iter().enumerate().filter(|(_, t)| t.pending).map(move |(n, _)| (*id, n))
                     })
                     .collect();
                 if let Some((id, n)) = pending.get(which % pending.len().max(1)) {
@@ -306,14 +295,17 @@
             }
             Step::Swap { which } => {
                 self.settings = self.versions[which % self.versions.len()].clone();
-                assert!(self.proxy.balancer.retune((*self.settings).clone()), "as many classes and tenants");
+                assert!(
+                    self.proxy.balancer.update_settings((*self.settings).clone()),
+                    "as many classes and tenants"
+                );
             }
             Step::Leave { which } => {
                 let open: Vec<RequestId> =
                     self.asked.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(which % open.len().max(1)) {
                     self.asked.get_mut(id).expect("asked").over = true;
-                    let actions = self.proxy.event(Event::Expired(*id));
+                    let actions = self.proxy.event(Event::ClientLeft(*id));
                     self.check(actions);
                 }
             }
@@ -321,6 +313,25 @@
     }
 }
 
+/// A further attempt at a server, after others that may have run.
+fn check_repeats(r: &Asked, class: &Class, list: &BTreeMap<ServerId, Entry>, server: ServerId, now: Nanos) {
+    for t in r.attempts.iter().filter(|t| t.pending || t.ran) {
+        let (old, new) = (&list[&t.server], &list[&server]);
+        match class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => panic!("an unsafe request sent again"),
+            Idempotency::WithKey => {
+                assert!(now < t.sent + class.dedup_window, "sent outside the window");
+                match class.group {
+                    Group::All => {}
+                    Group::Zone => assert_eq!(old.zone, new.zone),
+                    Group::Cell => assert_eq!((old.zone, old.cell), (new.zone, new.cell)),
+                }
+            }
+        }
+    }
+}
+
 fn hold(settings: Settings) {
     hold_through(vec![settings]);
 }
@@ -342,10 +353,10 @@
 fn classes() -> Settings {
     let mut s = settings();
     let base = s.classes[0].clone();
-    let keyed = |group| Class { effect: Effect::Keyed, group, ..base.clone() };
+    let keyed = |group| Class { idempotency: Idempotency::WithKey, group, ..base.clone() };
     s.classes.push(keyed(Group::All));
     s.classes.push(keyed(Group::Cell));
-    s.classes.push(Class { effect: Effect::Unsafe, ..base.clone() });
+    s.classes.push(Class { idempotency: Idempotency::NonIdempotent, ..base.clone() });
     s
 }
 
@@ -356,22 +367,29 @@
 
 #[test]
 fn rules_hold_with_one_attempt_at_a_time_and_an_asked_list() {
-    hold(Settings { second_copies: false, must_ask: true, cancel: false, ..classes() });
+    hold(Settings { hedging: false, subscribes: true, cancellation: false, ..classes() });
 }
 
 #[test]
 fn rules_hold_with_tenants_reports_and_prices() {
     let tenants = vec![Tenant { quota_rps: 5.0 }, Tenant { quota_rps: f64::NAN }, Tenant { quota_rps: -1.0 }];
-    let prices = Settings { handshake_price: 0.05, cross_zone_price: 0.1, ..classes() };
-    hold(Settings { tenants, over_share_worth: 0.05, conn_idle: SECOND, ..prices });
+    let prices = Settings { handshake_cost: 0.05, cross_zone_cost: 0.1, ..classes() };
+    hold(Settings { tenants, over_quota_weight: 0.05, idle_timeout: SECOND, ..prices });
 }
 
 #[test]
 fn settings_that_make_no_sense_break_no_rule() {
     let mut s = classes();
-    s.classes.iter_mut().for_each(|c| (c.worth, c.late_value) = (f64::NAN, -3.0));
-    let odd = Settings { proxies: 0, cold: 0, fall: 0, fall_multiple: f64::NAN, cold_from: 7.0, ..s };
-    hold(Settings { over_share_worth: f64::INFINITY, max_retry_after: 0, must_ask_in: 0, ..odd });
+    s.classes.iter_mut().for_each(|c| (c.priority_weight, c.late_weight) = (f64::NAN, -3.0));
+    let odd = Settings {
+        proxies: 0,
+        slow_start_time: 0,
+        overload_window: 0,
+        overload_multiple: f64::NAN,
+        slow_start_from: 7.0,
+        ..s
+    };
+    hold(Settings { over_quota_weight: f64::INFINITY, max_retry_after: 0, poll_within: 0, ..odd });
 }
 
 #[test]
@@ -379,7 +397,7 @@
 fn the_checker_catches_a_second_effect() {
     let mut w = World::new(classes());
     w.step(Step::Ask { class: 3, key: 1, remaining: 500, write: false });
-    let server = w.asked[&1].tries[0].server;
+    let server = w.asked[&1].attempts[0].server;
     w.check(vec![Action::Send { id: 1, server, timeout: 0 }]);
 }
 
@@ -405,7 +423,7 @@
 fn the_checker_catches_a_lost_request() {
     let mut w = World::new(classes());
     let (pool, under, deadline) = (None, w.settings.clone(), w.proxy.now + MS);
-    let request = Asked { class: 0, pool, under, deadline, over: false, tries: vec![] };
+    let request = Asked { class: 0, pool, under, deadline, over: false, attempts: vec![] };
     w.asked.insert(99, request);
     w.pass(w.proxy.now + SECOND);
 }
@@ -419,26 +437,26 @@
     let mut s = classes();
     let base = s.classes[0].clone();
     s.classes.push(Class { only: part(&[0, 2], &[0]), ..base });
-    Settings { let_go: 100 * MS, ..s }
+    Settings { drain_close_within: 100 * MS, ..s }
 }
 
 #[test]
 fn rules_hold_with_placement_and_closing_on_drains() {
     hold(placed());
-    hold(Settings { aside: true, origin_kind: Some(1), ..placed() });
+    hold(Settings { cache_aside: true, origin_kind: Some(1), ..placed() });
     let mut nowhere = placed();
     nowhere.classes[4].only.zones = Some(vec![]);
-    hold(Settings { cold_from: f64::NAN, ..nowhere });
+    hold(Settings { slow_start_from: f64::NAN, ..nowhere });
 }
 
 /// Danger: a request that is sent by half of one version and half of another obeys neither.
 #[test]
 fn rules_hold_while_pools_and_features_change_under_requests() {
     let one = Settings { pools: vec![part(&[0], &[]), part(&[1, 2], &[0])], ..placed() };
-    let two = Settings { pools: vec![part(&[1], &[])], second_copies: false, max_attempts: 1, ..placed() };
-    let none = Settings { pools: vec![part(&[], &[]), part(&[2], &[1])], cancel: false, ..placed() };
+    let two = Settings { pools: vec![part(&[1], &[])], hedging: false, max_attempts: 1, ..placed() };
+    let none = Settings { pools: vec![part(&[], &[]), part(&[2], &[1])], cancellation: false, ..placed() };
     hold_through(vec![one.clone(), two.clone(), none.clone(), placed()]);
-    let aside = |s: Settings| Settings { aside: true, origin_kind: Some(1), ..s };
+    let aside = |s: Settings| Settings { cache_aside: true, origin_kind: Some(1), ..s };
     hold_through([two, one, none, placed()].into_iter().map(aside).collect());
 }
 
@@ -469,6 +487,6 @@
 
 #[test]
 fn rules_hold_aside() {
-    hold(Settings { aside: true, origin_kind: Some(0), ..classes() });
-    hold(Settings { aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
+    hold(Settings { cache_aside: true, origin_kind: Some(0), ..classes() });
+    hold(Settings { cache_aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
 }
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -60,14 +60,14 @@
 impl SimProxy {
     pub fn new(day: &Day, index: usize, options: &Options) -> Self {
         let settings = module_settings(day, index);
-        let slot = FleetPosition::new(settings.me, settings.proxies);
+        let slot = FleetPosition::new(settings.proxy_index, settings.proxies);
         let seed = mix(day.seed, 0x5eed, index as u64);
         SimProxy {
             caller: ListCaller::new(day, index, options.list.as_ref()),
             opens: options.connection_rates.map(|rates| (ConnectionPermits::new(slot, 0, 0), rates)),
             started: FxHashMap::default(),
             origin_kind: day.site.cache.kinds.len() as u32,
-            conn_idle: settings.conn_idle,
+            conn_idle: settings.idle_timeout,
             balancer: Balancer::new(settings, seed),
             pending: FxHashMap::default(),
             next: 1,
@@ -81,7 +81,7 @@
 
     /// Gives the module an event; its actions are left in `actions`.
     pub fn feed(&mut self, now: Nanos, event: Event) {
-        if let Event::List { kind, entries } = &event {
+        if let Event::EndpointList { kind, entries } = &event {
             self.update_permits(now, *kind, entries);
             for entry in entries {
                 if entry.state == State::Ready {
