--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -3,7 +3,7 @@
 use super::admin::{Call, Verdict};
 use super::discovery::Held;
 use super::drain::Drain;
-use super::state::{Orders, Store};
+use super::operator_orders::{OperatorOrders, OrderStore};
 use super::Engine;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,13 +12,13 @@
 pub struct Control {
     engine: Rc<Engine>,
     drain: Rc<Drain>,
-    store: Store,
+    store: OrderStore,
     /// What a call for the version is told, but for what changes.
     about: Rc<RefCell<serde_json::Value>>,
     /// The list that is held, where that is told.
     held: Option<Rc<Held>>,
     /// The orders carried out.
-    done: RefCell<Orders>,
+    done: RefCell<OperatorOrders>,
     /// Whether clients are let in.
     pub serving: Cell<bool>,
 }
@@ -28,7 +28,7 @@
     pub fn new(
         engine: Rc<Engine>,
         drain: Rc<Drain>,
-        store: Store,
+        store: OrderStore,
         about: Rc<RefCell<serde_json::Value>>,
         held: Option<Rc<Held>>,
     ) -> Rc<Self> {
@@ -40,7 +40,7 @@
 
     /// Carries out what was ordered at another process.
     pub fn look(&self) {
-        if self.store.look() {
+        if self.store.refresh() {
             let orders = self.store.orders();
             tracing::info!("operators' orders: drain {}, out {:?}", orders.drain, orders.bans);
             self.carry_out();
@@ -49,7 +49,7 @@
 
     pub async fn act(&self, call: Call) -> Verdict {
         match call {
-            Call::Ready if self.drain.stopping() => Verdict::Unready("the process is stopping"),
+            Call::Ready if self.drain.is_shutting_down() => Verdict::Unready("the process is stopping"),
             Call::Ready if !(self.serving.get() && self.engine.can_serve()) => {
                 Verdict::Unready("no cache node takes work yet")
             }
@@ -81,7 +81,7 @@
         if !self.engine.was_listed(&id) {
             return Verdict::Unknown("no such cache node was ever listed");
         }
-        let change = |orders: &mut Orders| {
+        let change = |orders: &mut OperatorOrders| {
             if out {
                 orders.bans.insert(id);
             } else {
@@ -91,8 +91,8 @@
         self.order(change).await
     }
 
-    async fn order(&self, change: impl FnOnce(&mut Orders)) -> Verdict {
-        if let Err(e) = self.store.change(change).await {
+    async fn order(&self, change: impl FnOnce(&mut OperatorOrders)) -> Verdict {
+        if let Err(e) = self.store.update(change).await {
             tracing::error!("operators' order not kept: {e}");
             // Where only the last step failed the file has it: what is in force is what the file says.
             self.look();
@@ -107,6 +107,6 @@
         let done = self.done.replace(orders.clone());
         orders.bans.difference(&done.bans).for_each(|id| self.engine.set_banned(id, true));
         done.bans.difference(&orders.bans).for_each(|id| self.engine.set_banned(id, false));
-        self.drain.call(orders.drain);
+        self.drain.set_ordered(orders.drain);
     }
 }
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -1,9 +1,9 @@
 //! The list of nodes on disk, over restarts: found and judged at the start, and kept as the service tells it.
 
 use super::paced::{Held, Source};
+use crate::background_writer::BackgroundWriter;
 use crate::config::{Config, Member, Members};
-use crate::keeping::Keeping;
-use crate::wall::unix_ms;
+use crate::wall_clock::unix_millis;
 use aniseyoke_config::model::List;
 use aniseyoke_control::sealed::{Disk, Found, Sealed};
 use aniseyoke_pace::retained_list::{check_age, ListMetadata};
@@ -41,7 +41,7 @@
     version: Option<u64>,
     written: Option<Instant>,
     anew: Duration,
-    keeping: Keeping<Kept>,
+    keeping: BackgroundWriter<Kept>,
 }
 
 /// What a list has to be of to be used here: the site, and the names that its entries use.
@@ -106,7 +106,7 @@
     let label =
         ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
     let known = config.known.as_ref().map(|known| known.version);
-    match check_age(&label, site, known, unix_ms(), fresh_for) {
+    match check_age(&label, site, known, unix_millis(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
             let age = age.as_secs();
@@ -146,7 +146,7 @@
             failing = done.is_err();
             !failing
         };
-        let keeping = Keeping::start(write).map_err(|e| format!("no thread: {e}"))?;
+        let keeping = BackgroundWriter::start(write).map_err(|e| format!("no thread: {e}"))?;
         Ok(Keeper { site, entries: list.map(by_id), version: None, written: None, anew, keeping })
     }
 
@@ -175,7 +175,7 @@
         self.written = Some(Instant::now());
         let list =
             Members { version: members.version, full: true, servers: entries.values().cloned().collect() };
-        self.keeping.keep(Kept { site: self.site.clone(), at_ms: unix_ms(), list });
+        self.keeping.write(Kept { site: self.site.clone(), at_ms: unix_millis(), list });
     }
 }
 
--- a/crates/proxy/src/discovery/paced.rs
+++ b/crates/proxy/src/discovery/paced.rs
@@ -3,7 +3,7 @@
 use super::kept::Keeper;
 use super::Fault;
 use crate::config::Members;
-use crate::wall::unix;
+use crate::wall_clock::unix_time;
 use aniseyoke_config::model::List;
 use aniseyoke_pace::PollRules;
 use aniseyoke_pace::{FleetPosition, Nanos, PollSchedule};
@@ -64,7 +64,7 @@
             Source::Disk => "disk",
             Source::Service => "service",
         };
-        let age = self.at.get().map(|at| unix().saturating_sub(at).as_secs_f64());
+        let age = self.at.get().map(|at| unix_time().saturating_sub(at).as_secs_f64());
         json!({"from": source, "version": self.version.get(), "age_s": age, "calls": self.calls.get(),
                "refused": self.refused.get(), "failed": self.failed.get()})
     }
@@ -101,7 +101,7 @@
             );
         }
     }
-    PollSchedule::new(counts, place, nanos(unix()), 0)
+    PollSchedule::new(counts, place, nanos(unix_time()), 0)
 }
 
 impl Paced {
@@ -147,7 +147,7 @@
             tracing::info!("the list service tells version {}", members.version);
         }
         self.held.version.set(Some(members.version));
-        self.held.at.set(Some(unix()));
+        self.held.at.set(Some(unix_time()));
         self.keeper.iter_mut().for_each(|k| k.told(members));
     }
 
--- a/crates/proxy/src/drain.rs
+++ b/crates/proxy/src/drain.rs
@@ -1,90 +1,65 @@
-//! Whether clients are to go elsewhere: by an operator's call, or because the process is to end.
+//! Whether clients are asked to go elsewhere: by an operator's order, or because the process shuts down. All spans are of
+//! the monotonic clock.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For so long after its start new connections still come, and clients use those that they have; idle ones
-/// stay until then.
-pub const GENTLE: Duration = Duration::from_millis(450);
+/// For so long after the drain began new connections are accepted and clients may use those that they have; idle ones stay
+/// open until then.
+pub const GRACE_PERIOD: Duration = Duration::from_millis(450);
 
-/// The switch of the drain; the front reads it.
+/// The state of the drain.
 #[derive(Default)]
 pub struct Drain {
-    /// Since when operators want it.
-    called: Cell<Option<Instant>>,
-    /// Since when the process is to end.
-    stopping: Cell<Option<Instant>>,
+    /// Since when operators have ordered it.
+    ordered_since: Cell<Option<Instant>>,
+    /// Since when the process shuts down.
+    shutting_down_since: Cell<Option<Instant>>,
 }
 
 impl Drain {
-    /// Takes an operator's wish; false if nothing changes.
-    pub fn call(&self, on: bool) -> bool {
-        if self.called.get().is_some() == on {
+    /// Applies an operator's order; returns false if nothing changes.
+    pub fn set_ordered(&self, ordered: bool) -> bool {
+        if self.ordered_since.get().is_some() == ordered {
             return false;
         }
-        self.called.set(on.then(Instant::now));
-        tracing::info!(
-            "{}",
-            if on { "drain: called by the operators" } else { "drain: ended by the operators" }
-        );
+        self.ordered_since.set(ordered.then(Instant::now));
+        let change = if ordered { "called" } else { "ended" };
+        tracing::info!("drain: {change} by the operators");
         true
     }
 
-    /// The process is to end. There is no way back.
-    pub fn stop(&self) {
-        if self.stopping.get().is_none() {
-            self.stopping.set(Some(Instant::now()));
+    /// The process begins to shut down, which can't be undone.
+    pub fn begin_shutdown(&self) {
+        if self.shutting_down_since.get().is_none() {
+            self.shutting_down_since.set(Some(Instant::now()));
         }
     }
 
-    /// Whether the process is to end.
-    pub fn stopping(&self) -> bool {
-        self.stopping.get().is_some()
+    /// Whether the process shuts down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down_since.get().is_some()
     }
 
     /// Since when clients are asked to go elsewhere, if they are.
     pub fn since(&self) -> Option<Instant> {
-        match (self.called.get(), self.stopping.get()) {
-            (Some(called), Some(stopping)) => Some(called.min(stopping)),
-            (called, stopping) => called.or(stopping),
+        match (self.ordered_since.get(), self.shutting_down_since.get()) {
+            (Some(ordered), Some(shutdown)) => Some(ordered.min(shutdown)),
+            (ordered, shutdown) => ordered.or(shutdown),
         }
     }
 
     /// Whether clients are asked to go elsewhere.
-    pub fn on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.since().is_some()
     }
 
-    /// Whether a connection that has had nothing to do since `idle` is to end by now.
-    pub fn ends(&self, idle: Instant, now: Instant) -> bool {
-        self.since().is_some_and(|since| now.saturating_duration_since(since.max(idle)) > GENTLE)
+    /// Whether a connection that has been idle since `idle_since` is to be closed by now.
+    pub fn closes_idle(&self, idle_since: Instant, now: Instant) -> bool {
+        self.since().is_some_and(|since| now.saturating_duration_since(since.max(idle_since)) > GRACE_PERIOD)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Danger: an operator's call back must not bring clients to a process that is about to end.
-    #[test]
-    fn a_process_that_stops_goes_on_draining_after_the_call_back() {
-        let drain = Drain::default();
-        assert!(drain.call(true) && !drain.call(true) && drain.on());
-        drain.stop();
-        assert!(drain.call(false) && !drain.call(false));
-        assert!(drain.on() && drain.stopping());
-    }
-
-    #[test]
-    fn idle_connections_stay_for_the_gentle_time_after_both_their_last_use_and_the_call() {
-        let drain = Drain::default();
-        let now = Instant::now();
-        assert!(!drain.ends(now, now + 9 * GENTLE));
-        drain.call(true);
-        let called = drain.since().expect("called");
-        assert!(!drain.ends(now, called + GENTLE));
-        assert!(drain.ends(now, called + GENTLE + Duration::from_millis(1)));
-        assert!(!drain.ends(called + GENTLE, called + 2 * GENTLE));
-    }
-}
+mod tests;
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -47,7 +47,7 @@
         socket: &Rc<Socket>,
     ) -> Response<Outgoing> {
         if request.uri().path() == "/_health" {
-            let ready = !self.drain.on() && self.engine.can_serve();
+            let ready = !self.drain.is_active() && self.engine.can_serve();
             return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
         }
         let word = if request.version() == Version::HTTP_11 { Word::Interim } else { Word::Begin };
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -129,8 +129,8 @@
             over(self.came, ASK_WITHIN)
         };
         // A process that is to end waits for a head that still comes, but not for one that has stopped.
-        let stopped = drain.on() && !self.answered() && over(self.quiet_since(), ASK_SOON);
-        let idle = (over(self.since.get(), IDLE_MOST) || drain.ends(self.since.get(), now))
+        let stopped = drain.is_active() && !self.answered() && over(self.quiet_since(), ASK_SOON);
+        let idle = (over(self.since.get(), IDLE_MOST) || drain.closes_idle(self.since.get(), now))
             && !self.begun()
             && self.socket.silent();
         if overdue || stopped || idle {
@@ -182,7 +182,7 @@
                     };
                     // In a crowd a connection is worth more to the next client than to the one that has its answer.
                     let leaves = client.seen.heads.get() == 1 && server.packed();
-                    let ends = leaves || server.drain.on() || client.closing.get();
+                    let ends = leaves || server.drain.is_active() || client.closing.get();
                     // Danger: a request read behind this one would go without its answer.
                     if ends && !client.begun() || client.seen.last.get() {
                         closing(&mut response);
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -15,9 +15,9 @@
 use crate::discovery::{self, Discovery, Held, Paced};
 use crate::drain::Drain;
 use crate::opening::Opening;
+use crate::operator_orders::OrderStore;
 use crate::peers::Peers;
 use crate::socket::Descriptors;
-use crate::state::Store;
 use crate::upstream::Upstreams;
 use crate::{admin, handover, Engine};
 use aniseyoke_core::EngineConfig;
@@ -99,7 +99,7 @@
     mut hangup: Signal,
 ) -> Result<(), String> {
     let listen = config.listen;
-    let inherited = handover::inherited(listen)?;
+    let inherited = handover::inherited(listen).map_err(|error| error.to_string())?;
     let handed = inherited.is_some();
     let listener = match inherited {
         Some(inherited) => TcpListener::from_std(inherited),
@@ -114,7 +114,7 @@
     let own = OWN_DESCRIPTORS + door;
     let memory = config.memory.saturating_sub(OWN_MEMORY + door_memory + beyond.reserve);
     let places = Places { sockets: config.sockets, own, memory };
-    let others = living.others();
+    let others = living.other_claims();
     let descriptors = Descriptors::new(places.part(&others));
     let budget = Budget::new(places.held(&others));
     let settings = config.settings.clone();
@@ -185,7 +185,7 @@
             crowded.thin();
         }
     });
-    let control = Control::new(engine.clone(), drain, Store::open(dir), beyond.about, beyond.held);
+    let control = Control::new(engine.clone(), drain, OrderStore::open(dir), beyond.about, beyond.held);
     if let Some(mgmt) = mgmt {
         let control = control.clone();
         let act = move |call| {
@@ -226,9 +226,9 @@
 
     /// Takes no more descriptors than the other processes of this proxy leave; one that stops takes ever fewer.
     fn share(&self, places: &Places, living: &Peers) {
-        let others = living.others();
+        let others = living.other_claims();
         let mut most = places.part(&others);
-        if self.drain.stopping() && !others.is_empty() {
+        if self.drain.is_shutting_down() && !others.is_empty() {
             most = most.min(self.descriptors.used() + CLAIM_MORE);
             living.claim(most + places.own);
         }
--- a/crates/proxy/src/front/places.rs
+++ b/crates/proxy/src/front/places.rs
@@ -18,7 +18,7 @@
     pub fn part(&self, others: &[Option<usize>]) -> usize {
         // Danger: each connection may come to hold what is read ahead of it and what is still to be written.
         let room = self.memory / (others.len() + 1) / 4 * 3 / (2 * BUFFER_MOST);
-        peers::part(self.sockets, others).saturating_sub(self.own).min(room).max(8)
+        peers::remaining_descriptors(self.sockets, others).saturating_sub(self.own).min(room).max(8)
     }
 
     /// The bytes of bodies that this process may hold whole beside others.
--- a/crates/proxy/src/front/stop.rs
+++ b/crates/proxy/src/front/stop.rs
@@ -9,7 +9,7 @@
 
 /// New connections come for some time after SIGTERM; accepting goes on for at least the first span, until none
 /// has come for the second, and ends after the third.
-const ACCEPT_FOR: Duration = drain::GENTLE;
+const ACCEPT_FOR: Duration = drain::GRACE_PERIOD;
 const QUIET_FOR: Duration = Duration::from_millis(100);
 const ACCEPT_MOST: Duration = Duration::from_millis(600);
 /// A proxy may be killed so long after the longest deadline after SIGTERM; it ends a little sooner.
@@ -22,7 +22,7 @@
     /// Of a socket that was handed over nothing more is taken: what waits there is for the successor.
     pub(super) async fn stop(self: &Rc<Self>, listener: TcpListener, handed: bool) {
         tracing::info!("draining");
-        self.drain.stop();
+        self.drain.begin_shutdown();
         let start = Instant::now();
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let longest = Duration::from_nanos(longest);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,6 +3,7 @@
 #![doc = include_str!("../../../README.md")]
 
 pub mod admin;
+mod background_writer;
 mod budget;
 pub mod cli;
 pub mod config;
@@ -11,21 +12,18 @@
 pub mod drain;
 pub mod front;
 mod handover;
-mod keeping;
 mod opening;
 pub mod operator;
+mod operator_orders;
 mod peers;
 mod plan;
 mod relay;
-#[cfg(test)]
-mod scratch;
 mod serve;
 mod socket;
-mod state;
 mod upload;
 mod upstream;
 mod versions;
-mod wall;
+mod wall_clock;
 
 use http_body_util::Full;
 use hyper::body::Bytes;
--- a/crates/proxy/src/opening.rs
+++ b/crates/proxy/src/opening.rs
@@ -1,7 +1,7 @@
 //! Permits to open connections, where the operator's file limits what all proxies together open to one machine.
 
 use crate::discovery::nanos;
-use crate::wall::unix;
+use crate::wall_clock::unix_time;
 use aniseyoke_config::model::Opening as Rules;
 use aniseyoke_decision::api::{Entry, ServerId, State};
 use aniseyoke_pace::{ConnectionPermits, FleetPosition, Nanos};
@@ -20,7 +20,7 @@
 
 impl Opening {
     pub fn new(rules: Rules, origin_kind: Option<u32>, place: FleetPosition) -> Self {
-        let opens = ConnectionPermits::new(place, nanos(unix()), 0);
+        let opens = ConnectionPermits::new(place, nanos(unix_time()), 0);
         Opening { rules, origin_kind, opens, started: FxHashMap::default(), began: Instant::now() }
     }
 
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::front::Beyond;
 use crate::opening::Opening;
 use crate::versions::{last_good, reserve, Below, InForce, Serving, Subscription};
-use crate::{front, operator, wall};
+use crate::{front, operator, wall_clock};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::Version;
@@ -51,7 +51,7 @@
     let resolved = operator::read(file.as_deref()).map_err(|faults| told(&faults))?;
     let log = aniseyoke_logging::start(&operator::log_options(&resolved.operator.log))
         .map_err(|e| one(e.to_string()))?;
-    wall::start().map_err(one)?;
+    wall_clock::init().map_err(|error| one(error.to_string()))?;
     let platform = Config::from_env().map_err(one)?;
     let source = file.as_deref().map(operator::source).transpose().map_err(|fault| told(&[fault]))?;
     let below = Arc::new(Below { platform, file: source });
--- a/crates/proxy/src/versions/below.rs
+++ b/crates/proxy/src/versions/below.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::operator;
 use crate::plan::plan;
-use crate::wall::unix_ms;
+use crate::wall_clock::unix_millis;
 use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Control, Operator};
 use aniseyoke_config::ConfigError;
@@ -50,7 +50,7 @@
         }
         Ok(Found::Good(Kept { version, at_ms })) => match below.with(Some(&version)) {
             Ok(_) => {
-                let age = std::time::Duration::from_secs(unix_ms().saturating_sub(at_ms) / 1000);
+                let age = std::time::Duration::from_secs(unix_millis().saturating_sub(at_ms) / 1000);
                 let age = humantime::format_duration(age);
                 tracing::info!(
                     "version {} from disk is in force, {age} old and stale until a service says so",
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -3,10 +3,10 @@
 
 use super::serving::{Order, Ready};
 use super::{frame_most, Below, InForce, KEPT};
+use crate::background_writer::BackgroundWriter;
 use crate::config::Names;
-use crate::keeping::Keeping;
 use crate::operator::log_levels;
-use crate::wall::{unix, unix_ms};
+use crate::wall_clock::{unix_millis, unix_time};
 use aniseyoke_config::model::Control;
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::client::{follow, Host};
@@ -26,7 +26,7 @@
     orders: mpsc::Sender<Order>,
     tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
-    keeping: Option<Keeping<Kept>>,
+    keeping: Option<BackgroundWriter<Kept>>,
 }
 
 impl Subscription {
@@ -43,7 +43,7 @@
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
             let mut failing = false;
-            Keeping::start(move |kept: &Kept| {
+            BackgroundWriter::start(move |kept: &Kept| {
                 let stamp = kept.version.stamp;
                 // Another process of this proxy may have kept a later one.
                 if matches!(store.find(), Ok(Found::Good(before)) if before.version.stamp > stamp) {
@@ -73,7 +73,7 @@
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
         let frame_most = frame_most(self.below.platform.memory);
-        let boot = u64::try_from(unix().as_nanos()).unwrap_or(u64::MAX);
+        let boot = u64::try_from(unix_time().as_nanos()).unwrap_or(u64::MAX);
         let instance = control.instance.unwrap_or_else(|| at.to_string());
         let identity = Identity { instance, boot, labels: control.labels, frame_most };
         let runtime =
@@ -142,8 +142,8 @@
     }
 
     fn keep(&self, version: Version) {
-        let at_ms = unix_ms();
-        self.keeping.iter().for_each(|k| k.keep(Kept { version: version.clone(), at_ms }));
+        let at_ms = unix_millis();
+        self.keeping.iter().for_each(|k| k.write(Kept { version: version.clone(), at_ms }));
     }
 
     fn say(&self, what: &str) {
