--- a/crates/lab-day/src/settings.rs
+++ b/crates/lab-day/src/settings.rs
@@ -92,7 +92,7 @@
         classes: day.load.classes.iter().map(class).collect(),
         tenants: day.load.tenants.iter().map(tenant).collect(),
         proxies: day.site.proxy.count as u32,
-        me: index as u32,
+        proxy_index: index as u32,
         subscribes: true,
         cache_aside: true,
         origin_kind: Some(cache.kinds.len() as u32),
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -64,7 +64,9 @@
 
     fn version(&self) -> serde_json::Value {
         let mut about = self.about.borrow().clone();
-        if let (Some(aniseyoke_core::QueueStatus { waiting, rejected: turned }), Some(about)) = (self.engine.queue_status(), about.as_object_mut()) {
+        if let (Some(aniseyoke_core::QueueStatus { waiting, rejected: turned }), Some(about)) =
+            (self.engine.queue_status(), about.as_object_mut())
+        {
             about.insert("limits".into(), serde_json::json!({ "waiting": waiting, "turned": turned }));
         }
         if let (Some(held), Some(about)) = (&self.held, about.as_object_mut()) {
@@ -92,7 +94,9 @@
     async fn order(&self, change: impl FnOnce(&mut OperatorOrders)) -> Verdict {
         if let Err(e) = self.store.update(change).await {
             tracing::error!("operators' order not kept: {e}");
-            return Verdict::Unready("the order could not be kept");
+            // Where only the last step failed the file has it: what is in force is what the file says.
+            self.look();
+            return Verdict::Unready("the order could not be kept: make the call again");
         }
         self.carry_out();
         Verdict::Yes
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -1,8 +1,8 @@
 //! The list of nodes on disk, over restarts: found and judged at the start, and kept as the service tells it.
 
 use super::paced::{Held, Source};
-use crate::config::{Config, Member, Members};
 use crate::background_writer::BackgroundWriter;
+use crate::config::{Config, Member, Members};
 use crate::wall_clock::unix_millis;
 use aniseyoke_config::model::List;
 use aniseyoke_control::checksummed_file::{ChecksummedFile, Disk, Loaded};
@@ -132,8 +132,8 @@
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let mut store = ChecksummedFile::new(Disk, file, MAGIC);
         let mut failing = false;
-        let write = move |kept: Kept| {
-            let payload = serde_json::to_vec(&kept).map_err(std::io::Error::from);
+        let write = move |kept: &Kept| {
+            let payload = serde_json::to_vec(kept).map_err(std::io::Error::from);
             let done = payload.and_then(|payload| store.save(&payload));
             match (&done, failing) {
                 (Err(e), false) => {
@@ -143,6 +143,7 @@
                 _ => {}
             }
             failing = done.is_err();
+            !failing
         };
         let keeping = BackgroundWriter::start(write).map_err(|e| format!("no thread: {e}"))?;
         Ok(Keeper { site, entries: list.map(by_id), version: None, written: None, anew, keeping })
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -53,7 +53,10 @@
             return Err((StatusCode::BAD_REQUEST, "no X-Correlation-Id, or a bad one"));
         }
         let key_of_repeats = only(&IDEMPOTENCY_KEY, "more than one Idempotency-Key")?;
-        if write && settings.idempotency == Idempotency::WithKey && key_of_repeats.is_none_or(|k| k.is_empty()) {
+        if write
+            && settings.idempotency == Idempotency::WithKey
+            && key_of_repeats.is_none_or(|k| k.is_empty())
+        {
             return Err((StatusCode::BAD_REQUEST, "no Idempotency-Key"));
         }
         let body = upload::read(body, write, &self.budget).await.map_err(|fault| match fault {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,6 +3,7 @@
 #![doc = include_str!("../../../README.md")]
 
 pub mod admin;
+mod background_writer;
 mod budget;
 pub mod cli;
 pub mod config;
@@ -11,16 +12,15 @@
 pub mod drain;
 pub mod front;
 mod handover;
-mod background_writer;
 mod last_look;
 mod opening;
 pub mod operator;
+mod operator_orders;
 mod peers;
 mod plan;
 mod relay;
 mod serve;
 mod socket;
-mod operator_orders;
 mod upload;
 mod upstream;
 mod versions;
