--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -32,7 +32,7 @@
     /// The platform pushes its lists: what its agent has counts as told, whether or not it was asked.
     pub pushed: bool,
     pub names: Names,
-    pub known: Option<Members>,
+    pub known: Option<EndpointList>,
 }
 
 /// The names that stand on the sockets for what the module knows by number.
@@ -46,15 +46,15 @@
 
 /// A list of cache nodes in discovery's form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Members {
+pub struct EndpointList {
     pub version: u64,
     pub full: bool,
-    pub servers: Vec<Member>,
+    pub servers: Vec<Endpoint>,
 }
 
 /// A cache node in discovery's form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct Endpoint {
     id: String,
     #[serde(default)]
     addr: String,
@@ -71,7 +71,7 @@
     started_ms: Option<f64>,
 }
 
-impl Member {
+impl Endpoint {
     /// What it is known by.
     pub fn id(&self) -> &str {
         &self.id
@@ -85,12 +85,12 @@
 
 impl Names {
     /// The module's form of a list.
-    pub fn entries(&self, members: &Members) -> Vec<(Entry, Option<SocketAddr>)> {
+    pub fn entries(&self, members: &EndpointList) -> Vec<(Entry, Option<SocketAddr>)> {
         members.servers.iter().map(|m| self.entry(m)).collect()
     }
 
     /// The module's form of a cache node, and where to connect.
-    fn entry(&self, m: &Member) -> (Entry, Option<SocketAddr>) {
+    fn entry(&self, m: &Endpoint) -> (Entry, Option<SocketAddr>) {
         // A name that the settings do not list is none of those that they do.
         let index = |names: &[String], v: &Value| {
             let known = v.as_str().and_then(|name| names.iter().position(|n| n == name));
@@ -169,7 +169,7 @@
             return Err(format!("settings.categories.{i}.deadline_ns is missing or 0"));
         }
         let known = match root.get("known").filter(|k| !k.is_null()) {
-            Some(known) => Some(Members::deserialize(known).map_err(|e| format!("known: {e}"))?),
+            Some(known) => Some(EndpointList::deserialize(known).map_err(|e| format!("known: {e}"))?),
             None => None,
         };
         let seed = match &root["seed"] {
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,7 +1,7 @@
 //! Carries the operators' calls out, each before its answer, and what they order at another process of this proxy.
 
 use super::admin::{Call, Verdict};
-use super::discovery::Held;
+use super::discovery::ListStatus;
 use super::drain::Drain;
 use super::state::{Orders, Store};
 use super::Engine;
@@ -15,8 +15,8 @@
     store: Store,
     /// What a call for the version is told, but for what changes.
     about: Rc<RefCell<serde_json::Value>>,
-    /// The list that is held, where that is told.
-    held: Option<Rc<Held>>,
+    /// The status of the endpoint list, where the operator's file has a [list] section.
+    list_status: Option<Rc<ListStatus>>,
     /// The orders carried out.
     done: RefCell<Orders>,
     /// Whether clients are let in.
@@ -30,10 +30,10 @@
         drain: Rc<Drain>,
         store: Store,
         about: Rc<RefCell<serde_json::Value>>,
-        held: Option<Rc<Held>>,
+        list_status: Option<Rc<ListStatus>>,
     ) -> Rc<Self> {
         let (done, serving) = (RefCell::default(), Cell::new(false));
-        let control = Control { engine, drain, store, about, held, done, serving };
+        let control = Control { engine, drain, store, about, list_status, done, serving };
         control.look();
         Rc::new(control)
     }
@@ -67,8 +67,8 @@
         if let (Some((waiting, turned)), Some(about)) = (self.engine.queued(), about.as_object_mut()) {
             about.insert("limits".into(), serde_json::json!({ "waiting": waiting, "turned": turned }));
         }
-        if let (Some(held), Some(about)) = (&self.held, about.as_object_mut()) {
-            about.insert("list".into(), held.told());
+        if let (Some(list_status), Some(about)) = (&self.list_status, about.as_object_mut()) {
+            about.insert("list".into(), list_status.to_json());
         }
         about
     }
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -1,7 +1,7 @@
 //! The list of nodes on disk, over restarts: found and judged at the start, and kept as the service tells it.
 
-use super::paced::{Held, Source};
-use crate::config::{Config, Member, Members};
+use super::status::{ListSource, ListStatus};
+use crate::config::{Config, Endpoint, EndpointList};
 use crate::keeping::Keeping;
 use crate::wall::unix_ms;
 use aniseyoke_config::model::List;
@@ -18,29 +18,29 @@
 /// Its first words, and the version of its form.
 const MAGIC: &str = "aniseyoke-list 1";
 /// While nothing changes it is written anew after this part of the time for which it counts, so that it stays fresh.
-const ANEW_PART: u32 = 8;
+const REFRESH_DIVISOR: u32 = 8;
 /// Entries of a list; with more it is not kept.
-const ENTRIES_MOST: usize = 1 << 14;
+const MAX_ENTRIES: usize = 1 << 14;
 /// A larger file is not read, in bytes: such a list takes less. Danger: a proxy may have 32 MB for everything.
-const FILE_MOST: u64 = 4 << 20;
+const MAX_FILE_BYTES: u64 = 4 << 20;
 
 /// What stands in the file.
 #[derive(Serialize, Deserialize)]
 struct Kept {
     site: String,
     at_ms: u64,
-    list: Members,
+    list: EndpointList,
 }
 
 /// The list as the service tells it, and the writer of its file.
-pub struct Keeper {
+pub struct CachedListWriter {
     site: String,
     /// By id; none: not told whole yet.
-    entries: Option<BTreeMap<String, Member>>,
+    entries: Option<BTreeMap<String, Endpoint>>,
     /// Of the list that was written last; none: none was.
     version: Option<u64>,
     written: Option<Instant>,
-    anew: Duration,
+    refresh_interval: Duration,
     keeping: Keeping<Kept>,
 }
 
@@ -53,10 +53,10 @@
 
 /// Begins with the list on disk in place of the platform's, if it may be used. Returns what is held, and who keeps what
 /// the service tells, if that is asked for. A file that may not be used is named in the log, and costs no start.
-pub fn begin(rules: &List, config: &mut Config) -> (Rc<Held>, Option<Keeper>) {
+pub fn restore(rules: &List, config: &mut Config) -> (Rc<ListStatus>, Option<CachedListWriter>) {
     let platform = |config: &Config| match &config.known {
-        Some(known) => Held::new(Source::Platform, Some(known.version), None),
-        None => Held::new(Source::Nothing, None, None),
+        Some(known) => ListStatus::new(ListSource::Platform, Some(known.version), None),
+        None => ListStatus::new(ListSource::Nothing, None, None),
     };
     let Some(folder) = &rules.keep else { return (platform(config), None) };
     let site = site_of(rules, config);
@@ -66,22 +66,22 @@
         Some(kept) => {
             config.known = Some(kept.list.clone());
             let at = Duration::from_millis(kept.at_ms);
-            Held::new(Source::Disk, Some(kept.list.version), Some(at))
+            ListStatus::new(ListSource::Disk, Some(kept.list.version), Some(at))
         }
         None => platform(config),
     };
     // What the service tells next may be changes to the list that is held, wherever that came from.
     let list = config.known.as_ref().filter(|known| known.full);
-    let keeper = Keeper::start(folder, file, site, rules.fresh_for / ANEW_PART, list);
-    (held, keeper.map_err(|why| tracing::warn!("the list is not kept: {why}")).ok())
+    let writer = CachedListWriter::start(folder, file, site, rules.fresh_for / REFRESH_DIVISOR, list);
+    (held, writer.map_err(|why| tracing::warn!("the list is not kept: {why}")).ok())
 }
 
 /// The list in a file, if it may be used.
 fn find(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<Kept> {
     let name = file.display();
     let length = std::fs::metadata(file).map_or(0, |about| about.len());
-    if length > FILE_MOST {
-        tracing::warn!("{name}: the kept list is not used: {length} bytes are more than {FILE_MOST}");
+    if length > MAX_FILE_BYTES {
+        tracing::warn!("{name}: the kept list is not used: {length} bytes are more than {MAX_FILE_BYTES}");
         return None;
     }
     let kept: Kept = match Sealed::new(Disk, file.to_owned(), MAGIC).find() {
@@ -122,13 +122,13 @@
     }
 }
 
-impl Keeper {
+impl CachedListWriter {
     fn start(
         folder: &Path,
         file: PathBuf,
         site: String,
-        anew: Duration,
-        list: Option<&Members>,
+        refresh_interval: Duration,
+        list: Option<&EndpointList>,
     ) -> Result<Self, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let mut store = Sealed::new(Disk, file, MAGIC);
@@ -146,11 +146,18 @@
             failing = done.is_err();
         };
         let keeping = Keeping::start(write).map_err(|e| format!("no thread: {e}"))?;
-        Ok(Keeper { site, entries: list.map(by_id), version: None, written: None, anew, keeping })
+        Ok(CachedListWriter {
+            site,
+            entries: list.map(by_id),
+            version: None,
+            written: None,
+            refresh_interval,
+            keeping,
+        })
     }
 
     /// The service has told the list or changes of it, perhaps none.
-    pub fn told(&mut self, members: &Members) {
+    pub fn update(&mut self, members: &EndpointList) {
         if members.full {
             self.entries = Some(by_id(members));
         }
@@ -163,22 +170,25 @@
                 entries.insert(member.id().to_owned(), member.clone());
             }
         }
-        if entries.len() > ENTRIES_MOST {
+        if entries.len() > MAX_ENTRIES {
             self.entries = None;
             return;
         }
         let changed = self.version.replace(members.version) != Some(members.version);
-        if !changed && self.written.is_some_and(|at| at.elapsed() < self.anew) {
+        if !changed && self.written.is_some_and(|at| at.elapsed() < self.refresh_interval) {
             return;
         }
         self.written = Some(Instant::now());
-        let list =
-            Members { version: members.version, full: true, servers: entries.values().cloned().collect() };
+        let list = EndpointList {
+            version: members.version,
+            full: true,
+            servers: entries.values().cloned().collect(),
+        };
         self.keeping.keep(Kept { site: self.site.clone(), at_ms: unix_ms(), list });
     }
 }
 
-fn by_id(list: &Members) -> BTreeMap<String, Member> {
+fn by_id(list: &EndpointList) -> BTreeMap<String, Endpoint> {
     let listed = list.servers.iter().filter(|m| !m.gone());
     listed.map(|m| (m.id().to_owned(), m.clone())).collect()
 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -12,7 +12,7 @@
 use crate::budget::Budget;
 use crate::config::{Config, Names};
 use crate::control::Control;
-use crate::discovery::{self, Discovery, Held, Paced};
+use crate::discovery::{self, EndpointWatcher, ListPolling, ListStatus, WatchTriggers};
 use crate::drain::Drain;
 use crate::opening::Opening;
 use crate::peers::Peers;
@@ -74,9 +74,9 @@
     /// What the core is to work by.
     pub plan: Arc<Plan>,
     /// When the list service may be asked, where that is limited.
-    pub paced: Option<Paced>,
+    pub paced: Option<ListPolling>,
     /// What is told of the list then.
-    pub held: Option<Rc<Held>>,
+    pub held: Option<Rc<ListStatus>>,
     /// Permits to open connections, where that is limited.
     pub opening: Option<Opening>,
     /// Memory that is no connection's beside what every proxy keeps, in bytes.
@@ -127,13 +127,14 @@
     // discovery that is down. A process that takes over asks for the whole list.
     let version = config.known.as_ref().filter(|_| !handed).map(|known| known.version);
     let (addr, names) = (config.discovery, Rc::new(config.names));
-    let discovery = Discovery::new(addr, version, settings.must_ask_in, names.clone(), beyond.paced);
+    let discovery = EndpointWatcher::new(addr, version, settings.must_ask_in, names.clone(), beyond.paced);
     let known = config.known.as_ref().map_or_else(Vec::new, |known| names.entries(known));
     let engine = Engine::new(beyond.plan, config.seed, &known, upstreams.clone(), watch);
     let engine = engine.map_err(|fault| fault.to_string())?;
     (beyond.started)(engine.clone(), bound)?;
     let (moves, moved) = mpsc::unbounded_channel();
-    tokio::task::spawn_local(discovery.follow(engine.clone(), asked, moved));
+    let triggers = WatchTriggers { watch_requests: asked, address_changes: moved };
+    tokio::task::spawn_local(discovery.follow(engine.clone(), triggers));
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
             match Config::again() {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod control;
 pub mod discovery;
 pub mod drain;
+mod duration;
 pub mod front;
 mod handover;
 mod keeping;
--- a/crates/proxy/src/opening.rs
+++ b/crates/proxy/src/opening.rs
@@ -1,6 +1,6 @@
 //! Permits to open connections, where the operator's file limits what all proxies together open to one machine.
 
-use crate::discovery::nanos;
+use crate::duration::nanos;
 use crate::wall::unix;
 use aniseyoke_config::model::Opening as Rules;
 use aniseyoke_decision::api::{Entry, ServerId, State};
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,7 +1,7 @@
 //! Starts the proxy as the environment and the operator's file say, rereads both on SIGHUP, and ends it on SIGTERM or SIGINT.
 
 use crate::config::Config;
-use crate::discovery::{self, Paced};
+use crate::discovery::{self, ListPolling};
 use crate::front::Beyond;
 use crate::opening::Opening;
 use crate::versions::{last_good, reserve, Below, InForce, Serving, Subscription};
@@ -71,13 +71,14 @@
     let platform = below.clone();
     let place = FleetPosition::new(plan.settings.me, plan.settings.proxies);
     let paced = resolved.operator.list.as_ref().map(|rules| {
-        let (held, keeper) = discovery::begin(rules, &mut config);
+        let (held, keeper) = discovery::restore(rules, &mut config);
         // Danger: what is pushed counts as told at once; to wait for a slot then is to use nodes that have been taken away.
-        let polls = (!config.pushed).then(|| discovery::polls(rules, plan.settings.must_ask_in, place));
+        let polls =
+            (!config.pushed).then(|| discovery::poll_schedule(rules, plan.settings.must_ask_in, place));
         if polls.is_none() {
             tracing::info!("list: the platform pushes its lists, so that calls are not paced");
         }
-        (Paced::new(polls, held.clone(), keeper), held)
+        (ListPolling::new(polls, held.clone(), keeper), held)
     });
     let (paced, held) = paced.unzip();
     let opening = resolved.operator.opening.clone();
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -124,7 +124,7 @@
     call.request();
     call.reply("503 Service Unavailable", "Retry-After: 1.5\r\n", "");
     let refused = Instant::now();
-    proxy.logged("answered 503, to be asked again in 1.5 s");
+    proxy.logged("answered 503, retry after 1.5 s");
     let mut again = site.discovery.take();
     again.request();
     assert!(refused.elapsed() > Duration::from_millis(1300), "{:?}", refused.elapsed());
