--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,5 +1,6 @@
 //! The operators' door: a listener of its own that takes one call a connection and answers it at once.
 
+use crate::bind::{bind, BindError};
 use aniseyoke_sockets::{accept_error, AcceptError, Uninterrupted};
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
@@ -62,13 +63,12 @@
 }
 
 /// Listens at `addr` and has each call carried out by `act`.
-pub async fn open<F, A>(addr: SocketAddr, act: F) -> Result<(), String>
+pub async fn open<F, A>(addr: SocketAddr, act: F) -> Result<(), BindError>
 where
     F: Fn(Call) -> A + 'static,
     A: Future<Output = Verdict> + 'static,
 {
-    let listener = TcpListener::bind(addr).await.map_err(|e| format!("PROXY_MGMT: {addr}: {e}"))?;
-    let bound = listener.local_addr().map_err(|e| format!("PROXY_MGMT: {addr}: {e}"))?;
+    let (listener, bound) = bind("PROXY_MGMT", addr).await?;
     tracing::info!("operators call at {bound}");
     tokio::task::spawn_local(take_all(listener, Rc::new(act)));
     Ok(())
--- a/crates/proxy/src/front/accept.rs
+++ b/crates/proxy/src/front/accept.rs
@@ -1,6 +1,6 @@
-//! Takes connections in, and decides which of them makes room when places run out.
+//! Accepts and admits connections, and decides which of them is closed when descriptors run out.
 
-use super::client::{Client, ASK_SOON};
+use super::client::{Client, FIRST_REQUEST_SOON};
 use super::Server;
 use aniseyoke_sockets::{accept_error, AcceptError};
 use std::convert::Infallible;
@@ -11,31 +11,32 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client that uses its connection again does so within this time, mostly.
-const ASK_AGAIN: Duration = Duration::from_millis(40);
-/// More than this part of the clients' connections that ask nothing are a flood.
-const SILENT_PART: usize = 4;
-/// A connection that is to make room does so within this time, or another is asked to.
-const YIELD_WITHIN: Duration = Duration::from_millis(2);
-/// After a failure for lack of descriptors or memory the next connection is taken so much later at most.
+/// A client that reuses its connection does so within this time, mostly.
+const REUSE_WITHIN: Duration = Duration::from_millis(40);
+/// When more than this part of the allowed connections has sent no request, there is a flood.
+const FLOOD_DIVISOR: usize = 4;
+/// A connection that is closed to make room is gone within this time, or another is closed.
+const CLOSE_WAIT: Duration = Duration::from_millis(2);
+/// After a failure for lack of descriptors or memory the next connection is accepted so much later at most.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
 
 impl Server {
+    /// Accepts connections without end.
     pub(super) async fn accept_all(self: &Rc<Self>, listener: &TcpListener) -> Infallible {
         loop {
             let accepted = listener.accept().await;
-            self.accepted(accepted).await;
+            self.handle_accept(accepted).await;
         }
     }
 
-    /// Takes in a connection, once there is a descriptor for it. The one that it has meanwhile is the server's own.
-    /// What failed says whether to go on at once.
-    pub(super) async fn accepted(self: &Rc<Self>, accepted: io::Result<(TcpStream, SocketAddr)>) {
+    /// Admits an accepted connection, once there is a descriptor of the budget for it. After a failure it returns when the
+    /// next may be accepted.
+    pub(super) async fn handle_accept(self: &Rc<Self>, accepted: io::Result<(TcpStream, SocketAddr)>) {
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(e) => return self.accept_failed(&e).await,
         };
-        self.taken.replace(Some(stream));
+        self.pending_connection.replace(Some(stream));
         self.admit().await;
     }
 
@@ -47,7 +48,7 @@
             AcceptError::Shortage => {
                 tracing::warn!("accept: {e}");
                 if !self.upstreams.yield_idle() {
-                    self.yield_client(true);
+                    self.close_idle_client(true);
                 }
                 let _ = timeout(SHORTAGE_PAUSE, self.descriptors.freed()).await;
             }
@@ -58,87 +59,92 @@
         }
     }
 
-    /// Lets in the connection that was accepted last, if it waits still, once there is a descriptor for it. Danger: what
+    /// Admits the connection that was accepted last, if it waits still, once there is a descriptor for it. Danger: what
     /// accepts is dropped when the process is told to stop; the connection must not go with it.
     pub(super) async fn admit(self: &Rc<Self>) {
-        if self.taken.borrow().is_none() {
+        if self.pending_connection.borrow().is_none() {
             return;
         }
         let permit = loop {
-            if self.clients.borrow().len() >= self.clients_most() {
-                if !self.one_leaves() {
-                    self.yield_client(false);
+            if self.clients.borrow().len() >= self.max_clients() {
+                if !self.has_client_closing() {
+                    self.close_idle_client(false);
                 }
             } else if let Some(permit) = self.descriptors.take() {
                 break permit;
-            } else if !self.upstreams.yield_idle() && !self.one_leaves() {
-                self.yield_client(false);
+            } else if !self.upstreams.yield_idle() && !self.has_client_closing() {
+                self.close_idle_client(false);
             }
-            // Danger: who was sent away may have asked just then and stays until it has its answer; the next one
+            // Danger: a client whose connection is closed may have sent a request just then, and stays until it has its answer; the next one
             // must not wait for that.
-            let _ = timeout(YIELD_WITHIN, self.descriptors.freed()).await;
+            let _ = timeout(CLOSE_WAIT, self.descriptors.freed()).await;
         };
-        let Some(stream) = self.taken.take() else { return };
-        self.clone().connected(stream, permit);
-        if self.crowded() {
-            self.yield_client(true);
+        let Some(stream) = self.pending_connection.take() else { return };
+        self.clone().serve_client(stream, permit);
+        if self.is_crowded() {
+            self.close_idle_client(true);
         }
     }
 
-    fn crowded(&self) -> bool {
-        self.staying() > self.clients_most() / 2
+    /// Whether more clients stay than may keep idle connections.
+    fn is_crowded(&self) -> bool {
+        self.remaining_clients() > self.max_clients() / 2
     }
 
-    /// Whether hardly a place is free.
-    pub(super) fn packed(&self) -> bool {
-        self.staying() > self.clients_most() / 4 * 3
+    /// Whether few connections more can be admitted.
+    pub(super) fn is_nearly_full(&self) -> bool {
+        self.remaining_clients() > self.max_clients() / 4 * 3
     }
 
-    fn staying(&self) -> usize {
+    /// The connections that are not about to be closed.
+    fn remaining_clients(&self) -> usize {
         self.clients.borrow().iter().filter(|c| !c.closing.get()).count()
     }
 
-    /// Ends what was asked once on and is kept, while too many stay. Danger: clients too have only so many
-    /// connections; those that they keep would leave them none to ask on, and then none comes that could push
-    /// another out.
-    pub(super) fn thin(&self) {
-        let mut more = self.staying().saturating_sub(self.clients_most() / 2);
-        while more > 0 && self.yield_client(true) {
-            more -= 1;
+    /// Closes connections that had one request and are kept open, while too many stay. Danger: clients too have only so
+    /// many connections; those that they keep open would leave them none for requests, and then none comes that could
+    /// take the place of another.
+    pub(super) fn shed_idle_clients(&self) {
+        let mut surplus = self.remaining_clients().saturating_sub(self.max_clients() / 2);
+        while surplus > 0 && self.close_idle_client(true) {
+            surplus -= 1;
         }
     }
 
-    /// Ends the client's connection that is least likely to bring a request; false if none may be ended. `spare`
-    /// leaves what has just come, and while a flood comes all but those that ask once and stay.
-    /// Danger: a flood of connections that say nothing must push out one another, and not those that ask; but what
-    /// has just come and is about to ask must not go before those that have their answer.
-    fn yield_client(&self, spare: bool) -> bool {
+    /// Closes the idle connection that is least likely to bring a request; false if none may be closed. `spare` leaves
+    /// new connections, and in a flood all but those that had one request and are kept open.
+    /// Danger: silent connections of a flood must push out one another, and not those with requests; but a new one that
+    /// is about to send its request must not go before those that have their answer.
+    fn close_idle_client(&self, spare: bool) -> bool {
         let clients = self.clients.borrow();
-        let mut idle: Vec<_> = clients.iter().filter(|c| !c.busy.get() && !c.closing.get()).collect();
+        let mut idle: Vec<_> =
+            clients.iter().filter(|c| !c.has_open_request.get() && !c.closing.get()).collect();
         let now = Instant::now();
-        let quiet = |c: &Client, most: Duration| now.saturating_duration_since(c.quiet_since()) > most;
-        let flood = idle.iter().filter(|c| !c.answered()).count() > self.clients_most() / SILENT_PART;
-        let about_to_ask = |c: &Client| !c.answered() && !quiet(c, ASK_SOON);
-        let rank = |c: &Client| match c.answered() {
-            // Some ask once and keep their connection for good.
-            true if c.seen.heads.get() == 1 && quiet(c, ASK_AGAIN) => 0,
-            false if quiet(c, ASK_SOON) => 1,
+        let inactive =
+            |c: &Client, limit: Duration| now.saturating_duration_since(c.inactive_since()) > limit;
+        let flood = idle.iter().filter(|c| !c.all_answered()).count() > self.max_clients() / FLOOD_DIVISOR;
+        let about_to_send = |c: &Client| !c.all_answered() && !inactive(c, FIRST_REQUEST_SOON);
+        let rank = |c: &Client| match c.all_answered() {
+            // Some clients send one request and keep their connection for good.
+            true if c.heads.complete.get() == 1 && inactive(c, REUSE_WITHIN) => 0,
+            false if inactive(c, FIRST_REQUEST_SOON) => 1,
             answered if answered == flood => 3,
             _ => 2,
         };
-        idle.retain(|c| !spare || if flood { rank(c) == 0 } else { !about_to_ask(c) });
-        idle.sort_by_key(|c| (rank(c), c.quiet_since()));
+        idle.retain(|c| !spare || if flood { rank(c) == 0 } else { !about_to_send(c) });
+        idle.sort_by_key(|c| (rank(c), c.inactive_since()));
         let client = idle.iter().find(|c| c.socket.silent()).or(idle.first());
         client.is_some_and(|client| {
-            client.end();
+            client.request_close();
             true
         })
     }
 
-    /// Whether a connection is about to leave its place. Danger: to send another away for each that comes
-    /// before it has left would empty the house of those that ask.
-    fn one_leaves(&self) -> bool {
-        let leaves = |c: &Rc<Client>| c.closing.get() && !c.busy.get() && !c.socket.stalled();
-        self.clients.borrow().iter().any(leaves)
+    /// Whether a connection is about to be closed. Danger: to close another for each that comes before it is gone would
+    /// close all those that bring requests.
+    fn has_client_closing(&self) -> bool {
+        let about_to_close =
+            |c: &Rc<Client>| c.closing.get() && !c.has_open_request.get() && !c.socket.stalled();
+        self.clients.borrow().iter().any(about_to_close)
     }
 }
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -1,7 +1,7 @@
-//! One client's connection: what others see of it, when it is overdue, and its life under hyper.
+//! One client's connection: its state, its timeouts, and serving it with hyper.
 
-use super::answer::{bad, closing};
-use super::gate::{Gate, Seen};
+use super::answer::{close_connection, reject};
+use super::head_reader::{HeadProgress, HeadReader};
 use super::Server;
 use crate::drain::Drain;
 use crate::socket::{Permit, Socket};
@@ -19,207 +19,216 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// A connection that has asked nothing for so long since it came, whatever part of a head it sent, is closed. An
-/// honest client takes up to 2 s for a head, and a silent one is owed its close within 3.
-const ASK_WITHIN: Duration = Duration::from_millis(2700);
-/// Within this time a new connection is expected to ask.
-pub const ASK_SOON: Duration = Duration::from_millis(500);
-/// A head that has begun on a connection used before comes whole within this time.
-const COME_WITHIN: Duration = Duration::from_millis(2700);
-/// The kernel takes the rest of an answer within this time.
-const TAKE_WITHIN: Duration = Duration::from_secs(2);
-/// A client takes more of a large answer within this time.
-const TAKE_MORE_WITHIN: Duration = Duration::from_secs(10);
+/// A new connection without a complete request head is closed after this time. An honest client takes up to 2 s for a
+/// head, and a silent one must be closed within 3.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2700);
+/// Within this time a new connection is expected to send its first request.
+pub const FIRST_REQUEST_SOON: Duration = Duration::from_millis(500);
+/// On a connection used before, a head that has begun must be complete within this time.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2700);
+/// The client must read the rest of a buffered answer within this time.
+const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// The client must read more of a streamed answer within this time.
+const STREAM_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// A connection that has been without a request for so long is closed.
-const IDLE_MOST: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A client's connection, as others see it.
+/// A client's connection.
 pub struct Client {
+    /// Its socket.
     pub socket: Rc<Socket>,
-    pub seen: Rc<Seen>,
-    pub busy: Cell<bool>,
-    pub came: Instant,
-    /// When it came or was last answered.
-    pub since: Cell<Instant>,
-    pub close: Notify,
+    /// What has come of its request heads.
+    pub heads: Rc<HeadProgress>,
+    /// Whether a request on it lacks its answer.
+    pub has_open_request: Cell<bool>,
+    /// When it was accepted.
+    pub accepted_at: Instant,
+    /// When it was accepted or last answered.
+    pub idle_since: Cell<Instant>,
+    /// Wakes its task to take the next step towards its close.
+    pub close_signal: Notify,
+    /// Whether it is to be closed.
     pub closing: Cell<bool>,
-    /// What came since it was to end has been looked at.
-    looked: Cell<bool>,
+    /// Since the connection was to be closed, what had come on it has been read.
+    input_checked: Cell<bool>,
 }
 
 impl Client {
+    /// A connection that was just accepted; `permit` is for its descriptor.
     pub fn new(stream: TcpStream, permit: Permit) -> Rc<Self> {
-        let came = Instant::now();
+        let now = Instant::now();
         Rc::new(Client {
             socket: Socket::new(stream, permit),
-            seen: Rc::default(),
-            busy: Cell::new(false),
-            came,
-            since: Cell::new(came),
-            close: Notify::new(),
+            heads: Rc::default(),
+            has_open_request: Cell::new(false),
+            accepted_at: now,
+            idle_since: Cell::new(now),
+            close_signal: Notify::new(),
             closing: Cell::new(false),
-            looked: Cell::new(false),
+            input_checked: Cell::new(false),
         })
     }
 
-    /// Since when nothing has come on it, nor an answer gone.
-    pub fn quiet_since(&self) -> Instant {
-        self.seen.moved.get().map_or(self.since.get(), |moved| moved.max(self.since.get()))
+    /// Since when nothing has been read from it or answered on it.
+    pub fn inactive_since(&self) -> Instant {
+        self.heads.last_bytes_at.get().map_or(self.idle_since.get(), |at| at.max(self.idle_since.get()))
     }
 
-    /// Whether it has had the answer to all that it asked.
-    pub fn answered(&self) -> bool {
-        self.seen.heads.get() > 0 && self.seen.head_since.get().is_none()
+    /// Whether it has sent a request, and each has its answer.
+    pub fn all_answered(&self) -> bool {
+        self.heads.complete.get() > 0 && self.heads.partial_since.get().is_none()
     }
 
-    /// Lets the connection end after the request that it has, if any.
-    pub fn end(&self) {
+    /// Has the connection closed after the request that it has open, if any.
+    pub fn request_close(&self) {
         self.closing.set(true);
-        self.close.notify_one();
+        self.close_signal.notify_one();
     }
 
-    /// Whether it has taken nothing of an answer for so long that it is not to have the rest.
-    fn untaken(&self, now: Instant) -> bool {
-        if self.busy.get() {
-            return self.socket.stuck(TAKE_MORE_WITHIN);
+    /// Whether the client has read nothing of an answer for so long that it is not to have the rest.
+    fn answer_unread(&self, now: Instant) -> bool {
+        if self.has_open_request.get() {
+            return self.socket.stuck(STREAM_READ_TIMEOUT);
         }
-        self.socket.stalled() && now.saturating_duration_since(self.since.get()) > TAKE_WITHIN
+        self.socket.stalled() && now.saturating_duration_since(self.idle_since.get()) > ANSWER_READ_TIMEOUT
     }
 
-    /// Whether a part of a request has been read behind those that have had their answer.
-    fn begun(&self) -> bool {
-        self.seen.head_since.get().is_some()
+    /// Whether a part of a request head has been read behind the requests that have their answer.
+    fn has_partial_head(&self) -> bool {
+        self.heads.partial_since.get().is_some()
     }
 
-    /// What is to be done now that the connection is to end. Danger: this was decided some time ago, and a request may
-    /// have come since; once it has been read it is owed an answer.
-    fn ending(&self) -> Ending {
-        if self.untaken(Instant::now()) {
-            return Ending::Now;
+    /// The next step towards the close of the connection. Danger: the close was decided some time ago, and a request may
+    /// have come since; once it has been read it must be answered.
+    fn next_close_step(&self) -> CloseStep {
+        if self.answer_unread(Instant::now()) {
+            return CloseStep::Now;
         }
-        if self.busy.get() || self.socket.stalled() {
-            self.looked.set(false);
-            return if self.begun() { Ending::AfterTheNext } else { Ending::AfterAnswer };
+        if self.has_open_request.get() || self.socket.stalled() {
+            self.input_checked.set(false);
+            return if self.has_partial_head() { CloseStep::AfterNextAnswer } else { CloseStep::AfterAnswer };
         }
-        if !self.looked.get() && !self.socket.silent() {
-            self.looked.set(true);
-            self.close.notify_one();
-            return Ending::Look;
+        if !self.input_checked.get() && !self.socket.silent() {
+            self.input_checked.set(true);
+            self.close_signal.notify_one();
+            return CloseStep::CheckInput;
         }
-        if self.begun() {
-            self.socket.tell(REFUSAL);
+        if self.has_partial_head() {
+            self.socket.tell(INCOMPLETE_REQUEST_ANSWER);
         }
-        Ending::Now
+        CloseStep::Now
     }
 
-    /// Danger: silence, a head that does not end and an answer that is not read would each hold a descriptor for
-    /// good.
-    pub fn look(&self, now: Instant, drain: &Drain) {
-        if self.untaken(now) {
-            return self.end();
+    /// Closes the connection if one of its timeouts is over. Danger: silence, a head that does not end and an answer that
+    /// is not read would each hold a descriptor for good.
+    pub fn close_if_overdue(&self, now: Instant, drain: &Drain) {
+        if self.answer_unread(now) {
+            return self.request_close();
         }
-        if self.busy.get() {
+        if self.has_open_request.get() {
             return;
         }
-        let over = |from: Instant, most: Duration| now.saturating_duration_since(from) > most;
-        let asked = self.seen.heads.get() > 0;
-        let overdue = if asked {
-            self.seen.head_since.get().is_some_and(|since| over(since, COME_WITHIN))
+        let over = |from: Instant, limit: Duration| now.saturating_duration_since(from) > limit;
+        let used = self.heads.complete.get() > 0;
+        let overdue = if used {
+            self.heads.partial_since.get().is_some_and(|since| over(since, HEAD_TIMEOUT))
         } else {
-            over(self.came, ASK_WITHIN)
+            over(self.accepted_at, FIRST_REQUEST_TIMEOUT)
         };
-        // A process that is to end waits for a head that still comes, but not for one that has stopped.
-        let stopped = drain.on() && !self.answered() && over(self.quiet_since(), ASK_SOON);
-        let idle = (over(self.since.get(), IDLE_MOST) || drain.ends(self.since.get(), now))
-            && !self.begun()
+        // A process that drains waits for a head that still comes, but not for one that has stopped.
+        let stopped = drain.on() && !self.all_answered() && over(self.inactive_since(), FIRST_REQUEST_SOON);
+        let idle = (over(self.idle_since.get(), IDLE_TIMEOUT) || drain.ends(self.idle_since.get(), now))
+            && !self.has_partial_head()
             && self.socket.silent();
         if overdue || stopped || idle {
-            self.end();
+            self.request_close();
         }
     }
 }
 
-/// How a connection that is to end does so.
+/// How a connection that is to be closed goes on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ending {
-    /// At once: nothing is owed on it.
+enum CloseStep {
+    /// It is closed at once: no answer is due on it.
     Now,
-    /// With the answer that is due.
+    /// It is closed with the answer that is due.
     AfterAnswer,
-    /// With the answer to the request that has been read in part behind the one that has its answer due.
-    AfterTheNext,
-    /// It is asked again once the runtime has looked at what has come.
-    Look,
+    /// It is closed with the answer to the request that has been read in part behind the one whose answer is due.
+    AfterNextAnswer,
+    /// Decided again once the runtime has read what has come.
+    CheckInput,
 }
 
-/// What a request gets of which the rest is not waited for.
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+/// The answer to a request that is still incomplete when its connection is closed.
+const INCOMPLETE_REQUEST_ANSWER: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// A client's connection that has a request open.
-struct Busy(Rc<Client>);
+/// Marks a client's connection as idle again when its open request ends.
+struct OpenRequest(Rc<Client>);
 
-impl Drop for Busy {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.busy.set(false);
-        self.0.since.set(Instant::now());
+        self.0.has_open_request.set(false);
+        self.0.idle_since.set(Instant::now());
     }
 }
 
 impl Server {
-    pub(super) fn connected(self: Rc<Self>, stream: TcpStream, permit: Permit) {
+    /// Serves a connection on a task of its own until it is closed.
+    pub(super) fn serve_client(self: Rc<Self>, stream: TcpStream, permit: Permit) {
         let client = Client::new(stream, permit);
         self.clients.borrow_mut().push(client.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(|request| {
-                client.busy.set(true);
-                let fault = client.seen.fault.take();
+                client.has_open_request.set(true);
+                let rejection = client.heads.rejection.take();
                 let (server, client) = (&self, &client);
-                let busy = Busy(client.clone());
+                let open_request = OpenRequest(client.clone());
                 async move {
-                    let mut response = match fault {
-                        Some(why) => bad(StatusCode::BAD_REQUEST, why),
+                    let mut response = match rejection {
+                        Some(reason) => reject(StatusCode::BAD_REQUEST, reason),
                         None => server.respond(request, &client.socket).await,
                     };
                     // In a crowd a connection is worth more to the next client than to the one that has its answer.
-                    let leaves = client.seen.heads.get() == 1 && server.packed();
-                    let ends = leaves || server.drain.on() || client.closing.get();
+                    let makes_room = client.heads.complete.get() == 1 && server.is_nearly_full();
+                    let closes = makes_room || server.drain.on() || client.closing.get();
                     // Danger: a request read behind this one would go without its answer.
-                    if ends && !client.begun() || client.seen.last.get() {
-                        closing(&mut response);
+                    if closes && !client.has_partial_head() || client.heads.unbounded_body.get() {
+                        close_connection(&mut response);
                     }
                     if response.body().relayed() {
                         client.socket.stream();
-                        response.body_mut().keep(busy);
+                        response.body_mut().keep(open_request);
                     }
                     Ok::<_, Infallible>(response)
                 }
             });
             // Danger: by default hyper drops the request of a client that has ended its sending and still waits,
             // and lets one connection hold some 400 KB.
-            let gate = Gate::new(client.socket.clone(), client.seen.clone());
+            let reader = HeadReader::new(client.socket.clone(), client.heads.clone());
             let connection = http1::Builder::new()
                 .half_close(true)
                 .max_buf_size(BUFFER_MOST)
-                .serve_connection(TokioIo::new(gate), service);
+                .serve_connection(TokioIo::new(reader), service);
             let mut connection = std::pin::pin!(connection);
             loop {
                 // What has come in is read before the connection is asked to end.
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => break,
-                    () = client.close.notified() => {
+                    () = client.close_signal.notified() => {
                         // Danger: hyper waits without end for the rest of a head.
-                        match client.ending() {
-                            Ending::Now => break,
-                            Ending::AfterAnswer => connection.as_mut().graceful_shutdown(),
-                            Ending::AfterTheNext => {}
-                            Ending::Look => yield_now().await,
+                        match client.next_close_step() {
+                            CloseStep::Now => break,
+                            CloseStep::AfterAnswer => connection.as_mut().graceful_shutdown(),
+                            CloseStep::AfterNextAnswer => {}
+                            CloseStep::CheckInput => yield_now().await,
                         }
                     }
                 }
             }
             self.clients.borrow_mut().retain(|c| !Rc::ptr_eq(c, &client));
-            self.left.notify_one();
+            self.client_closed.notify_one();
         });
     }
 }
--- /dev/null
+++ b/crates/proxy/src/front/shutdown.rs
@@ -0,0 +1,53 @@
+//! The graceful shutdown of a process that was told to stop.
+
+use super::Server;
+use crate::drain;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::{sleep_until, timeout_at, Instant};
+
+/// New connections come for some time after SIGTERM: they are accepted for at least this time,
+const MIN_ACCEPT: Duration = drain::GENTLE;
+/// until none has come for this time,
+const QUIET_ACCEPT: Duration = Duration::from_millis(100);
+/// and no longer than this.
+const MAX_ACCEPT: Duration = Duration::from_millis(600);
+/// A proxy may be killed so long after the longest deadline after SIGTERM; it ends a little sooner.
+const EXIT_MARGIN: Duration = Duration::from_millis(600);
+/// A deadline that is longer counts as this then.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+
+impl Server {
+    /// Answers what comes and has clients close their connections, closes idle ones, and waits for the rest.
+    /// From a socket that was handed over nothing more is accepted: what waits there is for the successor.
+    pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener, handed_over: bool) {
+        tracing::info!("draining");
+        self.drain.stop();
+        let start = Instant::now();
+        let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = Duration::from_nanos(longest);
+        // Danger: a request that comes now on a connection that is still open may have a deadline beyond this process's
+        // own end; one that came before may keep it, since what is unanswered at the end is not held against it.
+        self.kill_deadline.set(Some(start + longest.min(MAX_DEADLINE) + EXIT_MARGIN));
+        let mut until = start + MIN_ACCEPT;
+        self.admit().await;
+        if !handed_over {
+            while let Ok(accepted) = timeout_at(until.min(start + MAX_ACCEPT), listener.accept()).await {
+                self.handle_accept(accepted).await;
+                until = until.max(Instant::now() + QUIET_ACCEPT);
+            }
+        }
+        drop(listener);
+        let end = start + longest + EXIT_MARGIN;
+        while !self.clients.borrow().is_empty() {
+            tokio::select! {
+                () = self.client_closed.notified() => {}
+                () = sleep_until(end) => {
+                    tracing::warn!("ended with clients still connected");
+                    return;
+                }
+            }
+        }
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,6 +3,7 @@
 #![doc = include_str!("../../../README.md")]
 
 pub mod admin;
+mod bind;
 mod budget;
 pub mod cli;
 pub mod config;
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -76,7 +76,7 @@
 }
 
 /// The keys that differ but take a restart.
-pub fn waiting(now: &Operator, then: &Operator) -> Vec<String> {
+pub fn restart_keys(now: &Operator, then: &Operator) -> Vec<String> {
     let changes = aniseyoke_config::diff::diff(now, then);
     changes.into_iter().filter(|c| c.restart).map(|c| c.key).collect()
 }
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -1,8 +1,8 @@
-//! The thread that follows control services: it reads each version, checks it against what runs, has it put in force and
-//! keeps it on disk.
+//! The thread that follows control services: it reads each version, checks it against the configuration in force, has it
+//! put in force and keeps it on disk.
 
-use super::serving::{Order, Ready};
-use super::{frame_most, Below, InForce, KEPT};
+use super::updater::{CheckedVersion, UpdateRequest};
+use super::{frame_most, BaseLayers, ConfigInForce, KEPT};
 use crate::config::Names;
 use crate::keeping::Keeping;
 use crate::operator::log_levels;
@@ -20,24 +20,24 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// What versions are checked against and kept by.
+/// The subscription to versions from control services.
 pub struct Subscription {
-    below: Arc<Below>,
-    orders: mpsc::Sender<Order>,
+    base: Arc<BaseLayers>,
+    requests: mpsc::Sender<UpdateRequest>,
     tally: Arc<Tally>,
     /// The one writer of the last good version, where there is a folder for it.
     keeping: Option<Keeping<Kept>>,
 }
 
 impl Subscription {
-    /// What versions are laid over, where they are put in force, and what counts requests.
+    /// Versions are laid over `base` and put in force by who receives `requests`; `tally` counts clients' requests.
     ///
     /// # Errors
     /// If there is no thread to be had.
     pub fn new(
         control: &Control,
-        below: Arc<Below>,
-        orders: mpsc::Sender<Order>,
+        base: Arc<BaseLayers>,
+        requests: mpsc::Sender<UpdateRequest>,
         tally: Arc<Tally>,
     ) -> std::io::Result<Self> {
         let keeping = control.dir.as_ref().map(|dir| {
@@ -53,7 +53,7 @@
                 }
             })
         });
-        Ok(Subscription { below, orders, tally, keeping: keeping.transpose()? })
+        Ok(Subscription { base, requests, tally, keeping: keeping.transpose()? })
     }
 
     /// Follows the services on a thread of its own, as long as the process lives. `running` is in force already.
@@ -66,51 +66,62 @@
         at: SocketAddr,
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
-        let frame_most = frame_most(self.below.platform.memory);
+        let frame_most = frame_most(self.base.platform.memory);
         let boot = u64::try_from(unix().as_nanos()).unwrap_or(u64::MAX);
         let instance = control.instance.unwrap_or_else(|| at.to_string());
         let identity = Identity { instance, boot, labels: control.labels, frame_most };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
-        let follows = move || {
+        let run = move || {
             let running = running.map(Arc::unwrap_or_clone);
             let follower = Follower::new(identity, control.services.len(), running, Times::default(), boot);
             let services = follow(follower, control.services, frame_most, self);
             tokio::task::LocalSet::new().block_on(&runtime, services);
         };
-        std::thread::Builder::new().name("versions".into()).spawn(follows).map(drop)
+        std::thread::Builder::new().name("versions".into()).spawn(run).map(drop)
     }
 
-    async fn ask<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> Order) -> Result<T, Vec<String>> {
+    async fn request<T>(
+        &self,
+        update: impl FnOnce(oneshot::Sender<T>) -> UpdateRequest,
+    ) -> Result<T, Vec<String>> {
         let ends = || vec!["the proxy ends".to_owned()];
-        let (tell, told) = oneshot::channel();
-        self.orders.send(order(tell)).await.map_err(|_| ends())?;
-        told.await.map_err(|_| ends())
+        let (reply, answer) = oneshot::channel();
+        self.requests.send(update(reply)).await.map_err(|_| ends())?;
+        answer.await.map_err(|_| ends())
     }
 }
 
-/// Reads a version and judges it against what runs.
-fn read(below: &Below, now: &Plan, nodes: &[Entry], version: Version) -> Result<Ready, Vec<String>> {
-    let told = |faults: Vec<ConfigError>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let (resolved, plan) = below.with(Some(&version)).map_err(told)?;
+/// Reads a version and checks it against the configuration in force, `now`, and its nodes.
+fn read(
+    base: &BaseLayers,
+    now: &Plan,
+    nodes: &[Entry],
+    version: Version,
+) -> Result<CheckedVersion, Vec<String>> {
+    let lines = |errors: Vec<ConfigError>| errors.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let (resolved, plan) = base.with(Some(&version)).map_err(lines)?;
     let side = |plan| -> Configuration<'_> {
         let Plan { settings, routing, .. }: &Plan = plan;
         Configuration { settings, routing }
     };
-    let harm = review(side(now), side(&plan), nodes);
-    if !harm.is_empty() {
+    let breakages = review(side(now), side(&plan), nodes);
+    if !breakages.is_empty() {
         let pools: Vec<&str> = resolved.operator.pools.keys().map(String::as_str).collect();
-        return Err(harm.iter().map(|harm| words(harm, &below.platform.names, &pools)).collect());
+        return Err(breakages
+            .iter()
+            .map(|breakage| describe(breakage, &base.platform.names, &pools))
+            .collect());
     }
     let levels = log_levels(&resolved.operator.log);
-    let names = (resolved.digest(), version.stamp.to_string());
-    let in_force = InForce { operator: resolved.operator, version: Some(Arc::new(version)) };
-    Ok(Ready { plan: Arc::new(plan), levels, in_force, names })
+    let (digest, stamp) = (resolved.digest(), version.stamp.to_string());
+    let in_force = ConfigInForce { operator: resolved.operator, version: Some(Arc::new(version)) };
+    Ok(CheckedVersion { plan: Arc::new(plan), levels, in_force, digest, stamp })
 }
 
-/// What a service and those on call are told of harm.
-fn words(harm: &Breakage, names: &Names, pools: &[&str]) -> String {
-    match harm {
+/// A breakage in words, for the control service and the log.
+fn describe(breakage: &Breakage, names: &Names, pools: &[&str]) -> String {
+    match breakage {
         Breakage::NoNode { class, pool, nodes_before: had } => {
             let routed = pool.and_then(|p| pools.get(p)).map(|name| format!(" routed to pool {name}"));
             let (class, routed) = (&names.classes[*class], routed.unwrap_or_default());
@@ -125,13 +136,16 @@
 impl Host for Subscription {
     async fn apply(&self, version: Version) -> Result<(), Vec<String>> {
         let stamp = version.stamp;
-        let (now, nodes) = self.ask(Order::Look).await?;
-        let below = self.below.clone();
+        let (now, nodes) = self.request(UpdateRequest::Read).await?;
+        let base = self.base.clone();
         // Frames are read meanwhile, so that of a flood only the newest counts.
-        let read = tokio::task::spawn_blocking(move || read(&below, &now, &nodes, version));
-        let ready = read.await.map_err(|e| vec![format!("it could not be read: {e}")])??;
-        let swapped = self.ask(|tell| Order::Swap(Box::new(ready), tell)).await?.map_err(|why| vec![why])?;
-        tracing::info!("version {stamp} is in force, swapped in {:?}", swapped.took);
+        let read = tokio::task::spawn_blocking(move || read(&base, &now, &nodes, version));
+        let checked = read.await.map_err(|e| vec![format!("it could not be read: {e}")])??;
+        let replaced = self
+            .request(|reply| UpdateRequest::Apply(Box::new(checked), reply))
+            .await?
+            .map_err(|why| vec![why])?;
+        tracing::info!("version {stamp} is in force, swapped in {:?}", replaced.took);
         Ok(())
     }
 
--- a/crates/proxy/src/versions/below.rs
+++ b/crates/proxy/src/versions/layers.rs
@@ -1,4 +1,4 @@
-//! The layers that a version is laid over, and the last good version from disk.
+//! The layers of the configuration under a control service's version, and the last good version from disk.
 
 use super::KEPT;
 use crate::config::Config;
@@ -13,19 +13,19 @@
 use aniseyoke_core::Plan;
 use std::sync::Arc;
 
-/// The layers below a control service's: the file, the environment, and the platform's settings under them.
-pub struct Below {
+/// The layers under a control service's version: the file, the environment, and the platform's settings under them.
+pub struct BaseLayers {
     /// The platform's settings without anything laid over them.
     pub platform: Config,
     /// The operator's file, as it was read at the start.
     pub file: Option<Layer>,
 }
 
-impl Below {
-    /// What all layers come to with a version on top: the operator's part, and what the core is to work by.
+impl BaseLayers {
+    /// The configuration from all layers with a version on top: the operator's part, and the engine's.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All that is wrong in the layers.
     pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, Plan), Vec<ConfigError>> {
         let mut layers: Vec<Layer> = self.file.clone().into_iter().collect();
         layers.extend(environment(operator::variables()));
@@ -38,8 +38,8 @@
     }
 }
 
-/// The last good version, if the folder has one that still can be put in force.
-pub fn last_good(control: &Control, below: &Below) -> Option<Version> {
+/// The last good version, if the folder has one that can still be put in force.
+pub fn last_good(control: &Control, base: &BaseLayers) -> Option<Version> {
     let mut store = Store::new(Disk, control.dir.as_ref()?.join(KEPT));
     match store.find() {
         Ok(Found::Nothing) => None,
@@ -48,7 +48,7 @@
             tracing::warn!("the last good version is damaged and {aside}: {why}");
             None
         }
-        Ok(Found::Good(Kept { version, at_ms })) => match below.with(Some(&version)) {
+        Ok(Found::Good(Kept { version, at_ms })) => match base.with(Some(&version)) {
             Ok(_) => {
                 let age = std::time::Duration::from_secs(unix_ms().saturating_sub(at_ms) / 1000);
                 let age = humantime::format_duration(age);
@@ -72,9 +72,9 @@
     }
 }
 
-/// What is in force: what the operators say in all, and the version on top of the layers.
-pub struct InForce {
-    /// What the layers came to.
+/// The configuration in force, and the version on top of its layers.
+pub struct ConfigInForce {
+    /// The operator's part from all layers.
     pub operator: Operator,
     /// The version on top, if there is one.
     pub version: Option<Arc<Version>>,
--- a/crates/proxy/tests/reached.rs
+++ b/crates/proxy/tests/reached.rs
@@ -106,7 +106,7 @@
 #[test]
 fn lists_that_are_pushed_are_watched_without_a_gap_whatever_the_operator_sets() {
     let (r, _folder) = rig_by("[list]\nevery = \"3s\"\n", true);
-    assert!(r.proxy.began_with("list: the platform pushes its lists, so that calls are not paced"));
+    assert!(r.proxy.began_with("list: the platform pushes its lists, so that polls are not limited"));
     let mut watch = r.discovery.take();
     watch.request();
     for version in 42..46 {
