--- /dev/null
+++ b/crates/lab-rig/src/play.rs
@@ -0,0 +1,382 @@
+//! One experiment from start to end: site, relays, real proxies, load, the schedule of faults, the audit.
+
+use super::board::{FaultBoard, LinkEnd};
+use super::error::RigError;
+use super::plan::{Action, Plan, Schedule, State, Step};
+use super::processes::ProxyProcesses;
+use super::readiness::ReadinessWatch;
+use super::relays::{RelayTotals, Relays};
+use aniseyoke_lab_audit::{Evidence, Observation, Recorder, Verdict};
+use aniseyoke_lab_day::clock::{Clock, Nanos, MILLISECOND};
+use aniseyoke_lab_day::{proxy_config, Day};
+use aniseyoke_lab_load::{Load, LoadStats, LoadSummary, OUTCOMES};
+use aniseyoke_lab_process::{check_health, raise_descriptor_limit, ProcessLog, Program};
+use aniseyoke_lab_site::{Health, LoadBalancer, Route, Site, SiteCounts, SiteOptions};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::SyncSender;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+pub use super::outcome::{steady_after, table, Outcome};
+
+/// How often steps of the schedule are carried out, and processes polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// All proxies are healthy within this time of their start.
+const HEALTHY_WITHIN: Duration = Duration::from_secs(30);
+/// Processes end within this time of the load's end, or are killed.
+const ENDS_WITHIN: Duration = Duration::from_secs(3);
+/// Clients use at most one in this many of the proxies' descriptors.
+const CLIENTS_DIVISOR: usize = 3;
+/// The load begins this long after all proxies are healthy.
+const START_DELAY: Nanos = 50 * MILLISECOND;
+
+/// Plays an experiment; `folder` takes the proxies' folders and the log of all processes (`processes.log`).
+///
+/// # Errors
+/// If it could not be played: the system lacks something, or a proxy did not start.
+pub fn run(
+    plan: &Plan,
+    day: &Day,
+    program: Program,
+    seed: u64,
+    folder: &Path,
+    stop: &AtomicBool,
+) -> Result<Outcome, RigError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    // Children are killed with this thread, which lives until they have all ended.
+    runtime.map_err(RigError::Runtime)?.block_on(play(plan, day, program, seed, folder, stop))
+}
+
+/// What an experiment needs beside its proxies.
+struct Environment {
+    clock: Clock,
+    board: FaultBoard,
+    relays: Arc<Relays>,
+    site: Site,
+    log: ProcessLog,
+    evidence: SyncSender<Vec<Evidence>>,
+    auditor: JoinHandle<Verdict>,
+}
+
+impl Environment {
+    /// Opens the site, with a relay on every link, and starts the auditor.
+    fn open(plan: &Plan, day: &Day, seed: u64, folder: &Path) -> Result<Self, RigError> {
+        let clock = Clock::start();
+        let (evidence, auditor) = aniseyoke_lab_audit::start(day);
+        let board = FaultBoard::default();
+        let relays = Relays::start(board.clone(), seed).map_err(RigError::Relays)?;
+        let site = open_site(plan, day, clock, &relays, evidence.clone())?;
+        let log = ProcessLog::create(&folder.join("processes.log")).map_err(RigError::Log)?;
+        Ok(Environment { clock, board, relays, site, log, evidence, auditor })
+    }
+
+    /// Injects the faults that are active before the proxies start.
+    fn inject_before_start(&self, steps: &[(Duration, Step)]) {
+        for (_, step) in steps {
+            if let Step::InjectBeforeStart(fault) = step {
+                self.board.inject(fault.clone());
+            }
+        }
+    }
+
+    /// Starts all proxies of the plan.
+    fn start_proxies(
+        &self,
+        plan: &Plan,
+        day: &Day,
+        mut program: Program,
+        folder: &Path,
+    ) -> Result<ProxyProcesses, RigError> {
+        let configs = (self.site.discovery.iter().enumerate())
+            .map(|(index, addr)| {
+                let discovery = self.relays.route(index, *addr, LinkEnd::Discovery);
+                proxy_config(day, index, discovery, &self.site.initial_lists[index])
+            })
+            .collect();
+        program.kill_with_parent = true;
+        program.log = Some(self.log.clone());
+        program.clock_offsets = (0..plan.proxies()).map(|index| plan.clock(index)).collect();
+        Ok(ProxyProcesses::start(program, configs, &folder.join("proxies"))?)
+    }
+
+    /// Starts the day's load; returns the time at which it begins as well.
+    fn start_load(&self, day: &Day, load_balancer: Arc<LoadBalancer>) -> Result<(Nanos, Load), RigError> {
+        let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
+        let (clock, evidence) = (self.clock, self.evidence.clone());
+        let from = clock.now() + START_DELAY;
+        let recorder = move || Recorder::new(clock, evidence);
+        let load =
+            Load::start(day, clock, from, load_balancer, connections, recorder).map_err(RigError::Load)?;
+        Ok((from, load))
+    }
+
+    /// Closes site and relays and waits for the auditor; nobody else may hold a sender of evidence any more.
+    fn close(self) -> Result<(SiteCounts, RelayTotals, Verdict), RigError> {
+        let counts = self.site.close();
+        let links = self.relays.totals();
+        self.relays.close();
+        self.log.flush();
+        drop(self.evidence);
+        let verdict = self.auditor.join().map_err(|_| RigError::AuditorPanicked)?;
+        Ok((counts, links, verdict))
+    }
+}
+
+async fn play(
+    plan: &Plan,
+    day: &Day,
+    program: Program,
+    seed: u64,
+    folder: &Path,
+    stop: &AtomicBool,
+) -> Result<Outcome, RigError> {
+    raise_descriptor_limit();
+    let mut environment = Environment::open(plan, day, seed, folder)?;
+    let Schedule { steps } = plan.schedule(seed);
+    environment.inject_before_start(&steps);
+    let processes = environment.start_proxies(plan, day, program, folder)?;
+    let addrs: Vec<_> = (0..processes.len()).filter_map(|index| processes.addr(index)).collect();
+    let load_balancer = Arc::new(LoadBalancer::new(&addrs, day.site.proxy.detection_delay));
+    wait_until_healthy(&addrs).await?;
+    let watch = ReadinessWatch::start().map_err(RigError::Watch)?;
+    let (from, load) = environment.start_load(day, load_balancer.clone())?;
+    let mut experiment = Experiment {
+        clock: environment.clock,
+        board: environment.board.clone(),
+        processes,
+        load_balancer,
+        watch,
+        evidence: environment.evidence.clone(),
+        steps_done: Vec::new(),
+        crashes: Vec::new(),
+    };
+    experiment.follow(&steps, &load, &mut environment.site, stop).await;
+    let stats = load.finish();
+    let Experiment { mut processes, watch, evidence, steps_done, crashes, .. } = experiment;
+    // Danger: the auditor ends only once every sender is dropped.
+    drop(evidence);
+    let restarted = watch.finish()?;
+    processes.end(ENDS_WITHIN);
+    let starts = processes.starts();
+    drop(processes);
+    let (counts, links, verdict) = environment.close()?;
+    let [nodes, origin] = counts.member_load;
+    Ok(Outcome {
+        began_s: from as f64 / 1e9,
+        nodes,
+        origin,
+        seed,
+        proxies: plan.proxies(),
+        all: LoadSummary::from(&stats).all,
+        seconds: outcomes_by_second(&stats),
+        list_asks: counts.list_calls,
+        list_refused: counts.list_rejected,
+        links,
+        steps: steps_done,
+        crashes,
+        starts,
+        restarted,
+        verdict,
+    })
+}
+
+/// Opens the site of an experiment, with a relay on every link.
+fn open_site(
+    plan: &Plan,
+    day: &Day,
+    clock: Clock,
+    relays: &Arc<Relays>,
+    evidence: SyncSender<Vec<Evidence>>,
+) -> Result<Site, RigError> {
+    let relays = relays.clone();
+    let route: Route = Arc::new(move |proxy, addr, kind| {
+        relays.route(proxy, addr, if kind == "ledger" { LinkEnd::Ledger } else { LinkEnd::Node(addr) })
+    });
+    let options = SiteOptions {
+        route: Some(route),
+        max_list_calls_per_second: plan.list.calls_per_second,
+        retry_after_s: plan.list.retry_after.as_secs_f64(),
+        connection_limits: plan.connection_limits,
+    };
+    let recorder = move || Recorder::new(clock, evidence);
+    Site::open_with(day, clock, recorder, options).map_err(RigError::Site)
+}
+
+/// For each second of the load: requests by outcome.
+fn outcomes_by_second(stats: &LoadStats) -> Vec<BTreeMap<String, u64>> {
+    let name = |n: usize| format!("{:?}", OUTCOMES[n]).to_lowercase();
+    let named = |counts: &[u64; OUTCOMES.len()]| {
+        counts
+            .iter()
+            .enumerate()
+            .filter(|(_, count)| **count > 0)
+            .map(|(n, count)| (name(n), *count))
+            .collect()
+    };
+    stats.outcomes.iter().map(named).collect()
+}
+
+/// What a running experiment acts on.
+struct Experiment {
+    clock: Clock,
+    board: FaultBoard,
+    processes: ProxyProcesses,
+    load_balancer: Arc<LoadBalancer>,
+    watch: ReadinessWatch,
+    evidence: SyncSender<Vec<Evidence>>,
+    /// The steps as they were carried out, with seconds on the clock.
+    steps_done: Vec<(f64, String)>,
+    crashes: Vec<String>,
+}
+
+impl Experiment {
+    fn record(&self, observed: Observation) {
+        // An auditor that has ended wants no more.
+        let _ = self.evidence.send(vec![Evidence { at: self.clock.now(), observed }]);
+    }
+
+    /// Carries the schedule out and watches the proxies until the load has ended.
+    async fn follow(&mut self, steps: &[(Duration, Step)], load: &Load, site: &mut Site, stop: &AtomicBool) {
+        site.begin();
+        let began = Instant::now();
+        let mut next = 0;
+        while !load.finished() {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let elapsed = began.elapsed();
+            while let Some((due, step)) = steps.get(next).filter(|(due, _)| *due <= elapsed) {
+                let what = self.carry_out(*due, step, &steps[next..]).await;
+                let at = self.clock.now() as f64 / 1e9;
+                tracing::info!("{at:8.3} s  {what} (due {:.3} s into the load)", due.as_secs_f64());
+                self.steps_done.push((at, what));
+                next += 1;
+            }
+            while site.proxy_restarts.try_recv().is_ok() {
+                // The schedule restarts proxies; restarts that the day wants are not carried out.
+            }
+            for (index, why) in self.processes.poll() {
+                self.record(Observation::Crashed { proxy: index });
+                self.crashes.push(why);
+            }
+            update_health(&self.processes, &self.load_balancer).await;
+            if stop.load(Ordering::Relaxed) {
+                load.progress.stop.store(true, Ordering::Relaxed);
+            }
+        }
+    }
+
+    /// Carries out a step that was due at `due`; `rest` are the steps from it on. What was done, in words.
+    async fn carry_out(&mut self, due: Duration, step: &Step, rest: &[(Duration, Step)]) -> String {
+        match step {
+            Step::InjectBeforeStart(fault) => {
+                format!("{:?} between {:?} and {:?} since before the start", fault.fault, fault.a, fault.b)
+            }
+            Step::Inject(fault) => {
+                self.board.inject(fault.clone());
+                format!("{:?} between {:?} and {:?}", fault.fault, fault.a, fault.b)
+            }
+            Step::Clear(id) => {
+                self.board.clear(*id);
+                format!("link fault {id} lifted")
+            }
+            Step::Signal(index, action) => {
+                let returns = rest.iter().find_map(|(later, step)| match step {
+                    Step::Resume(other) | Step::Start(other, _) if other == index => Some(*later - due),
+                    _ => None,
+                });
+                self.signal(*index, *action, returns).await
+            }
+            Step::Resume(index) => {
+                self.processes.resume(*index);
+                format!("proxy {index} resumed")
+            }
+            Step::Start(index, state) => self.restart(*index, *state).await,
+        }
+    }
+
+    /// Signals a proxy that is back after `returns`, or never.
+    async fn signal(&mut self, index: usize, action: Action, returns: Option<Duration>) -> String {
+        let pid = self.processes.pid(index);
+        if self.processes.runs(index) && action != Action::Term {
+            // Recorded before the signal: what the clients observe of it comes after.
+            let until = returns.map_or(u64::MAX, |after| self.clock.now() + after.as_nanos() as u64);
+            self.record(Observation::Struck { proxy: index, until });
+        }
+        let signalled = self.processes.signal(index, action);
+        if signalled && action != Action::Pause {
+            self.watch.ended(index).await;
+        }
+        if signalled && action == Action::Kill {
+            self.load_balancer.record_health(index, Health::Dead);
+        }
+        format!("{action:?} proxy {index} ({pid:?}){}", if signalled { "" } else { ": it was not running" })
+    }
+
+    async fn restart(&mut self, index: usize, state: State) -> String {
+        let since = Instant::now();
+        match self.processes.restart(index, state) {
+            Ok(Some(addr)) => {
+                self.watch.started(index, addr, since).await;
+                self.load_balancer.set_addr(index, addr);
+                self.record(Observation::Started { proxy: index });
+                format!("proxy {index} started again at {addr}, state {state:?}")
+            }
+            Ok(None) => format!("proxy {index} was not down"),
+            Err(why) => {
+                self.crashes.push(why.to_string());
+                self.record(Observation::Crashed { proxy: index });
+                format!("proxy {index} did not start again")
+            }
+        }
+    }
+}
+
+async fn wait_until_healthy(addrs: &[SocketAddr]) -> Result<(), RigError> {
+    let until = Instant::now() + HEALTHY_WITHIN;
+    for (index, addr) in addrs.iter().enumerate() {
+        while check_health(*addr).await != Health::Healthy {
+            if Instant::now() > until {
+                return Err(RigError::Unhealthy { index, within: HEALTHY_WITHIN });
+            }
+            tokio::time::sleep(Duration::from_millis(20)).await;
+        }
+    }
+    Ok(())
+}
+
+/// Checks all proxies at once, so that paused ones cost one time-out, not one each.
+async fn update_health(processes: &ProxyProcesses, load_balancer: &LoadBalancer) {
+    let mut checks = tokio::task::JoinSet::new();
+    for index in 0..processes.len() {
+        match processes.addr(index) {
+            Some(addr) => drop(checks.spawn(async move { (index, check_health(addr).await) })),
+            None => load_balancer.record_health(index, Health::Dead),
+        }
+    }
+    while let Some(Ok((index, health))) = checks.join_next().await {
+        load_balancer.record_health(index, health);
+    }
+}
+
+/// The day of an experiment: the one it names, with its sizes, length and rate. A day's file is looked for beside the
+/// experiment's file first.
+///
+/// # Errors
+/// What is wrong with the day, or with it at those sizes.
+pub fn day_of(plan: &Plan, beside: Option<&Path>) -> Result<Day, RigError> {
+    let near = beside.and_then(Path::parent).map(|folder| folder.join(&plan.day)).filter(|p| p.is_file());
+    let name = near.map_or(plan.day.clone(), |p| p.display().to_string());
+    let day = Day::open(&name)?;
+    let nodes = plan.nodes.unwrap_or(day.site.cache.count);
+    let mut day = day.sized(plan.proxies(), nodes)?;
+    if let Some(length) = plan.length {
+        day.length = length;
+    }
+    if let Some(rate) = plan.rate {
+        day.load.rate = rate;
+    }
+    Ok(day)
+}
--- /dev/null
+++ b/crates/lab-sim/src/list_service.rs
@@ -0,0 +1,149 @@
+//! The list service in simulated time: each proxy's calls and watches as its discovery makes them, counted, rejected past
+//! the service's limit, and failed while it is down.
+
+use super::*;
+use aniseyoke_decision::api::{Event, ListKind};
+use aniseyoke_pace::PollRules;
+use aniseyoke_pace::{FleetPosition, PollSchedule};
+
+/// The list service, and how proxies call it.
+#[derive(Clone, Debug, Default)]
+pub struct ListService {
+    /// Whether proxies call in their own slots.
+    pub paced: bool,
+    /// Calls a second that it answers; past that it rejects.
+    pub max_per_second: Option<u64>,
+    /// The `Retry-After` of its rejections.
+    pub retry_after: Duration,
+    /// It is down for this long from the start.
+    pub down: Duration,
+}
+
+/// The longest and the shortest wait of a proxy whose calls are not paced.
+const HOLD: (Nanos, Nanos) = (SECOND, 20 * SECOND);
+/// What `[list]` in the operator file sets where it says nothing else.
+const MAX_BACK_OFF: Nanos = 3600 * MILLISECOND;
+/// See `MAX_BACK_OFF`.
+const ANSWER_TIMEOUT: (Nanos, Nanos) = (1200 * MILLISECOND, 3600 * MILLISECOND);
+
+/// One proxy's side of it.
+#[derive(Default)]
+pub struct ListCaller {
+    polls: Option<PollSchedule>,
+    /// Whether a call is in flight, or waits for its slot.
+    busy: bool,
+    /// The number of the watch that is held, if any.
+    watch: Option<u32>,
+    watches: u32,
+}
+
+impl ListCaller {
+    /// Proxy `me` of a day.
+    pub fn new(day: &Day, index: usize, service: Option<&ListService>) -> Self {
+        let slot = FleetPosition::new(index as u32, day.site.proxy.count as u32);
+        let rules = PollRules {
+            interval: PollRules::default_interval(nanos(day.site.discovery.poll_within)),
+            max_backoff: MAX_BACK_OFF,
+            answer_timeout: ANSWER_TIMEOUT.0,
+            max_answer_timeout: ANSWER_TIMEOUT.1,
+        };
+        let polls = service.filter(|s| s.paced).map(|_| PollSchedule::new(rules, slot, 0, 0));
+        ListCaller { polls, ..ListCaller::default() }
+    }
+}
+
+impl Sim {
+    /// A proxy's module wants the list followed, or its last call has been answered.
+    pub(super) fn call_list(&mut self, proxy: u32, restarted: bool) {
+        let (now, caller) = (self.now, &mut self.proxies[proxy as usize].caller);
+        if restarted && std::mem::replace(&mut caller.busy, true) {
+            return;
+        }
+        let at = caller.polls.as_ref().map_or(now, |polls| polls.next_poll(now));
+        self.queue.push(at, SimEvent::ListCall(proxy));
+    }
+
+    /// A proxy's call reaches the service.
+    pub(super) fn list_call_arrived(&mut self, proxy: u32) {
+        let Some(service) = self.options.list.clone() else { return };
+        let now = self.now;
+        let second = (now / SECOND) as usize;
+        let calls = &mut self.counts.list_calls;
+        if calls.len() <= second {
+            calls.resize(second + 1, 0);
+        }
+        calls[second] += 1;
+        let over = service.max_per_second.is_some_and(|max| calls[second] > max);
+        let sim_proxy = &mut self.proxies[proxy as usize];
+        sim_proxy.caller.polls.iter_mut().for_each(|p| p.poll_started(now));
+        let delay = self.network_delay();
+        if now < nanos(service.down) {
+            return self.schedule_after(delay, SimEvent::ListFailure(proxy, false));
+        }
+        if over {
+            self.counts.list_rejected += 1;
+            return self.schedule_after(delay, SimEvent::ListFailure(proxy, true));
+        }
+        let sim_proxy = &mut self.proxies[proxy as usize];
+        if !sim_proxy.subscribed || sim_proxy.version != self.world.endpoint_list().version() {
+            return self.schedule_after(delay, SimEvent::ListAnswer(proxy));
+        }
+        let must = nanos(self.day.site.discovery.poll_within) / 2;
+        let caller = &mut sim_proxy.caller;
+        let hold =
+            caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.watch_duration(now));
+        caller.watches += 1;
+        caller.watch = Some(caller.watches);
+        let number = caller.watches;
+        self.schedule_after(hold, SimEvent::WatchExpiry(proxy, number));
+    }
+
+    /// A watch has been held for as long as it was to be.
+    pub(super) fn watch_expired(&mut self, proxy: u32, number: u32) {
+        let caller = &mut self.proxies[proxy as usize].caller;
+        if caller.watch == Some(number) {
+            caller.watch = None;
+            let delay = self.network_delay();
+            self.schedule_after(delay, SimEvent::ListAnswer(proxy));
+        }
+    }
+
+    /// The list has changed: watches end.
+    pub(super) fn list_changed(&mut self) {
+        for proxy in 0..self.proxies.len() as u32 {
+            let sim_proxy = &mut self.proxies[proxy as usize];
+            let wakes = match self.options.list {
+                Some(_) => sim_proxy.caller.watch.take().is_some(),
+                None => sim_proxy.subscribed,
+            };
+            if wakes {
+                let delay = self.network_delay();
+                self.schedule_after(delay, SimEvent::ListAnswer(proxy));
+            }
+        }
+    }
+
+    /// A proxy has had its answer, and asks on.
+    pub(super) fn list_answered(&mut self, proxy: u32) {
+        self.deliver_list(proxy);
+        if self.options.list.is_some() {
+            self.proxies[proxy as usize].caller.polls.iter_mut().for_each(PollSchedule::answered);
+            self.call_list(proxy, false);
+        }
+    }
+
+    /// A proxy's call was refused, or failed.
+    pub(super) fn list_call_failed(&mut self, proxy: u32, refused: bool) {
+        let now = self.now;
+        let after = self.options.list.as_ref().map(|s| nanos(s.retry_after)).filter(|_| refused);
+        let caller = &mut self.proxies[proxy as usize].caller;
+        caller.busy = false;
+        if let Some(polls) = &mut caller.polls {
+            match refused {
+                true => polls.rejected(now, after),
+                false => polls.failed(now),
+            }
+        }
+        self.feed(proxy, Event::List { kind: ListKind::Failed, entries: Vec::new() });
+    }
+}
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -133,8 +133,8 @@
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let mut store = Sealed::new(Disk, file, MAGIC);
         let mut failing = false;
-        let write = move |kept: Kept| {
-            let payload = serde_json::to_vec(&kept).map_err(std::io::Error::from);
+        let write = move |kept: &Kept| {
+            let payload = serde_json::to_vec(kept).map_err(std::io::Error::from);
             let done = payload.and_then(|payload| store.keep(&payload));
             match (&done, failing) {
                 (Err(e), false) => {
@@ -144,6 +144,7 @@
                 _ => {}
             }
             failing = done.is_err();
+            !failing
         };
         let keeping = Keeping::start(write).map_err(|e| format!("no thread: {e}"))?;
         Ok(CachedListWriter {
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -114,10 +114,10 @@
                 Err(error) => match self.recover(&error) {
                     Recovery::Retry => continue,
                     // The engine's backoff comes on top of the slot's otherwise, and the next poll too late.
-                    Recovery::WaitForSlot => engine.list(ListKind::Failed, &[]),
+                    Recovery::WaitForSlot => engine.update_endpoints(ListKind::Failed, &[]),
                     Recovery::BackOff(wait) => self.back_off(wait, triggers).await,
                     Recovery::Stop => {
-                        engine.list(ListKind::Failed, &[]);
+                        engine.update_endpoints(ListKind::Failed, &[]);
                         return;
                     }
                 },
@@ -159,7 +159,7 @@
         self.timeouts.answered(nanos(self.began.elapsed()));
         self.polling.iter_mut().for_each(|polling| polling.answered(list));
         let kind = if list.full { ListKind::Full } else { ListKind::Delta };
-        engine.list(kind, &self.names.entries(list));
+        engine.update_endpoints(kind, &self.names.entries(list));
     }
 
     /// Takes note of a poll that failed, and decides what follows.
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -68,7 +68,7 @@
             return client_gone();
         }
         parsed.job.waiter = Some(Waiter::new(socket, word, probe_time));
-        let mut ticket = self.engine.arrive(parsed);
+        let mut ticket = self.engine.submit(parsed);
         let mut response = tokio::select! {
             biased;
             answer = ticket.answer() => to_response(answer, is_head),
@@ -99,7 +99,7 @@
             head.version = Version::HTTP_11;
             Response::from_parts(head, body)
         }
-        Answer::Refused(wait) => {
+        Answer::Rejected(wait) => {
             let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
             if !wait.is_zero() {
                 if let Ok(advice) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
@@ -109,7 +109,7 @@
             response
         }
         Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed"),
-        Answer::Overdue => {
+        Answer::TimedOut => {
             tracing::warn!("a request was left unanswered until its deadline");
             text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
         }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -31,7 +31,7 @@
 use crate::state::Store;
 use crate::upstream::Upstreams;
 use crate::{admin, Engine};
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api;
 use client::Client;
 use hyper::header::HeaderValue;
@@ -97,7 +97,7 @@
 /// How requests are served.
 pub struct EngineOptions {
     /// The engine's configuration.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<EngineConfig>,
     /// The poll schedule, status and cache of the endpoint list, where the operator's file has a section for it.
     pub polling: Option<ListPolling>,
     /// Permits to open connections, where that is limited.
@@ -237,7 +237,9 @@
     /// Waits until this process can serve as well as the one that it takes over from.
     async fn wait_for_endpoint_list(&self) {
         let start = Instant::now();
-        while !(self.engine.can_serve() && (self.engine.told() || start.elapsed() > ENDPOINT_LIST_TIMEOUT)) {
+        while !(self.engine.can_serve()
+            && (self.engine.list_received() || start.elapsed() > ENDPOINT_LIST_TIMEOUT))
+        {
             sleep(ENDPOINT_LIST_CHECK_INTERVAL).await;
         }
         tracing::info!("handover: clients are admitted");
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -5,7 +5,7 @@
 use crate::duration::nanos;
 use crate::upload;
 use crate::upstream::{Job, TIME_LEFT};
-use aniseyoke_core::Asked;
+use aniseyoke_core::IncomingRequest;
 use aniseyoke_decision::api::{self, Effect, Nanos};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -63,7 +63,10 @@
 
 impl Server {
     /// Parses a request and reads its body, or says why it is rejected.
-    pub(super) async fn parse_request(&self, request: Request<Incoming>) -> Result<Asked<Job>, Rejection> {
+    pub(super) async fn parse_request(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<IncomingRequest<Job>, Rejection> {
         let (head, body) = request.into_parts();
         let checked = self.check_head(&head)?;
         let body = upload::read(body, checked.write, &self.budget).await?;
@@ -74,7 +77,7 @@
         strip_hop_by_hop(&mut headers);
         // The body is forwarded with the length that it has.
         headers.remove(header::CONTENT_LENGTH);
-        Ok(Asked { request, job: Job { method: head.method, uri, headers, body, waiter: None } })
+        Ok(IncomingRequest { request, job: Job { method: head.method, uri, headers, body, waiter: None } })
     }
 
     /// Checks the head of a request, before its body is read.
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -11,7 +11,7 @@
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Control, Operator};
 use aniseyoke_control::Version;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_logging::LogHandle;
 use aniseyoke_pace::FleetPosition;
 use error::ServeError;
@@ -29,9 +29,12 @@
 pub fn run(file: Option<PathBuf>) -> ExitCode {
     let file = file.filter(|file| !file.as_os_str().is_empty());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let served = runtime
-        .map_err(ServeError::Runtime)
-        .and_then(|runtime| LocalSet::new().block_on(&runtime, serve(file)));
+    let served = runtime.map_err(ServeError::Runtime).and_then(|runtime| {
+        let served = LocalSet::new().block_on(&runtime, serve(file));
+        // Danger: a write that the disk holds up must not hold up the end.
+        runtime.shutdown_background();
+        served
+    });
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -94,13 +97,17 @@
 }
 
 /// This proxy's position in the fleet.
-fn position(plan: &Plan) -> FleetPosition {
+fn position(plan: &EngineConfig) -> FleetPosition {
     FleetPosition::new(plan.settings.me, plan.settings.proxies)
 }
 
 /// The polling of the endpoint list and its status, where the operator's file has a section for it. A list that was cached
 /// on disk takes the place of the platform's.
-fn polling(operator: &Operator, config: &mut Config, plan: &Plan) -> Option<(ListPolling, Rc<ListStatus>)> {
+fn polling(
+    operator: &Operator,
+    config: &mut Config,
+    plan: &EngineConfig,
+) -> Option<(ListPolling, Rc<ListStatus>)> {
     let rules = operator.list.as_ref()?;
     let (status, cache) = discovery::restore(rules, config);
     // Danger: what is pushed counts as notified at once; to wait for a slot then is to use nodes that have been taken away.
@@ -130,7 +137,7 @@
         let Some(control) = control else { return Ok(()) };
         let Updates { in_force, log, about } = updates;
         let (requests, received) = mpsc::channel(1);
-        let subscription = Subscription::new(&control, base, requests, engine.tally())
+        let subscription = Subscription::new(&control, base, requests, engine.counters())
             .map_err(StartError::VersionsThread)?;
         let updater = ConfigUpdater { engine, in_force, log, about };
         tokio::task::spawn_local(updater.run(received));
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -13,7 +13,7 @@
 use aniseyoke_control::follower::{Follower, Identity, Times};
 use aniseyoke_control::store::{Disk, Found, Kept, Store};
 use aniseyoke_control::Version;
-use aniseyoke_core::{Plan, Tally};
+use aniseyoke_core::{EngineConfig, RequestCounters};
 use aniseyoke_decision::api::Entry;
 use aniseyoke_routes::review::{review, Breakage, Configuration};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 pub struct Subscription {
     base: Arc<BaseLayers>,
     requests: mpsc::Sender<UpdateRequest>,
-    tally: Arc<Tally>,
+    tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
     keeping: Option<Keeping<Kept>>,
 }
@@ -38,19 +38,25 @@
         control: &Control,
         base: Arc<BaseLayers>,
         requests: mpsc::Sender<UpdateRequest>,
-        tally: Arc<Tally>,
+        tally: Arc<RequestCounters>,
     ) -> std::io::Result<Self> {
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
-            Keeping::start(move |kept: Kept| {
+            let mut failing = false;
+            Keeping::start(move |kept: &Kept| {
                 let stamp = kept.version.stamp;
                 // Another process of this proxy may have kept a later one.
                 if matches!(store.find(), Ok(Found::Good(before)) if before.version.stamp > stamp) {
-                    return;
+                    return true;
                 }
-                if let Err(e) = store.keep(&kept) {
-                    tracing::error!("version {stamp} could not be kept on disk: {e}");
+                let done = store.keep(kept);
+                match (&done, failing) {
+                    (Err(e), false) => tracing::error!("version {stamp} could not be kept on disk: {e}"),
+                    (Ok(()), true) => tracing::info!("version {stamp} is kept on disk"),
+                    _ => {}
                 }
+                failing = done.is_err();
+                !failing
             })
         });
         Ok(Subscription { base, requests, tally, keeping: keeping.transpose()? })
@@ -95,14 +101,14 @@
 /// Reads a version and checks it against the configuration in force, `now`, and its nodes.
 fn read(
     base: &BaseLayers,
-    now: &Plan,
+    now: &EngineConfig,
     nodes: &[Entry],
     version: Version,
 ) -> Result<CheckedVersion, Vec<String>> {
     let lines = |errors: Vec<ConfigError>| errors.iter().map(ToString::to_string).collect::<Vec<_>>();
     let (resolved, plan) = base.with(Some(&version)).map_err(lines)?;
     let side = |plan| -> Configuration<'_> {
-        let Plan { settings, routing, .. }: &Plan = plan;
+        let EngineConfig { settings, routing, .. }: &EngineConfig = plan;
         Configuration { settings, routing }
     };
     let breakages = review(side(now), side(&plan), nodes);
@@ -159,6 +165,7 @@
     }
 
     fn answered(&self) -> [u64; 3] {
-        self.tally.take()
+        let counts = self.tally.take();
+        [counts.served, counts.rejected, counts.failed]
     }
 }
--- a/crates/proxy/src/versions/updater.rs
+++ b/crates/proxy/src/versions/updater.rs
@@ -2,7 +2,7 @@
 
 use super::ConfigInForce;
 use crate::Engine;
-use aniseyoke_core::Plan;
+use aniseyoke_core::EngineConfig;
 use aniseyoke_decision::api::Entry;
 use aniseyoke_logging::{Levels, LogHandle};
 use std::cell::RefCell;
@@ -14,7 +14,7 @@
 /// A version that has been read and checked.
 pub struct CheckedVersion {
     /// The engine's configuration.
-    pub plan: Arc<Plan>,
+    pub plan: Arc<EngineConfig>,
     /// The log's levels.
     pub levels: Levels,
     /// The configuration in force with it.
@@ -31,13 +31,13 @@
     pub took: Duration,
     /// What is no longer in force.
     #[allow(dead_code, reason = "held for its end alone")]
-    pub old: (Arc<Plan>, ConfigInForce),
+    pub old: (Arc<EngineConfig>, ConfigInForce),
 }
 
 /// What the thread that follows control services requests of the serving one.
 pub enum UpdateRequest {
     /// The engine's configuration in force, and the nodes that operators have not excluded.
-    Read(oneshot::Sender<(Arc<Plan>, Vec<Entry>)>),
+    Read(oneshot::Sender<(Arc<EngineConfig>, Vec<Entry>)>),
     /// Replace the configuration in force by this.
     Apply(Box<CheckedVersion>, oneshot::Sender<Result<Replaced, String>>),
 }
@@ -60,7 +60,9 @@
         while let Some(request) = requests.recv().await {
             // Who sent the request may be gone, with the proxy.
             match request {
-                UpdateRequest::Read(reply) => drop(reply.send((self.engine.plan(), self.engine.standing()))),
+                UpdateRequest::Read(reply) => {
+                    drop(reply.send((self.engine.config(), self.engine.active_endpoints())))
+                }
                 UpdateRequest::Apply(checked, reply) => drop(reply.send(self.apply(*checked))),
             }
         }
@@ -68,7 +70,7 @@
 
     fn apply(&self, checked: CheckedVersion) -> Result<Replaced, String> {
         let start = Instant::now();
-        let plan = self.engine.retune(checked.plan)?;
+        let plan = self.engine.reconfigure(checked.plan).map_err(|error| error.to_string())?;
         self.log.set_levels(&checked.levels);
         if let Some(about) = self.about.borrow_mut().as_object_mut() {
             about.insert("configuration".into(), checked.digest.into());
