--- /dev/null
+++ b/crates/proxy/src/admin/call.rs
@@ -0,0 +1,125 @@
+//! The calls of operators, and parsing them from HTTP.
+
+use super::reply::AdminReply;
+use serde::Deserialize;
+
+/// A call is at most this long, head and body, in bytes.
+pub(super) const MAX_CALL_BYTES: usize = 8 << 10;
+const MAX_HEADERS: usize = 64;
+
+/// A call of an operator.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Call {
+    /// Asks whether this process can serve.
+    Ready,
+    /// Excludes this cache node from all requests.
+    Exclude(String),
+    /// Includes this cache node again.
+    Include(String),
+    /// Begins to drain: clients are to go elsewhere.
+    Evacuate,
+    /// Ends the drain.
+    Rejoin,
+    /// Asks which program and which configuration this is.
+    Version,
+}
+
+/// Parses the bytes received so far, once they are a complete call or can never be one.
+pub(super) fn parse(received: &[u8]) -> Option<Result<Call, AdminReply>> {
+    if received.len() > MAX_CALL_BYTES {
+        return Some(Err(AdminReply::BadCall("the call is too long")));
+    }
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let length = match head.parse(received) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) => return None,
+        Err(_) => return Some(Err(AdminReply::BadCall("the head is malformed"))),
+    };
+    let target = head.path.unwrap_or("");
+    let path = target.split_once('?').map_or(target, |(path, _)| path);
+    let method = match path {
+        "/api/ready" | "/api/version" => "GET",
+        "/api/exclude" | "/api/include" | "/api/evacuate" | "/api/rejoin" => "POST",
+        _ => return Some(Err(AdminReply::NotFound("no such path"))),
+    };
+    if head.method != Some(method) {
+        return Some(Err(AdminReply::MethodNotAllowed(method)));
+    }
+    let body = match body(head.headers, &received[length..])? {
+        Ok(body) => body,
+        Err(reply) => return Some(Err(reply)),
+    };
+    Some(match path {
+        "/api/ready" => Ok(Call::Ready),
+        "/api/version" => Ok(Call::Version),
+        "/api/evacuate" => Ok(Call::Evacuate),
+        "/api/rejoin" => Ok(Call::Rejoin),
+        "/api/exclude" => id(&body).map(Call::Exclude),
+        _ => id(&body).map(Call::Include),
+    })
+}
+
+/// The body, once it is complete or can never be.
+fn body(headers: &[httparse::Header<'_>], received: &[u8]) -> Option<Result<Vec<u8>, AdminReply>> {
+    let named = |name: &'static str| {
+        headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
+    };
+    let mut lengths = named("content-length");
+    let (length, coding) = (lengths.next(), named("transfer-encoding").next());
+    if lengths.next().is_some() || length.is_some() && coding.is_some() {
+        return Some(Err(AdminReply::BadCall("the length is told twice")));
+    }
+    if let Some(coding) = coding {
+        return match coding.eq_ignore_ascii_case(b"chunked") {
+            true => decode_chunks(received),
+            false => Some(Err(AdminReply::BadCall("the body has an unknown coding"))),
+        };
+    }
+    let digits = |v: &&[u8]| !v.is_empty() && v.iter().all(u8::is_ascii_digit);
+    let length = match length {
+        None => Some(0),
+        Some(v) => Some(v).filter(digits).and_then(|v| std::str::from_utf8(v).ok()?.parse::<usize>().ok()),
+    };
+    match length {
+        None => Some(Err(AdminReply::BadCall("the length is no number"))),
+        Some(length) if length > MAX_CALL_BYTES => Some(Err(AdminReply::BadCall("the call is too long"))),
+        Some(length) => received.get(..length).map(|body| Ok(body.to_vec())),
+    }
+}
+
+/// The body that came in chunks, once its last one is there.
+fn decode_chunks(mut received: &[u8]) -> Option<Result<Vec<u8>, AdminReply>> {
+    const BROKEN: AdminReply = AdminReply::BadCall("the chunks are malformed");
+    let mut body = Vec::new();
+    loop {
+        let (from, size) = match httparse::parse_chunk_size(received) {
+            Ok(httparse::Status::Complete(found)) => found,
+            Ok(httparse::Status::Partial) => return None,
+            Err(_) => return Some(Err(BROKEN)),
+        };
+        if size == 0 {
+            return Some(Ok(body));
+        }
+        let Some(to) = usize::try_from(size).ok().filter(|s| *s <= MAX_CALL_BYTES).map(|s| from + s) else {
+            return Some(Err(AdminReply::BadCall("the call is too long")));
+        };
+        body.extend_from_slice(received.get(from..to)?);
+        if received.get(to..to + 2)? != b"\r\n" {
+            return Some(Err(BROKEN));
+        }
+        received = &received[to + 2..];
+    }
+}
+
+fn id(body: &[u8]) -> Result<String, AdminReply> {
+    #[derive(Deserialize)]
+    struct Named {
+        id: String,
+    }
+    let named: Result<Named, _> = serde_json::from_slice(body);
+    named.map(|n| n.id).map_err(|_| AdminReply::BadCall("the body is not {id: text} in JSON"))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -1,68 +1,54 @@
-//! The bytes that bodies held whole may take, for the whole process.
+//! The memory budget for buffered bodies, for the whole process.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
+/// The budget: so many bytes in all, and how many of them are reserved.
 pub struct Budget {
-    most: Cell<usize>,
-    held: Cell<usize>,
+    limit: Cell<usize>,
+    reserved: Cell<usize>,
 }
 
 impl Budget {
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Budget { most: Cell::new(most), held: Cell::new(0) })
+    /// A budget of so many bytes.
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(Budget { limit: Cell::new(limit), reserved: Cell::new(0) })
     }
 
-    /// From here on so much may be taken; what is held beyond that stays until it is given back.
-    pub fn limit(&self, most: usize) {
-        self.most.set(most);
+    /// Changes the budget; what is reserved beyond it stays until it is released.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
     }
 
-    /// Books so many bytes, if they are free.
-    pub fn take(self: &Rc<Self>, bytes: usize) -> Option<Held> {
-        let held = self.held.get().checked_add(bytes).filter(|held| *held <= self.most.get())?;
-        self.held.set(held);
-        Some(Held { budget: self.clone(), bytes })
+    /// Reserves so many bytes, if they are free.
+    pub fn reserve(self: &Rc<Self>, bytes: usize) -> Option<Reservation> {
+        let reserved =
+            self.reserved.get().checked_add(bytes).filter(|reserved| *reserved <= self.limit.get())?;
+        self.reserved.set(reserved);
+        Some(Reservation { budget: self.clone(), bytes })
     }
 }
 
-/// Bytes that are booked until this is dropped.
-pub struct Held {
+/// Bytes that are reserved until this is dropped.
+pub struct Reservation {
     budget: Rc<Budget>,
     bytes: usize,
 }
 
-impl Held {
-    /// Gives back what is more than this.
+impl Reservation {
+    /// Releases what is more than this.
     pub fn shrink(&mut self, bytes: usize) {
-        let more = self.bytes.saturating_sub(bytes);
-        self.bytes -= more;
-        self.budget.held.set(self.budget.held.get() - more);
+        let surplus = self.bytes.saturating_sub(bytes);
+        self.bytes -= surplus;
+        self.budget.reserved.set(self.budget.reserved.get() - surplus);
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.shrink(0);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn no_more_is_held_than_there_is_room_for() {
-        let budget = Budget::new(100);
-        let mut first = budget.take(80).expect("room");
-        assert!(budget.take(21).is_none() && budget.take(usize::MAX).is_none());
-        first.shrink(30);
-        let second = budget.take(70).expect("room");
-        assert!(budget.take(1).is_none());
-        drop(first);
-        budget.limit(70);
-        assert!(budget.take(1).is_none());
-        drop(second);
-        assert!(budget.take(70).is_some());
-    }
-}
+mod tests;
--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -59,25 +59,25 @@
     match cli.command {
         None => crate::serve::run(cli.serve.file),
         Some(Command::Serve(serve)) => crate::serve::run(serve.file.or(cli.serve.file)),
-        Some(Command::Config(command)) => told(configuration::run(&command)),
-        Some(Command::Ctl(ctl)) => told(ctl::run(&ctl)),
-        Some(Command::Completions { shell }) => told(printed(|out| {
+        Some(Command::Config(command)) => print_result(configuration::run(&command)),
+        Some(Command::Ctl(ctl)) => print_result(ctl::run(&ctl)),
+        Some(Command::Completions { shell }) => print_result(rendered(|out| {
             clap_complete::generate(shell, &mut Cli::command(), "aniseyoke", out);
             Ok(())
         })),
-        Some(Command::Man) => told(printed(|out| clap_mangen::Man::new(Cli::command()).render(out))),
+        Some(Command::Man) => print_result(rendered(|out| clap_mangen::Man::new(Cli::command()).render(out))),
     }
 }
 
-/// Prints what is written to a buffer. A reader that has gone has seen enough.
-fn printed(write: impl FnOnce(&mut Vec<u8>) -> std::io::Result<()>) -> Result<String, Vec<String>> {
+/// Renders a text in a buffer. A reader that has gone has seen enough.
+fn rendered(write: impl FnOnce(&mut Vec<u8>) -> std::io::Result<()>) -> Result<String, Vec<String>> {
     let mut text = Vec::new();
     write(&mut text).map_err(|e| vec![e.to_string()])?;
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
 /// Prints an answer, or what is wrong, a line each.
-fn told(answer: Result<String, Vec<String>>) -> ExitCode {
+fn print_result(answer: Result<String, Vec<String>>) -> ExitCode {
     use std::io::Write as _;
     match answer {
         Ok(text) => {
@@ -97,33 +97,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_definitions_are_sound_and_every_command_and_option_is_explained() {
-        fn look(command: &clap::Command) {
-            assert!(command.get_about().is_some(), "{} is not explained", command.get_name());
-            for arg in command.get_arguments().filter(|a| !["help", "version"].contains(&a.get_id().as_str()))
-            {
-                assert!(
-                    arg.get_help().is_some(),
-                    "{} of {} is not explained",
-                    arg.get_id(),
-                    command.get_name()
-                );
-            }
-            command.get_subcommands().filter(|c| c.get_name() != "help").for_each(look);
-        }
-        Cli::command().debug_assert();
-        look(&Cli::command());
-    }
-
-    #[test]
-    fn a_bare_start_serves() {
-        assert!(Cli::try_parse_from(["aniseyoke"]).expect("bare").command.is_none());
-        let cli = Cli::try_parse_from(["aniseyoke", "serve", "--file", "f"]).expect("serve");
-        assert!(matches!(cli.command, Some(Command::Serve(Serve { file: Some(_) }))));
-        assert!(Cli::try_parse_from(["aniseyoke", "--fiel", "f"]).is_err());
-    }
-}
+mod tests;
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,6 +1,6 @@
 //! Carries the operators' calls out, each before its answer, and what they order at another process of this proxy.
 
-use super::admin::{Call, Verdict};
+use super::admin::{AdminReply, Call};
 use super::discovery::ListStatus;
 use super::drain::Drain;
 use super::state::{Orders, Store};
@@ -47,14 +47,15 @@
         }
     }
 
-    pub async fn act(&self, call: Call) -> Verdict {
+    /// Carries a call out, and returns the reply to it.
+    pub async fn act(&self, call: Call) -> AdminReply {
         match call {
-            Call::Ready if self.drain.stopping() => Verdict::Unready("the process is stopping"),
+            Call::Ready if self.drain.stopping() => AdminReply::Unavailable("the process is stopping"),
             Call::Ready if !(self.serving.get() && self.engine.can_serve()) => {
-                Verdict::Unready("no cache node takes work yet")
+                AdminReply::Unavailable("no cache node takes work yet")
             }
-            Call::Ready => Verdict::Yes,
-            Call::Version => Verdict::Told(self.version().to_string()),
+            Call::Ready => AdminReply::Done,
+            Call::Version => AdminReply::Json(self.version().to_string()),
             Call::Exclude(id) => self.ban(id, true).await,
             Call::Include(id) => self.ban(id, false).await,
             Call::Evacuate => self.order(|orders| orders.drain = true).await,
@@ -75,11 +76,11 @@
         about
     }
 
-    async fn ban(&self, id: String, out: bool) -> Verdict {
+    async fn ban(&self, id: String, out: bool) -> AdminReply {
         // What another process took out may have left the list before this one began.
         self.look();
         if !self.engine.was_listed(&id) {
-            return Verdict::Unknown("no such cache node was ever listed");
+            return AdminReply::NotFound("no such cache node was ever listed");
         }
         let change = |orders: &mut Orders| {
             if out {
@@ -91,15 +92,15 @@
         self.order(change).await
     }
 
-    async fn order(&self, change: impl FnOnce(&mut Orders)) -> Verdict {
+    async fn order(&self, change: impl FnOnce(&mut Orders)) -> AdminReply {
         if let Err(e) = self.store.change(change).await {
             tracing::error!("operators' order not kept: {e}");
             // Where only the last step failed the file has it: what is in force is what the file says.
             self.look();
-            return Verdict::Unready("the order could not be kept: make the call again");
+            return AdminReply::Unavailable("the order could not be kept: make the call again");
         }
         self.carry_out();
-        Verdict::Yes
+        AdminReply::Done
     }
 
     fn carry_out(&self) {
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -1,4 +1,4 @@
-//! The list of nodes on disk, over restarts: found and judged at the start, and kept as the service tells it.
+//! The endpoint list cached on disk over restarts: found and checked at the start, and written as the service sends it.
 
 use super::status::{ListSource, ListStatus};
 use crate::config::{Config, Endpoint, EndpointList};
@@ -12,6 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// The file in the folder.
 const KEPT: &str = "aniseyoke-list";
@@ -32,7 +33,23 @@
     list: EndpointList,
 }
 
-/// The list as the service tells it, and the writer of its file.
+/// Why the list can't be cached.
+#[derive(Debug, Error)]
+pub enum CacheError {
+    /// The folder can't be made.
+    #[error("{}: {source}", .folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The writer has no thread.
+    #[error("no thread: {0}")]
+    Thread(#[source] std::io::Error),
+}
+
+/// The list as the service sends it, and the writer of its file.
 pub struct CachedListWriter {
     site: String,
     /// By id; none: not told whole yet.
@@ -44,15 +61,15 @@
     keeping: Keeping<Kept>,
 }
 
-/// What a list has to be of to be used here: the site, and the names that its entries use.
+/// What a cached list must match to be used here: the site, and the names that its entries use.
 fn site_of(rules: &List, config: &Config) -> String {
     let site = rules.site.clone().unwrap_or_else(|| config.discovery.to_string());
     let names = &config.names;
     format!("{site}, zones {}, kinds {}", names.zones.join("+"), names.kinds.join("+"))
 }
 
-/// Begins with the list on disk in place of the platform's, if it may be used. Returns what is held, and who keeps what
-/// the service tells, if that is asked for. A file that may not be used is named in the log, and costs no start.
+/// Begins with the list on disk in place of the platform's, if it may be used. Returns the status of the list, and the
+/// writer of the cache, if there is to be one. A file that may not be used is named in the log, and prevents no start.
 pub fn restore(rules: &List, config: &mut Config) -> (Rc<ListStatus>, Option<CachedListWriter>) {
     let platform = |config: &Config| match &config.known {
         Some(known) => ListStatus::new(ListSource::Platform, Some(known.version), None),
@@ -129,8 +146,9 @@
         site: String,
         refresh_interval: Duration,
         list: Option<&EndpointList>,
-    ) -> Result<Self, String> {
-        std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    ) -> Result<Self, CacheError> {
+        let no_folder = |source| CacheError::Folder { folder: folder.to_owned(), source };
+        std::fs::create_dir_all(folder).map_err(no_folder)?;
         let mut store = Sealed::new(Disk, file, MAGIC);
         let mut failing = false;
         let write = move |kept: &Kept| {
@@ -146,7 +164,7 @@
             failing = done.is_err();
             !failing
         };
-        let keeping = Keeping::start(write).map_err(|e| format!("no thread: {e}"))?;
+        let keeping = Keeping::start(write).map_err(CacheError::Thread)?;
         Ok(CachedListWriter {
             site,
             entries: list.map(by_id),
@@ -157,7 +175,7 @@
         })
     }
 
-    /// The service has told the list or changes of it, perhaps none.
+    /// The service has sent the list or changes of it, perhaps none.
     pub fn update(&mut self, members: &EndpointList) {
         if members.full {
             self.entries = Some(by_id(members));
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -75,7 +75,7 @@
             () = socket.hung_up(word) => client_gone(),
         };
         if response.body().relayed() {
-            response.body_mut().keep(open_id);
+            response.body_mut().hold(open_id);
         }
         response
     }
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -198,7 +198,7 @@
                     }
                     if response.body().relayed() {
                         client.socket.stream();
-                        response.body_mut().keep(open_request);
+                        response.body_mut().hold(open_request);
                     }
                     Ok::<_, Infallible>(response)
                 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -224,7 +224,7 @@
             connections = connections.min(self.descriptors.used() + SPARE_DESCRIPTORS);
             limits.claim(peers, connections);
         }
-        self.budget.limit(limits.max_buffered_bytes(&others));
+        self.budget.set_limit(limits.max_buffered_bytes(&others));
         if connections != self.descriptors.most() {
             self.descriptors.limit(connections);
         }
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -42,13 +42,13 @@
     }
 }
 
-impl From<upload::Fault> for Rejection {
-    fn from(fault: upload::Fault) -> Self {
-        let (status, reason) = match fault {
-            upload::Fault::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-            upload::Fault::Stalled => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
-            upload::Fault::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
-            upload::Fault::NoRoom => (StatusCode::SERVICE_UNAVAILABLE, "no room for the body"),
+impl From<upload::UploadError> for Rejection {
+    fn from(error: upload::UploadError) -> Self {
+        let (status, reason) = match error {
+            upload::UploadError::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
+            upload::UploadError::Stalled => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+            upload::UploadError::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
+            upload::UploadError::NoRoom => (StatusCode::SERVICE_UNAVAILABLE, "no room for the body"),
         };
         Rejection { status, reason }
     }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,6 +1,6 @@
-//! The body of an answer on its way to the client: held whole, or passed on as the node gives it.
+//! The body of an answer to a client: buffered, or streamed as it comes from the node.
 
-use super::budget::Held;
+use super::budget::Reservation;
 use super::LARGEST;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::any::Any;
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A node that gives nothing for so long in the midst of its answer has broken off.
-const GIVES_WITHIN: Duration = Duration::from_secs(10);
+/// A node that sends nothing for so long in the middle of its answer has broken off.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer that is passed on while it still comes. Dropped after its end, it gives its connection back.
+/// An answer that is streamed while it still comes. Dropped after its end, it returns its connection to the pool.
 pub struct Relay {
     ahead: Option<Bytes>,
     rest: Incoming,
-    passed: u64,
+    relayed_bytes: u64,
     stall: Pin<Box<Sleep>>,
     ended: bool,
     /// Called once the answer has come whole.
@@ -28,14 +28,14 @@
 impl Relay {
     /// `ahead` has been read of it already; `done` is called when all of it has come.
     pub fn new(ahead: Bytes, rest: Incoming, done: impl FnOnce() + 'static) -> Self {
-        let stall = Box::pin(sleep(GIVES_WITHIN));
-        Relay { ahead: Some(ahead), rest, passed: 0, stall, ended: false, done: Some(Box::new(done)) }
+        let stall = Box::pin(sleep(STALL_TIMEOUT));
+        Relay { ahead: Some(ahead), rest, relayed_bytes: 0, stall, ended: false, done: Some(Box::new(done)) }
     }
 
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         if let Some(ahead) = self.ahead.take() {
             self.ended = self.rest.is_end_stream();
-            self.stall.as_mut().reset(Instant::now() + GIVES_WITHIN);
+            self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
             return Poll::Ready(Some(Ok(ahead)));
         }
         loop {
@@ -50,12 +50,12 @@
                 }
                 Poll::Ready(Some(Err(e))) => return Poll::Ready(Some(Err(io::Error::other(e)))),
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.stall.as_mut().reset(Instant::now() + GIVES_WITHIN);
+                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     self.ended = self.rest.is_end_stream();
                     // Trailers belong to the connection to the node.
                     let Ok(data) = frame.into_data() else { continue };
-                    self.passed += data.len() as u64;
-                    if self.passed > LARGEST {
+                    self.relayed_bytes += data.len() as u64;
+                    if self.relayed_bytes > LARGEST {
                         return Poll::Ready(Some(Err(io::Error::other("the answer does not end"))));
                     }
                     return Poll::Ready(Some(Ok(data)));
@@ -81,30 +81,31 @@
 /// The body of an answer to a client.
 pub struct Outgoing {
     kind: Kind,
-    /// Kept until the body has gone.
-    kept: Vec<Box<dyn Any>>,
+    /// Dropped once the body has been sent.
+    held: Vec<Box<dyn Any>>,
 }
 
 impl Outgoing {
-    pub fn whole(bytes: Bytes, held: Option<Held>) -> Self {
-        let kept = held.map(|held| Box::new(held) as Box<dyn Any>);
-        Outgoing { kind: Kind::Whole(Some(bytes)), kept: kept.into_iter().collect() }
+    /// A buffered body, and its reservation in the budget.
+    pub fn whole(bytes: Bytes, held: Option<Reservation>) -> Self {
+        let held = held.map(|held| Box::new(held) as Box<dyn Any>);
+        Outgoing { kind: Kind::Whole(Some(bytes)), held: held.into_iter().collect() }
     }
 
-    /// Whether it still comes while it goes.
+    /// Whether it is streamed.
     pub fn relayed(&self) -> bool {
         matches!(self.kind, Kind::Relay(_))
     }
 
-    /// Holds something for as long as the body goes.
-    pub fn keep(&mut self, it: impl Any) {
-        self.kept.push(Box::new(it));
+    /// Holds something until the body has been sent.
+    pub fn hold(&mut self, it: impl Any) {
+        self.held.push(Box::new(it));
     }
 }
 
 impl From<Relay> for Outgoing {
     fn from(relay: Relay) -> Self {
-        Outgoing { kind: Kind::Relay(Box::new(relay)), kept: Vec::new() }
+        Outgoing { kind: Kind::Relay(Box::new(relay)), held: Vec::new() }
     }
 }
 
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -1,6 +1,6 @@
-//! The body of a client's request: read whole while it is small, else passed on to the node as it comes.
+//! The body of a client's request: buffered while it is small, else streamed to the node as it comes.
 
-use super::budget::{Budget, Held};
+use super::budget::{Budget, Reservation};
 use super::{BODY_MOST, LARGEST};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
@@ -11,28 +11,37 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant, Sleep};
 
-/// A client that sends nothing for so long in the midst of its body has stalled.
-const COMES_WITHIN: Duration = Duration::from_secs(2);
-/// Beyond that a body comes at no less than this, in bytes a second, on the whole.
-const SLOWEST: f64 = 16e3;
-/// How long a body waits for room in the budget before the next look.
-const ROOM_AGAIN: Duration = Duration::from_millis(10);
+/// A client that sends nothing for so long in the middle of its body has stalled.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Beyond that time the body must come at this rate on average.
+const MIN_BYTES_PER_SECOND: f64 = 16e3;
+/// How often a body that waits for room in the budget tries again.
+const BUDGET_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a body can't be had.
-#[derive(Debug, PartialEq)]
-pub enum Fault {
+/// Why a body can't be received.
+#[derive(Debug, Error, PartialEq)]
+pub enum UploadError {
+    /// It is longer than is allowed.
+    #[error("the body is too large")]
     TooLarge,
+    /// The client sends it too slowly, or not at all.
+    #[error("the body did not come in time")]
     Stalled,
+    /// It ended before its end.
+    #[error("the body is broken")]
     Broken,
+    /// The budget for buffered bodies is used up.
+    #[error("no room for the body")]
     NoRoom,
 }
 
 /// The body of a request, as attempts send it.
 pub enum Payload {
-    Whole { bytes: Bytes, _held: Option<Held> },
+    Whole { bytes: Bytes, _held: Option<Reservation> },
     Upload(Rc<Upload>),
 }
 
@@ -65,24 +74,24 @@
 }
 
 /// How long the client has been waited for, against what it has sent.
-struct Pace {
+struct ReceiveRate {
     waited: Duration,
-    came: u64,
+    received: u64,
 }
 
-impl Pace {
+impl ReceiveRate {
     /// Danger: a byte now and then would hold a connection for good.
     fn too_slow(&self) -> bool {
-        self.waited.saturating_sub(COMES_WITHIN).as_secs_f64() * SLOWEST > self.came as f64
+        self.waited.saturating_sub(STALL_TIMEOUT).as_secs_f64() * MIN_BYTES_PER_SECOND > self.received as f64
     }
 }
 
 /// Reads a body whole, or so much of it that it has to be passed on as it comes. `large`: it may be.
-pub async fn read(mut body: Incoming, large: bool, budget: &Rc<Budget>) -> Result<Payload, Fault> {
+pub async fn read(mut body: Incoming, large: bool, budget: &Rc<Budget>) -> Result<Payload, UploadError> {
     let told = body.size_hint();
     let most = if large { LARGEST } else { BODY_MOST as u64 };
     if told.lower() > most {
-        return Err(Fault::TooLarge);
+        return Err(UploadError::TooLarge);
     }
     if body.is_end_stream() {
         return Ok(Payload::empty());
@@ -90,39 +99,39 @@
     let room = told.exact().map_or(BODY_MOST, |length| length.min(BODY_MOST as u64) as usize);
     let since = Instant::now();
     let mut held = loop {
-        match budget.take(room) {
+        match budget.reserve(room) {
             Some(held) => break held,
-            None if since.elapsed() > COMES_WITHIN => return Err(Fault::NoRoom),
-            None => sleep(ROOM_AGAIN).await,
+            None if since.elapsed() > STALL_TIMEOUT => return Err(UploadError::NoRoom),
+            None => sleep(BUDGET_RETRY_INTERVAL).await,
         }
     };
-    let mut pace = Pace { waited: Duration::ZERO, came: 0 };
+    let mut rate = ReceiveRate { waited: Duration::ZERO, received: 0 };
     let mut ahead = Vec::new();
     while !body.is_end_stream() {
         let asked = Instant::now();
-        let frame = timeout(COMES_WITHIN, body.frame()).await.map_err(|_| Fault::Stalled)?;
-        pace.waited += asked.elapsed();
+        let frame = timeout(STALL_TIMEOUT, body.frame()).await.map_err(|_| UploadError::Stalled)?;
+        rate.waited += asked.elapsed();
         let Some(frame) = frame else { break };
-        let Ok(data) = frame.map_err(|_| Fault::Broken)?.into_data() else { continue };
-        pace.came += data.len() as u64;
-        if pace.too_slow() {
-            return Err(Fault::Stalled);
+        let Ok(data) = frame.map_err(|_| UploadError::Broken)?.into_data() else { continue };
+        rate.received += data.len() as u64;
+        if rate.too_slow() {
+            return Err(UploadError::Stalled);
         }
-        if pace.came <= BODY_MOST as u64 && told.lower() <= BODY_MOST as u64 {
+        if rate.received <= BODY_MOST as u64 && told.lower() <= BODY_MOST as u64 {
             ahead.extend_from_slice(&data);
             continue;
         }
         if !large {
-            return Err(Fault::TooLarge);
+            return Err(UploadError::TooLarge);
         }
         ahead.extend_from_slice(&data);
         held.shrink(ahead.len());
         let upload = Upload {
             length: told.exact(),
             ahead: RefCell::new(Some((ahead.into(), held))),
-            rest: RefCell::new(Some((body, pace))),
+            rest: RefCell::new(Some((body, rate))),
             taken: Cell::new(false),
-            fault: Cell::new(false),
+            failed: Cell::new(false),
             news: Notify::new(),
             then: RefCell::default(),
         };
@@ -136,11 +145,11 @@
 pub struct Upload {
     length: Option<u64>,
     /// What has been read of it; kept until more is.
-    ahead: RefCell<Option<(Bytes, Held)>>,
+    ahead: RefCell<Option<(Bytes, Reservation)>>,
     /// What has not been read; gone once an attempt has begun to.
-    rest: RefCell<Option<(Incoming, Pace)>>,
+    rest: RefCell<Option<(Incoming, ReceiveRate)>>,
     taken: Cell<bool>,
-    fault: Cell<bool>,
+    failed: Cell<bool>,
     news: Notify,
     then: RefCell<Option<Box<dyn FnOnce()>>>,
 }
@@ -149,7 +158,7 @@
     /// Danger: a body of which some is lost with an attempt must not go out as though it were whole.
     fn send(upload: &Rc<Upload>) -> Option<UploadBody> {
         let ahead = upload.ahead.borrow().as_ref().map(|(ahead, _)| ahead.clone())?;
-        let stall = Box::pin(sleep(COMES_WITHIN));
+        let stall = Box::pin(sleep(STALL_TIMEOUT));
         Some(UploadBody { upload: upload.clone(), ahead: Some(ahead), rest: None, asked: None, stall })
     }
 
@@ -167,7 +176,7 @@
 
     /// Whether the client failed to send the rest.
     pub fn failed(&self) -> bool {
-        self.fault.get()
+        self.failed.get()
     }
 }
 
@@ -175,14 +184,14 @@
 pub struct UploadBody {
     upload: Rc<Upload>,
     ahead: Option<Bytes>,
-    rest: Option<(Incoming, Pace)>,
+    rest: Option<(Incoming, ReceiveRate)>,
     /// Since when the client has been waited for.
     asked: Option<Instant>,
     stall: Pin<Box<Sleep>>,
 }
 
 impl UploadBody {
-    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
         if let Some(ahead) = self.ahead.take() {
             return Poll::Ready(Some(Ok(ahead)));
         }
@@ -190,34 +199,34 @@
             self.rest = self.upload.rest.take();
             self.upload.ahead.take();
         }
-        let Some((rest, pace)) = &mut self.rest else { return Poll::Ready(Some(Err(Fault::Broken))) };
+        let Some((rest, rate)) = &mut self.rest else { return Poll::Ready(Some(Err(UploadError::Broken))) };
         loop {
             let polled = Pin::new(&mut *rest).poll_frame(cx);
             let Poll::Ready(frame) = polled else {
                 if self.asked.is_none() {
                     self.asked = Some(Instant::now());
-                    self.stall.as_mut().reset(Instant::now() + COMES_WITHIN);
+                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                 }
                 ready!(self.stall.as_mut().poll(cx));
-                return Poll::Ready(Some(Err(Fault::Stalled)));
+                return Poll::Ready(Some(Err(UploadError::Stalled)));
             };
-            pace.waited += self.asked.take().map_or(Duration::ZERO, |asked| asked.elapsed());
+            rate.waited += self.asked.take().map_or(Duration::ZERO, |asked| asked.elapsed());
             let data = match frame {
                 None => {
                     self.upload.end();
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return Poll::Ready(Some(Err(Fault::Broken))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(UploadError::Broken))),
                 Some(Ok(frame)) => frame.into_data(),
             };
             if rest.is_end_stream() {
                 self.upload.end();
             }
             let Ok(data) = data else { continue };
-            pace.came += data.len() as u64;
-            return Poll::Ready(Some(match pace {
-                pace if pace.came > LARGEST => Err(Fault::TooLarge),
-                pace if pace.too_slow() => Err(Fault::Stalled),
+            rate.received += data.len() as u64;
+            return Poll::Ready(Some(match rate {
+                rate if rate.received > LARGEST => Err(UploadError::TooLarge),
+                rate if rate.too_slow() => Err(UploadError::Stalled),
                 _ => Ok(data),
             }));
         }
@@ -245,7 +254,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let next = ready!(self.poll_data(cx));
         if let Some(Err(_)) = &next {
-            self.upload.fault.set(true);
+            self.upload.failed.set(true);
         }
         let broken = |fault| io::Error::other(format!("the client's body: {fault:?}"));
         Poll::Ready(next.map(|data| data.map(Frame::data).map_err(broken)))
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -411,7 +411,7 @@
         let told = body.size_hint();
         let small = told.lower() <= BODY_MOST as u64;
         let room = told.exact().map_or(BODY_MOST, |length| length.min(BODY_MOST as u64) as usize);
-        let mut held = if small { self.budget.take(room) } else { None };
+        let mut held = if small { self.budget.reserve(room) } else { None };
         let mut ahead = Vec::new();
         // Danger: what has no told length may be large, and a slow one's first bytes would wait for long.
         let unknown = told.exact().is_none() && status(&head) == Status::Ok;
--- a/crates/proxy/src/versions/updater.rs
+++ b/crates/proxy/src/versions/updater.rs
@@ -61,7 +61,7 @@
             // Who sent the request may be gone, with the proxy.
             match request {
                 UpdateRequest::Read(reply) => {
-                    drop(reply.send((self.engine.config(), self.engine.active_endpoints())))
+                    drop(reply.send((self.engine.config(), self.engine.active_endpoints())));
                 }
                 UpdateRequest::Apply(checked, reply) => drop(reply.send(self.apply(*checked))),
             }
