--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -1,6 +1,7 @@
-//! Files whose every step fails in turn, before it, in its midst and after it: the epoch, and the last good version.
+//! The epoch and the last known good version on files of which each step fails in turn: not done, done in part, or done.
 
-use aniseyoke_control::store::{raise_epoch, Files, Found, Kept, Store};
+use aniseyoke_control::epoch::raise;
+use aniseyoke_control::store::{Files, Loaded, Store, StoredVersion};
 use aniseyoke_control::{Stamp, Version};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -18,7 +19,7 @@
 /// Files in memory, of which one step fails.
 struct Failing {
     files: BTreeMap<PathBuf, Vec<u8>>,
-    /// Steps until the one that fails; none: no more fails.
+    /// Steps until the one that fails; none if no other fails.
     left: Option<usize>,
     done: Done,
 }
@@ -72,41 +73,41 @@
 
 const ALL: [Done; 3] = [Done::Nothing, Done::Half, Done::All];
 
-/// Danger: under an epoch that is given out twice the same numbers mean different things.
+/// Danger: under an epoch that is assigned twice the same numbers mean different things.
 #[test]
-fn no_epoch_is_given_out_twice_whatever_step_fails() {
+fn no_epoch_is_assigned_twice_whichever_step_fails() {
     for step in 0..3 {
         for done in ALL {
             let mut disk = Failing::new();
-            let first = raise_epoch(&mut &mut disk, Path::new("state"), 100).expect("the first");
+            let first = raise(&mut &mut disk, Path::new("state"), 100).expect("the first");
             (disk.left, disk.done) = (Some(step), done);
-            assert!(raise_epoch(&mut &mut disk, Path::new("state"), 90).is_err(), "step {step}");
+            assert!(raise(&mut &mut disk, Path::new("state"), 90).is_err(), "step {step}");
             // The clock has gone back meanwhile.
-            let next = raise_epoch(&mut &mut disk, Path::new("state"), 5).expect("the disk is back");
+            let next = raise(&mut &mut disk, Path::new("state"), 5).expect("the disk is back");
             assert!(next > first, "step {step}: {next} after {first}");
         }
     }
 }
 
-fn kept(number: u64) -> Kept {
+fn stored(number: u64) -> StoredVersion {
     let version = Version::new(Stamp { epoch: 1, number }, &json!({ "n": number }));
-    Kept { version, at_ms: number }
+    StoredVersion { version, at_ms: number }
 }
 
 #[test]
-fn a_version_whose_keeping_fails_leaves_the_old_or_the_new_one_and_the_next_is_kept() {
+fn a_failed_save_leaves_the_old_or_the_new_version_and_the_next_save_succeeds() {
     for step in 0..2 {
         for done in ALL {
             let mut disk = Failing::new();
-            Store::new(&mut disk, "last".into()).keep(&kept(1)).expect("kept");
+            Store::new(&mut disk, "last".into()).save(&stored(1)).expect("saved");
             (disk.left, disk.done) = (Some(step), done);
-            assert!(Store::new(&mut disk, "last".into()).keep(&kept(2)).is_err());
-            let found = Store::new(&mut disk, "last".into()).find().expect("read");
+            assert!(Store::new(&mut disk, "last".into()).save(&stored(2)).is_err());
+            let loaded = Store::new(&mut disk, "last".into()).load().expect("read");
             let renamed = step == 1 && done == Done::All;
-            assert_eq!(found, Found::Good(kept(if renamed { 2 } else { 1 })));
+            assert_eq!(loaded, Loaded::Valid(stored(if renamed { 2 } else { 1 })));
             let mut after = Store::new(&mut disk, "last".into());
-            after.keep(&kept(3)).expect("kept");
-            assert_eq!(after.find().expect("read"), Found::Good(kept(3)));
+            after.save(&stored(3)).expect("saved");
+            assert_eq!(after.load().expect("read"), Loaded::Valid(stored(3)));
         }
     }
 }
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -1,9 +1,9 @@
 //! What the service keeps on disk, while writes and syncs fail and when it is killed with a write half done: versions, the
 //! epoch, the log of purges.
 
-use aniseyoke_control::frame::{FromOperator, ToOperator};
+use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
+use aniseyoke_control::operators::{call, CallError};
 use aniseyoke_control::rollout::Plan as Rollout;
-use aniseyoke_control::service::call;
 use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
 /// A running service; it is killed when this is dropped.
 struct Service {
     child: Child,
-    door: SocketAddr,
+    operators: SocketAddr,
 }
 
 impl Drop for Service {
@@ -64,7 +64,7 @@
         let (mut command, armed) = self.command(plan);
         let mut child = command.spawn().expect("started");
         let mut lines = BufReader::new(child.stderr.take().expect("its errors")).lines();
-        let door = loop {
+        let operators = loop {
             let line = lines.next().expect("it listens").expect("text");
             if let Some((_, addr)) = line.split_once("operators call at") {
                 break addr.trim().parse().expect("an address");
@@ -72,7 +72,7 @@
         };
         // It must not fill up.
         std::thread::spawn(move || lines.map_while(Result::ok).count());
-        (Service { child, door }, armed)
+        (Service { child, operators }, armed)
     }
 
     /// Calls fail about files whose path in the folder begins so.
@@ -95,16 +95,19 @@
 }
 
 impl Service {
-    fn call(&self, what: &FromOperator) -> Result<ToOperator, String> {
+    fn call(&self, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        runtime.block_on(call(self.door, what))
+        runtime.block_on(call(self.operators, request))
     }
 
     fn purge(&self, sequence: u64) -> Result<(u64, u64), String> {
         let keys = vec![format!("key {sequence}")];
-        match self.call(&FromOperator::Purge { publisher: "p".into(), sequence, keys })? {
-            ToOperator::Purging { epoch, through } => Ok((epoch, through)),
-            ToOperator::No { why } => Err(why),
+        match self
+            .call(&OperatorRequest::Purge { publisher: "p".into(), sequence, keys })
+            .map_err(|e| e.to_string())?
+        {
+            OperatorResponse::PurgeAccepted { epoch, through } => Ok((epoch, through)),
+            OperatorResponse::Rejected { reason } => Err(reason),
             other => panic!("{other:?}"),
         }
     }
@@ -112,16 +115,19 @@
     /// Publishes a version that says this; the answer says whether it did.
     fn publish(&self, number: u64) -> Result<(), String> {
         let body = json!({ "log": { "burst": number } });
-        match self.call(&FromOperator::Publish { body, plan: Rollout::default() })? {
-            ToOperator::Published { .. } => Ok(()),
-            ToOperator::No { why } => Err(why),
+        match self
+            .call(&OperatorRequest::Publish { body, plan: Rollout::default() })
+            .map_err(|e| e.to_string())?
+        {
+            OperatorResponse::Published { .. } => Ok(()),
+            OperatorResponse::Rejected { reason } => Err(reason),
             other => panic!("{other:?}"),
         }
     }
 
     fn newest(&self) -> Option<u64> {
-        match self.call(&FromOperator::Status) {
-            Ok(ToOperator::Status { newest, .. }) => newest.map(|stamp| stamp.number),
+        match self.call(&OperatorRequest::Status) {
+            Ok(OperatorResponse::Status { newest, .. }) => newest.map(|stamp| stamp.number),
             other => panic!("{other:?}"),
         }
     }
@@ -138,12 +144,12 @@
 }
 
 /// What the version on disk says.
-fn kept(site: &Site) -> Option<u64> {
-    use aniseyoke_control::store::{Disk, Found, Store};
-    match Store::new(Disk, site.state.path().join("newest")).find().expect("read") {
-        Found::Good(kept) => kept.version.body.value()["log"]["burst"].as_u64(),
-        Found::Nothing => None,
-        Found::Damaged { why, .. } => panic!("{why}"),
+fn stored(site: &Site) -> Option<u64> {
+    use aniseyoke_control::store::{Disk, Loaded, Store};
+    match Store::new(Disk, site.state.path().join("newest")).load().expect("read") {
+        Loaded::Valid(stored) => stored.version.body.value()["log"]["burst"].as_u64(),
+        Loaded::Missing => None,
+        Loaded::Damaged { reason, .. } => panic!("{reason}"),
     }
 }
 
@@ -158,7 +164,7 @@
         service.publish(n).expect("published");
         drop(service);
         answered += 1;
-        lost += u64::from(kept(&site) != Some(n));
+        lost += u64::from(stored(&site) != Some(n));
     }
     assert_eq!(lost, 0, "of {answered} versions that were answered for {lost} are gone");
 }
@@ -180,7 +186,7 @@
             let site = Site::new();
             let (service, armed) = site.start(&Plan::default());
             service.publish(1).expect("published");
-            until("it is kept", || kept(&site) == Some(1));
+            until("it is kept", || stored(&site) == Some(1));
             let rule = site.failing(&[step], name, Effect::Fail(number)).often(often);
             armed.change(&plan(&[rule])).expect("changed");
             calls += 1;
@@ -190,10 +196,10 @@
             }
             assert!(service.newest() == Some(1) || !claimed.is_empty());
             armed.change(&Plan::default()).expect("changed");
-            until("what is in force is on disk", || kept(&site) == Some(1) || !claimed.is_empty());
+            until("what is in force is on disk", || stored(&site) == Some(1) || !claimed.is_empty());
             service.publish(3).expect("the disk is back");
             drop(service);
-            assert!(kept(&site) == Some(3) || !claimed.is_empty(), "{step:?} {name}");
+            assert!(stored(&site) == Some(3) || !claimed.is_empty(), "{step:?} {name}");
         }
     }
     assert!(claimed.is_empty(), "{} of {calls} were answered with success: {claimed:#?}", claimed.len());
@@ -207,19 +213,19 @@
         service.publish(1).expect("published");
         let half = site.failing(&[Call::Write], "newest.new", Effect::StopAfter(bytes));
         armed.change(&plan(&[half])).expect("changed");
-        let door = service.door;
+        let operators = service.operators;
         let caller = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let body = json!({ "log": { "burst": 2 } });
-            let publish = FromOperator::Publish { body, plan: Rollout::default() };
-            runtime.expect("a runtime").block_on(call(door, &publish))
+            let publish = OperatorRequest::Publish { body, plan: Rollout::default() };
+            runtime.expect("a runtime").block_on(call(operators, &publish))
         });
         service.kill_when_stopped();
         assert!(caller.join().expect("no panic").is_err(), "nobody was answered");
         let (service, _armed) = site.start(&Plan::default());
-        assert_eq!((kept(&site), service.newest()), (Some(1), Some(1)));
+        assert_eq!((stored(&site), service.newest()), (Some(1), Some(1)));
         service.publish(3).expect("published");
-        assert_eq!(kept(&site), Some(3));
+        assert_eq!(stored(&site), Some(3));
     }
 }
 
@@ -328,12 +334,12 @@
         let mut answered = taken(&service, 1..=5);
         let half = site.failing(&[Call::Write], "purges/purges-", Effect::StopAfter(bytes));
         armed.change(&plan(&[half])).expect("changed");
-        let door = service.door;
+        let operators = service.operators;
         let caller = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let keys = vec!["key 6".to_owned()];
-            let purge = FromOperator::Purge { publisher: "p".into(), sequence: 6, keys };
-            runtime.expect("a runtime").block_on(call(door, &purge))
+            let purge = OperatorRequest::Purge { publisher: "p".into(), sequence: 6, keys };
+            runtime.expect("a runtime").block_on(call(operators, &purge))
         });
         service.kill_when_stopped();
         assert!(caller.join().expect("no panic").is_err(), "nobody was answered");
@@ -359,7 +365,7 @@
     );
     armed.change(&plan(&[broken])).expect("changed");
     let why = service.purge(2).expect_err("it is not on disk");
-    assert!(why.contains("can't be kept"), "{why}");
+    assert!(why.contains("can't be stored"), "{why}");
     drop(service);
     let inode = |site: &Site| std::fs::metadata(&site.segments()[0]).expect("there").ino();
     let before = inode(&site);
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -125,7 +125,7 @@
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(state, id, server, timeout, events),
             Action::Cancel { id, attempt } => self.cancel_attempt(state, id, attempt as usize, events),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 let retry_after = Duration::from_nanos(retry_after);
                 self.answer_request(state, id, Answer::Rejected(retry_after), events);
             }
@@ -133,7 +133,7 @@
             Action::Timer { token, delay } => self.schedule(delay, move |engine| {
                 engine.handle_event(&mut engine.state.borrow_mut(), Event::Timer(token));
             }),
-            Action::Close(server) => self.transport.close_idle(server),
+            Action::CloseIdle(server) => self.transport.close_idle(server),
             // The receiver is gone only when the proxy ends.
             Action::Subscribe => drop(self.discovery_requests.send(())),
         }
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -29,7 +29,7 @@
         let phase = AttemptPhase::Queued;
         request.attempts.push(Attempt { server, sent_at: now, time_limit, phase, never_executed: false });
         if request.is_answered() || time_left == 0 {
-            return self.end_attempt(state, id, number, Status::Moot, None, events);
+            return self.end_attempt(state, id, number, Status::NotSent, None, events);
         }
         let Some(limits) = state.limits.as_mut() else { return self.start_attempt(state, id, number) };
         let admission_request = AdmissionRequest {
@@ -45,7 +45,7 @@
             Admission::Queued(wait) => {
                 self.schedule(wait, move |engine| engine.queue_wait_expired(id, number));
             }
-            Admission::Rejected => self.end_attempt(state, id, number, Status::Full, None, events),
+            Admission::Rejected => self.end_attempt(state, id, number, Status::Rejected, None, events),
         }
         self.carry_out_queue_actions(state, actions, events);
     }
@@ -84,7 +84,7 @@
         };
         let server = attempt.server;
         let mut events: VecDeque<Event> =
-            outcome.load.map(|load| Event::Load { server, load }).into_iter().collect();
+            outcome.load.map(|load| Event::LoadReport { server, load }).into_iter().collect();
         let mut is_final_answer = false;
         if let Some(answer) = outcome.answer {
             if let Some(answer_sender) = request.answer_sender.take() {
@@ -108,7 +108,7 @@
         let limits = state.limits.as_mut();
         if limits.is_some_and(|limits| limits.wait_expired(now, (id, number))) {
             let mut events = VecDeque::new();
-            self.end_attempt(state, id, number, Status::Full, None, &mut events);
+            self.end_attempt(state, id, number, Status::Rejected, None, &mut events);
             self.handle_events(state, events);
         }
     }
@@ -123,7 +123,7 @@
             match action {
                 QueueAction::Start((id, number)) => self.start_attempt(state, id, number),
                 QueueAction::Reject((id, number)) => {
-                    self.end_attempt(state, id, number, Status::Full, None, events);
+                    self.end_attempt(state, id, number, Status::Rejected, None, events);
                 }
             }
         }
@@ -166,8 +166,8 @@
     ) {
         let Some(limits) = state.limits.as_mut() else { return };
         let mut actions = Vec::new();
-        if let Some(room) = limits.attempt_completed(now, completed, &mut actions) {
-            events.push_back(Event::Room { server: completed.server, room });
+        if let Some(limit) = limits.attempt_completed(now, completed, &mut actions) {
+            events.push_back(Event::ConcurrencyLimit { server: completed.server, limit });
         }
         self.carry_out_queue_actions(state, actions, events);
     }
@@ -193,7 +193,7 @@
                 if let Some(limits) = state.limits.as_mut() {
                     limits.cancel(now, (id, number));
                 }
-                Status::Moot
+                Status::NotSent
             }
             AttemptPhase::Ended => return,
         };
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -46,7 +46,7 @@
         if let Some(limits) = state.limits.as_mut() {
             entries.iter().for_each(|entry| limits.update_endpoint(entry));
         }
-        events.push_back(Event::List { kind, entries });
+        events.push_back(Event::EndpointList { kind, entries });
     }
 
     /// Whether discovery has reported a list since the start; the one known before it may be old.
@@ -58,7 +58,7 @@
     pub fn active_endpoints(&self) -> Vec<Entry> {
         let state = self.state.borrow();
         let endpoints = state.endpoint_list.entries();
-        let active = endpoints.filter(|(entry, _)| !state.balancer.excluded(entry.server));
+        let active = endpoints.filter(|(entry, _)| !state.balancer.is_excluded(entry.server));
         active.map(|(entry, _)| entry.clone()).collect()
     }
 
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -83,8 +83,13 @@
 }
 
 fn settings() -> Settings {
-    let class = Class { aim: 1_000_000_000, deadline: 2_000_000_000, worth: 1.0, ..Class::default() };
-    Settings { classes: vec![class], proxies: 1, cancel: true, ..Settings::default() }
+    let class = Class {
+        latency_objective: 1_000_000_000,
+        deadline: 2_000_000_000,
+        priority_weight: 1.0,
+        ..Class::default()
+    };
+    Settings { classes: vec![class], proxies: 1, cancellation: true, ..Settings::default() }
 }
 
 fn config(settings: Settings, limits: Option<LimitsConfig>) -> Arc<EngineConfig> {
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -31,7 +31,7 @@
         let mut settings = settings(object)?;
         // Danger: lists that are pushed come unasked on the simulator's wire alone. On sockets nobody hears of a change
         // who has no watch open, and it counts as notified all the same.
-        let pushed = !std::mem::replace(&mut settings.must_ask, true);
+        let pushed = !std::mem::replace(&mut settings.subscribes, true);
         let names = names(object)?;
         check_classes(&settings, &names)?;
         Ok(Config {
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -1,11 +1,11 @@
 //! The endpoint list cached on disk over restarts: found and checked at the start, and written as the service sends it.
 
 use super::status::{ListSource, ListStatus};
+use crate::background_writer::BackgroundWriter;
 use crate::config::{Config, Endpoint, EndpointList};
-use crate::keeping::Keeping;
-use crate::wall::unix_ms;
+use crate::wall_clock::unix_millis;
 use aniseyoke_config::model::List;
-use aniseyoke_control::sealed::{Disk, Found, Sealed};
+use aniseyoke_control::checksummed_file::{ChecksummedFile, Disk, Loaded};
 use aniseyoke_pace::retained_list::{check_age, ListMetadata};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
     version: Option<u64>,
     written: Option<Instant>,
     refresh_interval: Duration,
-    keeping: Keeping<Kept>,
+    keeping: BackgroundWriter<Kept>,
 }
 
 /// What a cached list must match to be used here: the site, and the names that its entries use.
@@ -101,16 +101,16 @@
         tracing::warn!("{name}: the kept list is not used: {length} bytes are more than {MAX_FILE_BYTES}");
         return None;
     }
-    let kept: Kept = match Sealed::new(Disk, file.to_owned(), MAGIC).find() {
-        Ok(Found::Nothing) => return None,
-        Ok(Found::Whole(payload)) => match serde_json::from_slice(&payload) {
+    let kept: Kept = match ChecksummedFile::new(Disk, file.to_owned(), MAGIC).load() {
+        Ok(Loaded::Missing) => return None,
+        Ok(Loaded::Intact(payload)) => match serde_json::from_slice(&payload) {
             Ok(kept) => kept,
             Err(e) => {
                 tracing::warn!("{name}: the kept list can't be read and is not used: {e}");
                 return None;
             }
         },
-        Ok(Found::Damaged { why, aside }) => {
+        Ok(Loaded::Damaged { reason: why, quarantined: aside }) => {
             let aside = aside.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
             tracing::warn!("{name}: the kept list is damaged, not used and {aside}: {why}");
             return None;
@@ -123,7 +123,7 @@
     let label =
         ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
     let known = config.known.as_ref().map(|known| known.version);
-    match check_age(&label, site, known, unix_ms(), fresh_for) {
+    match check_age(&label, site, known, unix_millis(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
             let age = age.as_secs();
@@ -149,11 +149,11 @@
     ) -> Result<Self, CacheError> {
         let no_folder = |source| CacheError::Folder { folder: folder.to_owned(), source };
         std::fs::create_dir_all(folder).map_err(no_folder)?;
-        let mut store = Sealed::new(Disk, file, MAGIC);
+        let mut store = ChecksummedFile::new(Disk, file, MAGIC);
         let mut failing = false;
         let write = move |kept: &Kept| {
             let payload = serde_json::to_vec(kept).map_err(std::io::Error::from);
-            let done = payload.and_then(|payload| store.keep(&payload));
+            let done = payload.and_then(|payload| store.save(&payload));
             match (&done, failing) {
                 (Err(e), false) => {
                     tracing::warn!("{}: the list could not be kept: {e}", store.path().display());
@@ -164,7 +164,7 @@
             failing = done.is_err();
             !failing
         };
-        let keeping = Keeping::start(write).map_err(CacheError::Thread)?;
+        let keeping = BackgroundWriter::start(write).map_err(CacheError::Thread)?;
         Ok(CachedListWriter {
             site,
             entries: list.map(by_id),
@@ -203,7 +203,7 @@
             full: true,
             servers: entries.values().cloned().collect(),
         };
-        self.keeping.keep(Kept { site: self.site.clone(), at_ms: unix_ms(), list });
+        self.keeping.write(Kept { site: self.site.clone(), at_ms: unix_millis(), list });
     }
 }
 
--- a/crates/proxy/src/discovery/polling.rs
+++ b/crates/proxy/src/discovery/polling.rs
@@ -6,7 +6,7 @@
 use super::status::ListStatus;
 use crate::config::EndpointList;
 use crate::duration::nanos;
-use crate::wall::unix;
+use crate::wall_clock::unix_time;
 use aniseyoke_config::model::List;
 use aniseyoke_pace::PollRules;
 use aniseyoke_pace::{FleetPosition, Nanos, PollSchedule};
@@ -18,9 +18,9 @@
 
 /// The poll schedule by the operator's rules and the platform's. Where a time of the operator's is out of bounds, the log
 /// names its key and what it counts as.
-pub fn poll_schedule(list: &List, must_ask_in: Nanos, position: FleetPosition) -> PollSchedule {
+pub fn poll_schedule(list: &List, poll_within: Nanos, position: FleetPosition) -> PollSchedule {
     let rules = PollRules {
-        interval: list.every.map_or_else(|| PollRules::default_interval(must_ask_in), nanos),
+        interval: list.every.map_or_else(|| PollRules::default_interval(poll_within), nanos),
         max_backoff: nanos(list.back_off_most),
         answer_timeout: nanos(ANSWER_TIMEOUT),
         max_answer_timeout: nanos(list.answer_most),
@@ -39,7 +39,7 @@
             );
         }
     }
-    PollSchedule::new(bounded, position, nanos(unix()), 0)
+    PollSchedule::new(bounded, position, nanos(unix_time()), 0)
 }
 
 /// The poll schedule, if polls are limited, and what is updated after each poll.
--- a/crates/proxy/src/discovery/status.rs
+++ b/crates/proxy/src/discovery/status.rs
@@ -1,6 +1,6 @@
 //! What the admin endpoint shows of the endpoint list in use: where it came from, its age, and how its polls went.
 
-use crate::wall::unix;
+use crate::wall_clock::unix_time;
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
 
     /// The status in the admin endpoint's JSON.
     pub fn to_json(&self) -> serde_json::Value {
-        let age = self.confirmed.get().map(|at| unix().saturating_sub(at).as_secs_f64());
+        let age = self.confirmed.get().map(|at| unix_time().saturating_sub(at).as_secs_f64());
         json!({
             "from": self.source.get().name(),
             "version": self.version.get(),
@@ -88,7 +88,7 @@
             tracing::info!("the endpoint list is now the discovery service's, version {version}");
         }
         self.version.set(Some(version));
-        self.confirmed.set(Some(unix()));
+        self.confirmed.set(Some(unix_time()));
     }
 }
 
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -70,14 +70,14 @@
     pub fn new(
         addr: SocketAddr,
         version: Option<u64>,
-        must_ask_in: Nanos,
+        poll_within: Nanos,
         names: Rc<Names>,
         polling: Option<ListPolling>,
     ) -> Self {
         EndpointWatcher {
             addr,
             version,
-            timeouts: WatchTimeouts::new(must_ask_in),
+            timeouts: WatchTimeouts::new(poll_within),
             began: Instant::now(),
             descriptors: Descriptors::new(DESCRIPTORS),
             connection: None,
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -136,8 +136,10 @@
             over(self.accepted_at, FIRST_REQUEST_TIMEOUT)
         };
         // A process that drains waits for a head that still comes, but not for one that has stopped.
-        let stopped = drain.on() && !self.all_answered() && over(self.inactive_since(), FIRST_REQUEST_SOON);
-        let idle = (over(self.idle_since.get(), IDLE_TIMEOUT) || drain.ends(self.idle_since.get(), now))
+        let stopped =
+            drain.is_active() && !self.all_answered() && over(self.inactive_since(), FIRST_REQUEST_SOON);
+        let idle = (over(self.idle_since.get(), IDLE_TIMEOUT)
+            || drain.closes_idle(self.idle_since.get(), now))
             && !self.has_partial_head()
             && self.socket.silent();
         if overdue || stopped || idle {
@@ -191,7 +193,7 @@
                     };
                     // In a crowd a connection is worth more to the next client than to the one that has its answer.
                     let makes_room = client.heads.complete.get() == 1 && server.is_nearly_full();
-                    let closes = makes_room || server.drain.on() || client.closing.get();
+                    let closes = makes_room || server.drain.is_active() || client.closing.get();
                     // Danger: a request read behind this one would go without its answer.
                     if closes && !client.has_partial_head() || client.heads.unbounded_body.get() {
                         close_connection(&mut response);
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -26,9 +26,9 @@
 use crate::discovery::{ListPolling, ListStatus, WatchTriggers};
 use crate::drain::Drain;
 use crate::opening::Opening;
+use crate::operator_orders::OrderStore;
 use crate::peers::Peers;
 use crate::socket::Descriptors;
-use crate::state::Store;
 use crate::upstream::Upstreams;
 use crate::{admin, Engine};
 use aniseyoke_core::EngineConfig;
@@ -144,7 +144,7 @@
     let peers = Peers::join(state_dir.clone());
     let limits = ResourceLimits::new(&config, engine_options.reserved_memory);
     let mgmt = config.mgmt;
-    let parts = startup::build(config, engine_options, &limits, &peers.others(), handed_over)?;
+    let parts = startup::build(config, engine_options, &limits, &peers.other_claims(), handed_over)?;
     let Parts { server, watcher, watch_requests } = parts;
     (hooks.started)(server.engine.clone(), addr)?;
 
@@ -157,7 +157,7 @@
     if mgmt.is_some() && state_dir.is_none() {
         tracing::warn!("TMPDIR is not set: what operators order ends with this process");
     }
-    let store = Store::open(state_dir);
+    let store = OrderStore::open(state_dir);
     let AdminOptions { about, list_status } = admin_options;
     let control = Control::new(server.engine.clone(), server.drain.clone(), store, about, list_status);
     if let Some(mgmt) = mgmt {
@@ -218,9 +218,9 @@
 
     /// Takes no more descriptors than the other processes of this proxy leave; one that stops takes ever fewer.
     fn adjust_limits(&self, limits: &ResourceLimits, peers: &Peers) {
-        let others = peers.others();
+        let others = peers.other_claims();
         let mut connections = limits.max_connections(&others);
-        if self.drain.stopping() && !others.is_empty() {
+        if self.drain.is_shutting_down() && !others.is_empty() {
             connections = connections.min(self.descriptors.used() + SPARE_DESCRIPTORS);
             limits.claim(peers, connections);
         }
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -6,7 +6,7 @@
 use crate::upload;
 use crate::upstream::{Job, TIME_LEFT};
 use aniseyoke_core::IncomingRequest;
-use aniseyoke_decision::api::{self, Effect, Nanos};
+use aniseyoke_decision::api::{self, Idempotency, Nanos};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -104,7 +104,10 @@
             return Err(Rejection::bad_request("no X-Correlation-Id, or a bad one"));
         }
         let idempotency_key = single(head, &IDEMPOTENCY_KEY, "more than one Idempotency-Key")?;
-        if write && settings.effect == Effect::Keyed && idempotency_key.is_none_or(HeaderValue::is_empty) {
+        if write
+            && settings.idempotency == Idempotency::WithKey
+            && idempotency_key.is_none_or(HeaderValue::is_empty)
+        {
             return Err(Rejection::bad_request("no Idempotency-Key"));
         }
         Ok(CheckedHead { class, write, time_left })
--- a/crates/proxy/src/front/resources.rs
+++ b/crates/proxy/src/front/resources.rs
@@ -38,7 +38,8 @@
     pub fn max_connections(&self, others: &[Option<usize>]) -> usize {
         // Danger: each connection may come to hold what is read ahead of it and what is still to be written.
         let by_memory = self.memory / (others.len() + 1) / 4 * 3 / (2 * BUFFER_MOST);
-        let descriptors = peers::part(self.sockets, others).saturating_sub(self.base_descriptors);
+        let descriptors =
+            peers::remaining_descriptors(self.sockets, others).saturating_sub(self.base_descriptors);
         descriptors.min(by_memory).max(MIN_CONNECTIONS)
     }
 
--- a/crates/proxy/src/front/shutdown.rs
+++ b/crates/proxy/src/front/shutdown.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 /// New connections come for some time after SIGTERM: they are accepted for at least this time,
-const MIN_ACCEPT: Duration = drain::GENTLE;
+const MIN_ACCEPT: Duration = drain::GRACE_PERIOD;
 /// until none has come for this time,
 const QUIET_ACCEPT: Duration = Duration::from_millis(100);
 /// and no longer than this.
@@ -23,7 +23,7 @@
     /// From a socket that was handed over nothing more is accepted: what waits there is for the successor.
     pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener, handed_over: bool) {
         tracing::info!("draining");
-        self.drain.stop();
+        self.drain.begin_shutdown();
         let start = Instant::now();
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let longest = Duration::from_nanos(longest);
--- a/crates/proxy/src/front/startup.rs
+++ b/crates/proxy/src/front/startup.rs
@@ -68,7 +68,7 @@
         descriptors.clone(),
         budget.clone(),
         config.connect_timeout,
-        config.settings.conn_idle,
+        config.settings.idle_timeout,
         options.opening,
     );
     let names = Rc::new(config.names);
@@ -78,7 +78,7 @@
     let watcher = EndpointWatcher::new(
         config.discovery,
         version,
-        config.settings.must_ask_in,
+        config.settings.poll_within,
         names.clone(),
         options.polling,
     );
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,6 +3,7 @@
 #![doc = include_str!("../../../README.md")]
 
 pub mod admin;
+mod background_writer;
 mod bind;
 mod budget;
 pub mod cli;
@@ -13,21 +14,18 @@
 mod duration;
 pub mod front;
 mod handover;
-mod keeping;
 mod opening;
 pub mod operator;
+mod operator_orders;
 mod peers;
 mod plan;
 mod relay;
-#[cfg(test)]
-mod scratch;
 mod serve;
 mod socket;
-mod state;
 mod upload;
 mod upstream;
 mod versions;
-mod wall;
+mod wall_clock;
 
 use http_body_util::Full;
 use hyper::body::Bytes;
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -93,8 +93,8 @@
     if !features.retries {
         settings.max_attempts = 1;
     }
-    settings.second_copies &= features.second_copies;
-    settings.cancel &= features.cancelling;
+    settings.hedging &= features.second_copies;
+    settings.cancellation &= features.cancelling;
 }
 
 /// Lays what the operator sets over what the platform says.
--- a/crates/proxy/src/plan/tests.rs
+++ b/crates/proxy/src/plan/tests.rs
@@ -56,7 +56,7 @@
     let caps = |text: &str| {
         let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
         let s = plan(&resolved, &platform).expect("sound").settings;
-        (s.max_attempts, s.cancel, s.second_copies)
+        (s.max_attempts, s.cancellation, s.hedging)
     };
     assert_eq!(caps(""), (4, true, false));
     assert_eq!(caps("[features]\nretries = false\ncancelling = false"), (1, false, false));
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::front::{AdminOptions, EngineOptions, FrontOptions, Hooks, StartError, StartedHook};
 use crate::opening::Opening;
 use crate::versions::{last_good, reserve, BaseLayers, ConfigInForce, ConfigUpdater, Subscription};
-use crate::{front, operator, wall};
+use crate::{front, operator, wall_clock};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Control, Operator};
 use aniseyoke_control::Version;
@@ -50,7 +50,7 @@
     let hangup = handle("SIGHUP", SignalKind::hangup())?;
     let resolved = operator::read(file.as_deref())?;
     let log = Rc::new(aniseyoke_logging::start(&operator::log_options(&resolved.operator.log))?);
-    wall::start().map_err(ServeError::Clock)?;
+    wall_clock::init()?;
     let platform = Config::from_env()?;
     let source = file.as_deref().map(operator::source).transpose().map_err(|error| vec![error])?;
     let base = Arc::new(BaseLayers { platform, file: source });
@@ -98,7 +98,7 @@
 
 /// This proxy's position in the fleet.
 fn position(plan: &EngineConfig) -> FleetPosition {
-    FleetPosition::new(plan.settings.me, plan.settings.proxies)
+    FleetPosition::new(plan.settings.proxy_index, plan.settings.proxies)
 }
 
 /// The polling of the endpoint list and its status, where the operator's file has a section for it. A list that was cached
@@ -112,7 +112,7 @@
     let (status, cache) = discovery::restore(rules, config);
     // Danger: what is pushed counts as notified at once; to wait for a slot then is to use nodes that have been taken away.
     let schedule =
-        (!config.pushed).then(|| discovery::poll_schedule(rules, plan.settings.must_ask_in, position(plan)));
+        (!config.pushed).then(|| discovery::poll_schedule(rules, plan.settings.poll_within, position(plan)));
     if schedule.is_none() {
         tracing::info!("list: the platform pushes its lists, so that polls are not limited");
     }
--- a/crates/proxy/src/serve/error.rs
+++ b/crates/proxy/src/serve/error.rs
@@ -2,6 +2,7 @@
 
 use crate::config::PlatformError;
 use crate::front;
+use crate::wall_clock::ShiftError;
 use aniseyoke_config::ConfigError;
 use std::io;
 use thiserror::Error;
@@ -27,8 +28,8 @@
     #[error(transparent)]
     Log(#[from] aniseyoke_logging::StartError),
     /// The wall clock of an experiment can't be used.
-    #[error("{0}")]
-    Clock(String),
+    #[error(transparent)]
+    Clock(#[from] ShiftError),
     /// The platform's variables and file say what can't be used.
     #[error(transparent)]
     Platform(#[from] PlatformError),
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -2,16 +2,16 @@
 //! put in force and keeps it on disk.
 
 use super::updater::{CheckedVersion, UpdateRequest};
-use super::{frame_most, BaseLayers, ConfigInForce, KEPT};
+use super::{max_frame_bytes, BaseLayers, ConfigInForce, KEPT};
+use crate::background_writer::BackgroundWriter;
 use crate::config::Names;
-use crate::keeping::Keeping;
 use crate::operator::log_levels;
-use crate::wall::{unix, unix_ms};
+use crate::wall_clock::{unix_millis, unix_time};
 use aniseyoke_config::model::Control;
 use aniseyoke_config::ConfigError;
 use aniseyoke_control::client::{follow, Host};
-use aniseyoke_control::follower::{Follower, Identity, Times};
-use aniseyoke_control::store::{Disk, Found, Kept, Store};
+use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
+use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
 use aniseyoke_core::{EngineConfig, RequestCounters};
 use aniseyoke_decision::api::Entry;
@@ -26,7 +26,7 @@
     requests: mpsc::Sender<UpdateRequest>,
     tally: Arc<RequestCounters>,
     /// The one writer of the last good version, where there is a folder for it.
-    keeping: Option<Keeping<Kept>>,
+    keeping: Option<BackgroundWriter<StoredVersion>>,
 }
 
 impl Subscription {
@@ -43,13 +43,13 @@
         let keeping = control.dir.as_ref().map(|dir| {
             let mut store = Store::new(Disk, dir.join(KEPT));
             let mut failing = false;
-            Keeping::start(move |kept: &Kept| {
+            BackgroundWriter::start(move |kept: &StoredVersion| {
                 let stamp = kept.version.stamp;
                 // Another process of this proxy may have kept a later one.
-                if matches!(store.find(), Ok(Found::Good(before)) if before.version.stamp > stamp) {
+                if matches!(store.load(), Ok(Loaded::Valid(before)) if before.version.stamp > stamp) {
                     return true;
                 }
-                let done = store.keep(kept);
+                let done = store.save(kept);
                 match (&done, failing) {
                     (Err(e), false) => tracing::error!("version {stamp} could not be kept on disk: {e}"),
                     (Ok(()), true) => tracing::info!("version {stamp} is kept on disk"),
@@ -72,16 +72,16 @@
         at: SocketAddr,
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
-        let frame_most = frame_most(self.base.platform.memory);
-        let boot = u64::try_from(unix().as_nanos()).unwrap_or(u64::MAX);
+        let max_frame_bytes = max_frame_bytes(self.base.platform.memory);
+        let boot = u64::try_from(unix_time().as_nanos()).unwrap_or(u64::MAX);
         let instance = control.instance.unwrap_or_else(|| at.to_string());
-        let identity = Identity { instance, boot, labels: control.labels, frame_most };
+        let identity = Identity { instance, boot, labels: control.labels, max_frame_bytes };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
         let run = move || {
             let running = running.map(Arc::unwrap_or_clone);
             let follower = Follower::new(identity, control.services.len(), running, Times::default(), boot);
-            let services = follow(follower, control.services, frame_most, self);
+            let services = follow(follower, control.services, max_frame_bytes, self);
             tokio::task::LocalSet::new().block_on(&runtime, services);
         };
         std::thread::Builder::new().name("versions".into()).spawn(run).map(drop)
@@ -140,7 +140,7 @@
 }
 
 impl Host for Subscription {
-    async fn apply(&self, version: Version) -> Result<(), Vec<String>> {
+    async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         let (now, nodes) = self.request(UpdateRequest::Read).await?;
         let base = self.base.clone();
@@ -155,17 +155,17 @@
         Ok(())
     }
 
-    fn keep(&self, version: Version) {
-        let at_ms = unix_ms();
-        self.keeping.iter().for_each(|k| k.keep(Kept { version: version.clone(), at_ms }));
+    fn persist(&self, version: Version) {
+        let at_ms = unix_millis();
+        self.keeping.iter().for_each(|k| k.write(StoredVersion { version: version.clone(), at_ms }));
     }
 
-    fn say(&self, what: &str) {
+    fn warn(&self, what: &str) {
         tracing::warn!("{what}");
     }
 
-    fn answered(&self) -> [u64; 3] {
+    fn take_request_counts(&self) -> RequestCounts {
         let counts = self.tally.take();
-        [counts.served, counts.rejected, counts.failed]
+        RequestCounts { served: counts.served, rejected: counts.rejected, failed: counts.failed }
     }
 }
