--- a/crates/proxy/tests/crowds.rs
+++ b/crates/proxy/tests/crowds.rs
@@ -96,6 +96,16 @@
     Mute,
 }
 
+/// Has the program started with so few descriptors.
+fn limit_descriptors(command: &mut Command) {
+    let program = command.get_program().to_owned();
+    let settings: Vec<_> =
+        command.get_envs().filter_map(|(k, v)| Some((k.to_owned(), v?.to_owned()))).collect();
+    *command = Command::new("sh");
+    command.args(["-c", &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")]).arg(program);
+    command.env_clear().envs(settings).stderr(std::process::Stdio::piped());
+}
+
 /// How long after it could be reached discovery's change is in force, where clients hold all descriptors.
 fn in_force_after(down: Down) -> Duration {
     let (cache, origin) = (Server::new(), Server::new());
@@ -104,14 +114,7 @@
     let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
     let mut small = config(discovery, &servers);
     small["limits"]["sockets"] = json!(DESCRIPTORS);
-    let mut proxy = Proxy::with(&small, |command| {
-        let program = command.get_program().to_owned();
-        let settings: Vec<_> =
-            command.get_envs().filter_map(|(k, v)| Some((k.to_owned(), v?.to_owned()))).collect();
-        *command = Command::new("sh");
-        command.args(["-c", &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")]).arg(program);
-        command.env_clear().envs(settings).stderr(std::process::Stdio::piped());
-    });
+    let mut proxy = Proxy::with(&small, limit_descriptors);
     let mut watch = Peer::new(listener.accept().expect("a watch").0);
     watch.request();
     // Down; a socket that is bound and has a full backlog lets no connection come up.
