--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,7 +1,7 @@
 //! Carries the operators' calls out, each before its answer, and what they order at another process of this proxy.
 
-use super::admin::{Call, Verdict};
-use super::discovery::Held;
+use super::admin::{AdminReply, Call};
+use super::discovery::ListStatus;
 use super::drain::Drain;
 use super::operator_orders::{OperatorOrders, OrderStore};
 use super::Engine;
@@ -15,8 +15,8 @@
     store: OrderStore,
     /// What a call for the version is told, but for what changes.
     about: Rc<RefCell<serde_json::Value>>,
-    /// The list that is held, where that is told.
-    held: Option<Rc<Held>>,
+    /// The status of the endpoint list, where the operator's file has a [list] section.
+    list_status: Option<Rc<ListStatus>>,
     /// The orders carried out.
     done: RefCell<OperatorOrders>,
     /// Whether clients are let in.
@@ -30,10 +30,10 @@
         drain: Rc<Drain>,
         store: OrderStore,
         about: Rc<RefCell<serde_json::Value>>,
-        held: Option<Rc<Held>>,
+        list_status: Option<Rc<ListStatus>>,
     ) -> Rc<Self> {
         let (done, serving) = (RefCell::default(), Cell::new(false));
-        let control = Control { engine, drain, store, about, held, done, serving };
+        let control = Control { engine, drain, store, about, list_status, done, serving };
         control.look();
         Rc::new(control)
     }
@@ -47,14 +47,17 @@
         }
     }
 
-    pub async fn act(&self, call: Call) -> Verdict {
+    /// Carries a call out, and returns the reply to it.
+    pub async fn act(&self, call: Call) -> AdminReply {
         match call {
-            Call::Ready if self.drain.is_shutting_down() => Verdict::Unready("the process is stopping"),
+            Call::Ready if self.drain.is_shutting_down() => {
+                AdminReply::Unavailable("the process is stopping")
+            }
             Call::Ready if !(self.serving.get() && self.engine.can_serve()) => {
-                Verdict::Unready("no cache node takes work yet")
+                AdminReply::Unavailable("no cache node takes work yet")
             }
-            Call::Ready => Verdict::Yes,
-            Call::Version => Verdict::Told(self.version().to_string()),
+            Call::Ready => AdminReply::Done,
+            Call::Version => AdminReply::Json(self.version().to_string()),
             Call::Exclude(id) => self.ban(id, true).await,
             Call::Include(id) => self.ban(id, false).await,
             Call::Evacuate => self.order(|orders| orders.drain = true).await,
@@ -69,17 +72,17 @@
         {
             about.insert("limits".into(), serde_json::json!({ "waiting": waiting, "turned": turned }));
         }
-        if let (Some(held), Some(about)) = (&self.held, about.as_object_mut()) {
-            about.insert("list".into(), held.told());
+        if let (Some(list_status), Some(about)) = (&self.list_status, about.as_object_mut()) {
+            about.insert("list".into(), list_status.to_json());
         }
         about
     }
 
-    async fn ban(&self, id: String, out: bool) -> Verdict {
+    async fn ban(&self, id: String, out: bool) -> AdminReply {
         // What another process took out may have left the list before this one began.
         self.look();
         if !self.engine.was_listed(&id) {
-            return Verdict::Unknown("no such cache node was ever listed");
+            return AdminReply::NotFound("no such cache node was ever listed");
         }
         let change = |orders: &mut OperatorOrders| {
             if out {
@@ -91,15 +94,15 @@
         self.order(change).await
     }
 
-    async fn order(&self, change: impl FnOnce(&mut OperatorOrders)) -> Verdict {
+    async fn order(&self, change: impl FnOnce(&mut OperatorOrders)) -> AdminReply {
         if let Err(e) = self.store.update(change).await {
             tracing::error!("operators' order not kept: {e}");
             // Where only the last step failed the file has it: what is in force is what the file says.
             self.look();
-            return Verdict::Unready("the order could not be kept: make the call again");
+            return AdminReply::Unavailable("the order could not be kept: make the call again");
         }
         self.carry_out();
-        Verdict::Yes
+        AdminReply::Done
     }
 
     fn carry_out(&self) {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,12 +4,14 @@
 
 pub mod admin;
 mod background_writer;
+mod bind;
 mod budget;
 pub mod cli;
 pub mod config;
 pub mod control;
 pub mod discovery;
 pub mod drain;
+mod duration;
 pub mod front;
 mod handover;
 mod last_look;
