--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -191,6 +191,8 @@
         let rule = rule.about(About::Arrived(self.proxy.addr.port())).often(Often::Only(1));
         let before = self.faults.forced("read");
         self.put(&Plan::new(0, &[rule]));
+        // Danger: a read that is under way behind the last answer, and finds the request, was looked at before that came.
+        until("it waits", || self.waits());
         let sent = Instant::now();
         client.write(request);
         until("it has been read", || self.faults.forced("read") > before);
@@ -199,6 +201,12 @@
         sent + READ_HELD
     }
 
+    /// Whether the proxy's one thread that serves sleeps.
+    fn waits(&self) -> bool {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.proxy.child.id())).expect("a state");
+        stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('S'))
+    }
+
     /// Before the read that takes the next request.
     pub fn hold_before_read(&self) {
         let rule = Rule::new("held", &Call::RECEIVING, Effect::DelayBefore(micros(HELD_UP)));
