--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -63,7 +63,7 @@
     }
 
     /// It serves, and its log tells of no panic.
-    fn is_well(mut self) {
+    fn ends_well(mut self) {
         self.proxy.signal("-TERM");
         until("it has ended", || self.proxy.child.try_wait().expect("a state").is_some_and(|s| s.success()));
         let mut log = String::new();
@@ -169,7 +169,7 @@
             s.read(&mut answered, key)
         });
         drop(answered);
-        s.is_well();
+        s.ends_well();
     });
 }
 
@@ -185,7 +185,7 @@
         let took = began.elapsed();
         assert!(took > asked && took + TURN < TOLD_AFTER, "{by} s: {took:?} of {asked:?}");
         next.request();
-        s.is_well();
+        s.ends_well();
     });
 }
 
@@ -214,7 +214,7 @@
         assert_eq!(s.proxy.health(), 503);
         assert_eq!(call(door, "POST", "/api/rejoin", ""), 200);
         assert_eq!(s.proxy.health(), 200);
-        s.is_well();
+        s.ends_well();
     });
 }
 
@@ -232,7 +232,7 @@
         sleep(Duration::from_millis(900));
         node.reply("200 OK", "X-Lookup: hit\r\n", "value");
         assert_eq!(client.answer().body, b"value", "{by} s");
-        s.is_well();
+        s.ends_well();
     });
 }
 
