--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -86,7 +86,9 @@
     while let Some(request) = peer.read() {
         let told = |name| request.header(name).unwrap_or_default().to_owned();
         let id = told("x-correlation-id");
-        let left = told("x-time-left").parse().unwrap_or_else(|_| panic!("no time in {request:?}"));
+        let left = told("x-time-left")
+            .parse()
+            .unwrap_or_else(|_| panic!("no time at {:?} in {request:?}", peer.0.get_ref().local_addr()));
         if shared.tell.send(Came { at: Instant::now(), id: id.clone(), left }).is_err() {
             return;
         }
@@ -99,7 +101,7 @@
             Does::HangsMarked if marked => {}
             Does::BreaksFirst if marked && shared.seen.lock().expect("whole").insert(id) => return,
             Does::Hits | Does::HangsMarked | Does::BreaksFirst => {
-                peer.reply("200 OK", "X-Lookup: hit\r\n", "")
+                peer.reply("200 OK", "X-Lookup: hit\r\n", "");
             }
             Does::Misses => peer.reply("404 Not Found", "X-Lookup: miss\r\n", ""),
             Does::Breaks(after) => {
@@ -172,9 +174,13 @@
 
     /// From the next marked request at a cache node on, before it does anything with it.
     pub fn hold_from_there(&self, readings: &[u64]) {
+        let once = Arc::new(Mutex::new(Some(held_behind(readings))));
         for cache in &self.caches {
-            let (faults, plan) = (self.faults.clone(), held_behind(readings));
-            let change = move || faults.change(&plan).expect("written");
+            let (faults, once) = (self.faults.clone(), once.clone());
+            let change = move || {
+                let plan = once.lock().expect("whole").take();
+                plan.into_iter().for_each(|plan| faults.change(&plan).expect("written"));
+            };
             cache.before.lock().expect("whole").replace(Box::new(change));
         }
     }
@@ -185,6 +191,8 @@
         let rule = rule.about(About::Arrived(self.proxy.addr.port())).often(Often::Only(1));
         let before = self.faults.forced("read");
         self.put(&Plan::new(0, &[rule]));
+        // Danger: a read that is under way behind the last answer, and finds the request, was looked at before that came.
+        until("it waits", || self.waits());
         let sent = Instant::now();
         client.write(request);
         until("it has been read", || self.faults.forced("read") > before);
@@ -193,6 +201,12 @@
         sent + READ_HELD
     }
 
+    /// Whether the proxy's one thread that serves sleeps.
+    fn waits(&self) -> bool {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.proxy.child.id())).expect("a state");
+        stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('S'))
+    }
+
     /// Before the read that takes the next request.
     pub fn hold_before_read(&self) {
         let rule = Rule::new("held", &Call::RECEIVING, Effect::DelayBefore(micros(HELD_UP)));
