--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as discovery reports it, kept so that the operator's overlay can be applied to it anew.
 
-use aniseyoke_decision::api::{Entry, ServerId, State};
+use aniseyoke_decision::api::{Entry, Nanos, ServerId, State};
 use aniseyoke_routes::Overlay;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
@@ -30,6 +30,11 @@
         }
     }
 
+    /// When a node counts as started; `None` if it is not listed.
+    pub fn start_time(&self, server: ServerId) -> Option<Nanos> {
+        self.entries.get(&server).map(|(entry, _)| entry.started)
+    }
+
     /// All entries, in no particular order.
     pub fn entries(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.values()
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -17,6 +17,7 @@
 use crate::limits::{Limits, LimitsConfigError};
 use crate::pending_response::Answer;
 use crate::seen_servers::SeenServers;
+use crate::start_times::StartTimes;
 use crate::transport::Transport;
 use aniseyoke_decision::api::{Action, Event, ListKind, Nanos};
 use aniseyoke_decision::Balancer;
@@ -74,6 +75,7 @@
             limits,
             config,
             endpoint_list: EndpointList::default(),
+            start_times: StartTimes::default(),
         };
         let engine = Rc::new_cyclic(|weak_self| Engine {
             clock: Clock::new(),
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -52,7 +52,7 @@
 
     /// Hands an admitted attempt to the transport.
     pub(super) fn start_attempt(&self, state: &mut EngineState<T>, id: RequestId, number: usize) {
-        let now = self.clock.now();
+        let (now, instant) = self.clock.read();
         let Some(request) = state.requests.get_mut(&id) else { return };
         let job = request.job.clone();
         // Danger: between the decision on a retry and its writing lie a queue and a connection that comes up late.
@@ -61,10 +61,10 @@
         let time_limit = Duration::from_nanos(attempt.time_left(now));
         let handle = Rc::new(T::Handle::default());
         if let Some(left) = idempotency_time_left {
-            handle.forbid_writing_after(Duration::from_nanos(left));
+            handle.forbid_writing_after(instant, Duration::from_nanos(left));
         }
         let transport = self.transport.clone();
-        let exchange = transport.attempt(attempt.server, job, time_limit, handle.clone());
+        let exchange = transport.attempt(attempt.server, job, instant, time_limit, handle.clone());
         let weak_self = self.weak_self.clone();
         let task = tokio::task::spawn_local(async move {
             let outcome = exchange.await;
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -2,7 +2,9 @@
 
 use super::state::EngineState;
 use super::Engine;
+use crate::clock::wall_time;
 use crate::endpoint_list::Endpoint;
+use crate::start_times::ClockReadings;
 use crate::transport::Transport;
 use aniseyoke_decision::api::{server_id, Entry, Event, ListKind};
 use std::borrow::Cow;
@@ -16,8 +18,12 @@
         }
         endpoints.iter().for_each(|(entry, _)| self.seen_servers.borrow_mut().add(entry.server));
         let state = &mut *self.state.borrow_mut();
+        let endpoints = self.correct_start_times(state, endpoints);
+        let endpoints = endpoints.as_slice();
         if kind != ListKind::Failed {
             state.endpoint_list.apply(kind != ListKind::Delta, endpoints);
+            let EngineState { start_times, endpoint_list, .. } = state;
+            start_times.retain(|server| endpoint_list.start_time(server).is_some());
         }
         let overlay = &state.config.routing.overlay;
         let overlaid: Cow<'_, [Endpoint]> = if overlay.is_empty() {
@@ -30,6 +36,17 @@
         self.handle_events(state, events);
     }
 
+    /// The entries with the times from which their nodes count as started.
+    fn correct_start_times(&self, state: &mut EngineState<T>, endpoints: &[Endpoint]) -> Vec<Endpoint> {
+        let clocks = ClockReadings { engine: self.clock.now(), wall: wall_time() };
+        let corrected = endpoints.iter().map(|(entry, address)| {
+            let previous = state.endpoint_list.start_time(entry.server);
+            let started = state.start_times.resolve(entry.server, entry.started, previous, clocks);
+            (Entry { started, ..entry.clone() }, *address)
+        });
+        corrected.collect()
+    }
+
     /// Tells the transport, the limits and the decision module of entries that have the operator's overlay applied.
     pub(super) fn announce_endpoints(
         &self,
--- a/crates/core/src/engine/requests.rs
+++ b/crates/core/src/engine/requests.rs
@@ -9,7 +9,7 @@
 use aniseyoke_decision::api::{Event, Idempotency, Nanos, Request, RequestId};
 use std::collections::VecDeque;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
 /// A client's request, in the decision module's terms.
@@ -18,16 +18,21 @@
     pub request: Request,
     /// What attempts carry.
     pub job: J,
+    /// When its last byte came, or its head, where the rest is still to come: its time counts from then.
+    pub received_at: Instant,
 }
 
 impl<T: Transport> Engine<T> {
     /// Takes a request in; its final answer comes by the handle that is returned.
     pub fn submit(&self, incoming: IncomingRequest<T::Job>) -> PendingResponse<T> {
-        let IncomingRequest { mut request, job } = incoming;
+        let IncomingRequest { mut request, job, received_at } = incoming;
         let state = &mut *self.state.borrow_mut();
-        let now = self.clock.now();
+        let (now, instant) = self.clock.read();
         let body_pending = job.body_pending();
-        let client_patience = request.remaining;
+        // Danger: between its arrival and now the process may have been held up, or have asked after the client.
+        let passed =
+            if body_pending { Duration::ZERO } else { instant.saturating_duration_since(received_at) };
+        let client_patience = request.remaining.saturating_sub(passed.as_nanos() as Nanos);
         let margin = deadline_margin(client_patience);
         request.remaining = client_patience - margin;
         request.id = state.next_id;
--- a/crates/core/src/engine/state.rs
+++ b/crates/core/src/engine/state.rs
@@ -4,6 +4,7 @@
 use crate::endpoint_list::EndpointList;
 use crate::limits::Limits;
 use crate::pending_response::Answer;
+use crate::start_times::StartTimes;
 use crate::transport::Transport;
 use aniseyoke_decision::api::{Nanos, RequestId, ServerId};
 use aniseyoke_decision::Balancer;
@@ -24,6 +25,7 @@
     pub config: Arc<EngineConfig>,
     /// The endpoint list as discovery reports it.
     pub endpoint_list: EndpointList,
+    pub start_times: StartTimes,
 }
 
 impl<T: Transport> EngineState<T> {
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -7,6 +7,7 @@
 use crate::transport::{AttemptHandle, AttemptOutcome, Job};
 use aniseyoke_decision::api::{server_id, Class, Entry, Request, ServerId, Settings, Status};
 use std::future::Future;
+use std::time::Instant;
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
@@ -31,7 +32,7 @@
 
 impl AttemptHandle for InertHandle {
     fn forbid_writing(&self) {}
-    fn forbid_writing_after(&self, _time: Duration) {}
+    fn forbid_writing_after(&self, _since: Instant, _time: Duration) {}
     fn abort(&self) {}
 }
 
@@ -69,6 +70,7 @@
         self: Rc<Self>,
         _server: ServerId,
         _job: Rc<EmptyJob>,
+        _since: Instant,
         _time_limit: Duration,
         _handle: Rc<InertHandle>,
     ) -> impl Future<Output = AttemptOutcome<()>> + 'static {
@@ -110,7 +112,7 @@
 
 fn submit(engine: &Rc<Engine<ManualTransport>>, key: u64) -> PendingResponse<ManualTransport> {
     let request = Request { key: Some(key), remaining: 2_000_000_000, ..Request::default() };
-    engine.submit(IncomingRequest { request, job: EmptyJob })
+    engine.submit(IncomingRequest { request, job: EmptyJob, received_at: Instant::now() })
 }
 
 fn queue_status(waiting: usize, rejected: u64) -> Option<QueueStatus> {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod limits;
 pub mod pending_response;
 mod seen_servers;
+mod start_times;
 pub mod transport;
 
 pub use config::EngineConfig;
--- a/crates/core/src/transport.rs
+++ b/crates/core/src/transport.rs
@@ -5,7 +5,7 @@
 use aniseyoke_decision::api::{Load, ServerId, Status};
 use std::future::Future;
 use std::rc::{Rc, Weak};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// A client's request as it is forwarded to any node, in the transport's own terms.
 pub trait Job: 'static {
@@ -28,9 +28,9 @@
     /// The request is over: what is not written yet must stay unwritten.
     fn forbid_writing(&self);
 
-    /// What is not written yet by the end of this time must stay unwritten: the node would no longer recognize a retry by its
+    /// What is not written yet so long after `since` must stay unwritten: the node would no longer recognize a retry by its
     /// idempotency key.
-    fn forbid_writing_after(&self, time: Duration);
+    fn forbid_writing_after(&self, since: Instant, time: Duration);
 
     /// Ends the attempt now, and its connection with it.
     fn abort(&self);
@@ -75,11 +75,13 @@
     /// Closes the connections to a node that carry no attempt.
     fn close_idle(&self, server: ServerId);
 
-    /// Makes one attempt, which may take `time_limit` from the last byte of the request on.
+    /// Makes one attempt, which may take `time_limit` from `since` on, or from the last byte of the request where a part of
+    /// it is still to come.
     fn attempt(
         self: Rc<Self>,
         server: ServerId,
         job: Rc<Self::Job>,
+        since: Instant,
         time_limit: Duration,
         handle: Rc<Self::Handle>,
     ) -> impl Future<Output = AttemptOutcome<Self::Reply>> + 'static;
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -80,10 +80,9 @@
     let file = folder.join(KEPT);
     let found = find(&file, &site, rules.fresh_for, config);
     let held = match &found {
-        Some(kept) => {
+        Some((kept, age)) => {
             config.known = Some(kept.list.clone());
-            let at = Duration::from_millis(kept.at_ms);
-            ListStatus::new(ListSource::Disk, Some(kept.list.version), Some(at))
+            ListStatus::new(ListSource::Disk, Some(kept.list.version), Some(*age))
         }
         None => platform(config),
     };
@@ -93,8 +92,8 @@
     (held, writer.map_err(|why| tracing::warn!("the list is not kept: {why}")).ok())
 }
 
-/// The list in a file, if it may be used.
-fn find(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<Kept> {
+/// The list in a file and its age, if it may be used.
+fn find(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<(Kept, Duration)> {
     let name = file.display();
     let length = std::fs::metadata(file).map_or(0, |about| about.len());
     if length > MAX_FILE_BYTES {
@@ -126,11 +125,11 @@
     match check_age(&label, site, known, unix_millis(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
-            let age = age.as_secs();
+            let seconds = age.as_secs();
             tracing::info!(
-                "{name}: begun with version {version} of the list, {entries} entries, {age} s old"
+                "{name}: begun with version {version} of the list, {entries} entries, {seconds} s old"
             );
-            Some(kept)
+            Some((kept, age))
         }
         Err(unfit) => {
             tracing::warn!("{name}: the kept list is not used: {unfit}");
--- a/crates/proxy/src/discovery/status.rs
+++ b/crates/proxy/src/discovery/status.rs
@@ -1,10 +1,9 @@
 //! What the admin endpoint shows of the endpoint list in use: where it came from, its age, and how its polls went.
 
-use crate::wall_clock::unix_time;
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Where the endpoint list in use came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,20 +33,21 @@
 pub struct ListStatus {
     source: Cell<ListSource>,
     version: Cell<Option<u64>>,
-    /// The Unix time when it was last known to be right; none: never.
-    confirmed: Cell<Option<Duration>>,
+    /// When it was last known to be right, and how old it was then; none: never. A wall clock that steps later does not
+    /// change its age.
+    confirmed: Cell<Option<(Instant, Duration)>>,
     polls: Cell<u64>,
     rejected: Cell<u64>,
     failed: Cell<u64>,
 }
 
 impl ListStatus {
-    /// The status of a list of a version that was known to be right at a Unix time.
-    pub fn new(source: ListSource, version: Option<u64>, confirmed: Option<Duration>) -> Rc<Self> {
+    /// The status of a list of a version that was known to be right so long ago.
+    pub fn new(source: ListSource, version: Option<u64>, age: Option<Duration>) -> Rc<Self> {
         Rc::new(ListStatus {
             source: Cell::new(source),
             version: Cell::new(version),
-            confirmed: Cell::new(confirmed),
+            confirmed: Cell::new(age.map(|age| (Instant::now(), age))),
             polls: Cell::default(),
             rejected: Cell::default(),
             failed: Cell::default(),
@@ -56,7 +56,7 @@
 
     /// The status in the admin endpoint's JSON.
     pub fn to_json(&self) -> serde_json::Value {
-        let age = self.confirmed.get().map(|at| unix_time().saturating_sub(at).as_secs_f64());
+        let age = self.confirmed.get().map(|(since, age)| (since.elapsed() + age).as_secs_f64());
         json!({
             "from": self.source.get().name(),
             "version": self.version.get(),
@@ -88,7 +88,7 @@
             tracing::info!("the endpoint list is now the discovery service's, version {version}");
         }
         self.version.set(Some(version));
-        self.confirmed.set(Some(unix_time()));
+        self.confirmed.set(Some((Instant::now(), Duration::ZERO)));
     }
 }
 
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -12,6 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode, Version};
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::time::Instant;
 
 /// A client that may have gone gets a presence probe, which takes this part of the request's time
 const PRESENCE_PROBE_DIVISOR: u64 = 20;
@@ -35,6 +36,7 @@
     pub(super) async fn respond(
         self: &Rc<Self>,
         request: Request<Incoming>,
+        received_at: Instant,
         socket: &Rc<Socket>,
     ) -> Response<Outgoing> {
         if request.uri().path() == "/_health" {
@@ -42,7 +44,7 @@
             return text_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
         }
         let word = if request.version() == Version::HTTP_11 { Word::Interim } else { Word::Begin };
-        let mut parsed = match self.parse_request(request).await {
+        let mut parsed = match self.parse_request(request, received_at).await {
             Ok(parsed) => parsed,
             Err(Rejection { status, reason }) => {
                 let mut response = reject(status, reason);
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -184,12 +184,14 @@
             let service = service_fn(|request| {
                 client.has_open_request.set(true);
                 let rejection = client.heads.rejection.take();
+                // The head's last byte came with the bytes that were read last, or before.
+                let received_at = client.heads.last_bytes_at.get().unwrap_or_else(Instant::now);
                 let (server, client) = (&self, &client);
                 let open_request = OpenRequest(client.clone());
                 async move {
                     let mut response = match rejection {
                         Some(reason) => reject(StatusCode::BAD_REQUEST, reason),
-                        None => server.respond(request, &client.socket).await,
+                        None => server.respond(request, received_at, &client.socket).await,
                     };
                     // In a crowd a connection is worth more to the next client than to the one that has its answer.
                     let makes_room = client.heads.complete.get() == 1 && server.is_nearly_full();
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -62,22 +62,28 @@
 }
 
 impl Server {
-    /// Parses a request and reads its body, or says why it is rejected.
+    /// Parses a request whose head was received at a time and reads its body, or says why it is rejected. Its time counts
+    /// from its last byte.
     pub(super) async fn parse_request(
         &self,
         request: Request<Incoming>,
+        mut received_at: Instant,
     ) -> Result<IncomingRequest<Job>, Rejection> {
         let (head, body) = request.into_parts();
         let checked = self.check_head(&head)?;
         let body = upload::read(body, checked.write, &self.budget).await?;
-        let request = self.engine_request(&head, &checked);
+        if !body.is_empty() {
+            received_at = Instant::now();
+        }
+        let request = self.engine_request(&head, &checked, received_at);
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = path.parse().map_err(|_| Rejection::bad_request("bad path"))?;
         let mut headers = head.headers;
         strip_hop_by_hop(&mut headers);
         // The body is forwarded with the length that it has.
         headers.remove(header::CONTENT_LENGTH);
-        Ok(IncomingRequest { request, job: Job { method: head.method, uri, headers, body, waiter: None } })
+        let job = Job { method: head.method, uri, headers, body, waiter: None };
+        Ok(IncomingRequest { request, job, received_at: received_at.into_std() })
     }
 
     /// Checks the head of a request, before its body is read.
@@ -114,11 +120,12 @@
     }
 
     /// The request in the engine's terms, once its body has come.
-    fn engine_request(&self, head: &Parts, checked: &CheckedHead) -> api::Request {
+    fn engine_request(&self, head: &Parts, checked: &CheckedHead, received_at: Instant) -> api::Request {
         let account = head.headers.get(ACCOUNT).and_then(|account| account.to_str().ok());
         let tenant = account.and_then(|account| self.names.tenants.iter().position(|name| name == account));
         let key = path_segments(head).skip(1).last().filter(|key| !key.is_empty());
-        let until_kill = self.kill_deadline.get().map(nanos_until);
+        let until_kill =
+            self.kill_deadline.get().map(|deadline| nanos(deadline.saturating_duration_since(received_at)));
         api::Request {
             id: 0,
             class: checked.class as u32,
@@ -152,10 +159,6 @@
     }
 }
 
-fn nanos_until(at: Instant) -> Nanos {
-    nanos(at.saturating_duration_since(Instant::now()))
-}
-
 /// An id is printable and has no blanks: anything else may be read otherwise by who it is forwarded to.
 fn well_formed(id: &HeaderValue) -> bool {
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic)
--- a/crates/proxy/src/front/shutdown.rs
+++ b/crates/proxy/src/front/shutdown.rs
@@ -15,6 +15,9 @@
 const MAX_ACCEPT: Duration = Duration::from_millis(600);
 /// A proxy may be killed so long after the longest deadline after SIGTERM; it ends a little sooner.
 const EXIT_MARGIN: Duration = Duration::from_millis(600);
+/// What comes after SIGTERM is answered so long after the longest deadline at the latest: a process that is held up for 0.15 s
+/// before it writes is still in time.
+const ANSWER_MARGIN: Duration = Duration::from_millis(500);
 /// A deadline that is longer counts as this then.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 
@@ -29,7 +32,7 @@
         let longest = Duration::from_nanos(longest);
         // Danger: a request that comes now on a connection that is still open may have a deadline beyond this process's
         // own end; one that came before may keep it, since what is unanswered at the end is not held against it.
-        self.kill_deadline.set(Some(start + longest.min(MAX_DEADLINE) + EXIT_MARGIN));
+        self.kill_deadline.set(Some(start + longest.min(MAX_DEADLINE) + ANSWER_MARGIN));
         let mut until = start + MIN_ACCEPT;
         self.admit().await;
         if !handed_over {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -14,6 +14,7 @@
 mod duration;
 pub mod front;
 mod handover;
+mod last_look;
 mod opening;
 pub mod operator;
 mod operator_orders;
