--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::publisher::{PublishError, Publisher};
 use crate::service::{Service, ACCEPT_PAUSE, READ_BYTES};
 use crate::version::Stamp;
-use aniseyoke_sockets::{accept_error, connect, AcceptError, ConnectError, Uninterrupted};
+use aniseyoke_sockets::{classify_accept_error, connect, AcceptError, ConnectError, Uninterrupted};
 use serde::de::DeserializeOwned;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -36,7 +36,7 @@
                 });
             }
             Ok(_) => {}
-            Err(e) if accept_error(&e) == AcceptError::Passing => {}
+            Err(e) if classify_accept_error(&e) == AcceptError::Transient => {}
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -11,7 +11,7 @@
 use crate::rollout::Plan;
 use crate::store::StoreError;
 use crate::version::{Stamp, Version};
-use aniseyoke_sockets::{accept_error, AcceptError, Uninterrupted};
+use aniseyoke_sockets::{classify_accept_error, AcceptError, Uninterrupted};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -191,7 +191,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().serve_proxy(stream))),
-                Err(e) if accept_error(&e) == AcceptError::Passing => {}
+                Err(e) if classify_accept_error(&e) == AcceptError::Transient => {}
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             }
         }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -21,7 +21,7 @@
 pub use format::{Format, MAX_LINE_BYTES};
 pub use levels::{Level, Levels};
 pub use rate_limit::{Admission, RateLimit, RateLimiter};
-pub use standard_error::{print_lines, print_panics};
+pub use standard_error::{install_panic_hook, print_lines};
 
 use layer::{LineLayer, LineOutput, LineWriter};
 use queue::LineQueue;
--- a/crates/logging/src/standard_error.rs
+++ b/crates/logging/src/standard_error.rs
@@ -28,7 +28,7 @@
 
 /// Has panics told on standard error like by default, but for a reader that reads nothing a panic waits for milliseconds
 /// only. The lines do not go through the log: what panicked may hold its lock.
-pub fn print_panics() {
+pub fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         let thread = std::thread::current();
         let name = thread.name().unwrap_or("<unnamed>");
--- a/crates/logging/tests/panics.rs
+++ b/crates/logging/tests/panics.rs
@@ -19,7 +19,7 @@
     if std::env::var_os(PANICS).is_none() {
         return;
     }
-    aniseyoke_logging::print_panics();
+    aniseyoke_logging::install_panic_hook();
     let start = Instant::now();
     let panicked = std::panic::catch_unwind(|| panic!("as planned"));
     assert!(panicked.is_err());
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -7,7 +7,7 @@
 pub use reply::AdminReply;
 
 use crate::bind::{bind, BindError};
-use aniseyoke_sockets::{accept_error, AcceptError, Uninterrupted};
+use aniseyoke_sockets::{classify_accept_error, AcceptError, Uninterrupted};
 use call::{parse, MAX_CALL_BYTES};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -68,7 +68,7 @@
     for number in 0.. {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            Err(e) if accept_error(&e) == AcceptError::Passing => continue,
+            Err(e) if classify_accept_error(&e) == AcceptError::Transient => continue,
             Err(e) => {
                 tracing::warn!("admin endpoint: accept: {e}");
                 sleep(ACCEPT_PAUSE).await;
--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -59,7 +59,7 @@
 
 /// Does what the command line says.
 pub fn run() -> ExitCode {
-    aniseyoke_logging::print_panics();
+    aniseyoke_logging::install_panic_hook();
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
         Err(told) => return print_usage(&told),
--- a/crates/proxy/src/front/accept.rs
+++ b/crates/proxy/src/front/accept.rs
@@ -3,7 +3,7 @@
 use super::client::{Client, FIRST_REQUEST_SOON};
 use super::close::CloseReason;
 use super::Server;
-use aniseyoke_sockets::{accept_error, AcceptError};
+use aniseyoke_sockets::{classify_accept_error, AcceptError};
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
@@ -41,9 +41,9 @@
     }
 
     async fn accept_failed(&self, e: &io::Error) {
-        match accept_error(e) {
+        match classify_accept_error(e) {
             // It says nothing of the connections behind it.
-            AcceptError::Passing => tracing::info!("accept: {e}"),
+            AcceptError::Transient => tracing::info!("accept: {e}"),
             // Without a wait accept would fail again at once, in a busy loop.
             AcceptError::Shortage => {
                 tracing::warn!("accept: {e}");
--- a/crates/proxy/src/socket/io.rs
+++ b/crates/proxy/src/socket/io.rs
@@ -2,7 +2,7 @@
 
 use super::Socket;
 use crate::time_left;
-use aniseyoke_sockets::{passing_shortage, uninterrupted};
+use aniseyoke_sockets::{is_transient_shortage, uninterrupted};
 use socket2::SockRef;
 use std::io::{self, IoSlice};
 use std::net::Shutdown;
@@ -37,7 +37,7 @@
             ready!(self.0.stream.poll_read_ready(cx))?;
             match uninterrupted(|| self.0.stream.try_read(part)) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) if passing_shortage(&e) => return wake_later(cx),
+                Err(e) if is_transient_shortage(&e) => return wake_later(cx),
                 Ok(n) if n > self.0.max_incoming.get() => {
                     return Poll::Ready(Err(io::Error::other("the answer does not end")));
                 }
@@ -87,7 +87,7 @@
             let replaced = self.check_first_write(head)?;
             match uninterrupted(|| send(&self.0.stream, replaced.as_deref())) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) if passing_shortage(&e) => {
+                Err(e) if is_transient_shortage(&e) => {
                     self.0.write_blocked.set(true);
                     return wake_later(cx);
                 }
--- a/crates/proxy/src/socket/presence.rs
+++ b/crates/proxy/src/socket/presence.rs
@@ -4,7 +4,7 @@
 //! tells them apart, since the machine of one that is gone resets the connection: a probe.
 
 use super::Socket;
-use aniseyoke_sockets::{passing_shortage, uninterrupted};
+use aniseyoke_sockets::{is_transient_shortage, uninterrupted};
 use socket2::SockRef;
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -122,7 +122,9 @@
             return Presence::Gone;
         }
         match self.peek_byte() {
-            Err(e) if e.kind() == ErrorKind::WouldBlock || passing_shortage(&e) => return Presence::Present,
+            Err(e) if e.kind() == ErrorKind::WouldBlock || is_transient_shortage(&e) => {
+                return Presence::Present
+            }
             Ok(0) => {}
             // Its end is behind what it has sent, which only the runtime tells.
             Ok(_) => {
@@ -166,7 +168,7 @@
         match self.peek_byte() {
             Err(e) if e.kind() == ErrorKind::WouldBlock => Glance::Present,
             // Without memory the kernel tells nothing of the peer.
-            Err(e) if passing_shortage(&e) => Glance::Unknown,
+            Err(e) if is_transient_shortage(&e) => Glance::Unknown,
             Ok(_) => Glance::Unknown,
             Err(_) => {
                 self.peer.set_closed();
@@ -243,7 +245,7 @@
         };
         match uninterrupted(|| self.stream.try_write(text)) {
             Ok(n) if probe == Probe::StatusLineByte => self.peer.probe_bytes.set(sent + n),
-            Err(e) => return e.kind() == ErrorKind::WouldBlock || passing_shortage(&e),
+            Err(e) => return e.kind() == ErrorKind::WouldBlock || is_transient_shortage(&e),
             Ok(_) => {}
         }
         true
--- a/crates/sockets/src/connect.rs
+++ b/crates/sockets/src/connect.rs
@@ -1,6 +1,6 @@
 //! Connections to others: a shortage of this machine's own is waited out for a moment, and told apart from their faults.
 
-use crate::errors::local_shortage;
+use crate::errors::is_local_shortage;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
@@ -39,12 +39,12 @@
     for wait in BACKOFF {
         match TcpStream::connect(addr).await {
             Ok(stream) => return Ok(stream),
-            Err(e) if local_shortage(&e) => make_room(),
+            Err(e) if is_local_shortage(&e) => make_room(),
             Err(e) => return Err(ConnectError::Remote(e)),
         }
         sleep(wait).await;
     }
-    TcpStream::connect(addr).await.map_err(|e| match local_shortage(&e) {
+    TcpStream::connect(addr).await.map_err(|e| match is_local_shortage(&e) {
         true => ConnectError::Local(e),
         false => ConnectError::Remote(e),
     })
--- a/crates/sockets/src/errors.rs
+++ b/crates/sockets/src/errors.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
     /// It was about one connection, or a signal: the next one may be taken at once.
-    Passing,
+    Transient,
     /// This machine or process is short of descriptors or memory; the connection still waits.
     Shortage,
     /// Anything else.
@@ -15,7 +15,7 @@
 
 /// Sorts a failed accept. Linux hands on errors of a connection that has broken before it was taken.
 #[must_use]
-pub fn accept_error(error: &io::Error) -> AcceptError {
+pub fn classify_accept_error(error: &io::Error) -> AcceptError {
     match error.raw_os_error() {
         Some(
             libc::ECONNABORTED
@@ -30,7 +30,7 @@
             | libc::EHOSTUNREACH
             | libc::EOPNOTSUPP
             | libc::ENETUNREACH,
-        ) => AcceptError::Passing,
+        ) => AcceptError::Transient,
         Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => AcceptError::Shortage,
         _ => AcceptError::Other,
     }
@@ -38,7 +38,7 @@
 
 /// Whether a failure to make or connect a socket is this machine's own shortage, which says nothing of the other side.
 #[must_use]
-pub fn local_shortage(error: &io::Error) -> bool {
+pub fn is_local_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
@@ -56,6 +56,6 @@
 /// Whether a connection's read or write failed for a lack of memory in the kernel, which passes, and leaves the connection as
 /// it was.
 #[must_use]
-pub fn passing_shortage(error: &io::Error) -> bool {
+pub fn is_transient_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::ENOBUFS | libc::ENOMEM))
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -7,5 +7,5 @@
 mod uninterrupted;
 
 pub use connect::{connect, ConnectError};
-pub use errors::{accept_error, local_shortage, passing_shortage, AcceptError};
+pub use errors::{classify_accept_error, is_local_shortage, is_transient_shortage, AcceptError};
 pub use uninterrupted::{uninterrupted, Uninterrupted};
--- a/crates/sockets/tests/errors.rs
+++ b/crates/sockets/tests/errors.rs
@@ -1,7 +1,8 @@
 //! What errors mean, and what is made again.
 
 use aniseyoke_sockets::{
-    accept_error, connect, local_shortage, uninterrupted, AcceptError, ConnectError, Uninterrupted,
+    classify_accept_error, connect, is_local_shortage, uninterrupted, AcceptError, ConnectError,
+    Uninterrupted,
 };
 use std::io;
 use std::pin::Pin;
@@ -12,18 +13,18 @@
 #[test]
 fn failed_accepts_are_sorted_as_documented() {
     let sorted = |numbers: &[i32]| -> Vec<AcceptError> {
-        numbers.iter().map(|n| accept_error(&io::Error::from_raw_os_error(*n))).collect()
+        numbers.iter().map(|n| classify_accept_error(&io::Error::from_raw_os_error(*n))).collect()
     };
     let passing = [libc::ECONNABORTED, libc::EPROTO, libc::EINTR, libc::EHOSTUNREACH];
     let shortages = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    assert_eq!(sorted(&passing), [AcceptError::Passing; 4]);
+    assert_eq!(sorted(&passing), [AcceptError::Transient; 4]);
     assert_eq!(sorted(&shortages), [AcceptError::Shortage; 4]);
     assert_eq!(sorted(&[libc::EBADF, libc::EINVAL]), [AcceptError::Other; 2]);
 }
 
 #[test]
 fn a_shortage_of_this_machine_is_no_fault_of_the_other_side() {
-    let local = |number| local_shortage(&io::Error::from_raw_os_error(number));
+    let local = |number| is_local_shortage(&io::Error::from_raw_os_error(number));
     assert!([libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL].into_iter().all(local));
     assert!(![libc::ECONNREFUSED, libc::ETIMEDOUT, libc::ENETUNREACH].into_iter().any(local));
 }
