--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -131,16 +131,16 @@
         client_habits.marks_retry=true some.new.key=x,y";
     let Ok(Message::InstanceStart { settings, .. }) = wire::parse(line) else { panic!("no start") };
     assert_eq!(
-        (&settings.classes[0].only.zones, &settings.classes[0].only.kinds),
+        (&settings.classes[0].allowed_servers.zones, &settings.classes[0].allowed_servers.kinds),
         (&Some(vec![0, 2]), &Some(vec![1]))
     );
-    assert_eq!(settings.classes[1].only.zones, Some(vec![]), "an empty list allows none");
+    assert_eq!(settings.classes[1].allowed_servers.zones, Some(vec![]), "an empty list allows none");
     assert_eq!(
         (settings.classes[1].idempotency, settings.classes[1].group),
         (Idempotency::NonIdempotent, Group::Cell),
         "the strictest"
     );
-    assert_eq!(settings.classes[2].only.zones, None);
+    assert_eq!(settings.classes[2].allowed_servers.zones, None);
     assert_eq!((settings.drain_close_within, settings.clients_mark_retries), (500, true));
 }
 
--- a/crates/config/src/model/contradictions.rs
+++ b/crates/config/src/model/contradictions.rs
@@ -1,7 +1,7 @@
 //! Contradictions between keys, each of which is valid alone.
 
 use super::{Operator, Overlay, Route};
-use aniseyoke_decision::api::POOLS_MOST;
+use aniseyoke_decision::api::MAX_POOLS;
 use aniseyoke_routes::overlay::{MAX_GENERAL_OVERRIDES, MAX_NODE_OVERRIDES};
 use aniseyoke_routes::{RouteError, RouteRule, RoutingTable};
 use std::collections::BTreeSet;
@@ -46,8 +46,8 @@
                 found.push(Contradiction::new(format!("pools.{name}"), "it names no zones and no kinds"));
             }
         }
-        if self.pools.len() > POOLS_MOST {
-            let reason = format!("{} pools are more than {POOLS_MOST}", self.pools.len());
+        if self.pools.len() > MAX_POOLS {
+            let reason = format!("{} pools are more than {MAX_POOLS}", self.pools.len());
             found.push(Contradiction::new("pools", reason));
         }
     }
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -8,7 +8,7 @@
 /// Stable identity of a server: the same value at every proxy (see [`server_id`]).
 pub type ServerId = u64;
 /// The most pools there can be, so that a bucket keeps its number when one is added.
-pub const POOLS_MOST: usize = 63;
+pub const MAX_POOLS: usize = 63;
 /// Identity of a request at this proxy; below 2^52, never used twice.
 pub type RequestId = u64;
 
@@ -65,7 +65,7 @@
     /// The answer is streamed.
     pub stream: bool,
     /// The only servers that the class may be sent to.
-    pub only: Pool,
+    pub allowed_servers: Pool,
 }
 
 /// A pool of servers: those that fit both its zones and its kinds.
@@ -99,7 +99,7 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Pools that requests may be routed to; at most [`POOLS_MOST`].
+    /// Pools that requests may be routed to; at most [`MAX_POOLS`].
     pub pools: Vec<Pool>,
     /// This proxy's zone.
     pub zone: u32,
@@ -195,7 +195,7 @@
     /// Whether a request of this class, routed to this pool if to any, may be sent to a server of this zone
     /// and kind. A class or pool that is not known allows all.
     pub fn allows(&self, class: usize, pool: Option<usize>, zone: u32, kind: u32) -> bool {
-        self.classes.get(class).is_none_or(|c| c.only.contains(zone, kind))
+        self.classes.get(class).is_none_or(|c| c.allowed_servers.contains(zone, kind))
             && pool.and_then(|p| self.pools.get(p)).is_none_or(|p| p.contains(zone, kind))
     }
 }
--- a/crates/decision/src/logic/key_affinity.rs
+++ b/crates/decision/src/logic/key_affinity.rs
@@ -18,7 +18,7 @@
 /// Key buckets; a bucket's state exists only once it was used.
 const BUCKETS: u64 = 1 << 13;
 /// Pools that a class's buckets may be of, and none.
-const POOLS: u64 = POOLS_MOST as u64 + 1;
+const POOLS: u64 = MAX_POOLS as u64 + 1;
 /// Servers ranked for each bucket: candidates first, then those that stand in for them.
 const RANKED: usize = 16;
 /// The keys that a server in slow start gets, by its warm fraction. Danger: at just its share newcomers
@@ -100,7 +100,8 @@
 
 /// For each class, the first class that may use the same servers; and the first classes of these scopes.
 fn scopes_of(settings: &Settings) -> (Vec<usize>, Vec<usize>) {
-    let first = |c: &Class| settings.classes.iter().position(|o| o.only == c.only).unwrap_or(0);
+    let first =
+        |c: &Class| settings.classes.iter().position(|o| o.allowed_servers == c.allowed_servers).unwrap_or(0);
     let scopes: Vec<usize> = settings.classes.iter().map(first).collect();
     let distinct = (0..scopes.len()).filter(|c| scopes[*c] == *c).collect();
     (scopes, distinct)
--- a/crates/decision/tests/key_affinity.rs
+++ b/crates/decision/tests/key_affinity.rs
@@ -134,7 +134,7 @@
 fn servers_that_a_class_is_tied_to_get_fewer_keys_of_the_others() {
     // Danger: the servers open to a tied class bear it alone, and half of everything else besides.
     let mut s = settings();
-    let tied = Class { only: Pool { zones: Some(vec![0]), kinds: None }, ..s.classes[0].clone() };
+    let tied = Class { allowed_servers: Pool { zones: Some(vec![0]), kinds: None }, ..s.classes[0].clone() };
     s.classes.push(tied);
     let part = |s: &Settings| {
         let in_zone = |key: u64| {
--- a/crates/decision/tests/operators.rs
+++ b/crates/decision/tests/operators.rs
@@ -58,7 +58,7 @@
     let zone = |server: ServerId| entries(0..9).iter().find(|e| e.server == server).map(|e| e.zone);
     let only = |zone: u32| {
         let mut only = settings();
-        only.classes[0].only.zones = Some(vec![zone]);
+        only.classes[0].allowed_servers.zones = Some(vec![zone]);
         only
     };
     for key in 0..40u64 {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -155,7 +155,7 @@
         let origin = self.settings.cache_aside && self.settings.origin_kind == Some(entry.kind);
         let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
         let holds = |p: &Pool| fits(&p.zones, entry.zone) && fits(&p.kinds, entry.kind);
-        let placed = holds(&r.under.classes[r.class].only);
+        let placed = holds(&r.under.classes[r.class].allowed_servers);
         assert!(origin || placed, "sent to a server that is not open to its class");
         let pool = r.pool.and_then(|p| r.under.pools.get(p));
         assert!(origin || pool.is_none_or(holds), "sent to a server outside its pool");
@@ -436,7 +436,7 @@
 fn placed() -> Settings {
     let mut s = classes();
     let base = s.classes[0].clone();
-    s.classes.push(Class { only: part(&[0, 2], &[0]), ..base });
+    s.classes.push(Class { allowed_servers: part(&[0, 2], &[0]), ..base });
     Settings { drain_close_within: 100 * MS, ..s }
 }
 
@@ -445,7 +445,7 @@
     hold(placed());
     hold(Settings { cache_aside: true, origin_kind: Some(1), ..placed() });
     let mut nowhere = placed();
-    nowhere.classes[4].only.zones = Some(vec![]);
+    nowhere.classes[4].allowed_servers.zones = Some(vec![]);
     hold(Settings { slow_start_from: f64::NAN, ..nowhere });
 }
 
--- a/crates/proxy/src/plan/tests.rs
+++ b/crates/proxy/src/plan/tests.rs
@@ -35,7 +35,7 @@
                 [[overlays]]\nnode = \"n1\"\ndrain = true\n";
     let plan = planned(text).expect("sound");
     assert_eq!(plan.settings.tenants[0].quota_rps, 9.0);
-    assert_eq!(plan.settings.classes[0].only.zones, Some(vec![0]), "the platform's word stays");
+    assert_eq!(plan.settings.classes[0].allowed_servers.zones, Some(vec![0]), "the platform's word stays");
     let pool = |zones: &[u32], kinds: Option<Vec<u32>>| Pool { zones: Some(zones.to_vec()), kinds };
     assert_eq!(plan.settings.pools, [pool(&[0, 1], Some(vec![1])), pool(&[1], None)]);
     let table = &plan.routing.table;
--- a/crates/routes/src/review/tests.rs
+++ b/crates/routes/src/review/tests.rs
@@ -10,7 +10,7 @@
 /// Two classes, the second of zone 1 alone, and a tenant; nodes 0 to 5 in zones 0 and 1 in turn.
 fn settings(pools: &[u32]) -> Settings {
     Settings {
-        classes: vec![Class::default(), Class { only: zone(1), ..Class::default() }],
+        classes: vec![Class::default(), Class { allowed_servers: zone(1), ..Class::default() }],
         tenants: vec![Tenant { quota_rps: 5.0 }],
         pools: pools.iter().map(|z| zone(*z)).collect(),
         ..Settings::default()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -135,8 +135,8 @@
         "dedup_window_ns" => setting.read_into(&mut class.dedup_window)?,
         "late_value" => setting.read_into(&mut class.late_weight)?,
         "value" => setting.read_into(&mut class.priority_weight)?,
-        "allowed_in" => class.only.zones = Some(setting.numbers()?),
-        "allowed_on" => class.only.kinds = Some(setting.numbers()?),
+        "allowed_in" => class.allowed_servers.zones = Some(setting.numbers()?),
+        "allowed_on" => class.allowed_servers.kinds = Some(setting.numbers()?),
         "stream" => setting.read_into(&mut class.stream)?,
         "effect" => {
             class.idempotency = match setting.value {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -23,7 +23,7 @@
     assert_eq!((settings.report_columns.rate, settings.report_columns.busy), (Some(0), Some(1)));
     let class = &settings.classes[1];
     assert_eq!((class.idempotency, class.group), (Idempotency::WithKey, Group::Zone));
-    assert_eq!(class.only.zones, Some(vec![0, 2]));
+    assert_eq!(class.allowed_servers.zones, Some(vec![0, 2]));
     assert_eq!(settings.tenants[0].quota_rps, 12.5);
 }
 
