--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -5,21 +5,21 @@
 use tokio::sync::Notify;
 
 /// The descriptors that sockets may still take.
-pub struct Descriptors {
+pub struct DescriptorBudget {
     used: Cell<usize>,
-    most: Cell<usize>,
+    limit: Cell<usize>,
     freed: Notify,
 }
 
-impl Descriptors {
+impl DescriptorBudget {
     /// A budget of so many.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Descriptors { used: Cell::new(0), most: Cell::new(most), freed: Notify::new() })
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(DescriptorBudget { used: Cell::new(0), limit: Cell::new(limit), freed: Notify::new() })
     }
 
     /// How many may be taken in all.
-    pub fn most(&self) -> usize {
-        self.most.get()
+    pub fn limit(&self) -> usize {
+        self.limit.get()
     }
 
     /// How many are taken.
@@ -28,18 +28,18 @@
     }
 
     /// From here on so many may be taken; what is held beyond that stays until it is given back.
-    pub fn limit(&self, most: usize) {
-        self.most.set(most);
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
         self.freed.notify_one();
     }
 
     /// Takes one, if any is free.
-    pub fn take(self: &Rc<Self>) -> Option<Permit> {
-        if self.used.get() >= self.most.get() {
+    pub fn try_acquire(self: &Rc<Self>) -> Option<DescriptorPermit> {
+        if self.used.get() >= self.limit.get() {
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Permit(self.clone()))
+        Some(DescriptorPermit(self.clone()))
     }
 
     /// Waits until one is given back.
@@ -49,9 +49,9 @@
 }
 
 /// A descriptor taken from the budget; it returns when this is dropped.
-pub struct Permit(Rc<Descriptors>);
+pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
-impl Drop for Permit {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get().saturating_sub(1));
         self.0.freed.notify_one();
--- a/crates/proxy/src/discovery/connection.rs
+++ b/crates/proxy/src/discovery/connection.rs
@@ -2,7 +2,7 @@
 
 use super::error::{ExchangeError, PollError};
 use crate::config::EndpointList;
-use crate::descriptors::Permit;
+use crate::descriptors::DescriptorPermit;
 use crate::socket::{Io, Socket};
 use crate::Body;
 use aniseyoke_sockets::connect;
@@ -36,7 +36,7 @@
 
 impl Connection {
     /// Opens a connection; `permit` is for its descriptor.
-    pub(super) async fn open(addr: SocketAddr, permit: Permit) -> Result<Self, ExchangeError> {
+    pub(super) async fn open(addr: SocketAddr, permit: DescriptorPermit) -> Result<Self, ExchangeError> {
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(addr, || ())).await;
         let stream =
             connecting.map_err(|_elapsed| ExchangeError::ConnectTimeout)?.map_err(ExchangeError::Connect)?;
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -5,7 +5,7 @@
 use super::error::{ExchangeError, PollError};
 use super::polling::ListPolling;
 use crate::config::{EndpointList, Names};
-use crate::descriptors::Descriptors;
+use crate::descriptors::DescriptorBudget;
 use crate::duration::nanos;
 use crate::Engine;
 use aniseyoke_decision::api::{ListKind, Nanos};
@@ -29,7 +29,7 @@
     timeouts: WatchTimeouts,
     began: Instant,
     /// Not of the clients' budget, where a flood of clients would cut the proxy off from the list.
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     /// Reused from one poll to the next.
     connection: Option<Connection>,
     names: Rc<Names>,
@@ -79,7 +79,7 @@
             version,
             timeouts: WatchTimeouts::new(poll_within),
             began: Instant::now(),
-            descriptors: Descriptors::new(DESCRIPTORS),
+            descriptors: DescriptorBudget::new(DESCRIPTORS),
             connection: None,
             names,
             new_address_backoff: None,
@@ -247,7 +247,7 @@
     }
 
     async fn connect(&self) -> Result<Connection, ExchangeError> {
-        let permit = self.descriptors.take().ok_or(ExchangeError::NoDescriptor)?;
+        let permit = self.descriptors.try_acquire().ok_or(ExchangeError::NoDescriptor)?;
         Connection::open(self.addr, permit).await
     }
 
--- a/crates/proxy/src/front/accept.rs
+++ b/crates/proxy/src/front/accept.rs
@@ -47,7 +47,7 @@
             // Without a wait accept would fail again at once, in a busy loop.
             AcceptError::Shortage => {
                 tracing::warn!("accept: {e}");
-                if !self.upstreams.yield_idle() {
+                if !self.upstreams.close_longest_idle() {
                     self.close_idle_client(true);
                 }
                 let _ = timeout(SHORTAGE_PAUSE, self.descriptors.freed()).await;
@@ -70,9 +70,9 @@
                 if !self.has_client_closing() {
                     self.close_idle_client(false);
                 }
-            } else if let Some(permit) = self.descriptors.take() {
+            } else if let Some(permit) = self.descriptors.try_acquire() {
                 break permit;
-            } else if !self.upstreams.yield_idle() && !self.has_client_closing() {
+            } else if !self.upstreams.close_longest_idle() && !self.has_client_closing() {
                 self.close_idle_client(false);
             }
             // A client whose connection is closed may have sent a request just then, and stays until it has its answer; the next
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -3,7 +3,7 @@
 use super::headers::{strip_hop_by_hop, CORRELATION_ID};
 use super::request::Rejection;
 use super::Server;
-use crate::relay::Outgoing;
+use crate::relay::ResponseBody;
 use crate::socket::{Presence, Probe, Socket, Waiter};
 use crate::upstream::Reply;
 use aniseyoke_core::Answer;
@@ -38,7 +38,7 @@
         request: Request<Incoming>,
         received_at: Instant,
         socket: &Rc<Socket>,
-    ) -> Response<Outgoing> {
+    ) -> Response<ResponseBody> {
         if request.uri().path() == "/_health" {
             let ready = !self.drain.is_active() && self.engine.can_serve();
             return text_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
@@ -77,20 +77,20 @@
             answer = ticket.answer() => to_response(answer, is_head),
             () = socket.closed_by_peer(probe) => client_gone(),
         };
-        if response.body().relayed() {
-            response.body_mut().hold(open_id);
+        if response.body().is_streamed() {
+            response.body_mut().hold_until_sent(open_id);
         }
         response
     }
 }
 
 /// The response for a client that has gone: nobody reads it.
-fn client_gone() -> Response<Outgoing> {
+fn client_gone() -> Response<ResponseBody> {
     text_response(StatusCode::BAD_GATEWAY, "the client has gone")
 }
 
 /// The engine's answer as a response. The answer to a HEAD tells the length of a body that does not come.
-fn to_response(answer: Answer<Reply>, is_head: bool) -> Response<Outgoing> {
+fn to_response(answer: Answer<Reply>, is_head: bool) -> Response<ResponseBody> {
     match answer {
         Answer::Served(response) => {
             let (mut head, body) = response.into_parts();
@@ -121,19 +121,19 @@
 
 /// Rejects a request and closes its connection: what follows on it may be the rest of this one, and a client that sends
 /// malformed requests again and again costs less when it has to connect for each.
-pub fn reject(status: StatusCode, reason: &'static str) -> Response<Outgoing> {
+pub fn reject(status: StatusCode, reason: &'static str) -> Response<ResponseBody> {
     let mut response = text_response(status, reason);
     close_connection(&mut response);
     response
 }
 
 /// Has the connection closed after this response.
-pub fn close_connection(response: &mut Response<Outgoing>) {
+pub fn close_connection(response: &mut Response<ResponseBody>) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
-fn text_response(status: StatusCode, text: &'static str) -> Response<Outgoing> {
-    let mut response = Response::new(Outgoing::whole(Bytes::from_static(text.as_bytes()), None));
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from_static(text.as_bytes()), None));
     *response.status_mut() = status;
     response
 }
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -4,7 +4,7 @@
 use super::close::{CloseReason, CloseStep, ConnectionEnd, EndCause};
 use super::head_reader::{HeadProgress, HeadReader};
 use super::Server;
-use crate::descriptors::Permit;
+use crate::descriptors::DescriptorPermit;
 use crate::drain::Drain;
 use crate::socket::Socket;
 use crate::BUFFER_MOST;
@@ -64,7 +64,7 @@
 
 impl Client {
     /// A connection that was just accepted; `permit` is for its descriptor.
-    pub fn new(stream: TcpStream, peer: SocketAddr, permit: Permit) -> Rc<Self> {
+    pub fn new(stream: TcpStream, peer: SocketAddr, permit: DescriptorPermit) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Client {
             socket: Socket::new(stream, permit),
@@ -207,7 +207,12 @@
 
 impl Server {
     /// Serves a connection on a task of its own until it is closed.
-    pub(super) fn serve_client(self: Rc<Self>, stream: TcpStream, peer: SocketAddr, permit: Permit) {
+    pub(super) fn serve_client(
+        self: Rc<Self>,
+        stream: TcpStream,
+        peer: SocketAddr,
+        permit: DescriptorPermit,
+    ) {
         let client = Client::new(stream, peer, permit);
         self.clients.borrow_mut().push(client.clone());
         tokio::task::spawn_local(async move {
@@ -230,9 +235,9 @@
                     if closes && !client.has_partial_head() || client.heads.unbounded_body.get() {
                         close_connection(&mut response);
                     }
-                    if response.body().relayed() {
+                    if response.body().is_streamed() {
                         client.socket.prepare_for_streaming();
-                        response.body_mut().hold(open_request);
+                        response.body_mut().hold_until_sent(open_request);
                     }
                     Ok::<_, Infallible>(response)
                 }
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -24,10 +24,10 @@
 use crate::budget::Budget;
 use crate::config::{Config, Names};
 use crate::control::Control;
-use crate::descriptors::Descriptors;
+use crate::descriptors::DescriptorBudget;
 use crate::discovery::{ListPolling, ListStatus, WatchTriggers};
 use crate::drain::Drain;
-use crate::opening::Opening;
+use crate::opening::OpenLimiter;
 use crate::operator_orders::OrderStore;
 use crate::peers::Peers;
 use crate::startup::{StartPhase, StartTimer};
@@ -69,7 +69,7 @@
 struct Server {
     engine: Rc<Engine>,
     upstreams: Rc<Upstreams>,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     budget: Rc<Budget>,
     settings: api::Settings,
     names: Rc<Names>,
@@ -105,7 +105,7 @@
     /// The poll schedule, status and cache of the endpoint list, where the operator's file has a section for it.
     pub polling: Option<ListPolling>,
     /// Permits to open connections, where that is limited.
-    pub opening: Option<Opening>,
+    pub opening: Option<OpenLimiter>,
     /// Memory that is no connection's beside what every proxy keeps, in bytes.
     pub reserved_memory: usize,
 }
@@ -205,7 +205,7 @@
     fn start_housekeeping(self: &Rc<Self>, each_second: Box<dyn Fn()>) {
         let upstreams = self.upstreams.clone();
         every(SWEEP_INTERVAL, move || {
-            upstreams.sweep();
+            upstreams.close_expired_idle();
             each_second();
         });
         let server = self.clone();
@@ -219,7 +219,7 @@
 
     /// Clients get half of the descriptors, so that as many are left for the connections over which they are answered.
     fn max_clients(&self) -> usize {
-        self.descriptors.most() / 2
+        self.descriptors.limit() / 2
     }
 
     /// Takes no more descriptors than the other processes of this proxy leave; one that stops takes ever fewer.
@@ -231,13 +231,13 @@
             limits.claim(peers, connections);
         }
         self.budget.set_limit(limits.max_buffered_bytes(&others));
-        if connections != self.descriptors.most() {
-            self.descriptors.limit(connections);
+        if connections != self.descriptors.limit() {
+            self.descriptors.set_limit(connections);
         }
         if self.other_processes.replace(others.len()) != others.len() {
             tracing::info!("{} other processes live: {connections} connections at most", others.len());
         }
-        while self.descriptors.used() > connections && self.upstreams.yield_idle() {}
+        while self.descriptors.used() > connections && self.upstreams.close_longest_idle() {}
     }
 
     /// Waits until this process can serve as well as the one that it takes over from.
--- a/crates/proxy/src/front/startup.rs
+++ b/crates/proxy/src/front/startup.rs
@@ -7,7 +7,7 @@
 use crate::bind::with_address;
 use crate::budget::Budget;
 use crate::config::Config;
-use crate::descriptors::Descriptors;
+use crate::descriptors::DescriptorBudget;
 use crate::discovery::EndpointWatcher;
 use crate::drain::Drain;
 use crate::upstream::Upstreams;
@@ -62,7 +62,7 @@
     others: &[Option<usize>],
     handed_over: bool,
 ) -> Result<Parts, StartError> {
-    let descriptors = Descriptors::new(limits.max_connections(others));
+    let descriptors = DescriptorBudget::new(limits.max_connections(others));
     let budget = Budget::new(limits.max_buffered_bytes(others));
     let upstreams = Upstreams::new(
         descriptors.clone(),
--- a/crates/proxy/src/opening.rs
+++ b/crates/proxy/src/opening.rs
@@ -9,19 +9,19 @@
 use std::time::{Duration, Instant};
 
 /// This proxy's part of what is opened to each machine.
-pub struct Opening {
+pub struct OpenLimiter {
     rules: Rules,
     origin_kind: Option<u32>,
-    opens: ConnectionPermits,
+    permits: ConnectionPermits,
     /// The start of each machine's process: one that was restarted is new to all proxies at once.
     started: FxHashMap<ServerId, Nanos>,
     began: Instant,
 }
 
-impl Opening {
+impl OpenLimiter {
     pub fn new(rules: Rules, origin_kind: Option<u32>, place: FleetPosition) -> Self {
-        let opens = ConnectionPermits::new(place, nanos(unix_time()), 0);
-        Opening { rules, origin_kind, opens, started: FxHashMap::default(), began: Instant::now() }
+        let permits = ConnectionPermits::new(place, nanos(unix_time()), 0);
+        OpenLimiter { rules, origin_kind, permits, started: FxHashMap::default(), began: Instant::now() }
     }
 
     fn now(&self) -> Nanos {
@@ -33,27 +33,27 @@
         let now = self.now();
         if whole {
             let named: FxHashSet<ServerId> = entries.clone().map(|e| e.server).collect();
-            self.opens.retain(|server| named.contains(&server));
+            self.permits.retain(|server| named.contains(&server));
             self.started.retain(|server, _| named.contains(server));
         }
         for entry in entries {
             let server = entry.server;
             if entry.state == State::Gone {
-                self.opens.remove_node(server);
+                self.permits.remove_node(server);
                 self.started.remove(&server);
                 continue;
             }
             if self.started.insert(server, entry.started).is_some_and(|before| before != entry.started) {
-                self.opens.remove_node(server);
+                self.permits.remove_node(server);
             }
             let origin = self.origin_kind == Some(entry.kind);
             let rate = if origin { self.rules.origin } else { self.rules.per_node };
-            self.opens.add_node(now, server, rate);
+            self.permits.add_node(now, server, rate);
         }
     }
 
     /// Takes a permit to open a connection; or how long to wait for the next.
-    pub fn take(&mut self, server: ServerId) -> Result<(), Duration> {
-        self.opens.try_acquire(self.now(), server).map_err(Duration::from_nanos)
+    pub fn try_acquire(&mut self, server: ServerId) -> Result<(), Duration> {
+        self.permits.try_acquire(self.now(), server).map_err(Duration::from_nanos)
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -15,7 +15,7 @@
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An answer that is streamed while it still comes. Dropped after its end, it returns its connection to the pool.
-pub struct Relay {
+pub struct StreamedBody {
     ahead: Option<Bytes>,
     rest: Incoming,
     relayed_bytes: u64,
@@ -25,11 +25,18 @@
     done: Option<Box<dyn FnOnce()>>,
 }
 
-impl Relay {
+impl StreamedBody {
     /// `ahead` has been read of it already; `done` is called when all of it has come.
     pub fn new(ahead: Bytes, rest: Incoming, done: impl FnOnce() + 'static) -> Self {
         let stall = Box::pin(sleep(STALL_TIMEOUT));
-        Relay { ahead: Some(ahead), rest, relayed_bytes: 0, stall, ended: false, done: Some(Box::new(done)) }
+        StreamedBody {
+            ahead: Some(ahead),
+            rest,
+            relayed_bytes: 0,
+            stall,
+            ended: false,
+            done: Some(Box::new(done)),
+        }
     }
 
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
@@ -65,7 +72,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         if let Some(done) = self.done.take().filter(|_| self.ended) {
             done();
@@ -73,43 +80,43 @@
     }
 }
 
-enum Kind {
-    Whole(Option<Bytes>),
-    Relay(Box<Relay>),
+enum BodyKind {
+    Buffered(Option<Bytes>),
+    Streamed(Box<StreamedBody>),
 }
 
 /// The body of an answer to a client.
-pub struct Outgoing {
-    kind: Kind,
+pub struct ResponseBody {
+    kind: BodyKind,
     /// Dropped once the body has been sent.
     held: Vec<Box<dyn Any>>,
 }
 
-impl Outgoing {
+impl ResponseBody {
     /// A buffered body, and its reservation in the budget.
-    pub fn whole(bytes: Bytes, held: Option<Reservation>) -> Self {
+    pub fn buffered(bytes: Bytes, held: Option<Reservation>) -> Self {
         let held = held.map(|held| Box::new(held) as Box<dyn Any>);
-        Outgoing { kind: Kind::Whole(Some(bytes)), held: held.into_iter().collect() }
+        ResponseBody { kind: BodyKind::Buffered(Some(bytes)), held: held.into_iter().collect() }
     }
 
     /// Whether it is streamed.
-    pub fn relayed(&self) -> bool {
-        matches!(self.kind, Kind::Relay(_))
+    pub fn is_streamed(&self) -> bool {
+        matches!(self.kind, BodyKind::Streamed(_))
     }
 
     /// Holds something until the body has been sent.
-    pub fn hold(&mut self, it: impl Any) {
+    pub fn hold_until_sent(&mut self, it: impl Any) {
         self.held.push(Box::new(it));
     }
 }
 
-impl From<Relay> for Outgoing {
-    fn from(relay: Relay) -> Self {
-        Outgoing { kind: Kind::Relay(Box::new(relay)), held: Vec::new() }
+impl From<StreamedBody> for ResponseBody {
+    fn from(streamed: StreamedBody) -> Self {
+        ResponseBody { kind: BodyKind::Streamed(Box::new(streamed)), held: Vec::new() }
     }
 }
 
-impl Body for Outgoing {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -118,8 +125,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let next = match &mut self.kind {
-            Kind::Whole(bytes) => bytes.take().map(Ok),
-            Kind::Relay(relay) => ready!(relay.poll_data(cx)),
+            BodyKind::Buffered(bytes) => bytes.take().map(Ok),
+            BodyKind::Streamed(streamed) => ready!(streamed.poll_data(cx)),
         };
         if let Some(Err(e)) = &next {
             tracing::info!("an answer broke off on its way: {e}");
@@ -129,16 +136,18 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.kind {
-            Kind::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Kind::Relay(_) => false,
+            BodyKind::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            BodyKind::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
-            Kind::Relay(relay) => match relay.rest.size_hint().exact() {
-                Some(rest) => SizeHint::with_exact(rest + relay.ahead.as_ref().map_or(0, Bytes::len) as u64),
+            BodyKind::Buffered(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            BodyKind::Streamed(streamed) => match streamed.rest.size_hint().exact() {
+                Some(rest) => {
+                    SizeHint::with_exact(rest + streamed.ahead.as_ref().map_or(0, Bytes::len) as u64)
+                }
                 None => SizeHint::default(),
             },
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::discovery::{self, ListPolling, ListStatus};
 use crate::front::{AdminOptions, EngineOptions, FrontOptions, Hooks, StartError, StartedHook};
-use crate::opening::Opening;
+use crate::opening::OpenLimiter;
 use crate::startup::{StartPhase, StartTimer};
 use crate::versions::{last_good, reserve, BaseLayers, ConfigInForce, ConfigUpdater, Subscription};
 use crate::{front, operator, signals, wall_clock};
@@ -120,7 +120,7 @@
     let mut config = base.platform.clone();
     let (polling, list_status) = list_polling(&operator, &mut config, &plan).unzip();
     let opening = operator.opening.clone();
-    let opening = opening.map(|rules| Opening::new(rules, plan.settings.origin_kind, position(&plan)));
+    let opening = opening.map(|rules| OpenLimiter::new(rules, plan.settings.origin_kind, position(&plan)));
     let reserved_memory = control.as_ref().map_or(0, |_| reserve(config.memory));
     let engine = EngineOptions { plan: Arc::new(plan), polling, opening, reserved_memory };
     let admin = AdminOptions { version_info: version_info.clone(), list_status };
--- a/crates/proxy/src/socket/mod.rs
+++ b/crates/proxy/src/socket/mod.rs
@@ -10,7 +10,7 @@
 pub use io::Io;
 pub use presence::{Glance, Presence, Probe, Waiter};
 
-use crate::descriptors::Permit;
+use crate::descriptors::DescriptorPermit;
 use crate::KERNEL_BUFFER;
 use aniseyoke_sockets::uninterrupted;
 use presence::PeerState;
@@ -52,12 +52,12 @@
     withheld: Cell<bool>,
     /// What is known of its peer.
     peer: PeerState,
-    _permit: Permit,
+    _permit: DescriptorPermit,
 }
 
 impl Socket {
     /// A socket over a stream; `permit` is for its descriptor.
-    pub fn new(stream: TcpStream, permit: Permit) -> Rc<Self> {
+    pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Rc<Self> {
         // Without it a small answer waits for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
--- a/crates/proxy/src/socket/tests.rs
+++ b/crates/proxy/src/socket/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::descriptors::Descriptors;
+use crate::descriptors::DescriptorBudget;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
@@ -16,7 +16,7 @@
     let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
     let (far, _) = listener.accept().await.expect("accepted");
     far.writable().await.expect("writable");
-    let socket = Socket::new(stream, Descriptors::new(1).take().expect("a descriptor"));
+    let socket = Socket::new(stream, DescriptorBudget::new(1).try_acquire().expect("a descriptor"));
     assert!(socket.has_no_input());
     far.try_write(b"surplus").expect("written");
     assert!(!socket.has_no_input());
@@ -32,7 +32,7 @@
     near.set_send_buffer_size(4096).expect("a small buffer");
     let stream = near.connect(listener.local_addr().expect("an address")).await.expect("connected");
     let (mut far, _) = listener.accept().await.expect("accepted");
-    let socket = Socket::new(stream, Descriptors::new(1).take().expect("a descriptor"));
+    let socket = Socket::new(stream, DescriptorBudget::new(1).try_acquire().expect("a descriptor"));
     let (mut sender, connection) = http1::handshake(TokioIo::new(Io(socket.clone()))).await.expect("up");
     let request = Request::put("/a").body(Full::new(Bytes::from(vec![b'x'; LENGTH]))).expect("a request");
     let exchange = async { tokio::join!(connection, sender.send_request(request)) };
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -2,7 +2,7 @@
 
 use super::{Outcome, Reply};
 use crate::budget::Budget;
-use crate::relay::{Outgoing, Relay};
+use crate::relay::{ResponseBody, StreamedBody};
 use crate::{BODY_MOST, LARGEST};
 use aniseyoke_decision::api::{Load, Status};
 use http_body_util::BodyExt;
@@ -44,7 +44,7 @@
     /// The outcome of an attempt that was served; `done` is called when all of the answer has come.
     pub(super) fn into_outcome(self, done: impl FnOnce() + 'static) -> Outcome {
         let (hit, load) = (hit(&self.head.headers), load(&self.head.headers));
-        let body = Relay::new(self.read_ahead, self.rest, done);
+        let body = StreamedBody::new(self.read_ahead, self.rest, done);
         let answer = Response::from_parts(self.head, body.into());
         Outcome { status: Status::Ok, hit, load, answer: Some(answer) }
     }
@@ -93,8 +93,8 @@
         held.shrink(read_ahead.len());
     }
     let (status, hit, load) = (status(&head), hit(&head.headers), load(&head.headers));
-    let answer: Option<Reply> =
-        (status == Status::Ok).then(|| Response::from_parts(head, Outgoing::whole(read_ahead.into(), held)));
+    let answer: Option<Reply> = (status == Status::Ok)
+        .then(|| Response::from_parts(head, ResponseBody::buffered(read_ahead.into(), held)));
     Received::Whole(Outcome { status, hit, load, answer })
 }
 
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a node.
 
 use super::Upstreams;
-use crate::descriptors::Permit;
+use crate::descriptors::DescriptorPermit;
 use crate::socket::{Io, Socket};
 use crate::upload::Sending;
 use crate::BUFFER_MOST;
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// If it has ended already.
-    pub(super) async fn open(stream: TcpStream, permit: Permit) -> hyper::Result<Self> {
+    pub(super) async fn open(stream: TcpStream, permit: DescriptorPermit) -> hyper::Result<Self> {
         let socket = Socket::new(stream, permit);
         // By default hyper reads a head of some 400 KB before it gives up.
         let io = TokioIo::new(Io(socket.clone()));
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -15,9 +15,9 @@
 pub use job::Job;
 
 use crate::budget::Budget;
-use crate::descriptors::Descriptors;
-use crate::opening::Opening;
-use crate::relay::Outgoing;
+use crate::descriptors::DescriptorBudget;
+use crate::opening::OpenLimiter;
+use crate::relay::ResponseBody;
 use aniseyoke_core::{AttemptOutcome, Transport};
 use aniseyoke_decision::api::{Entry, Nanos, ServerId, State, Status};
 use aniseyoke_sockets::{connect, ConnectError};
@@ -36,7 +36,7 @@
 const PERMIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a node has answered, on its way to whoever asked.
-pub type Reply = Response<Outgoing>;
+pub type Reply = Response<ResponseBody>;
 
 /// How an attempt ended.
 type Outcome = AttemptOutcome<Reply>;
@@ -56,14 +56,14 @@
     nodes: RefCell<FxHashMap<ServerId, Node>>,
     /// Taken out by operators, listed or not.
     banned: RefCell<FxHashSet<ServerId>>,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     budget: Rc<Budget>,
     connect_timeout: Duration,
     /// An idle connection is used again within this time.
     max_idle: Duration,
     last_epoch: Cell<u64>,
     /// Permits to open connections, where that is limited.
-    opening: Option<RefCell<Opening>>,
+    opening: Option<RefCell<OpenLimiter>>,
 }
 
 impl Transport for Upstreams {
@@ -140,11 +140,11 @@
     /// A pool without nodes. Nodes close connections that have been idle for `idle_time`; with 0 they do as soon as they
     /// have answered, and no connection is used again.
     pub fn new(
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         budget: Rc<Budget>,
         connect_timeout: Duration,
         idle_time: Nanos,
-        opening: Option<Opening>,
+        opening: Option<OpenLimiter>,
     ) -> Rc<Self> {
         Rc::new(Upstreams {
             nodes: RefCell::default(),
@@ -161,7 +161,7 @@
     }
 
     /// Closes idle connections that have ended or stood too long.
-    pub fn sweep(&self) {
+    pub fn close_expired_idle(&self) {
         let keep = |idle: &IdleConnection| {
             idle.since.elapsed() < self.max_idle && !idle.connection.sender.is_closed()
         };
@@ -169,7 +169,7 @@
     }
 
     /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
-    pub fn yield_idle(&self) -> bool {
+    pub fn close_longest_idle(&self) -> bool {
         let mut nodes = self.nodes.borrow_mut();
         let oldest =
             nodes.values_mut().filter(|node| !node.idle.is_empty()).min_by_key(|node| node.idle[0].since);
@@ -195,7 +195,7 @@
             if let Some(connection) = self.take_idle(server) {
                 return Some(Some(connection));
             }
-            let Err(later) = opening.borrow_mut().take(server) else { return Some(None) };
+            let Err(later) = opening.borrow_mut().try_acquire(server) else { return Some(None) };
             if Instant::now() + later > until || self.open_to(server).is_none() {
                 return None;
             }
@@ -250,14 +250,14 @@
     /// A new connection, or what to tell of its lack. The node is not to blame for a shortage of our own.
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, Status> {
         let permit = loop {
-            match self.descriptors.take() {
+            match self.descriptors.try_acquire() {
                 Some(permit) => break permit,
-                None if self.yield_idle() => tokio::task::yield_now().await,
+                None if self.close_longest_idle() => tokio::task::yield_now().await,
                 None => return Err(Status::NotSent),
             }
         };
         let make_room = || {
-            self.yield_idle();
+            self.close_longest_idle();
         };
         let connecting = tokio::time::timeout(self.connect_timeout, connect(addr, make_room)).await;
         let stream = match connecting {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -30,7 +30,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_lack_of_descriptors_is_not_the_nodes_fault() {
     let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let upstreams = Upstreams::new(Descriptors::new(0), Budget::new(0), LONG, 0, None);
+    let upstreams = Upstreams::new(DescriptorBudget::new(0), Budget::new(0), LONG, 0, None);
     let entry = Entry { server: NODE, ..Entry::default() };
     upstreams.update_endpoints(true, &[(entry, node.local_addr().ok())]);
     assert_eq!(attempt(&upstreams, job(None)).await.status, Status::NotSent);
@@ -41,7 +41,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
     let (stream, _) = listener.accept().await.expect("accepted");
-    let socket = Socket::new(stream, Descriptors::new(1).take().expect("a descriptor"));
+    let socket = Socket::new(stream, DescriptorBudget::new(1).try_acquire().expect("a descriptor"));
     drop(client);
     let waiter = Waiter::new(&socket, Probe::InterimResponse, PROBE_TIMEOUT);
     (socket, waiter)
@@ -64,9 +64,9 @@
     let serving = async {
         let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let rules = OpeningRules { per_node: 1000.0, origin: 1000.0 };
-        let opening = Opening::new(rules, None, FleetPosition::new(0, 1));
+        let opening = OpenLimiter::new(rules, None, FleetPosition::new(0, 1));
         let idle_time = LONG.as_nanos() as Nanos;
-        let (descriptors, budget) = (Descriptors::new(9), Budget::new(1 << 20));
+        let (descriptors, budget) = (DescriptorBudget::new(9), Budget::new(1 << 20));
         let upstreams = Upstreams::new(descriptors, budget, LONG, idle_time, Some(opening));
         let entry = Entry { server: NODE, state: State::Ready, ..Entry::default() };
         upstreams.update_endpoints(true, &[(entry, node.local_addr().ok())]);
