--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -7,7 +7,7 @@
 use crate::descriptors::Permit;
 use crate::drain::Drain;
 use crate::socket::Socket;
-use crate::BUFFER_MOST;
+use crate::MAX_READ_BUFFER_BYTES;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::StatusCode;
@@ -242,7 +242,7 @@
             let reader = HeadReader::new(client.socket.clone(), client.heads.clone());
             let connection = http1::Builder::new()
                 .half_close(true)
-                .max_buf_size(BUFFER_MOST)
+                .max_buf_size(MAX_READ_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(reader), service);
             let mut connection = std::pin::pin!(connection);
             let cause = loop {
--- a/crates/proxy/src/front/head_reader.rs
+++ b/crates/proxy/src/front/head_reader.rs
@@ -1,7 +1,7 @@
 //! Passes a client's bytes to hyper one request at a time, and checks each request head before hyper reads it.
 
 use crate::socket::{Io, Socket};
-use crate::BUFFER_MOST;
+use crate::MAX_READ_BUFFER_BYTES;
 use std::cell::Cell;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -79,7 +79,7 @@
         let mut request = httparse::Request::new(&mut headers);
         let length = match request.parse(&self.buffer) {
             Ok(httparse::Status::Complete(length)) => length as u64,
-            Ok(httparse::Status::Partial) if self.buffer.len() < BUFFER_MOST => return None,
+            Ok(httparse::Status::Partial) if self.buffer.len() < MAX_READ_BUFFER_BYTES => return None,
             _ => return Some(UNLIMITED),
         };
         let named = |name: &'static str| {
--- a/crates/proxy/src/front/resources.rs
+++ b/crates/proxy/src/front/resources.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::peers::{self, Peers};
-use crate::{admin, discovery, BODY_MOST, BUFFER_MOST};
+use crate::{admin, discovery, MAX_BUFFERED_BODY_BYTES, MAX_READ_BUFFER_BYTES};
 
 /// Descriptors that are no sockets of the budget: standard streams, the listener, the runtime's own, the files of
 /// the operators' state, discovery's.
@@ -37,7 +37,7 @@
     /// The connections that this process may hold beside others with these claims.
     pub fn max_connections(&self, others: &[Option<usize>]) -> usize {
         // Each connection may come to hold what is read ahead of it and what is still to be written.
-        let by_memory = self.memory / (others.len() + 1) / 4 * 3 / (2 * BUFFER_MOST);
+        let by_memory = self.memory / (others.len() + 1) / 4 * 3 / (2 * MAX_READ_BUFFER_BYTES);
         let descriptors =
             peers::remaining_descriptors(self.sockets, others).saturating_sub(self.base_descriptors);
         descriptors.min(by_memory).max(MIN_CONNECTIONS)
@@ -45,7 +45,7 @@
 
     /// The bytes of bodies that this process may buffer beside others.
     pub fn max_buffered_bytes(&self, others: &[Option<usize>]) -> usize {
-        (self.memory / (others.len() + 1) / 4).max(2 * BODY_MOST)
+        (self.memory / (others.len() + 1) / 4).max(2 * MAX_BUFFERED_BODY_BYTES)
     }
 
     /// Tells the other processes that this one keeps to so many connections.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -35,14 +35,14 @@
 use hyper::body::Bytes;
 
 /// Bodies and answers up to this length are held whole; beyond it they are passed on as they come.
-const BODY_MOST: usize = 64 << 10;
+const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// Nothing that is passed on is longer than this.
-const LARGEST: u64 = 40 << 20;
+const MAX_STREAMED_BODY_BYTES: u64 = 40 << 20;
 /// What the kernel holds of a connection that carries something large is about twice this, in bytes. A buffer that the
 /// kernel sizes itself takes megabytes, and hides for long that the other side takes nothing.
-const KERNEL_BUFFER: usize = 128 << 10;
+const KERNEL_BUFFER_BYTES: usize = 128 << 10;
 /// What is read ahead of a connection, heads among it, holds at most this.
-const BUFFER_MOST: usize = 16 << 10;
+const MAX_READ_BUFFER_BYTES: usize = 16 << 10;
 /// The core over the HTTP node side.
 pub type Engine = aniseyoke_core::Engine<upstream::Upstreams>;
 /// A body that is held whole.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,7 +1,7 @@
 //! The body of an answer to a client: buffered, or streamed as it comes from the node.
 
 use super::budget::Reservation;
-use super::LARGEST;
+use super::MAX_STREAMED_BODY_BYTES;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::any::Any;
 use std::future::Future;
@@ -55,7 +55,7 @@
                     // Trailers belong to the connection to the node.
                     let Ok(data) = frame.into_data() else { continue };
                     self.relayed_bytes += data.len() as u64;
-                    if self.relayed_bytes > LARGEST {
+                    if self.relayed_bytes > MAX_STREAMED_BODY_BYTES {
                         return Poll::Ready(Some(Err(io::Error::other("the answer does not end"))));
                     }
                     return Poll::Ready(Some(Ok(data)));
--- a/crates/proxy/src/socket/mod.rs
+++ b/crates/proxy/src/socket/mod.rs
@@ -11,7 +11,7 @@
 pub use presence::{Glance, Presence, Probe, Waiter};
 
 use crate::descriptors::Permit;
-use crate::KERNEL_BUFFER;
+use crate::KERNEL_BUFFER_BYTES;
 use aniseyoke_sockets::uninterrupted;
 use presence::PeerState;
 use socket2::SockRef;
@@ -107,8 +107,8 @@
         self.max_incoming.set(usize::MAX);
         let stream = SockRef::from(&self.stream);
         // A connection whose buffers stay as they are serves as well.
-        let _ = stream.set_send_buffer_size(KERNEL_BUFFER);
-        let _ = stream.set_recv_buffer_size(KERNEL_BUFFER);
+        let _ = stream.set_send_buffer_size(KERNEL_BUFFER_BYTES);
+        let _ = stream.set_recv_buffer_size(KERNEL_BUFFER_BYTES);
     }
 
     /// Whether the kernel holds nothing that has come and was not read, not even the peer's end. The runtime learns of new
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -1,7 +1,7 @@
 //! The body of a client's request: buffered while it is small, else streamed to the node as it comes.
 
 use super::budget::{Budget, Reservation};
-use super::{BODY_MOST, LARGEST};
+use super::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -94,14 +94,16 @@
 /// Reads a body whole, or so much of it that it has to be passed on as it comes. `large`: it may be.
 pub async fn read(mut body: Incoming, large: bool, budget: &Rc<Budget>) -> Result<Payload, UploadError> {
     let told = body.size_hint();
-    let most = if large { LARGEST } else { BODY_MOST as u64 };
+    let most = if large { MAX_STREAMED_BODY_BYTES } else { MAX_BUFFERED_BODY_BYTES as u64 };
     if told.lower() > most {
         return Err(UploadError::TooLarge);
     }
     if body.is_end_stream() {
         return Ok(Payload::empty());
     }
-    let room = told.exact().map_or(BODY_MOST, |length| length.min(BODY_MOST as u64) as usize);
+    let room = told
+        .exact()
+        .map_or(MAX_BUFFERED_BODY_BYTES, |length| length.min(MAX_BUFFERED_BODY_BYTES as u64) as usize);
     let since = Instant::now();
     let mut held = loop {
         match budget.reserve(room) {
@@ -122,7 +124,7 @@
         if rate.too_slow() {
             return Err(UploadError::Stalled);
         }
-        if rate.received <= BODY_MOST as u64 && told.lower() <= BODY_MOST as u64 {
+        if rate.received <= MAX_BUFFERED_BODY_BYTES as u64 && told.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
             ahead.extend_from_slice(&data);
             continue;
         }
@@ -230,7 +232,7 @@
             let Ok(data) = data else { continue };
             rate.received += data.len() as u64;
             return Poll::Ready(Some(match rate {
-                rate if rate.received > LARGEST => Err(UploadError::TooLarge),
+                rate if rate.received > MAX_STREAMED_BODY_BYTES => Err(UploadError::TooLarge),
                 rate if rate.too_slow() => Err(UploadError::Stalled),
                 _ => Ok(data),
             }));
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -3,7 +3,7 @@
 use super::{Outcome, Reply};
 use crate::budget::Budget;
 use crate::relay::{Outgoing, Relay};
-use crate::{BODY_MOST, LARGEST};
+use crate::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
 use aniseyoke_decision::api::{Load, Status};
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Bytes, Incoming};
@@ -58,8 +58,10 @@
     }
     let (head, mut body) = response.into_parts();
     let size = body.size_hint();
-    let small = size.lower() <= BODY_MOST as u64;
-    let room = size.exact().map_or(BODY_MOST, |length| length.min(BODY_MOST as u64) as usize);
+    let small = size.lower() <= MAX_BUFFERED_BODY_BYTES as u64;
+    let room = size
+        .exact()
+        .map_or(MAX_BUFFERED_BODY_BYTES, |length| length.min(MAX_BUFFERED_BODY_BYTES as u64) as usize);
     let mut held = if small { budget.reserve(room) } else { None };
     let mut read_ahead = Vec::new();
     // What tells no length may be large, and the first bytes of a slow one would wait for long.
@@ -79,7 +81,7 @@
         let Ok(frame) = frame else { return Received::Unusable };
         let Ok(data) = frame.into_data() else { continue };
         read_ahead.extend_from_slice(&data);
-        if held.is_none() || read_ahead.len() > BODY_MOST {
+        if held.is_none() || read_ahead.len() > MAX_BUFFERED_BODY_BYTES {
             return match status(&head) {
                 Status::Ok => {
                     Received::Streamed(StreamedAnswer { head, read_ahead: read_ahead.into(), rest: body })
@@ -108,7 +110,7 @@
         || headers.get_all(CONNECTION).iter().any(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     response.status().is_informational()
         || has_length && has_coding
-        || response.body().size_hint().lower() > LARGEST
+        || response.body().size_hint().lower() > MAX_STREAMED_BODY_BYTES
         || !has_length && !has_coding && !closes && !response.body().is_end_stream()
 }
 
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -8,7 +8,7 @@
 use super::{Outcome, Upstreams};
 use crate::time_left::{self, TIME_LEFT};
 use crate::upload::Sending;
-use crate::BODY_MOST;
+use crate::MAX_BUFFERED_BODY_BYTES;
 use aniseyoke_decision::api::{ServerId, Status};
 use hyper::header::{HeaderValue, HOST};
 use hyper::Request;
@@ -19,7 +19,7 @@
 
 /// So many bytes may come in answer to a request: a body, what frames it, and interim answers ahead. Hyper reads on for as
 /// long as interim answers come, and hands none of them over.
-const MAX_ANSWER_BYTES: usize = 8 * BODY_MOST;
+const MAX_ANSWER_BYTES: usize = 8 * MAX_BUFFERED_BODY_BYTES;
 /// How often an attempt is tried anew whose request was withheld by the check before its first byte.
 const MAX_WITHHELD: usize = 2;
 
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -4,7 +4,7 @@
 use crate::descriptors::Permit;
 use crate::socket::{Io, Socket};
 use crate::upload::Sending;
-use crate::BUFFER_MOST;
+use crate::MAX_READ_BUFFER_BYTES;
 use aniseyoke_decision::api::ServerId;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -29,7 +29,8 @@
         let socket = Socket::new(stream, permit);
         // By default hyper reads a head of some 400 KB before it gives up.
         let io = TokioIo::new(Io(socket.clone()));
-        let (sender, driver) = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(io).await?;
+        let (sender, driver) =
+            http1::Builder::new().max_buf_size(MAX_READ_BUFFER_BYTES).handshake(io).await?;
         let driver = tokio::task::spawn_local(driver).abort_handle();
         Ok(Connection { sender, socket, driver })
     }
