--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,10 +1,11 @@
-//! The engine's one clock.
+//! The engine's clock.
 
 use aniseyoke_decision::api::Nanos;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The one clock: monotonic, from the Unix time at the start, since nodes' start times are Unix times. A wall clock that
-/// steps later changes no span; `start_times` tells what a step means for nodes' start times.
+/// A monotonic clock that counts from the Unix time at which it was created, because nodes report their start
+/// times as Unix times. A later step of the wall clock does not affect measured durations; the module
+/// `start_times` corrects nodes' start times for such steps.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_time_at_start: Nanos,
@@ -12,18 +13,18 @@
 }
 
 impl Clock {
-    /// A clock that starts at the wall clock's time.
+    /// Creates a clock that starts at the current wall clock time.
     pub fn new() -> Self {
         Clock { unix_time_at_start: wall_time(), start: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time, in nanoseconds of Unix time.
     pub fn now(&self) -> Nanos {
         self.read().0
     }
 
-    /// One reading in both forms. Danger: between two readings the process may be held up, and what is counted from
-    /// the second would last for that much longer.
+    /// Returns one reading of the clock in both forms. The process may be suspended between two separate
+    /// readings, which would extend a time limit that is counted from the second one.
     pub fn read(&self) -> (Nanos, Instant) {
         let now = Instant::now();
         let since_start = now.saturating_duration_since(self.start).as_nanos() as Nanos;
@@ -31,7 +32,8 @@
     }
 }
 
-/// Unix time; 0 where the wall clock stands before that.
+/// Returns the wall clock time as Unix time in nanoseconds, or 0 if the clock is set to a time before the
+/// Unix epoch.
 pub fn wall_time() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of requests by outcome, incremented where requests are answered and read from other threads.
+//! Counters of requests by outcome, incremented when requests are answered and read from other threads.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -13,7 +13,7 @@
     Failed,
 }
 
-/// Requests by outcome, over some time.
+/// Numbers of requests by outcome, over a period of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     /// Requests answered by a node.
@@ -43,7 +43,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns what was counted since the last call and starts again from zero.
+    /// Returns the counts since the last call and resets the counters to zero.
     pub fn take(&self) -> RequestCounts {
         let take = |counter: &AtomicU64| counter.swap(0, Ordering::Relaxed);
         RequestCounts {
--- a/crates/core/src/deadline.rs
+++ b/crates/core/src/deadline.rs
@@ -1,16 +1,17 @@
-//! How much of a client's time is reserved for the network.
+//! The part of a client's timeout that is reserved for network delay.
 
 use aniseyoke_decision::api::Nanos;
 
-/// The most that is reserved: a client's time runs from its sending, and the answer takes its time on the way back.
+/// Maximum margin in nanoseconds. A client's timeout starts when it sends the request, and the answer needs
+/// time to travel back.
 const MAX_MARGIN: Nanos = 10_000_000;
-/// At most this part of the client's time is reserved, one in so many. Danger: some clients wait for little longer than an
-/// answer takes; a margin made for long waits would leave them none.
+/// The margin is at most the client's timeout divided by this. Some clients wait only a little longer than an
+/// answer takes, and a margin sized for long timeouts would leave them no time.
 const MARGIN_DIVISOR: Nanos = 12;
 
-/// What is reserved of a client's time for the request's way here and the answer's way back.
-pub fn deadline_margin(client_patience: Nanos) -> Nanos {
-    MAX_MARGIN.min(client_patience / MARGIN_DIVISOR)
+/// Returns the time reserved for the transfer of the request from the client and of the answer back to it.
+pub fn deadline_margin(client_timeout: Nanos) -> Nanos {
+    MAX_MARGIN.min(client_timeout / MARGIN_DIVISOR)
 }
 
 #[cfg(test)]
--- a/crates/core/src/deadline/tests.rs
+++ b/crates/core/src/deadline/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn an_impatient_client_keeps_most_of_its_time() {
-    for (patience_ms, most_ms) in [(28, 3), (47, 4), (300, 10), (60_000, 10), (0, 0)] {
-        assert!(deadline_margin(patience_ms * 1_000_000) <= most_ms * 1_000_000, "{patience_ms}");
+fn the_margin_leaves_most_of_a_short_client_timeout() {
+    for (timeout_ms, max_margin_ms) in [(28, 3), (47, 4), (300, 10), (60_000, 10), (0, 0)] {
+        assert!(deadline_margin(timeout_ms * 1_000_000) <= max_margin_ms * 1_000_000, "{timeout_ms}");
     }
 }
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The endpoint list as discovery reports it, kept so that the operator's overlay can be applied to it anew.
+//! The endpoint list as reported by discovery, stored so that a new overlay can be applied to it.
 
 use aniseyoke_decision::api::{Entry, Nanos, ServerId, State};
 use aniseyoke_routes::Overlay;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
-/// An entry of the list, and where to connect; no address where it could not be read.
+/// An entry of the list and its address; `None` if the address could not be parsed.
 pub type Endpoint = (Entry, Option<SocketAddr>);
 
 /// The entries of the list, without the operator's overlay.
@@ -15,7 +15,7 @@
 }
 
 impl EndpointList {
-    /// Applies an update. After a `complete` one the entries it does not name are gone.
+    /// Applies an update. A `complete` update removes the entries that it does not contain.
     pub fn apply(&mut self, complete: bool, update: &[Endpoint]) {
         if complete {
             let named: FxHashSet<ServerId> = update.iter().map(|(entry, _)| entry.server).collect();
@@ -30,17 +30,18 @@
         }
     }
 
-    /// When a node counts as started; `None` if it is not listed.
+    /// Returns the start time in use for a node; `None` if it is not listed.
     pub fn start_time(&self, server: ServerId) -> Option<Nanos> {
         self.entries.get(&server).map(|(entry, _)| entry.started)
     }
 
-    /// All entries, in no particular order.
+    /// Returns all entries, in no particular order.
     pub fn entries(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.values()
     }
 
-    /// The entries that differ under a new overlay, with that overlay applied, in order of their server ids.
+    /// Returns the entries whose overlaid form changes, with the new overlay applied, in order of their
+    /// server ids.
     pub fn changed_by(&self, old: &Overlay, new: &Overlay) -> Vec<Endpoint> {
         if old == new {
             return Vec::new();
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine: the sole owner of the decision module and of all requests, attempts and timers. Events of the network go
-//! in, the decision module's actions are carried out. Each request gets one final answer.
+//! The engine, which owns the decision module and all requests, attempts and timers. It passes network events
+//! to the decision module and executes the resulting actions. Each request gets exactly one final answer.
 
 mod attempts;
 mod configuration;
@@ -30,35 +30,36 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Attempts that wait for capacity at their nodes.
+/// Counts of attempts that wait for capacity at their nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueStatus {
-    /// Attempts that wait now.
+    /// Number of attempts waiting now.
     pub waiting: usize,
-    /// Attempts that the limits rejected since the start.
+    /// Number of attempts rejected by the limits since the start.
     pub rejected: u64,
 }
 
-/// The owner of the decision module, of requests, attempts and timers, over a transport.
+/// The owner of the decision module and of all requests, attempts and timers; sends attempts over a
+/// transport.
 pub struct Engine<T: Transport> {
     clock: Clock,
     state: RefCell<EngineState<T>>,
     transport: Rc<T>,
-    /// A message asks for the endpoint list to be followed.
+    /// Requests to subscribe to the endpoint list.
     discovery_requests: mpsc::UnboundedSender<()>,
     seen_servers: RefCell<SeenServers>,
     counters: Arc<RequestCounters>,
-    /// Discovery has reported a list since the start.
+    /// Whether discovery has reported a list since the start.
     list_received: Cell<bool>,
     weak_self: Weak<Engine<T>>,
 }
 
 impl<T: Transport> Engine<T> {
-    /// Starts the decision module with the endpoint list as it was `known` last; a message on `discovery_requests` asks for
-    /// the list to be followed.
+    /// Creates an engine and starts its decision module with `known`, the last known endpoint list. A message
+    /// on `discovery_requests` asks the receiver to subscribe to the endpoint list.
     ///
     /// # Errors
-    /// If a key of the configuration's limits has a value that is not accepted.
+    /// If a key of the configuration's limits has an invalid value.
     pub fn new(
         config: Arc<EngineConfig>,
         seed: u64,
@@ -91,24 +92,25 @@
         Ok(engine)
     }
 
-    /// Whether a request could be served now.
+    /// Whether any node is ready to serve requests.
     pub fn can_serve(&self) -> bool {
         self.transport.any_ready()
     }
 
-    /// Counters of requests by outcome; other threads may read them.
+    /// Returns the counters of requests by outcome, which other threads may read.
     pub fn counters(&self) -> Arc<RequestCounters> {
         self.counters.clone()
     }
 
-    /// Attempts that wait for capacity; `None` where nothing is limited.
+    /// Returns the status of the queues; `None` if no limits are configured.
     pub fn queue_status(&self) -> Option<QueueStatus> {
         let state = self.state.borrow();
         let limits = state.limits.as_ref()?;
         Some(QueueStatus { waiting: limits.waiting(), rejected: limits.rejected() })
     }
 
-    /// Gives an event to the decision module and carries out its actions, and so on with the events that follow at once.
+    /// Passes an event to the decision module and executes its actions, then does the same for all events
+    /// that result.
     fn handle_event(&self, state: &mut EngineState<T>, event: Event) {
         self.handle_events(state, VecDeque::from([event]));
     }
@@ -118,12 +120,12 @@
         while let Some(event) = events.pop_front() {
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action, &mut events);
+                self.execute_action(state, action, &mut events);
             }
         }
     }
 
-    fn carry_out(&self, state: &mut EngineState<T>, action: Action, events: &mut VecDeque<Event>) {
+    fn execute_action(&self, state: &mut EngineState<T>, action: Action, events: &mut VecDeque<Event>) {
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(state, id, server, timeout, events),
             Action::Cancel { id, attempt } => self.cancel_attempt(state, id, attempt as usize, events),
@@ -136,12 +138,12 @@
                 engine.handle_event(&mut engine.state.borrow_mut(), Event::Timer(token));
             }),
             Action::CloseIdle(server) => self.transport.close_idle(server),
-            // The receiver is gone only when the proxy ends.
+            // Sending fails only at shutdown, when the receiver has been dropped.
             Action::Subscribe => drop(self.discovery_requests.send(())),
         }
     }
 
-    /// Calls back after a delay, if the engine still exists then.
+    /// Calls `callback` after a delay, if the engine still exists then.
     fn schedule(&self, delay: Nanos, callback: impl FnOnce(&Self) + 'static) {
         let weak_self = self.weak_self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from the decision module's action to their outcome.
+//! The life cycle of attempts, from the decision module's action to the outcome.
 
 use super::state::{Attempt, AttemptPhase, EngineState};
 use super::Engine;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl<T: Transport> Engine<T> {
-    /// Sends an attempt, or puts it into its node's queue where that has no capacity.
+    /// Sends an attempt, or queues it if its node has no capacity.
     pub(super) fn send_attempt(
         &self,
         state: &mut EngineState<T>,
@@ -47,21 +47,22 @@
             }
             Admission::Rejected => self.end_attempt(state, id, number, Status::Rejected, None, events),
         }
-        self.carry_out_queue_actions(state, actions, events);
+        self.execute_queue_actions(state, actions, events);
     }
 
-    /// Hands an admitted attempt to the transport.
+    /// Passes an admitted attempt to the transport.
     pub(super) fn start_attempt(&self, state: &mut EngineState<T>, id: RequestId, number: usize) {
         let (now, instant) = self.clock.read();
         let Some(request) = state.requests.get_mut(&id) else { return };
         let job = request.job.clone();
-        // Danger: between the decision on a retry and its writing lie a queue and a connection that comes up late.
+        // A retry may be written long after it was decided on: it may wait in a queue and for a slow
+        // connection.
         let idempotency_time_left = request.idempotency_time_left(number, now);
         let Some(attempt) = request.attempts.get_mut(number) else { return };
         let time_limit = Duration::from_nanos(attempt.time_left(now));
         let handle = Rc::new(T::Handle::default());
-        if let Some(left) = idempotency_time_left {
-            handle.forbid_writing_after(instant, Duration::from_nanos(left));
+        if let Some(window_left) = idempotency_time_left {
+            handle.forbid_writing_after(instant, Duration::from_nanos(window_left));
         }
         let transport = self.transport.clone();
         let exchange = transport.attempt(attempt.server, job, instant, time_limit, handle.clone());
@@ -75,7 +76,7 @@
         attempt.phase = AttemptPhase::InFlight { started_at: now, handle, task: task.abort_handle() };
     }
 
-    /// An attempt has ended by itself.
+    /// Handles the outcome of an attempt that ended without being cancelled.
     fn attempt_ended(&self, id: RequestId, number: usize, outcome: AttemptOutcome<T::Reply>) {
         let state = &mut *self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(&id) else { return };
@@ -88,7 +89,7 @@
         let mut is_final_answer = false;
         if let Some(answer) = outcome.answer {
             if let Some(answer_sender) = request.answer_sender.take() {
-                // A client that has just left needs none.
+                // Sending fails if the client has just left.
                 let _ = answer_sender.send(Answer::Served(answer));
                 self.counters.increment(RequestOutcome::Served);
                 is_final_answer = true;
@@ -101,7 +102,7 @@
         self.handle_events(state, events);
     }
 
-    /// An attempt has waited for capacity as long as it may.
+    /// Rejects an attempt that has waited for capacity for the maximum time.
     fn queue_wait_expired(&self, id: RequestId, number: usize) {
         let state = &mut *self.state.borrow_mut();
         let now = self.clock.now();
@@ -113,7 +114,7 @@
         }
     }
 
-    fn carry_out_queue_actions(
+    fn execute_queue_actions(
         &self,
         state: &mut EngineState<T>,
         actions: Vec<QueueAction>,
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Records the outcome of an attempt: the decision module is to hear of it, and what waits behind it may start.
+    /// Records the outcome of an attempt, notifies the decision module, and starts attempts that waited for
+    /// its capacity.
     fn end_attempt(
         &self,
         state: &mut EngineState<T>,
@@ -156,7 +158,7 @@
         state.forget_if_finished(id);
     }
 
-    /// Frees the capacity of an attempt that was in flight, and starts what waited for it.
+    /// Releases the capacity of an attempt that was in flight, and starts attempts that waited for it.
     fn free_capacity(
         &self,
         state: &mut EngineState<T>,
@@ -169,10 +171,10 @@
         if let Some(limit) = limits.attempt_completed(now, completed, &mut actions) {
             events.push_back(Event::ConcurrencyLimit { server: completed.server, limit });
         }
-        self.carry_out_queue_actions(state, actions, events);
+        self.execute_queue_actions(state, actions, events);
     }
 
-    /// Cancels an attempt: one in flight is ended with its connection, one in a queue leaves it.
+    /// Cancels an attempt: if in flight, its connection is closed; if queued, it is removed from the queue.
     pub(super) fn cancel_attempt(
         &self,
         state: &mut EngineState<T>,
@@ -200,7 +202,8 @@
         self.end_attempt(state, id, number, status, None, events);
     }
 
-    /// After the final answer nothing more is written for a request, nor is anything sent that waits in a queue.
+    /// Stops all sending for a request after its final answer: in-flight attempts write nothing more, and
+    /// queued ones are cancelled.
     pub(super) fn forbid_further_sends(
         &self,
         state: &mut EngineState<T>,
--- a/crates/core/src/engine/configuration.rs
+++ b/crates/core/src/engine/configuration.rs
@@ -1,4 +1,4 @@
-//! Exchange of the engine's configuration while it runs.
+//! Replacement of the configuration while the engine runs.
 
 use super::state::EngineState;
 use super::Engine;
@@ -9,41 +9,42 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Why a configuration can't be taken over.
+/// Why a new configuration can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReconfigureError {
     /// Open requests refer to classes by their index.
     #[error("the number of classes is {new}, and was {old} at the start")]
     Classes {
-        /// How many there were at the start.
+        /// The number at the start.
         old: usize,
-        /// How many the new configuration has.
+        /// The number in the new configuration.
         new: usize,
     },
     /// Open requests refer to tenants by their index.
     #[error("the number of tenants is {new}, and was {old} at the start")]
     Tenants {
-        /// How many there were at the start.
+        /// The number at the start.
         old: usize,
-        /// How many the new configuration has.
+        /// The number in the new configuration.
         new: usize,
     },
-    /// A key of the limits has a value that is not accepted.
+    /// A key of the limits has an invalid value.
     #[error(transparent)]
     Limits(#[from] LimitsConfigError),
 }
 
 impl<T: Transport> Engine<T> {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Arc<EngineConfig> {
         self.state.borrow().config.clone()
     }
 
-    /// Takes another configuration over between two events: no request sees half of it, and those that are open keep the
-    /// settings they came under. Returns the old one, since dropping it may take longer than requests may wait.
+    /// Applies a new configuration atomically between two events. Open requests keep the settings in force
+    /// when they arrived. Returns the old configuration, because dropping it here could delay requests for
+    /// too long.
     ///
     /// # Errors
-    /// Why it can't be taken over; nothing is changed then.
+    /// If the new configuration can't be applied; nothing is changed then.
     pub fn reconfigure(&self, config: Arc<EngineConfig>) -> Result<Arc<EngineConfig>, ReconfigureError> {
         let state = &mut *self.state.borrow_mut();
         check_counts(&state.config.settings, &config.settings)?;
@@ -57,7 +58,7 @@
         let (old_overlay, new_overlay) = (&old.routing.overlay, &state.config.routing.overlay);
         let changed = state.endpoint_list.changed_by(old_overlay, new_overlay);
         if !changed.is_empty() {
-            self.announce_endpoints(state, ListKind::Overlay, &changed, &mut events);
+            self.propagate_endpoints(state, ListKind::Overlay, &changed, &mut events);
         }
         self.handle_events(state, events);
         Ok(old)
@@ -72,13 +73,14 @@
             return limits.reconfigure(config.clone(), settings);
         }
         let mut limits = Limits::new(config.clone(), settings)?;
-        // Danger: limits that come late would take the origin for a node until the list is reported again.
+        // Limits created later than the list would treat the origin as a node until the list is reported
+        // again.
         state.endpoint_list.entries().for_each(|(entry, _)| limits.update_endpoint(entry));
         state.limits = Some(limits);
         Ok(())
     }
 
-    /// Removes all limits; what waits is started at once.
+    /// Removes all limits and starts all waiting attempts immediately.
     fn remove_limits(&self, state: &mut EngineState<T>, events: &mut VecDeque<Event>) {
         let Some(limits) = state.limits.take() else { return };
         let released = limits.release();
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and operators' bans.
+//! Updates of the endpoint list, and bans by operators.
 
 use super::state::EngineState;
 use super::Engine;
@@ -32,11 +32,11 @@
             endpoints.iter().map(|(entry, address)| (overlay.apply(entry), *address)).collect()
         };
         let mut events = VecDeque::new();
-        self.announce_endpoints(state, kind, &overlaid, &mut events);
+        self.propagate_endpoints(state, kind, &overlaid, &mut events);
         self.handle_events(state, events);
     }
 
-    /// The entries with the times from which their nodes count as started.
+    /// Returns the entries with corrected start times.
     fn correct_start_times(&self, state: &mut EngineState<T>, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let clocks = ClockReadings { engine: self.clock.now(), wall: wall_time() };
         let corrected = endpoints.iter().map(|(entry, address)| {
@@ -47,8 +47,9 @@
         corrected.collect()
     }
 
-    /// Tells the transport, the limits and the decision module of entries that have the operator's overlay applied.
-    pub(super) fn announce_endpoints(
+    /// Passes entries with the operator's overlay applied to the transport, the limits and the decision
+    /// module.
+    pub(super) fn propagate_endpoints(
         &self,
         state: &mut EngineState<T>,
         kind: ListKind,
@@ -66,12 +67,12 @@
         events.push_back(Event::EndpointList { kind, entries });
     }
 
-    /// Whether discovery has reported a list since the start; the one known before it may be old.
+    /// Whether discovery has reported a list since the start. The list known before may be outdated.
     pub fn list_received(&self) -> bool {
         self.list_received.get()
     }
 
-    /// The entries of the list as discovery reports them, without the servers that operators have banned.
+    /// Returns the entries of the list as reported by discovery, without servers banned by operators.
     pub fn active_endpoints(&self) -> Vec<Entry> {
         let state = self.state.borrow();
         let endpoints = state.endpoint_list.entries();
@@ -79,12 +80,12 @@
         active.map(|(entry, _)| entry.clone()).collect()
     }
 
-    /// Whether a server of this name was ever listed, as far back as is remembered.
+    /// Whether a server of this name has been listed and is still remembered.
     pub fn was_listed(&self, name: &str) -> bool {
         self.seen_servers.borrow().contains(server_id(name))
     }
 
-    /// Bans a server by an operator's order, or lifts the ban.
+    /// Bans a server on behalf of an operator, or lifts the ban.
     pub fn set_banned(&self, name: &str, banned: bool) {
         let server = server_id(name);
         self.seen_servers.borrow_mut().add(server);
--- a/crates/core/src/engine/requests.rs
+++ b/crates/core/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their one final answer.
+//! The life cycle of requests, from arrival to the final answer.
 
 use super::state::{AttemptPhase, EngineState, OpenRequest};
 use super::Engine;
@@ -12,32 +12,34 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A client's request, in the decision module's terms.
+/// A client's request in the decision module's terms.
 pub struct IncomingRequest<J> {
-    /// Its id is assigned by the engine.
+    /// The request; the engine assigns its id.
     pub request: Request,
-    /// What attempts carry.
+    /// The transport's representation of the request, carried by attempts.
     pub job: J,
-    /// When its last byte came, or its head, where the rest is still to come: its time counts from then.
+    /// When the last byte was received, or the head if the body is still incomplete. The client's timeout
+    /// counts from then.
     pub received_at: Instant,
 }
 
 impl<T: Transport> Engine<T> {
-    /// Takes a request in; its final answer comes by the handle that is returned.
+    /// Accepts a request and returns a handle on its final answer.
     pub fn submit(&self, incoming: IncomingRequest<T::Job>) -> PendingResponse<T> {
         let IncomingRequest { mut request, job, received_at } = incoming;
         let state = &mut *self.state.borrow_mut();
         let (now, instant) = self.clock.read();
         let body_pending = job.body_pending();
-        // Danger: between its arrival and now the process may have been held up, or have asked after the client.
-        let passed =
+        // Time may have elapsed since the request was received: the process may have been suspended, or may
+        // have looked up the client.
+        let elapsed =
             if body_pending { Duration::ZERO } else { instant.saturating_duration_since(received_at) };
-        let client_patience = request.remaining.saturating_sub(passed.as_nanos() as Nanos);
-        let margin = deadline_margin(client_patience);
-        request.remaining = client_patience - margin;
+        let client_timeout = request.remaining.saturating_sub(elapsed.as_nanos() as Nanos);
+        let margin = deadline_margin(client_timeout);
+        request.remaining = client_timeout - margin;
         request.id = state.next_id;
         state.next_id += 1;
-        // Danger: were routes and pools read at two times, a change of configuration could come between them.
+        // Routes and pools are read together, so that no change of configuration can happen between the two.
         let routes = &state.config.routing.table;
         if !routes.is_empty() {
             request.pool = routes.pool(Some(&request.class), request.tenant.as_ref(), job.key());
@@ -51,8 +53,8 @@
         let open = Self::open_request(state, &request, job.clone(), deadline, answer_sender);
         state.requests.insert(id, open);
         self.handle_event(state, Event::Arrival(request));
-        // With half of the margin left a request that the decision module has left unanswered is failed.
-        let time_limit = Duration::from_nanos(client_patience - margin / 2);
+        // A request that the decision module leaves unanswered fails when half of the margin is left.
+        let time_limit = Duration::from_nanos(client_timeout - margin / 2);
         let engine = self.weak_self.clone();
         PendingResponse { id, answer: Some(answer), time_limit, job: Rc::downgrade(&job), engine }
     }
@@ -73,14 +75,14 @@
             job,
             may_cancel: settings.cancellation,
             idempotency_window: with_key.map(|class| class.dedup_window),
-            client_patience: request.remaining,
+            client_timeout: request.remaining,
             deadline,
             answer_sender: Some(answer_sender),
             attempts: Vec::new(),
         }
     }
 
-    /// Has the engine hear of the last byte of a request's body.
+    /// Notifies the engine when the last byte of a request's body is received.
     fn watch_body(&self, id: RequestId, job: &T::Job) {
         let weak_self = self.weak_self.clone();
         job.on_body_received(move || {
@@ -90,12 +92,13 @@
         });
     }
 
-    /// The last byte has come of a request that arrived before it: its time runs from now.
+    /// Handles the last byte of a request that arrived with an incomplete body: its time limits count from
+    /// now.
     fn body_received(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
         let now = self.clock.now();
         let Some(request) = state.requests.get_mut(&id) else { return };
-        request.deadline = Some(now.saturating_add(request.client_patience));
+        request.deadline = Some(now.saturating_add(request.client_timeout));
         for attempt in request.attempts.iter_mut().filter(|attempt| !attempt.has_ended()) {
             attempt.sent_at = now;
             if let AttemptPhase::InFlight { started_at, .. } = &mut attempt.phase {
@@ -105,7 +108,7 @@
         self.handle_event(state, Event::BodyReceived(id));
     }
 
-    /// Gives the final answer, if none was given.
+    /// Sends the final answer to the client, if none was sent before.
     pub(super) fn answer_request(
         &self,
         state: &mut EngineState<T>,
@@ -117,12 +120,13 @@
         let Some(answer_sender) = request.answer_sender.take() else { return };
         let rejected = matches!(answer, Answer::Rejected(_));
         self.counters.increment(if rejected { RequestOutcome::Rejected } else { RequestOutcome::Failed });
-        // A client that has just left needs none.
+        // Sending fails if the client has just left.
         let _ = answer_sender.send(answer);
         self.close_request(state, id, events);
     }
 
-    /// Ends what is in flight for a request that is over, where it may be cancelled. Danger: it would go on for nobody.
+    /// Ends a request: its queued attempts are cancelled, and so are those in flight, if the settings allow
+    /// it. Otherwise nodes would work on attempts whose answers nobody waits for.
     fn close_request(&self, state: &mut EngineState<T>, id: RequestId, events: &mut VecDeque<Event>) {
         self.forbid_further_sends(state, id, events);
         let cancellable = state.requests.get(&id).filter(|request| request.may_cancel);
@@ -134,7 +138,7 @@
 }
 
 impl<T: Transport> AbandonRequest for Engine<T> {
-    /// The client has gone, or has been told that it is too late: nothing more is done for the request.
+    /// Ends a request whose client has left or has been sent a timeout.
     fn abandon(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(&id) else { return };
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine over a transport whose attempts end when the test says so.
+//! Tests of the engine with a transport whose attempts are ended by the test.
 
 use super::*;
 use crate::counters::RequestCounts;
@@ -39,7 +39,7 @@
 /// Holds each attempt until the test ends it.
 #[derive(Default)]
 struct ManualTransport {
-    /// What ends each attempt that was started, in order; `None` once it was ended.
+    /// Senders that end the started attempts, in order; `None` once used.
     attempts: RefCell<Vec<Option<oneshot::Sender<Status>>>>,
 }
 
@@ -50,7 +50,7 @@
 
     fn end(&self, number: usize, status: Status) {
         let end = self.attempts.borrow_mut()[number].take();
-        // An attempt that was cancelled waits no more.
+        // Sending fails if the attempt was cancelled.
         let _ = end.expect("ended once").send(status);
     }
 }
@@ -98,7 +98,7 @@
     Arc::new(EngineConfig { settings, limits, ..EngineConfig::default() })
 }
 
-/// An engine over one node that takes one attempt at once and queues one more.
+/// Creates an engine with one node, which executes one attempt at a time and queues one more.
 fn engine(transport: &Rc<ManualTransport>) -> Rc<Engine<ManualTransport>> {
     let node = ConcurrencyBounds { floor: 1.0, start: 1.0, ceiling: 1.0, ..ConcurrencyBounds::default() };
     let wait = Duration::from_millis(200);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_attempt_without_capacity_waits_and_starts_when_there_is_some() {
+fn an_attempt_without_capacity_waits_and_starts_when_capacity_is_freed() {
     run(|transport, engine| async move {
         let (mut first, mut second) = (submit(&engine, 1), submit(&engine, 2));
         until(|| transport.started() == 1).await;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn an_attempt_without_a_place_in_the_queue_is_rejected_at_once_and_never_sent() {
+fn an_attempt_is_rejected_at_once_and_never_sent_if_the_queue_is_full() {
     run(|transport, engine| async move {
         let (first, second, mut third) = (submit(&engine, 1), submit(&engine, 2), submit(&engine, 3));
         assert!(matches!(third.answer().await, Answer::Rejected(_)));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_too_long_is_rejected_and_never_sent() {
+fn an_attempt_that_waits_for_the_maximum_time_is_rejected_and_never_sent() {
     run(|transport, engine| async move {
         let (_first, mut second) = (submit(&engine, 1), submit(&engine, 2));
         assert!(matches!(second.answer().await, Answer::Rejected(_)));
@@ -168,9 +168,9 @@
     });
 }
 
-/// Danger: a request whose client has gone would be sent for nobody once its turn comes.
+/// Guards against a queued attempt that is sent after its client has left.
 #[test]
-fn a_client_that_leaves_the_queue_leaves_nothing_to_be_sent() {
+fn a_queued_attempt_is_never_sent_after_its_client_has_left() {
     run(|transport, engine| async move {
         let (mut first, second) = (submit(&engine, 1), submit(&engine, 2));
         drop(second);
@@ -184,9 +184,9 @@
     });
 }
 
-/// Danger: what waits when limits are removed would wait for a turn that nobody gives.
+/// Guards against attempts that stay queued for ever when the limits are removed while they wait.
 #[test]
-fn what_waits_is_sent_when_limits_are_removed_and_each_has_one_answer() {
+fn queued_attempts_are_sent_when_limits_are_removed_and_each_request_gets_one_answer() {
     run(|transport, engine| async move {
         let (mut first, mut second) = (submit(&engine, 1), submit(&engine, 2));
         assert_eq!((transport.started(), engine.queue_status()), (1, queue_status(1, 0)));
@@ -194,7 +194,7 @@
         assert_eq!((transport.started(), engine.queue_status()), (2, None));
         transport.end(1, Status::Ok);
         assert!(matches!(second.answer().await, Answer::Served(())));
-        // They come back while the first is still in flight.
+        // Limits are configured again while the first attempt is still in flight.
         engine.reconfigure(config(settings(), Some(LimitsConfig::default()))).expect("sound");
         transport.end(0, Status::Ok);
         assert!(matches!(first.answer().await, Answer::Served(())));
@@ -202,15 +202,17 @@
         let served = RequestCounts { served: 2, ..RequestCounts::default() };
         assert_eq!(engine.counters().take(), served);
         let bad = LimitsConfig { over_quota_fraction: 7.0, ..LimitsConfig::default() };
-        let error = engine.reconfigure(config(settings(), Some(bad))).expect_err("out of range");
+        let error = engine.reconfigure(config(settings(), Some(bad))).expect_err("fraction out of range");
         assert!(error.to_string().contains("over_share_part"), "{error}");
-        let error = engine.reconfigure(config(Settings::default(), None)).expect_err("the platform's matter");
+        let error =
+            engine.reconfigure(config(Settings::default(), None)).expect_err("another number of classes");
         assert_eq!(error, ReconfigureError::Classes { old: 1, new: 0 });
-        assert_eq!(engine.queue_status(), queue_status(0, 0), "nothing has changed");
+        assert_eq!(engine.queue_status(), queue_status(0, 0), "the old configuration is still in force");
     });
 }
 
-/// Danger: a request that nobody answers is lost once its client stops waiting.
+/// Guards against a client that waits without an answer until its own timeout, because the decision module
+/// gave none.
 #[tokio::test(flavor = "current_thread")]
 async fn a_request_that_the_decision_module_leaves_unanswered_times_out() {
     let (_sender, answer) = oneshot::channel();
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,13 @@
-//! The core of the proxy: the sole owner of the decision module and of all requests, attempts and timers. It knows no wire
-//! format: the front hands it requests in the decision module's terms, and a [`Transport`] carries attempts to nodes.
+//! The core of the proxy. It owns the decision module and all requests, attempts and timers. It does not
+//! depend on a wire format: callers submit requests in the decision module's terms, and a [`Transport`] sends
+//! attempts to nodes.
 //!
-//! - [`engine`]: carries out the decision module's actions; each request gets one final answer.
-//! - [`transport`]: what the engine needs of the side that talks to nodes.
+//! - [`engine`]: executes the decision module's actions and gives each request exactly one final answer.
+//! - [`transport`]: the interface between the engine and the code that communicates with nodes.
 //! - [`pending_response`]: the handle by which a client waits for its answer.
-//! - [`limits`]: concurrency limits, queues and tenants' quotas, without I/O or clock.
-//! - [`config`]: the configuration that the engine works by.
-//! - [`counters`]: requests by outcome, for other threads to read.
+//! - [`limits`]: concurrency limits, queues and tenant quotas, without I/O and without a clock.
+//! - [`config`]: the engine's configuration.
+//! - [`counters`]: counters of requests by outcome, readable from other threads.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/core/src/limits/concurrency.rs
+++ b/crates/core/src/limits/concurrency.rs
@@ -1,8 +1,9 @@
 //! An adaptive concurrency limit for one node.
 //!
-//! While the node answers, the limit grows or shrinks by the gradient between the node's recent latency and its own
-//! baseline, in the manner of TCP Vegas (Brakmo and Peterson 1995). Rejections and time-outs cut it once per round trip,
-//! as congestion does in TCP (Jacobson 1988); half of the limit before the cut is regained by slow start (doubling).
+//! While the node answers, the limit grows or shrinks by the gradient between the node's recent latency and
+//! its own baseline, similar to TCP Vegas (Brakmo and Peterson 1995). Rejections and timeouts cut it once per
+//! round trip, as congestion does in TCP (Jacobson 1988); slow start (doubling) restores it to half of its
+//! value before the cut.
 
 use super::ConcurrencyBounds;
 use aniseyoke_decision::api::{Nanos, Status};
@@ -13,31 +14,34 @@
 const LONG_TERM_GAIN: f64 = 0.01;
 /// Weight of one answer in the baseline, while the node is lightly loaded.
 const BASELINE_GAIN: f64 = 0.05;
-/// The limit counts as utilized from this fraction on; a limit that is not utilized tells nothing about capacity.
+/// The fraction of the limit in flight from which it counts as utilized. Latency below that does not show
+/// whether the node has capacity for a higher limit.
 const UTILIZED_FRACTION: f64 = 0.5;
-/// Multiplicative decrease: the fraction of the limit that is left after a round trip with time-outs or rejections.
+/// Multiplicative decrease: the fraction of the limit that remains after a round trip with timeouts or
+/// rejections.
 const DECREASE_FACTOR: f64 = 0.7;
 /// The fraction of the distance to the gradient's target that the limit moves with one answer.
 const SHRINK_GAIN: f64 = 0.1;
-/// The gradient never aims below this fraction of the limit.
-const LEAST_GRADIENT: f64 = 0.5;
-/// Slow start ends at this fraction of the limit before a cut.
+/// Minimum fraction of the limit that the gradient targets.
+const MIN_GRADIENT: f64 = 0.5;
+/// The fraction of the limit before a cut at which slow start ends.
 const SLOW_START_FRACTION: f64 = 0.5;
-/// The loss rate (attempts timed out or rejected) above which losses count as congestion. Danger: on a poor network
-/// some answers are lost; counted as congestion, two in a hundred hold the limit at its floor.
+/// The loss rate (attempts timed out or rejected) above which losses count as congestion. Some answers are
+/// lost on a poor network; if those counted as congestion, a loss of 2 % would hold the limit at its floor.
 const CONGESTION_LOSS_RATE: f64 = 0.15;
 /// Weight of one attempt in the moving average of the loss rate.
 const LOSS_RATE_GAIN: f64 = 0.1;
-/// Answers needed before the baseline is relied on.
+/// Number of answers after which the baseline is used.
 const MIN_SAMPLES: f64 = 10.0;
 
-/// The concurrency limit of one node, with the count of attempts in flight there.
+/// The concurrency limit of one node, and the number of its attempts in flight.
 pub struct ConcurrencyLimit {
     bounds: ConcurrencyBounds,
     limit: f64,
     /// Slow start: below this limit it doubles with each round trip.
     slow_start_threshold: f64,
-    /// Short-term average of latency, as a multiple of what is typical for the request's class over all nodes.
+    /// Short-term average of latency, as a multiple of the typical latency of the request's class over all
+    /// nodes.
     short_term: f64,
     /// Long-term average of latency, in the same unit.
     long_term: f64,
@@ -51,7 +55,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit at the start value of its bounds, with nothing learnt yet.
+    /// Creates a limit at the start value of its bounds, without measurements.
     pub fn new(bounds: ConcurrencyBounds) -> Self {
         ConcurrencyLimit {
             bounds,
@@ -67,28 +71,29 @@
         }
     }
 
-    /// Applies other bounds from now on; the limit learnt so far is clamped to them.
+    /// Applies new bounds; the current limit is clamped to them.
     pub fn reconfigure(&mut self, bounds: ConcurrencyBounds) {
         self.bounds = bounds;
         self.set(self.limit);
     }
 
-    /// Attempts that may be in flight at once.
+    /// Returns the maximum number of attempts in flight.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether one more attempt may start, for a caller that may use this fraction of the limit.
+    /// Whether one more attempt may start if only this fraction of the limit may be used.
     pub fn has_capacity(&self, fraction: f64) -> bool {
         f64::from(self.in_flight) + 1.0 <= (self.limit * fraction).max(1.0)
     }
 
-    /// Whether so little is in flight that latency shows the work alone, without queueing at the node.
+    /// Whether so few attempts are in flight that latency shows only the service time, without queueing at
+    /// the node.
     pub fn is_lightly_loaded(&self) -> bool {
         !self.is_utilized() || self.limit <= self.bounds.floor.max(0.5 * self.bounds.start)
     }
@@ -97,14 +102,14 @@
         f64::from(self.in_flight) >= UTILIZED_FRACTION * self.limit
     }
 
-    /// Counts an attempt that starts.
+    /// Records the start of an attempt.
     pub fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Counts an attempt that ended, and adapts the limit. `latency_ratio` is the latency of a real answer as a multiple of
-    /// what is typical for its class; `None` for errors, misses and missing answers. Danger: a node that fails at once
-    /// would otherwise look like the fastest.
+    /// Records the end of an attempt, and adapts the limit. `latency_ratio` is the latency of a real answer
+    /// as a multiple of the typical latency of its class; `None` for errors, misses and missing answers,
+    /// because a node that fails immediately would otherwise appear to be the fastest.
     pub fn attempt_ended(&mut self, now: Nanos, status: Status, elapsed: Nanos, latency_ratio: Option<f64>) {
         let (was_utilized, was_lightly_loaded) = (self.is_utilized(), self.is_lightly_loaded());
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -122,7 +127,8 @@
         }
     }
 
-    /// Cuts the limit after congestion; all attempts that were in flight when it was last cut count once.
+    /// Cuts the limit after congestion, but only once for all attempts that were in flight at the time of the
+    /// cut.
     fn decrease(&mut self, now: Nanos, attempt_started_at: Nanos) {
         if attempt_started_at < self.last_decrease_at {
             return;
@@ -134,11 +140,12 @@
 
     fn record_latency(&mut self, ratio: f64, lightly_loaded: bool) {
         self.samples += 1.0;
-        // The first answers make the averages; later ones move them.
+        // The first answers are averaged evenly; after that, the average moves exponentially.
         let gain = |usual: f64| usual.max(1.0 / self.samples);
         self.short_term += gain(SHORT_TERM_GAIN) * (ratio - self.short_term);
         self.long_term += gain(LONG_TERM_GAIN) * (ratio - self.long_term);
-        // Danger: a baseline that follows what is seen under load accepts any load as normal, and the limit grows for ever.
+        // A baseline that rose with the latency under load would accept any load as normal, and the limit
+        // would grow without bound.
         if lightly_loaded {
             self.baseline += gain(BASELINE_GAIN) * (ratio - self.baseline);
         } else {
@@ -149,7 +156,7 @@
     fn follow_gradient(&mut self) {
         let gradient = self.bounds.tolerance * self.baseline / self.short_term.max(f64::MIN_POSITIVE);
         if gradient < 1.0 && self.samples > MIN_SAMPLES {
-            let target = self.limit * gradient.max(LEAST_GRADIENT);
+            let target = self.limit * gradient.max(MIN_GRADIENT);
             self.set(self.limit + SHRINK_GAIN * (target - self.limit) / self.limit.sqrt());
         } else if self.limit < self.slow_start_threshold {
             self.set(self.limit + 1.0);
@@ -162,7 +169,7 @@
         self.limit = limit.clamp(self.bounds.floor, self.bounds.ceiling);
     }
 
-    /// Forgets what was learnt, since a new process runs at the node; attempts in flight stay counted.
+    /// Discards all measurements after a restart of the node's process; attempts in flight stay counted.
     pub fn node_restarted(&mut self) {
         *self = ConcurrencyLimit { in_flight: self.in_flight, ..ConcurrencyLimit::new(self.bounds) };
     }
--- a/crates/core/src/limits/config.rs
+++ b/crates/core/src/limits/config.rs
@@ -1,20 +1,21 @@
-//! The operator's `[limits]` configuration, with defaults and ranges.
+//! The operator's `[limits]` configuration, with defaults and valid ranges.
 //!
-//! The fields' doc comments are what `config explain` prints; the keys are those that operators write.
+//! `config explain` prints the doc comments of the fields. The keys are part of the format of operators'
+//! files.
 
 use aniseyoke_decision::api::Nanos;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Concurrency limits as the operator's file sets them under `[limits]`; keys left out have their defaults.
+/// Concurrency limits, set in the operator's file under `[limits]`; omitted keys have their defaults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Rules")]
 pub struct LimitsConfig {
-    /// Attempts in flight at one cache node.
+    /// Bounds of the limit on attempts in flight at one cache node.
     pub node: ConcurrencyBounds,
-    /// Attempts in flight at the origin, where the proxy fetches from it itself.
+    /// Bounds of the limit on attempts in flight at the origin, if the proxy fetches from the origin itself.
     pub origin: ConcurrencyBounds,
     /// The queue of attempts that wait for capacity at a node.
     pub queue: QueueConfig,
@@ -40,7 +41,7 @@
     /// The limit never falls below this. At least 1.
     #[schemars(range(min = 1.0, max = 100_000.0), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "attempts"))]
     pub floor: f64,
-    /// The limit before anything is learnt, and after a restart of the node.
+    /// The initial limit, also used after a restart of the node.
     #[schemars(range(min = 1.0, max = 100_000.0), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "attempts"))]
     pub start: f64,
     /// The limit never rises above this. At most 100,000.
@@ -62,15 +63,15 @@
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "QueueRules")]
 pub struct QueueConfig {
-    /// The most attempts that wait at once; 0: none waits, and what finds no capacity is rejected at once.
+    /// Maximum number of waiting attempts; with 0, attempts without capacity are rejected at once.
     #[serde(rename = "most")]
     #[schemars(range(min = 0, max = 4096), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "attempts"))]
     pub max_length: usize,
-    /// The longest wait in a queue that runs empty now and then.
+    /// Maximum wait in a queue that becomes empty from time to time.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String", extend("x-since" = "0.3", "x-apply" = "restart", "x-kind" = "duration", "x-least" = "1ns", "x-most" = "10s"))]
     pub interval: Duration,
-    /// The longest wait in a queue that has not been empty for an interval.
+    /// Maximum wait in a queue that has not been empty for an interval.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String", extend("x-since" = "0.3", "x-apply" = "restart", "x-kind" = "duration", "x-least" = "1ns", "x-most" = "10s"))]
     pub target: Duration,
@@ -92,21 +93,21 @@
     }
 }
 
-/// A key of the `[limits]` configuration whose value is not accepted.
+/// A key of the `[limits]` configuration with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("limits.{key}: {reason}")]
 pub struct LimitsConfigError {
-    /// The key at fault, with its path below `limits`.
+    /// The key, with its path below `limits`.
     pub key: &'static str,
-    /// Why its value is not accepted.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
-/// The highest ceiling: more attempts than a proxy has descriptors for are no limit.
+/// Maximum ceiling: a limit above the number of a proxy's file descriptors has no effect.
 const MAX_CEILING: f64 = 100_000.0;
-/// The longest queue: each answer scans all that wait at its node.
+/// Maximum queue length: each answer scans all attempts that wait at its node.
 const MAX_QUEUE_LENGTH: usize = 4096;
-/// The longest wait: what waits longer than this is stored, not queued.
+/// Maximum wait in a queue: with longer waits it would be storage rather than a queue.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(10);
 
 /// The keys of one set of bounds, with their paths below `limits`.
@@ -164,9 +165,9 @@
     }
 }
 
-fn check_range(key: &'static str, value: f64, least: f64, most: f64) -> Option<LimitsConfigError> {
-    let inside = value >= least && value <= most;
-    (!inside).then(|| LimitsConfigError { key, reason: format!("{value} lies outside of {least} to {most}") })
+fn check_range(key: &'static str, value: f64, min: f64, max: f64) -> Option<LimitsConfigError> {
+    let in_range = value >= min && value <= max;
+    (!in_range).then(|| LimitsConfigError { key, reason: format!("{value} lies outside of {min} to {max}") })
 }
 
 fn check_not_above(key: &'static str, value: f64, bound_name: &str, bound: f64) -> Option<LimitsConfigError> {
@@ -178,12 +179,12 @@
     /// Checks ranges and the order of bounds.
     ///
     /// # Errors
-    /// The first key whose value is not accepted.
+    /// Returns the first key with an invalid value.
     pub fn check(&self) -> Result<(), LimitsConfigError> {
         self.validate().into_iter().next().map_or(Ok(()), Err)
     }
 
-    /// All keys whose values are not accepted.
+    /// Returns all keys with invalid values.
     pub fn validate(&self) -> Vec<LimitsConfigError> {
         let mut errors = self.node.validate(&NODE_KEYS);
         errors.extend(self.origin.validate(&ORIGIN_KEYS));
--- a/crates/core/src/limits/config/tests.rs
+++ b/crates/core/src/limits/config/tests.rs
@@ -1,33 +1,34 @@
 use super::*;
 
 #[test]
-fn the_defaults_are_sound() {
+fn the_defaults_are_valid() {
     assert_eq!(LimitsConfig::default().check(), Ok(()));
 }
 
-/// Danger: a key that is renamed makes a proxy refuse the file that its operator has written.
+/// Guards against a renamed key, which would make a proxy reject existing operators' files.
 #[test]
-fn the_keys_are_those_that_operators_write() {
+fn the_keys_match_the_format_of_operators_files() {
     fn keys(value: &serde_json::Value) -> Vec<&str> {
         value.as_object().expect("a table").keys().map(String::as_str).collect()
     }
     let written = serde_json::to_value(LimitsConfig::default()).expect("serializable");
-    let mut top = keys(&written);
-    top.sort_unstable();
-    assert_eq!(top, ["node", "origin", "over_share_part", "queue"]);
+    let mut top_keys = keys(&written);
+    top_keys.sort_unstable();
+    assert_eq!(top_keys, ["node", "origin", "over_share_part", "queue"]);
     for bounds in ["node", "origin"] {
-        let mut of_bounds = keys(&written[bounds]);
-        of_bounds.sort_unstable();
-        assert_eq!(of_bounds, ["ceiling", "floor", "start", "tolerance"]);
+        let mut bounds_keys = keys(&written[bounds]);
+        bounds_keys.sort_unstable();
+        assert_eq!(bounds_keys, ["ceiling", "floor", "start", "tolerance"]);
     }
-    let mut of_queue = keys(&written["queue"]);
-    of_queue.sort_unstable();
-    assert_eq!(of_queue, ["interval", "most", "target"]);
+    let mut queue_keys = keys(&written["queue"]);
+    queue_keys.sort_unstable();
+    assert_eq!(queue_keys, ["interval", "most", "target"]);
     let read: LimitsConfig = serde_json::from_value(written).expect("readable");
     assert_eq!(read, LimitsConfig::default());
 }
 
-/// Danger: an editor or a check that refers to a definition by its name in the schema would no longer find it.
+/// Guards against a renamed definition, which editors and checks that refer to it by name would no longer
+/// find.
 #[test]
 fn the_schema_names_the_same_keys_and_definitions() {
     let schema = schemars::schema_for!(LimitsConfig).to_value();
--- a/crates/core/src/limits/messages.rs
+++ b/crates/core/src/limits/messages.rs
@@ -1,11 +1,11 @@
-//! What callers and [`super::Limits`] tell each other.
+//! Types exchanged between [`super::Limits`] and its callers.
 
 use aniseyoke_decision::api::{Nanos, RequestId, ServerId, Status};
 
 /// An attempt: its request and its number within the request, from 0.
 pub type AttemptId = (RequestId, usize);
 
-/// Asks for admission of an attempt at its node.
+/// A request for admission of an attempt at its node.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
     /// The attempt.
@@ -16,27 +16,28 @@
     pub class: usize,
     /// Index into the settings' tenants.
     pub tenant: Option<usize>,
-    /// When its answer is of no use any more.
+    /// When its answer would be too late for the client.
     pub deadline: Nanos,
 }
 
-/// The answer to an [`AdmissionRequest`].
+/// The result of an [`AdmissionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// There is capacity: start it now.
+    /// There is capacity: the caller starts the attempt now.
     Admitted,
-    /// It waits in the node's queue. Call [`super::Limits::wait_expired`] after this time.
+    /// The attempt waits in the node's queue. The caller calls [`super::Limits::wait_expired`] after this
+    /// time.
     Queued(Nanos),
-    /// There is no capacity, and none in time: it ends as rejected and never executed.
+    /// There is no capacity and no place in the queue: the attempt ends as rejected and never executed.
     Rejected,
 }
 
-/// What is to be done with an attempt that waited in a queue.
+/// An action to take on an attempt that waited in a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueAction {
-    /// Start it now.
+    /// Start the attempt now.
     Start(AttemptId),
-    /// Its wait is over: it ends as rejected and never executed.
+    /// End the attempt as rejected and never executed.
     Reject(AttemptId),
 }
 
@@ -47,7 +48,7 @@
     pub server: ServerId,
     /// Index into the settings' classes.
     pub class: usize,
-    /// How it ended.
+    /// The status with which it ended.
     pub status: Status,
     /// Time since its start.
     pub elapsed: Nanos,
@@ -55,7 +56,7 @@
     pub cache_hit: Option<bool>,
 }
 
-/// What a removal of all limits sets free.
+/// The attempts and servers that are released when all limits are removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Released {
     /// Attempts that waited, in order of their ids; they may start now.
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,9 +1,11 @@
-//! Concurrency limits, the queue of each node, and tenants' quotas.
+//! Concurrency limits, the queue of each node, and tenant quotas.
 //!
-//! Nothing here reads a clock or a socket: the caller passes the time, asks for admission of each attempt, reports how the
-//! attempt ended, and does what it is told ([`Admission`], [`QueueAction`]). No server is chosen here either: the decision
-//! module hears each node's limit by `Event::ConcurrencyLimit` and chooses by it. What it sends to a node without capacity waits in that
-//! node's [`Queue`] for a bounded time, and is given back as rejected and never executed when it does not get its turn.
+//! This module reads no clock and does no I/O: the caller passes the current time, asks for admission of each
+//! attempt, executes the result ([`Admission`], [`QueueAction`]) and reports how the attempt ended. It does
+//! not choose servers either: the decision module is notified of each node's limit by
+//! `Event::ConcurrencyLimit` and takes it into account. An attempt sent to a node without capacity waits in
+//! that node's [`Queue`] for a bounded time; if no capacity is freed for it in that time, it is returned as
+//! rejected and never executed.
 
 mod concurrency;
 mod config;
@@ -22,34 +24,35 @@
 use latency::TypicalLatency;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Most nodes that are remembered; idle ones that were used longest ago are forgotten first.
+/// Maximum number of nodes with stored state; the least recently used idle one is evicted first.
 const MAX_NODES: usize = 1 << 14;
-/// A limit that changed by less than this fraction is not reported to the decision module.
+/// Changes of a limit up to this fraction are not reported to the decision module.
 const REPORT_THRESHOLD: f64 = 0.1;
 
-/// What is known of one node.
+/// The state of one node.
 struct Node {
     limit: ConcurrencyLimit,
     queue: Queue<AttemptId>,
-    /// The limit that the decision module heard of last, if of any.
+    /// The limit last reported to the decision module, if any.
     reported_limit: Option<f64>,
     last_used: Nanos,
-    /// When its process started, by the endpoint list.
+    /// When its process started, according to the endpoint list.
     process_started: Nanos,
 }
 
-/// The limits of one proxy: the owner of all nodes' limits and queues and of the tenants' quotas at this proxy.
+/// The limits of one proxy: the concurrency limits and queues of all nodes, and this proxy's share of tenant
+/// quotas.
 pub struct Limits {
     config: LimitsConfig,
     /// Priority weight by class.
     class_weights: Vec<f64>,
-    /// What the weight of a request over its tenant's quota is multiplied by.
+    /// Factor applied to the weight of a request over its tenant's quota.
     over_quota_weight: f64,
     quotas: TenantQuotas,
     /// Typical latency by class.
     latencies: Vec<TypicalLatency>,
     nodes: FxHashMap<ServerId, Node>,
-    /// The machine kind of the origin, where the proxy fetches from it itself.
+    /// The machine kind of the origin, if the proxy fetches from the origin itself.
     origin_kind: Option<u32>,
     /// Servers of that kind.
     origins: FxHashSet<ServerId>,
@@ -58,10 +61,10 @@
 }
 
 impl Limits {
-    /// Limits with nothing learnt yet.
+    /// Creates limits without any measurements.
     ///
     /// # Errors
-    /// The first key of the configuration whose value is not accepted.
+    /// Returns the first key of the configuration with an invalid value.
     pub fn new(config: LimitsConfig, settings: &Settings) -> Result<Self, LimitsConfigError> {
         config.check()?;
         Ok(Limits {
@@ -78,52 +81,53 @@
         })
     }
 
-    /// Applies another configuration and other quotas from now on. What was learnt of nodes is clamped to the new bounds;
-    /// what waits goes on waiting.
+    /// Applies a new configuration and new quotas. The current limits of nodes are clamped to the new bounds;
+    /// waiting attempts stay queued.
     ///
     /// # Errors
-    /// As [`Self::new`]; nothing is changed then.
+    /// Same as for [`Self::new`]; nothing is changed then.
     pub fn reconfigure(
         &mut self,
         config: LimitsConfig,
         settings: &Settings,
     ) -> Result<(), LimitsConfigError> {
-        let fresh = Limits::new(config, settings)?;
+        let updated = Limits::new(config, settings)?;
         for (server, node) in &mut self.nodes {
             let is_origin = self.origins.contains(server);
-            node.limit.reconfigure(if is_origin { fresh.config.origin } else { fresh.config.node });
-            node.queue.reconfigure(fresh.config.queue);
+            node.limit.reconfigure(if is_origin { updated.config.origin } else { updated.config.node });
+            node.queue.reconfigure(updated.config.queue);
         }
-        self.config = fresh.config;
-        self.quotas = fresh.quotas;
-        self.class_weights = fresh.class_weights;
-        self.over_quota_weight = fresh.over_quota_weight;
+        self.config = updated.config;
+        self.quotas = updated.quotas;
+        self.class_weights = updated.class_weights;
+        self.over_quota_weight = updated.over_quota_weight;
         Ok(())
     }
 
-    /// Removes all limits: returns the attempts that waited and the servers that are no longer limited.
+    /// Removes all limits; returns the attempts that waited and the servers that are no longer limited.
     pub fn release(self) -> Released {
         let mut waiting: Vec<AttemptId> = self.waiting.into_keys().collect();
         waiting.sort_unstable();
         Released { waiting, servers: self.nodes.into_keys().collect() }
     }
 
-    /// Attempts that wait now, over all nodes.
+    /// Returns the number of attempts waiting now at all nodes.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Attempts rejected here since the start.
+    /// Returns the number of attempts rejected since the start.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// The concurrency limit of a node, if it is known.
+    /// Returns the concurrency limit of a node; `None` if the node is unknown.
     pub fn limit(&self, server: ServerId) -> Option<f64> {
         self.nodes.get(&server).map(|node| node.limit.limit())
     }
 
-    /// Decides whether an attempt may start. The attempt that it evicts from the queue, if any, is appended to `actions`.
+    /// Decides whether an attempt may start. If it evicts another one from the queue, that one is appended to
+    /// `actions`.
     pub fn admit(
         &mut self,
         now: Nanos,
@@ -134,7 +138,8 @@
         let usable_fraction = if within_quota { 1.0 } else { self.config.over_quota_fraction };
         let node = self.node(now, request.server);
         node.last_used = now;
-        // What waits had no capacity when some was freed last, so that nothing is overtaken that might start.
+        // No waiting attempt is overtaken: the queue was served when capacity was last freed, so those that
+        // still wait may not start.
         if node.limit.has_capacity(usable_fraction) {
             node.limit.attempt_started();
             return Admission::Admitted;
@@ -142,7 +147,7 @@
         self.enqueue(now, request, within_quota, actions)
     }
 
-    /// Puts an attempt into its node's queue, if that has a place for its priority.
+    /// Adds an attempt to its node's queue, or rejects it if the queue has no place for its priority.
     fn enqueue(
         &mut self,
         now: Nanos,
@@ -173,7 +178,7 @@
         Admission::Queued(wait)
     }
 
-    /// The priority weight of a request.
+    /// Returns the priority weight of a request.
     fn weight(&self, class: usize, within_quota: bool) -> f64 {
         let weight = self.class_weights.get(class).copied().unwrap_or(1.0);
         if within_quota {
@@ -183,22 +188,23 @@
         }
     }
 
-    /// Ends the wait of an attempt whose time from [`Admission::Queued`] is over; returns whether it still waited, and so is
-    /// rejected.
+    /// Ends the wait of an attempt after the time given by [`Admission::Queued`]; returns whether it was
+    /// still waiting and is therefore rejected.
     pub fn wait_expired(&mut self, now: Nanos, attempt: AttemptId) -> bool {
         let was_waiting = self.cancel(now, attempt);
         self.rejected += u64::from(was_waiting);
         was_waiting
     }
 
-    /// Removes a cancelled attempt from its queue; returns whether it waited, and so was never sent.
+    /// Removes a cancelled attempt from its queue; returns whether it was waiting and therefore never sent.
     pub fn cancel(&mut self, now: Nanos, attempt: AttemptId) -> bool {
         let Some(server) = self.waiting.remove(&attempt) else { return false };
         self.nodes.get_mut(&server).is_some_and(|node| node.queue.remove(now, attempt))
     }
 
-    /// Counts the end of an attempt that was started, and adapts its node's limit. What is to be done with waiting attempts is
-    /// appended to `actions`; the node's limit is returned if the decision module should hear of it.
+    /// Records the end of an attempt that was started, and adapts its node's limit. Actions for waiting
+    /// attempts are appended to `actions`. Returns the node's limit if it should be reported to the decision
+    /// module.
     pub fn attempt_completed(
         &mut self,
         now: Nanos,
@@ -218,7 +224,7 @@
         self.limit_to_report(completed.server)
     }
 
-    /// Starts what waits at a node while there is capacity for it.
+    /// Starts attempts that wait at a node while there is capacity for them.
     fn serve_queue(&mut self, now: Nanos, server: ServerId, actions: &mut Vec<QueueAction>) {
         let Some(node) = self.nodes.get_mut(&server) else { return };
         loop {
@@ -231,7 +237,7 @@
             };
             let Some((attempt, priority)) = node.queue.pop(now, eligible) else { return };
             self.waiting.remove(&attempt);
-            // What could not be answered in time any more is rejected instead of sent.
+            // An attempt that could no longer be answered in time is rejected instead of sent.
             if priority.deadline <= now {
                 self.rejected += 1;
                 actions.push(QueueAction::Reject(attempt));
@@ -242,11 +248,11 @@
         }
     }
 
-    /// A node's limit, if it changed enough since the decision module last heard of it.
+    /// Returns a node's limit if it changed enough since it was last reported to the decision module.
     fn limit_to_report(&mut self, server: ServerId) -> Option<f64> {
         let node = self.nodes.get_mut(&server)?;
         let limit = node.limit.limit();
-        // Until the first report the module knows of no limit, from which no distance can be measured.
+        // The first limit is always reported, because there is no previous one to compare it with.
         let is_near = |reported: f64| (limit - reported).abs() <= REPORT_THRESHOLD * reported.max(1.0);
         if node.reported_limit.is_some_and(is_near) {
             return None;
@@ -255,9 +261,11 @@
         Some(limit)
     }
 
-    /// Takes note of an entry of the endpoint list. What was learnt of a node is forgotten when it has a new process.
+    /// Processes an entry of the endpoint list. A node's measurements are discarded when its process has
+    /// restarted.
     pub fn update_endpoint(&mut self, entry: &Entry) {
-        // Danger: an origin bears many times what a node does, and what finds no capacity there has nowhere else to go.
+        // An origin takes many times the load of a node and needs its own bounds: attempts without capacity
+        // there can't go to another server.
         if entry.state == State::Gone {
             self.origins.remove(&entry.server);
         } else if self.origin_kind == Some(entry.kind) && self.origins.len() < MAX_NODES {
@@ -270,10 +278,10 @@
         }
     }
 
-    /// The state of a node, made when it is used for the first time.
+    /// Returns the state of a node, creating it when the node is first used.
     fn node(&mut self, now: Nanos, server: ServerId) -> &mut Node {
         if self.nodes.len() >= MAX_NODES && !self.nodes.contains_key(&server) {
-            self.forget_oldest_idle_node();
+            self.evict_oldest_idle_node();
         }
         let config = &self.config;
         let bounds = if self.origins.contains(&server) { config.origin } else { config.node };
@@ -286,7 +294,7 @@
         })
     }
 
-    fn forget_oldest_idle_node(&mut self) {
+    fn evict_oldest_idle_node(&mut self) {
         let is_idle = |node: &Node| node.limit.in_flight() == 0 && node.queue.is_empty();
         let idle = self.nodes.iter().filter(|(_, node)| is_idle(node));
         let oldest = idle.min_by_key(|(_, node)| node.last_used).map(|(server, _)| *server);
--- a/crates/core/src/limits/quotas.rs
+++ b/crates/core/src/limits/quotas.rs
@@ -1,13 +1,13 @@
-//! Each tenant's quota as it counts at this proxy: a token bucket with its even part of the rate, one second deep.
+//! This proxy's share of each tenant's quota: a token bucket that holds the tokens of one second.
 
 use aniseyoke_decision::api::{Nanos, Tenant};
 
-/// A second, in nanoseconds.
+/// One second, in nanoseconds.
 const SECOND: f64 = 1e9;
 
-/// Token bucket of one tenant.
+/// The token bucket of one tenant.
 struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens added per second.
     rate: f64,
     tokens: f64,
     refilled_at: Nanos,
@@ -19,8 +19,8 @@
     }
 
     fn refill(&mut self, now: Nanos) {
-        let passed = now.saturating_sub(self.refilled_at) as f64 / SECOND;
-        self.tokens = (self.tokens + passed * self.rate).min(self.rate.max(1.0));
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / SECOND;
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate.max(1.0));
         self.refilled_at = now;
     }
 
@@ -34,19 +34,20 @@
     }
 }
 
-/// What each tenant may still send within its quota.
+/// The token buckets of all tenants.
 pub struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// Full buckets; each tenant's quota is divided evenly among `proxies`.
+    /// Creates full buckets; each tenant's quota is divided evenly among `proxies`.
     pub fn new(tenants: &[Tenant], proxies: u32) -> Self {
         let rate = |tenant: &Tenant| tenant.quota_rps.max(0.0) / f64::from(proxies.max(1));
         TenantQuotas { buckets: tenants.iter().map(rate).map(TokenBucket::full).collect() }
     }
 
-    /// Counts one request of a tenant; returns whether it is within the quota. Requests without a tenant always are.
+    /// Takes a token for one request of a tenant; returns whether the request is within the quota. Requests
+    /// without a tenant, or of an unknown one, always are.
     pub fn take_token(&mut self, now: Nanos, tenant: Option<usize>) -> bool {
         let bucket = tenant.and_then(|tenant| self.buckets.get_mut(tenant));
         bucket.is_none_or(|bucket| bucket.take(now))
--- a/crates/core/src/limits/quotas/tests.rs
+++ b/crates/core/src/limits/quotas/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_tenant_at_ten_times_its_quota_is_within_it_for_a_tenth() {
+fn a_tenant_at_ten_times_its_quota_is_within_it_for_a_tenth_of_its_requests() {
     let mut quotas = TenantQuotas::new(&[Tenant { quota_rps: 100.0 }], 1);
     let within = (0..10_000u64).filter(|n| quotas.take_token(n * 1_000_000, Some(0))).count();
     assert!((1000..=1110).contains(&within), "{within} of 10,000 in ten seconds at 100 a second");
--- a/crates/core/src/limits/tests.rs
+++ b/crates/core/src/limits/tests.rs
@@ -1,5 +1,5 @@
-//! A modelled node under the limits, and the hard cases: steady overload, fast errors, a quiet hour before a peak, a silent
-//! node that comes back slow, a tenant far over its quota.
+//! Tests of the limits against a simulated node: steady overload, fast errors, a quiet hour before a peak, a
+//! silent node that comes back slow, a tenant far over its quota.
 
 use super::*;
 use aniseyoke_decision::api::{Class, Tenant};
@@ -12,7 +12,7 @@
 const NODE: ServerId = 7;
 
 fn settings() -> Settings {
-    let class = |worth| Class { priority_weight: worth, deadline: SECOND, ..Class::default() };
+    let class = |weight| Class { priority_weight: weight, deadline: SECOND, ..Class::default() };
     let tenants = vec![Tenant { quota_rps: 300.0 }, Tenant { quota_rps: 100.0 }];
     Settings {
         classes: vec![class(1.0), class(4.0)],
@@ -23,14 +23,15 @@
     }
 }
 
-/// A node that serves a fixed number at once, each in a fixed time, and lets the rest wait behind them.
+/// A simulated node that serves a fixed number of attempts in parallel, each in a fixed time, and queues the
+/// rest.
 struct NodeModel {
     servers: usize,
     service_time: Nanos,
     silent: (Nanos, Nanos),
     failing: (Nanos, Nanos),
-    /// One answer in this many is lost; 0: none.
-    loses_one_in: u64,
+    /// One answer in this many is lost; 0 for none.
+    loss_interval: u64,
     busy: usize,
     waiting: VecDeque<AttemptId>,
 }
@@ -51,7 +52,7 @@
     started: Option<Nanos>,
 }
 
-/// What became of a tenant's requests.
+/// Outcomes of a tenant's requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     arrived: u64,
@@ -59,7 +60,7 @@
     rejected: u64,
 }
 
-/// Where requests without a tenant are counted.
+/// Index of the counts of requests without a tenant.
 const NO_TENANT: usize = 2;
 
 /// Simulates arrivals at one node.
@@ -69,12 +70,13 @@
     events: BinaryHeap<Reverse<(Nanos, u64, SimulatedEvent)>>,
     order: u64,
     open: FxHashMap<AttemptId, OpenRequest>,
-    /// By tenant, the last for none.
+    /// By tenant; the last entry is for requests without a tenant.
     counts: [Counts; 3],
-    /// Each limit that the decision module was to hear of.
+    /// All limits reported to the decision module.
     reports: Vec<f64>,
-    /// Ends of attempts after which the limit was off by more than a tenth from what it heard last.
-    off_reports: usize,
+    /// Number of ended attempts after which the limit differed by more than a tenth from the last reported
+    /// one.
+    unreported_changes: usize,
 }
 
 impl Simulation {
@@ -84,7 +86,7 @@
             service_time,
             silent: (0, 0),
             failing: (0, 0),
-            loses_one_in: 0,
+            loss_interval: 0,
             busy: 0,
             waiting: VecDeque::new(),
         };
@@ -96,16 +98,16 @@
             open: FxHashMap::default(),
             counts: [Counts::default(); 3],
             reports: Vec::new(),
-            off_reports: 0,
+            unreported_changes: 0,
         }
     }
 
-    fn schedule(&mut self, at: Nanos, event: SimulatedEvent) {
+    fn schedule(&mut self, time: Nanos, event: SimulatedEvent) {
         self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+        self.events.push(Reverse((time, self.order, event)));
     }
 
-    /// Schedules arrivals at a fixed rate from one time to another, of a class and a tenant.
+    /// Schedules arrivals of a class and a tenant at a fixed rate between two times.
     fn schedule_arrivals(
         &mut self,
         from: Nanos,
@@ -115,19 +117,19 @@
         tenant: Option<usize>,
     ) {
         let gap = SECOND / per_second;
-        let mut at = from;
-        while at < to {
+        let mut time = from;
+        while time < to {
             self.order += 1;
             let id = self.order;
-            self.open.insert((id, 0), OpenRequest { class, tenant, arrived: at, started: None });
-            self.events.push(Reverse((at, id, SimulatedEvent::Arrival(id))));
-            at += gap;
+            self.open.insert((id, 0), OpenRequest { class, tenant, arrived: time, started: None });
+            self.events.push(Reverse((time, id, SimulatedEvent::Arrival(id))));
+            time += gap;
         }
     }
 
-    /// Lets time pass; requests that are not answered within a second time out.
+    /// Processes all events before `until`. Requests that are not answered within a second time out.
     fn run(&mut self, until: Nanos) {
-        while self.events.peek().is_some_and(|Reverse((at, ..))| *at < until) {
+        while self.events.peek().is_some_and(|Reverse((time, ..))| *time < until) {
             let Some(Reverse((now, _, event))) = self.events.pop() else { break };
             let mut actions = Vec::new();
             self.handle(now, event, &mut actions);
@@ -153,7 +155,7 @@
                 if let Some(next) = self.node.waiting.pop_front() {
                     self.serve(now, next);
                 }
-                if self.node.loses_one_in == 0 || attempt.0 % self.node.loses_one_in > 0 {
+                if self.node.loss_interval == 0 || attempt.0 % self.node.loss_interval > 0 {
                     self.complete(now, attempt, Status::Ok, actions);
                 }
             }
@@ -178,7 +180,7 @@
 
     fn reject(&mut self, attempt: AttemptId) {
         let request = self.open.remove(&attempt).expect("rejected once");
-        assert!(request.started.is_none(), "what was started is not rejected");
+        assert!(request.started.is_none(), "a started attempt is never rejected");
         self.counts[request.tenant.unwrap_or(NO_TENANT)].rejected += 1;
     }
 
@@ -223,8 +225,8 @@
             CompletedAttempt { server: NODE, class: request.class, status, elapsed, cache_hit: None };
         self.reports.extend(self.limits.attempt_completed(now, completed, actions));
         let limit = self.limit();
-        let near = |heard: &f64| (limit - heard).abs() <= 0.1 * heard.max(1.0);
-        self.off_reports += usize::from(!self.reports.last().is_some_and(near));
+        let near = |reported: &f64| (limit - reported).abs() <= 0.1 * reported.max(1.0);
+        self.unreported_changes += usize::from(!self.reports.last().is_some_and(near));
     }
 
     fn answered_in_time(&self) -> u64 {
@@ -236,7 +238,8 @@
     }
 }
 
-/// Goodput of a node that does 800 a second, at this many quarters of that load, over ten seconds after two.
+/// Returns the requests answered in time within ten seconds, after two seconds of warm-up, by a node that
+/// serves 800 requests per second. The load is `quarters` quarters of that rate.
 fn goodput(config: &LimitsConfig, quarters: u64) -> u64 {
     let mut simulation = Simulation::new(config.clone(), 8, 10 * MS);
     simulation.schedule_arrivals(0, 12 * SECOND, 800 * quarters / 4, 0, None);
@@ -251,26 +254,29 @@
     let curve: Vec<u64> =
         [2, 4, 8, 16].iter().map(|quarters| goodput(&LimitsConfig::default(), *quarters)).collect();
     let peak = *curve.iter().max().expect("four");
-    assert!(peak >= 7_600, "of 8,000: {curve:?}");
+    assert!(peak >= 7_600, "at most 8,000 are possible: {curve:?}");
     assert!(curve[1..].iter().all(|goodput| goodput * 10 >= peak * 9), "{curve:?}");
-    // Without a limit the node works for requests whose clients have left.
+    // Without a limit the node works on requests whose clients have left.
     let node = ConcurrencyBounds { floor: 1e5, start: 1e5, ceiling: 1e5, ..ConcurrencyBounds::default() };
     let unlimited = LimitsConfig { node, ..LimitsConfig::default() };
-    assert!(goodput(&unlimited, 16) * 2 < peak, "the model shows the collapse that the limit prevents");
+    assert!(goodput(&unlimited, 16) * 2 < peak, "goodput collapses without a limit");
 }
 
-/// The decision module chooses by the limit that it heard of last. It never heard of one: a report was due where the limit
-/// differed from the last by a tenth of the last, and the last began as infinite, from which nothing differs by a tenth
-/// (infinity <= infinity). 0 of 4,000,000 random events were reported.
+/// Guards against limits that are never reported to the decision module, which uses the last reported one. A
+/// limit was reported if it differed by a tenth from the last one, which was initially infinite, and the
+/// comparison always found the two equal (infinity <= infinity). 0 of 4,000,000 random events were reported.
 #[test]
-fn the_decision_module_hears_of_each_limit_that_changed_by_a_tenth() {
+fn each_limit_that_changed_by_a_tenth_is_reported() {
     let mut simulation = Simulation::new(LimitsConfig::default(), 8, 10 * MS);
     simulation.schedule_arrivals(0, 10 * SECOND, 1600, 0, None);
     simulation.node.silent = (4 * SECOND, 6 * SECOND);
     simulation.run(12 * SECOND);
     let reports = &simulation.reports;
     assert!(reports.len() > 3, "{reports:?}");
-    assert_eq!(simulation.off_reports, 0, "ends of attempts with another limit than the last of {reports:?}");
+    assert_eq!(
+        simulation.unreported_changes, 0,
+        "attempts ended with a limit that differs from the last of {reports:?}"
+    );
 }
 
 #[test]
@@ -281,14 +287,14 @@
     simulation.run(2 * SECOND);
     let before = simulation.limit();
     simulation.run(4 * SECOND);
-    assert!(simulation.limit() <= before, "errors prove no capacity");
+    assert!(simulation.limit() <= before, "errors must not raise the limit");
 }
 
-/// Danger: a limit that takes each lost answer for congestion stands at its floor for ever.
+/// Guards against a limit that treats each lost answer as congestion and never rises above its floor.
 #[test]
 fn answers_lost_on_a_poor_network_do_not_hold_the_limit_down() {
     let mut simulation = Simulation::new(LimitsConfig::default(), 16, 20 * MS);
-    simulation.node.loses_one_in = 33;
+    simulation.node.loss_interval = 33;
     simulation.schedule_arrivals(0, 30 * SECOND, 600, 0, None);
     simulation.run(20 * SECOND);
     assert!(simulation.limit() >= 16.0, "{}", simulation.limit());
@@ -300,11 +306,11 @@
 }
 
 #[test]
-fn a_limit_learnt_in_a_quiet_hour_does_not_throttle_the_first_minute_of_a_peak() {
+fn a_limit_measured_in_a_quiet_hour_does_not_throttle_the_first_minute_of_a_peak() {
     let mut simulation = Simulation::new(LimitsConfig::default(), 64, 20 * MS);
     let hour = 3600 * SECOND;
     simulation.schedule_arrivals(0, hour, 2, 0, None);
-    // Nearly all that the node can do, 3,200 a second.
+    // Close to the node's capacity of 3,200 requests per second.
     simulation.schedule_arrivals(hour, hour + 60 * SECOND, 2_900, 0, None);
     simulation.run(hour);
     let before = simulation.counts[NO_TENANT];
@@ -324,7 +330,7 @@
     simulation.run(16 * SECOND);
     let silent = simulation.limit();
     assert!(silent * 3.0 < before, "{before} before, {silent} while silent");
-    // It comes back warming up: four times as slow for six seconds.
+    // While warming up, the node is four times as slow for six seconds.
     simulation.node.service_time = 80 * MS;
     simulation.run(22 * SECOND);
     simulation.node.service_time = 20 * MS;
@@ -335,22 +341,22 @@
     assert!(answered >= 15 * 700 * 95 / 100, "{answered} of {} in the last 15 s", 15 * 700);
 }
 
-/// Danger: where all are served as they come, one tenant's flood is everybody's outage.
+/// Guards against serving in order of arrival, where one tenant's overload causes an outage for all tenants.
 #[test]
-fn a_tenant_at_ten_times_its_quota_costs_another_not_one_request() {
+fn a_tenant_at_ten_times_its_quota_costs_other_tenants_no_request() {
     let mut simulation = Simulation::new(LimitsConfig::default(), 8, 10 * MS);
-    // 800 a second is what the node does; the quotas come to 400.
+    // The node serves 800 requests per second; the quotas add up to 400.
     simulation.schedule_arrivals(0, 20 * SECOND, 3_000, 0, Some(0));
     simulation.schedule_arrivals(0, 20 * SECOND, 90, 0, Some(1));
     simulation.run(22 * SECOND);
-    let modest = simulation.counts[1];
-    assert_eq!((modest.in_time, modest.rejected), (modest.arrived, 0), "{modest:?}");
-    let greedy = simulation.counts[0].in_time;
-    assert!(greedy >= 20 * 300, "{greedy}: its own quota at least");
+    let within_quota = simulation.counts[1];
+    assert_eq!((within_quota.in_time, within_quota.rejected), (within_quota.arrived, 0), "{within_quota:?}");
+    let over_quota = simulation.counts[0].in_time;
+    assert!(over_quota >= 20 * 300, "{over_quota} answered, less than its own quota");
 }
 
 #[test]
-fn the_higher_weight_is_served_first_when_not_all_can_be() {
+fn the_higher_weight_is_served_first_under_overload() {
     let mut simulation = Simulation::new(LimitsConfig::default(), 8, 10 * MS);
     simulation.schedule_arrivals(0, 10 * SECOND, 1_200, 0, None);
     simulation.schedule_arrivals(0, 10 * SECOND, 300, 1, Some(0));
@@ -374,7 +380,7 @@
 }
 
 #[test]
-fn nothing_waits_longer_than_the_configuration_says() {
+fn no_attempt_waits_longer_than_the_configured_interval() {
     let queue =
         QueueConfig { max_length: 8, interval: Duration::from_millis(50), target: Duration::from_millis(5) };
     let config = LimitsConfig { queue, ..LimitsConfig::default() };
@@ -397,7 +403,7 @@
 }
 
 #[test]
-fn nodes_that_come_and_go_for_ever_take_bounded_memory() {
+fn the_number_of_stored_nodes_is_bounded() {
     let mut limits = Limits::new(LimitsConfig::default(), &settings()).expect("sound");
     let mut actions = Vec::new();
     for server in 0..(MAX_NODES as u64 + 100) {
@@ -409,5 +415,8 @@
         limits.attempt_completed(server, completed, &mut actions);
     }
     assert!(limits.nodes.len() <= MAX_NODES);
-    assert!(limits.limit(0).is_none() && limits.limit(MAX_NODES as u64 + 99).is_some(), "the oldest went");
+    assert!(
+        limits.limit(0).is_none() && limits.limit(MAX_NODES as u64 + 99).is_some(),
+        "the oldest is evicted"
+    );
 }
--- a/crates/core/src/pending_response.rs
+++ b/crates/core/src/pending_response.rs
@@ -1,4 +1,4 @@
-//! A request's one final answer, and the handle by which its client waits for it.
+//! The final answer of a request, and the handle on which its client waits for it.
 
 use crate::transport::{Job, Transport};
 use aniseyoke_decision::api::RequestId;
@@ -8,9 +8,9 @@
 
 /// The final answer of a request.
 pub enum Answer<R> {
-    /// The answer of a node.
+    /// A node's answer.
     Served(R),
-    /// Rejected and never executed, so that a retry does no harm; with the wait advised before it, or zero.
+    /// Rejected and never executed, so a retry is safe. Contains the advised wait before a retry, or zero.
     Rejected(Duration),
     /// Failed; it may have been executed.
     Failed,
@@ -18,25 +18,26 @@
     TimedOut,
 }
 
-/// Whoever is to hear that nobody waits for a request's answer any more.
+/// Receives notifications of requests that were abandoned by their clients.
 pub(crate) trait AbandonRequest {
-    /// Nobody waits for this request's answer any more.
+    /// Abandons a request for whose answer no client waits any more.
     fn abandon(&self, id: RequestId);
 }
 
-/// A handle on a request's final answer. Dropped before the answer has come, it tells the engine that the client left.
+/// A handle on a request's final answer. Dropping it before the answer arrives notifies the engine that the
+/// client left.
 pub struct PendingResponse<T: Transport> {
     pub(crate) id: RequestId,
-    /// None once the answer has come.
+    /// `None` once the answer has arrived.
     pub(crate) answer: Option<oneshot::Receiver<Answer<T::Reply>>>,
-    /// How long to wait after the last byte of the request.
+    /// Maximum wait after the last byte of the request was received.
     pub(crate) time_limit: Duration,
     pub(crate) job: Weak<T::Job>,
     pub(crate) engine: Weak<dyn AbandonRequest>,
 }
 
 impl<T: Transport> PendingResponse<T> {
-    /// Waits for the final answer, at most until just before the client stops waiting.
+    /// Waits for the final answer, at most until shortly before the client's own timeout.
     pub async fn answer(&mut self) -> Answer<T::Reply> {
         let Some(answer) = self.answer.as_mut() else { return Answer::TimedOut };
         let deadline = async {
--- a/crates/core/src/seen_servers.rs
+++ b/crates/core/src/seen_servers.rs
@@ -1,23 +1,23 @@
-//! Which servers the endpoint list has ever named, so that an operator's call for a name that no server ever had is
-//! rejected.
+//! The servers that have ever been on the endpoint list, used to reject an operator's call for a name that no
+//! server has ever had.
 
 use aniseyoke_decision::api::ServerId;
 use rustc_hash::FxHashSet;
 use std::collections::VecDeque;
 
-/// Most servers that are remembered; the oldest are forgotten first.
+/// Maximum number of remembered servers; the oldest are removed first.
 const MAX_SEEN: usize = 1 << 14;
 
-/// Servers that were listed at some time.
+/// The servers that have been on the endpoint list at some time.
 #[derive(Default)]
 pub struct SeenServers {
     servers: FxHashSet<ServerId>,
-    /// The same, the oldest first.
+    /// The same servers, oldest first.
     order: VecDeque<ServerId>,
 }
 
 impl SeenServers {
-    /// Remembers a server.
+    /// Adds a server, removing the oldest one if there are too many.
     pub fn add(&mut self, server: ServerId) {
         if !self.servers.insert(server) {
             return;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether it was ever listed, as far back as is remembered.
+    /// Whether a server has been listed and is still remembered.
     pub fn contains(&self, server: ServerId) -> bool {
         self.servers.contains(&server)
     }
--- a/crates/core/src/start_times/tests.rs
+++ b/crates/core/src/start_times/tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: Nanos = 1_000_000_000;
 const HOUR: Nanos = 3600 * SECOND;
-/// The engine's own clock.
+/// The reading of the engine's clock.
 const ENGINE: Nanos = 1_000 * HOUR;
 
 fn resolve(reported: Nanos, wall: Nanos) -> Nanos {
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn while_no_clock_steps_a_start_time_counts_as_it_is_reported() {
+fn without_a_clock_step_the_reported_start_time_is_used() {
     for wall in [ENGINE, ENGINE - SECOND / 2, ENGINE + SECOND / 2] {
         for reported in [0, 1, ENGINE - HOUR, ENGINE - 1, ENGINE + SECOND / 2] {
             assert_eq!(resolve(reported, wall), reported, "{reported} at {wall}");
@@ -18,28 +18,30 @@
     }
 }
 
-/// Danger: a node that started 2 s ago would count as warmed up, or warm up for an hour.
+/// Guards against a start time taken from the wrong clock after a step: a node that started 2 s ago would
+/// count as warmed up, or as warming up for an hour.
 #[test]
-fn a_node_that_has_just_started_warms_up_for_its_own_time_whichever_clock_was_stepped() {
-    let started = 2 * SECOND;
-    for by in [HOUR, 5 * SECOND] {
-        // The step is everywhere: start_times are reported by the new time.
-        assert_eq!(resolve(ENGINE + by - started, ENGINE + by), ENGINE - started);
-        assert_eq!(resolve(ENGINE - by - started, ENGINE - by), ENGINE - started);
-        // It is here alone: start_times are reported by the old time.
-        assert_eq!(resolve(ENGINE - started, ENGINE + by), ENGINE - started);
-        assert_eq!(resolve(ENGINE - started, ENGINE - by), ENGINE - started);
+fn a_clock_step_on_either_side_does_not_change_the_uptime_of_a_new_node() {
+    let uptime = 2 * SECOND;
+    for step in [HOUR, 5 * SECOND] {
+        // All clocks were stepped: start times are reported by the new time.
+        assert_eq!(resolve(ENGINE + step - uptime, ENGINE + step), ENGINE - uptime);
+        assert_eq!(resolve(ENGINE - step - uptime, ENGINE - step), ENGINE - uptime);
+        // Only the local clock was stepped: start times are reported by the old time.
+        assert_eq!(resolve(ENGINE - uptime, ENGINE + step), ENGINE - uptime);
+        assert_eq!(resolve(ENGINE - uptime, ENGINE - step), ENGINE - uptime);
     }
 }
 
 #[test]
-fn a_start_in_the_future_counts_as_now() {
+fn a_start_time_in_the_future_is_replaced_by_the_current_time() {
     assert_eq!(resolve(ENGINE + HOUR, ENGINE), ENGINE);
 }
 
-/// Danger: a start that counts otherwise each time would make each list report a new process.
+/// Guards against a start time that is corrected differently on each update: each list would seem to report a
+/// new process.
 #[test]
-fn the_same_start_counts_the_same_for_as_long_as_it_is_reported() {
+fn the_correction_stays_the_same_while_the_same_start_time_is_reported() {
     let mut start_times = StartTimes::default();
     let (before, after) = (
         ClockReadings { engine: ENGINE, wall: ENGINE },
--- a/crates/core/src/transport.rs
+++ b/crates/core/src/transport.rs
@@ -1,5 +1,6 @@
-//! What the engine needs of the side that talks to nodes: a request that it can't look into, attempts that carry that
-//! request, and the nodes of the endpoint list. A transport speaks some protocol; the engine knows none.
+//! The interface between the engine and the code that communicates with nodes: an opaque request, attempts
+//! that carry it, and the nodes of the endpoint list. The transport implements the protocol; the engine does
+//! not depend on it.
 
 use crate::endpoint_list::Endpoint;
 use aniseyoke_decision::api::{Load, ServerId, Status};
@@ -7,44 +8,45 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-/// A client's request as it is forwarded to any node, in the transport's own terms.
+/// A client's request as it is forwarded to nodes, in the transport's own representation.
 pub trait Job: 'static {
-    /// The key as its client wrote it, for routes by prefix; empty where it has none.
+    /// Returns the key as the client sent it, for routes by prefix; empty if the request has none.
     fn key(&self) -> &[u8];
 
-    /// Whether a part of the client's body is still to come.
+    /// Whether part of the request body has not been received yet.
     fn body_pending(&self) -> bool;
 
-    /// Has `callback` called once the last byte of the client's body has come, if it is still to come.
+    /// Calls `callback` once the last byte of the request body is received, if it has not been received yet.
     fn on_body_received(&self, callback: impl FnOnce() + 'static);
 
-    /// Returns once the last byte of the request has come from its client, and never if it does not. It must not hold
-    /// the job itself, or the wait would keep the client's connection.
+    /// Completes once the last byte of the request is received from the client, or never if it is not
+    /// received. The future must not hold a strong reference to the job, which would keep the client's
+    /// connection open.
     fn body_received(job: Weak<Self>) -> impl Future<Output = ()>;
 }
 
 /// The engine's handle on an attempt in flight.
 pub trait AttemptHandle: Default + 'static {
-    /// The request is over: what is not written yet must stay unwritten.
+    /// Forbids all further writes of the attempt, because the request has ended.
     fn forbid_writing(&self);
 
-    /// What is not written yet so long after `since` must stay unwritten: the node would no longer recognize a retry by its
-    /// idempotency key.
+    /// Forbids writes once `time` has passed after `since`, because the node would no longer recognize a
+    /// retry by its idempotency key.
     fn forbid_writing_after(&self, since: Instant, time: Duration);
 
-    /// Ends the attempt now, and its connection with it.
+    /// Aborts the attempt immediately and closes its connection.
     fn abort(&self);
 }
 
 /// How an attempt ended.
 pub struct AttemptOutcome<R> {
-    /// How it ended, with what that tells of whether it was executed.
+    /// The status, which also shows whether the attempt may have been executed.
     pub status: Status,
-    /// Whether it was a cache hit, where the node reports that.
+    /// Whether it was a cache hit; `None` if the node does not report that.
     pub hit: Option<bool>,
-    /// The node's load report, if one came with the answer.
+    /// The node's load report, if the answer included one.
     pub load: Option<Load>,
-    /// The answer, where it was served.
+    /// The answer, if the attempt was served.
     pub answer: Option<R>,
 }
 
@@ -56,27 +58,29 @@
 
 /// The nodes of the endpoint list, and attempts on them.
 pub trait Transport: 'static {
-    /// A request as attempts carry it.
+    /// The request that attempts carry.
     type Job: Job;
-    /// A node's answer on its way to the client.
+    /// A node's answer, to be passed to the client.
     type Reply: 'static;
-    /// The handle on an attempt.
+    /// The handle on an attempt in flight.
     type Handle: AttemptHandle;
 
-    /// Applies an update of the endpoint list. After a `complete` one the nodes that it does not name are gone.
+    /// Applies an update of the endpoint list. A `complete` update removes the nodes that it does not
+    /// contain.
     fn update_endpoints(&self, complete: bool, endpoints: &[Endpoint]);
 
-    /// Bans a node by an operator's order, or lifts the ban; what is about to be written there must stay unwritten.
+    /// Bans a node on behalf of an operator, or lifts the ban. Nothing may be written to a banned node,
+    /// including attempts that have already been started.
     fn set_banned(&self, server: ServerId, banned: bool);
 
-    /// Whether any node takes requests.
+    /// Whether any node accepts requests.
     fn any_ready(&self) -> bool;
 
-    /// Closes the connections to a node that carry no attempt.
+    /// Closes the idle connections to a node.
     fn close_idle(&self, server: ServerId);
 
-    /// Makes one attempt, which may take `time_limit` from `since` on, or from the last byte of the request where a part of
-    /// it is still to come.
+    /// Makes one attempt. Its `time_limit` counts from `since`, or from the last byte of the request if part
+    /// of it has not been received yet.
     fn attempt(
         self: Rc<Self>,
         server: ServerId,
