--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -3,24 +3,24 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The budget: so many bytes in all, and how many of them are reserved.
+/// A byte budget and what is reserved of it.
 pub struct Budget {
     limit: Cell<usize>,
     reserved: Cell<usize>,
 }
 
 impl Budget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Budget { limit: Cell::new(limit), reserved: Cell::new(0) })
     }
 
-    /// Changes the budget; what is reserved beyond it stays until it is released.
+    /// Changes the limit; reservations beyond it stay until they are released.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// Reserves so many bytes, if they are free.
+    /// Reserves `bytes`, if that many are free.
     pub fn reserve(self: &Rc<Self>, bytes: usize) -> Option<Reservation> {
         let reserved =
             self.reserved.get().checked_add(bytes).filter(|reserved| *reserved <= self.limit.get())?;
@@ -29,14 +29,14 @@
     }
 }
 
-/// Bytes that are reserved until this is dropped.
+/// Reserved bytes, released on drop.
 pub struct Reservation {
     budget: Rc<Budget>,
     bytes: usize,
 }
 
 impl Reservation {
-    /// Releases what is more than this.
+    /// Releases all but `bytes`.
     pub fn shrink(&mut self, bytes: usize) {
         let surplus = self.bytes.saturating_sub(bytes);
         self.bytes -= surplus;
--- a/crates/proxy/src/budget/tests.rs
+++ b/crates/proxy/src/budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn no_more_is_reserved_than_the_budget() {
+fn reservations_never_exceed_the_limit() {
     let budget = Budget::new(100);
     let mut first = budget.reserve(80).expect("room");
     assert!(budget.reserve(21).is_none() && budget.reserve(usize::MAX).is_none());
--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -1,10 +1,10 @@
-//! The budget of descriptors that all sockets of the process share.
+//! The budget of file descriptors that all sockets of the process share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The descriptors that sockets may still take.
+/// The limit on descriptors for sockets, and how many are in use.
 pub struct DescriptorBudget {
     used: Cell<usize>,
     limit: Cell<usize>,
@@ -12,28 +12,28 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of so many.
+    /// Creates a budget of `limit` descriptors.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(DescriptorBudget { used: Cell::new(0), limit: Cell::new(limit), freed: Notify::new() })
     }
 
-    /// How many may be taken in all.
+    /// Returns how many descriptors may be in use at once.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// How many are taken.
+    /// Returns how many descriptors are in use.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// From here on so many may be taken; what is held beyond that stays until it is given back.
+    /// Changes the limit; permits beyond it stay valid until they are dropped.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
         self.freed.notify_one();
     }
 
-    /// Takes one, if any is free.
+    /// Returns a permit for one descriptor, if one is free.
     pub fn try_acquire(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.used.get() >= self.limit.get() {
             return None;
@@ -42,13 +42,13 @@
         Some(DescriptorPermit(self.clone()))
     }
 
-    /// Waits until one is given back.
+    /// Waits until a permit is dropped or the limit changes.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
 }
 
-/// A descriptor taken from the budget; it returns when this is dropped.
+/// A permit for one descriptor, returned to the budget on drop.
 pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 impl Drop for DescriptorPermit {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -11,45 +11,49 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A node that sends nothing for so long in the middle of its answer has broken off.
+/// A node that sends no data for this long in the middle of an answer has failed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer that is streamed while it still comes. Dropped after its end, it returns its connection to the pool.
+/// The body of an answer that is streamed while it is received. Dropped after its end, it returns its
+/// connection to the pool.
 pub struct StreamedBody {
-    ahead: Option<Bytes>,
+    read_ahead: Option<Bytes>,
     rest: Incoming,
     relayed_bytes: u64,
-    stall: Pin<Box<Sleep>>,
+    stall_timer: Pin<Box<Sleep>>,
     ended: bool,
-    /// Called once the answer has come whole.
-    done: Option<Box<dyn FnOnce()>>,
+    /// Called on drop if the answer was received to its end.
+    on_complete: Option<Box<dyn FnOnce()>>,
 }
 
 impl StreamedBody {
-    /// `ahead` has been read of it already; `done` is called when all of it has come.
-    pub fn new(ahead: Bytes, rest: Incoming, done: impl FnOnce() + 'static) -> Self {
-        let stall = Box::pin(sleep(STALL_TIMEOUT));
+    /// Creates the body from the part that was already read and the rest; `on_complete` is called on drop if
+    /// the body was received to its end.
+    pub fn new(read_ahead: Bytes, rest: Incoming, on_complete: impl FnOnce() + 'static) -> Self {
+        let stall_timer = Box::pin(sleep(STALL_TIMEOUT));
         StreamedBody {
-            ahead: Some(ahead),
+            read_ahead: Some(read_ahead),
             rest,
             relayed_bytes: 0,
-            stall,
+            stall_timer,
             ended: false,
-            done: Some(Box::new(done)),
+            on_complete: Some(Box::new(on_complete)),
         }
     }
 
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if let Some(ahead) = self.ahead.take() {
+        if let Some(read_ahead) = self.read_ahead.take() {
             self.ended = self.rest.is_end_stream();
-            self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
-            return Poll::Ready(Some(Ok(ahead)));
+            self.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+            return Poll::Ready(Some(Ok(read_ahead)));
         }
         loop {
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Pending => {
-                    ready!(self.stall.as_mut().poll(cx));
-                    return Poll::Ready(Some(Err(io::Error::other("the node gives nothing more"))));
+                    ready!(self.stall_timer.as_mut().poll(cx));
+                    return Poll::Ready(Some(Err(io::Error::other(
+                        "the node stalled in the middle of its answer",
+                    ))));
                 }
                 Poll::Ready(None) => {
                     self.ended = true;
@@ -57,13 +61,13 @@
                 }
                 Poll::Ready(Some(Err(e))) => return Poll::Ready(Some(Err(io::Error::other(e)))),
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                    self.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     self.ended = self.rest.is_end_stream();
-                    // Trailers belong to the connection to the node.
+                    // Trailers are hop-by-hop: they are not forwarded.
                     let Ok(data) = frame.into_data() else { continue };
                     self.relayed_bytes += data.len() as u64;
                     if self.relayed_bytes > MAX_STREAMED_BODY_BYTES {
-                        return Poll::Ready(Some(Err(io::Error::other("the answer does not end"))));
+                        return Poll::Ready(Some(Err(io::Error::other("the answer is longer than allowed"))));
                     }
                     return Poll::Ready(Some(Ok(data)));
                 }
@@ -74,8 +78,8 @@
 
 impl Drop for StreamedBody {
     fn drop(&mut self) {
-        if let Some(done) = self.done.take().filter(|_| self.ended) {
-            done();
+        if let Some(on_complete) = self.on_complete.take().filter(|_| self.ended) {
+            on_complete();
         }
     }
 }
@@ -85,34 +89,34 @@
     Streamed(Box<StreamedBody>),
 }
 
-/// The body of an answer to a client.
+/// The body of an answer to a client: buffered or streamed.
 pub struct ResponseBody {
     kind: BodyKind,
-    /// Dropped once the body has been sent.
-    held: Vec<Box<dyn Any>>,
+    /// Values that are dropped once the body has been sent.
+    guards: Vec<Box<dyn Any>>,
 }
 
 impl ResponseBody {
-    /// A buffered body, and its reservation in the budget.
-    pub fn buffered(bytes: Bytes, held: Option<Reservation>) -> Self {
-        let held = held.map(|held| Box::new(held) as Box<dyn Any>);
-        ResponseBody { kind: BodyKind::Buffered(Some(bytes)), held: held.into_iter().collect() }
+    /// Creates a buffered body that holds its reservation in the budget.
+    pub fn buffered(bytes: Bytes, reservation: Option<Reservation>) -> Self {
+        let guards = reservation.map(|reservation| Box::new(reservation) as Box<dyn Any>);
+        ResponseBody { kind: BodyKind::Buffered(Some(bytes)), guards: guards.into_iter().collect() }
     }
 
-    /// Whether it is streamed.
+    /// Whether the body is streamed.
     pub fn is_streamed(&self) -> bool {
         matches!(self.kind, BodyKind::Streamed(_))
     }
 
-    /// Holds something until the body has been sent.
-    pub fn hold_until_sent(&mut self, it: impl Any) {
-        self.held.push(Box::new(it));
+    /// Keeps `value` until the body has been sent, then drops it.
+    pub fn hold_until_sent(&mut self, value: impl Any) {
+        self.guards.push(Box::new(value));
     }
 }
 
 impl From<StreamedBody> for ResponseBody {
     fn from(streamed: StreamedBody) -> Self {
-        ResponseBody { kind: BodyKind::Streamed(Box::new(streamed)), held: Vec::new() }
+        ResponseBody { kind: BodyKind::Streamed(Box::new(streamed)), guards: Vec::new() }
     }
 }
 
@@ -129,7 +133,7 @@
             BodyKind::Streamed(streamed) => ready!(streamed.poll_data(cx)),
         };
         if let Some(Err(e)) = &next {
-            tracing::info!("an answer broke off on its way: {e}");
+            tracing::info!("an answer to a client ended early: {e}");
         }
         Poll::Ready(next.map(|data| data.map(Frame::data)))
     }
@@ -146,7 +150,7 @@
             BodyKind::Buffered(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
             BodyKind::Streamed(streamed) => match streamed.rest.size_hint().exact() {
                 Some(rest) => {
-                    SizeHint::with_exact(rest + streamed.ahead.as_ref().map_or(0, Bytes::len) as u64)
+                    SizeHint::with_exact(rest + streamed.read_ahead.as_ref().map_or(0, Bytes::len) as u64)
                 }
                 None => SizeHint::default(),
             },
--- a/crates/proxy/src/socket/io.rs
+++ b/crates/proxy/src/socket/io.rs
@@ -1,4 +1,4 @@
-//! Hyper's end of a socket.
+//! The socket as hyper reads and writes it.
 
 use super::Socket;
 use crate::time_left;
@@ -14,10 +14,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-/// What the kernel has no memory for is tried again so much later.
+/// The delay before an operation is retried for which the kernel lacked memory.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Wakes the task a little later: the runtime tells of new bytes and of room, and not of memory that the kernel has again.
+/// Wakes the task after [`SHORTAGE_RETRY_DELAY`]: the runtime signals readiness, but not that the kernel has
+/// memory again.
 fn wake_later<T>(cx: &Context<'_>) -> Poll<T> {
     let waker = cx.waker().clone();
     tokio::spawn(async move {
@@ -27,19 +28,19 @@
     Poll::Pending
 }
 
-/// Hyper's end of a [`Socket`].
+/// A [`Socket`] as hyper reads and writes it.
 pub struct Io(pub Rc<Socket>);
 
 impl Io {
-    /// Reads into `part`; 0: the peer has ended its sending.
-    pub fn poll_fill(&self, cx: &mut Context<'_>, part: &mut [u8]) -> Poll<io::Result<usize>> {
+    /// Reads into `buffer`; returns 0 if the peer has ended its sending.
+    pub fn poll_fill(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
-            match uninterrupted(|| self.0.stream.try_read(part)) {
+            match uninterrupted(|| self.0.stream.try_read(buffer)) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(e) if is_transient_shortage(&e) => return wake_later(cx),
                 Ok(n) if n > self.0.max_incoming.get() => {
-                    return Poll::Ready(Err(io::Error::other("the answer does not end")));
+                    return Poll::Ready(Err(io::Error::other("the answer is longer than allowed")));
                 }
                 Ok(n) => {
                     self.0.max_incoming.set(self.0.max_incoming.get() - n);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// How many of these bytes, which begin an answer, have been sent ahead as probes.
+    /// Returns how many of the first bytes of an answer have already been sent as probes.
     fn take_probe_bytes(&self, buf: &[u8]) -> Option<usize> {
         let probe_bytes = &self.0.peer.probe_bytes;
         let n = probe_bytes.get().min(buf.len());
@@ -58,21 +59,22 @@
         (n > 0).then_some(n)
     }
 
-    /// Checks a message before its first byte; returns its head with the time that is left now, where it tells one.
+    /// Runs the check before the first byte of a message; returns its head with the time left updated, if it
+    /// has that header.
     fn check_first_write(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
         if self.0.write_began.get() {
             return Ok(None);
         }
         let check = self.0.first_write_check.borrow();
         let Some(check) = &*check else { return Ok(None) };
-        let Some(left) = check.time_left() else {
+        let Some(time_left) = check.time_left() else {
             self.0.withheld.set(true);
-            return Err(io::Error::other("held back"));
+            return Err(io::Error::other("the request was withheld by the check before its first byte"));
         };
-        Ok(time_left::replace_in_head(head, left))
+        Ok(time_left::replace_in_head(head, time_left))
     }
 
-    /// Writes what begins with `head`; `send` gets what replaces that.
+    /// Writes bytes that begin with `head`; `send` gets the replacement of `head`, if any.
     fn poll_send(
         &self,
         cx: &mut Context<'_>,
@@ -142,7 +144,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Hyper flushes the stream once its own buffer, which holds the whole message, is empty.
+        // Hyper flushes the stream once its own buffer, which holds the complete message, is empty.
         self.0.write_blocked.set(false);
         self.0.fully_written.set(self.0.write_began.get());
         Poll::Ready(Ok(()))
--- a/crates/proxy/src/socket/mod.rs
+++ b/crates/proxy/src/socket/mod.rs
@@ -1,14 +1,15 @@
-//! One TCP stream under hyper: what has been written to it, and whether its peer has closed the connection.
+//! A TCP stream under hyper, which records what has been written and whether the peer has closed the
+//! connection.
 //!
-//! - this module is the stream and the state of what is written to it;
-//! - `io` is hyper's end of it;
-//! - `presence` tells whether a peer that waits for an answer is still there.
+//! - This module is the stream and the state of its writes.
+//! - `io` is the stream as hyper reads and writes it.
+//! - `presence` checks whether a peer that waits for an answer is still connected.
 
 mod io;
 mod presence;
 
 pub use io::Io;
-pub use presence::{Glance, Presence, Probe, Waiter};
+pub use presence::{PeekedPresence, Presence, Probe, Waiter};
 
 use crate::descriptors::DescriptorPermit;
 use crate::KERNEL_BUFFER_BYTES;
@@ -24,41 +25,41 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Unread bytes are counted up to this.
+/// The most unread bytes that are counted.
 const MAX_COUNTED_UNREAD: usize = 4 << 10;
 
-/// What is checked right before the first byte of a message is written.
+/// A check right before the first byte of a message is written.
 pub trait FirstWriteCheck {
-    /// How much time the message has left; none if it must not be written any more.
+    /// Returns how much time the message has left; `None` if it must no longer be written.
     fn time_left(&self) -> Option<Duration>;
 }
 
-/// A stream that several parties look at: hyper reads and writes it through [`Io`].
+/// A TCP stream shared between hyper, which reads and writes it through [`Io`], and the tasks that watch it.
 pub struct Socket {
     stream: TcpStream,
-    /// Bytes were written since [`Socket::begin_message`].
+    /// Whether bytes were written since [`Socket::begin_message`].
     write_began: Cell<bool>,
-    /// All that hyper had to write then has been written.
+    /// Whether all bytes that hyper had to write since then have been written.
     fully_written: Cell<bool>,
-    /// The kernel took no more bytes, so that hyper holds some.
+    /// Whether the kernel's buffer is full, so that hyper has bytes still to write.
     write_blocked: Cell<bool>,
     /// When bytes were last written.
     last_write: Cell<Instant>,
-    /// So many more bytes may come.
+    /// How many more bytes may be received.
     max_incoming: Cell<usize>,
-    /// Checked before the first byte of the message is written.
+    /// The check before the first byte of the message is written.
     first_write_check: RefCell<Option<Box<dyn FirstWriteCheck>>>,
-    /// The check forbade it.
+    /// Whether the check forbade the write.
     withheld: Cell<bool>,
-    /// What is known of its peer.
+    /// The known state of the peer.
     peer: PeerState,
     _permit: DescriptorPermit,
 }
 
 impl Socket {
-    /// A socket over a stream; `permit` is for its descriptor.
+    /// Creates a socket over a stream; `permit` is for its descriptor.
     pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Rc<Self> {
-        // Without it a small answer waits for the acknowledgement of the one before.
+        // Nagle's algorithm would delay a small answer until the previous one is acknowledged.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             stream,
@@ -74,7 +75,8 @@
         })
     }
 
-    /// A new message is about to be written, if `check` allows it then, and so many bytes may come in answer.
+    /// Prepares for a new message, written only if `check` then allows it; at most `max_incoming` bytes may
+    /// be received in answer.
     pub fn begin_message(&self, max_incoming: usize, check: Box<dyn FirstWriteCheck>) {
         self.first_write_check.replace(Some(check));
         self.max_incoming.set(max_incoming);
@@ -87,60 +89,62 @@
         self.fully_written.get()
     }
 
-    /// Whether the message was not written since the check before its first byte forbade it.
+    /// Whether the message was not written because the check before its first byte forbade it.
     pub fn is_withheld(&self) -> bool {
         self.withheld.get()
     }
 
-    /// Whether something is still to be written for which the kernel has no room.
+    /// Whether bytes are still to be written because the kernel's buffer is full.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked.get()
     }
 
-    /// Whether nothing more could be written for so long.
+    /// Whether bytes are still to be written and none could be for longer than `timeout`.
     pub fn is_stuck(&self, timeout: Duration) -> bool {
         self.write_blocked.get() && self.last_write.get().elapsed() > timeout
     }
 
-    /// Something large is to go over it: what comes has a limit elsewhere, and the kernel is to hold little.
+    /// Prepares for a large body: lifts the limit on received bytes, which is enforced elsewhere, and limits
+    /// the kernel's buffers.
     pub fn prepare_for_streaming(&self) {
         self.max_incoming.set(usize::MAX);
         let stream = SockRef::from(&self.stream);
-        // A connection whose buffers stay as they are serves as well.
+        // The connection also works with its default buffers, so errors are ignored.
         let _ = stream.set_send_buffer_size(KERNEL_BUFFER_BYTES);
         let _ = stream.set_recv_buffer_size(KERNEL_BUFFER_BYTES);
     }
 
-    /// Whether the kernel holds nothing that has come and was not read, not even the peer's end. The runtime learns of new
-    /// bytes only when it next looks, so this asks the kernel.
+    /// Whether the kernel's receive buffer is empty and the peer has not ended its sending. Asks the kernel,
+    /// since the runtime learns of new bytes only at its next poll.
     pub fn has_no_input(&self) -> bool {
         self.peek_byte().is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// How many bytes have come and were not read, counted up to [`MAX_COUNTED_UNREAD`].
+    /// Returns the number of received bytes that are unread, up to [`MAX_COUNTED_UNREAD`].
     pub fn unread_bytes(&self) -> usize {
-        let mut part = [MaybeUninit::uninit(); MAX_COUNTED_UNREAD];
-        uninterrupted(|| SockRef::from(&self.stream).peek(&mut part)).unwrap_or(0)
+        let mut buffer = [MaybeUninit::uninit(); MAX_COUNTED_UNREAD];
+        uninterrupted(|| SockRef::from(&self.stream).peek(&mut buffer)).unwrap_or(0)
     }
 
-    /// Sends what stands alone, where nothing else is being sent. A peer that can't take it goes without.
+    /// Sends a complete text while nothing else is being sent. If the socket can't accept it, it is dropped.
     pub fn try_send(&self, text: &[u8]) {
         let _ = uninterrupted(|| self.stream.try_write(text));
     }
 
-    /// Ends both directions now, whoever still holds the stream.
+    /// Shuts down both directions immediately, even if others still hold the stream.
     pub fn close(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
     }
 
-    /// From here on its end is a reset: what the peer's machine has not acknowledged by then is never sent again. Or it ends in
-    /// order, and the kernel goes on sending that for minutes.
-    pub fn reset_on_close(&self, resets: bool) {
-        // One that can't be set ends in order, which is as good as it was.
-        let _ = SockRef::from(&self.stream).set_linger(resets.then_some(Duration::ZERO));
+    /// Sets whether closing the stream resets the connection. With a reset, unacknowledged bytes are never
+    /// sent again; without one, the kernel goes on retransmitting them for minutes.
+    pub fn reset_on_close(&self, enabled: bool) {
+        // If the option can't be set, the connection closes in order, as by default.
+        let _ = SockRef::from(&self.stream).set_linger(enabled.then_some(Duration::ZERO));
     }
 
-    /// How many bytes the kernel has of the next one; 0 at the peer's end.
+    /// Peeks at one byte in the kernel's receive buffer: returns 1 if there is one, and 0 if the peer has
+    /// ended its sending.
     fn peek_byte(&self) -> Result<usize> {
         uninterrupted(|| SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]))
     }
--- a/crates/proxy/src/socket/presence.rs
+++ b/crates/proxy/src/socket/presence.rs
@@ -1,7 +1,8 @@
-//! Whether a peer that waits for an answer is still there.
+//! Whether a peer that waits for an answer is still connected.
 //!
-//! A peer that has ended its sending may still wait, and looks the same as one that has closed its connection. Something sent
-//! tells them apart, since the machine of one that is gone resets the connection: a probe.
+//! A peer that has only ended its sending (a half-close) looks the same as one that has closed its
+//! connection. A probe, which is a few bytes sent to the peer, tells them apart: if the connection is closed,
+//! the peer's machine answers with a reset.
 
 use super::Socket;
 use aniseyoke_sockets::{is_transient_shortage, uninterrupted};
@@ -16,62 +17,63 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// A peer that may have gone is probed this often.
+/// The interval between probes of a peer that may have gone.
 const PROBE_INTERVAL: Duration = Duration::from_millis(40);
-/// A peer that is probed by the answer's first bytes is probed so long after the first time, and then after twice as long
-/// each time.
+/// The interval between the first and the second probe with the first bytes of the answer; it doubles with
+/// each further probe.
 const STATUS_LINE_PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// With so many bytes unread a peer's window may be shut, and its end waits behind what it could not send.
+/// With this many unread bytes the receive window may be full, and the peer's end of sending may be queued
+/// behind bytes that it could not send.
 const FULL_WINDOW: usize = 32 << 10;
-/// An interim answer.
+/// The interim answer that is sent as a probe.
 const INTERIM_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Each answer to HTTP/1.0 begins so.
+/// The first bytes of each answer to an HTTP/1.0 request.
 pub(super) const STATUS_LINE_START: &[u8] = b"HTTP/1.0 ";
-/// So many of these bytes are kept for the moments in which something is about to be sent on.
+/// How many of these bytes are reserved for the probes right before a request is forwarded.
 const RESERVED_PROBES: usize = 4;
 
-/// What may be sent to a peer that waits for an answer, to learn whether it is there.
+/// How a peer that waits for an answer may be probed.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Probe {
     /// An interim answer.
     InterimResponse,
-    /// The first bytes of the answer, one by one: HTTP/1.0 knows no interim answers.
+    /// The first bytes of the answer, one by one: HTTP/1.0 has no interim answers.
     StatusLineByte,
 }
 
-/// What is known of a peer that waits for an answer.
+/// Whether a peer that waits for an answer is still connected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Presence {
-    /// It has not ended its sending.
+    /// The peer has not ended its sending.
     Present,
-    /// It may have gone, and was probed; nothing came of that.
+    /// The peer has ended its sending; it was probed and no reset has come.
     Probed,
-    /// It may have gone, and there is nothing left to probe it with.
+    /// The peer may have gone, and all bytes that it could be probed with have been sent.
     Unknown,
-    /// It has closed its connection.
+    /// The peer has closed its connection.
     Gone,
 }
 
-/// What a look at the kernel alone tells of a peer.
+/// What the kernel knows of a peer, without a probe or a wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Glance {
-    /// It has not ended its sending.
+pub enum PeekedPresence {
+    /// The peer has not ended its sending.
     Present,
-    /// It may have gone.
+    /// The peer may have gone.
     Unknown,
-    /// It has closed its connection.
+    /// The peer has closed its connection.
     Gone,
 }
 
-/// What a socket knows of its peer.
+/// The known state of a socket's peer.
 #[derive(Default)]
 pub(super) struct PeerState {
-    /// When it was last probed.
+    /// When the peer was last probed.
     last_probe: Cell<Option<Instant>>,
-    /// It has closed its connection.
+    /// Whether the peer is known to have closed its connection.
     closed: Cell<bool>,
     closed_signal: Notify,
-    /// So many bytes of [`STATUS_LINE_START`] have gone ahead of hyper's.
+    /// How many bytes of [`STATUS_LINE_START`] were sent as probes that hyper has still to write.
     pub(super) probe_bytes: Cell<usize>,
 }
 
@@ -82,22 +84,23 @@
     }
 }
 
-/// A peer that waits for an answer, as others may ask after it.
+/// A handle on a peer that waits for an answer, to check its presence.
 #[derive(Clone)]
 pub struct Waiter {
-    /// What is still out for a peer that has gone does not keep its descriptor.
+    /// A weak reference, so that attempts in flight for a peer that has gone don't keep its descriptor open.
     socket: Weak<Socket>,
     probe: Probe,
     probe_timeout: Duration,
 }
 
 impl Waiter {
-    /// A peer that may be probed so, and whose reaction is waited for so long at most.
+    /// Creates a handle on a peer that is probed with `probe` and whose reaction is waited for at most
+    /// `probe_timeout`.
     pub fn new(socket: &Rc<Socket>, probe: Probe, probe_timeout: Duration) -> Self {
         Waiter { socket: Rc::downgrade(socket), probe, probe_timeout }
     }
 
-    /// Whether it is there now.
+    /// Checks whether the peer is still connected, with a probe if needed.
     pub async fn presence(&self) -> Presence {
         match self.socket.upgrade() {
             None => Presence::Gone,
@@ -105,18 +108,19 @@
         }
     }
 
-    /// What can be told without a wait.
-    pub fn glance(&self) -> Glance {
-        self.socket.upgrade().map_or(Glance::Gone, |socket| socket.glance())
+    /// Returns what the kernel knows of the peer, without a probe or a wait.
+    pub fn peek_presence(&self) -> PeekedPresence {
+        self.socket.upgrade().map_or(PeekedPresence::Gone, |socket| socket.peek_presence())
     }
 }
 
 impl Socket {
-    /// Whether the peer is there now, when something is about to be sent on for it. One that may have gone is probed, and the
-    /// reaction is waited for a little; not for each of many requests that it may have sent.
+    /// Checks whether the peer is still connected, right before a request is forwarded for it. A peer that
+    /// may have gone is probed at most once per [`PROBE_INTERVAL`], and its reaction is waited for at most
+    /// `probe_timeout`, so that a peer with many requests is not probed for each.
     ///
-    /// A process that was busy does its work in any order, so that the kernel is asked: it knows what the runtime has not
-    /// looked at.
+    /// A busy process runs its tasks in any order, so this asks the kernel, which knows of events that the
+    /// runtime has not polled yet.
     pub async fn presence(&self, probe: Probe, probe_timeout: Duration) -> Presence {
         if self.peer.closed.get() {
             return Presence::Gone;
@@ -126,7 +130,7 @@
                 return Presence::Present
             }
             Ok(0) => {}
-            // Its end is behind what it has sent, which only the runtime tells.
+            // The end of sending is queued behind unread bytes; only the runtime's readiness reports it.
             Ok(_) => {
                 yield_now().await;
                 if !self.has_ended_sending().await && !self.window_may_be_full() {
@@ -138,19 +142,22 @@
                 return Presence::Gone;
             }
         }
-        let probed_lately = self.peer.last_probe.get().is_some_and(|at| at.elapsed() < PROBE_INTERVAL);
+        let recently_probed = self.peer.last_probe.get().is_some_and(|at| at.elapsed() < PROBE_INTERVAL);
         let status_line_spent = self.peer.probe_bytes.get() >= STATUS_LINE_START.len();
-        if !probed_lately && probe == Probe::StatusLineByte && status_line_spent && !self.write_blocked.get()
+        if !recently_probed
+            && probe == Probe::StatusLineByte
+            && status_line_spent
+            && !self.write_blocked.get()
         {
             return Presence::Unknown;
         }
-        if !probed_lately && !self.send_probe(probe) {
+        if !recently_probed && !self.send_probe(probe) {
             self.peer.set_closed();
             return Presence::Gone;
         }
-        // What came of the last probe may not have been looked at.
+        // Lets the runtime poll for the reaction to the last probe.
         yield_now().await;
-        let probe_timeout = if probed_lately { Duration::ZERO } else { probe_timeout };
+        let probe_timeout = if recently_probed { Duration::ZERO } else { probe_timeout };
         match timeout(probe_timeout, self.stream.ready(Interest::ERROR)).await {
             Ok(_) => {
                 self.peer.set_closed();
@@ -160,25 +167,25 @@
         }
     }
 
-    /// What the kernel tells of the peer, with no wait and nothing sent.
-    fn glance(&self) -> Glance {
+    /// Returns what the kernel knows of the peer, without a probe or a wait.
+    fn peek_presence(&self) -> PeekedPresence {
         if self.peer.closed.get() {
-            return Glance::Gone;
+            return PeekedPresence::Gone;
         }
         match self.peek_byte() {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Glance::Present,
-            // Without memory the kernel tells nothing of the peer.
-            Err(e) if is_transient_shortage(&e) => Glance::Unknown,
-            Ok(_) => Glance::Unknown,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => PeekedPresence::Present,
+            // The kernel lacked memory and reported nothing about the peer.
+            Err(e) if is_transient_shortage(&e) => PeekedPresence::Unknown,
+            Ok(_) => PeekedPresence::Unknown,
             Err(_) => {
                 self.peer.set_closed();
-                Glance::Gone
+                PeekedPresence::Gone
             }
         }
     }
 
-    /// Returns once the peer has closed the connection while an answer is due to it. A peer that may have gone is probed again
-    /// and again, as one that still waits may go without a further sign.
+    /// Waits until the peer closes the connection while it waits for an answer. A peer that has ended its
+    /// sending is probed repeatedly, as it may close the connection later without further notice.
     pub async fn closed_by_peer(&self, probe: Probe) {
         let mut interval = match probe {
             Probe::InterimResponse => PROBE_INTERVAL,
@@ -206,7 +213,8 @@
         }
     }
 
-    /// Returns once the peer's end has come and has not been probed for so long, and every now and then.
+    /// Waits until the peer has ended its sending and `interval` has passed since the last probe, and at most
+    /// [`PROBE_INTERVAL`] if the runtime reports no end of sending.
     async fn probe_due(&self, interval: Duration) {
         let next = self.peer.last_probe.get().map_or_else(Instant::now, |at| at + interval);
         tokio::select! {
@@ -215,27 +223,28 @@
         }
     }
 
-    /// Whether the peer has ended its sending, as far as the runtime has heard; it may still wait for an answer.
+    /// Whether the runtime has seen the peer end its sending; the peer may still wait for an answer.
     async fn has_ended_sending(&self) -> bool {
         tokio::select! {
             biased;
-            // Of all interests this one wakes for a closed read side and not for bytes, which may be pipelined.
+            // Among the interests, only this one wakes for a closed read side but not for bytes, which may be
+            // pipelined.
             _ = self.stream.ready(Interest::PRIORITY) => true,
             () = std::future::ready(()) => false,
         }
     }
 
-    /// Whether so much waits unread that the peer's end may not get through to here.
+    /// Whether so many bytes are unread that the peer's end of sending may not have been received.
     fn window_may_be_full(&self) -> bool {
-        let mut part = [MaybeUninit::uninit(); FULL_WINDOW];
-        uninterrupted(|| SockRef::from(&self.stream).peek(&mut part)).is_ok_and(|n| n == FULL_WINDOW)
+        let mut buffer = [MaybeUninit::uninit(); FULL_WINDOW];
+        uninterrupted(|| SockRef::from(&self.stream).peek(&mut buffer)).is_ok_and(|n| n == FULL_WINDOW)
     }
 
-    /// Sends what means nothing to a peer that waits; false if it can't be sent any more.
+    /// Sends a probe, which a waiting peer ignores; returns false if the connection no longer accepts bytes.
     fn send_probe(&self, probe: Probe) -> bool {
         self.peer.last_probe.set(Some(Instant::now()));
         if self.write_blocked.get() {
-            // What is still to be sent probes as well.
+            // The bytes that are still to be written act as a probe.
             return true;
         }
         let sent = self.peer.probe_bytes.get();
--- a/crates/proxy/src/upload.rs
+++ b/crates/proxy/src/upload.rs
@@ -1,4 +1,4 @@
-//! The body of a client's request: buffered while it is small, else streamed to the node as it comes.
+//! The body of a client's request: buffered if it is small, else streamed to the node as it is received.
 
 use super::budget::{Budget, Reservation};
 use super::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
@@ -15,209 +15,222 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant, Sleep};
 
-/// A client that sends nothing for so long in the middle of its body has stalled.
+/// A client that sends no data for this long in the middle of a body has stalled.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Beyond that time the body must come at this rate on average.
+/// The minimum average rate of a body, once the client has been waited for longer than [`STALL_TIMEOUT`].
 const MIN_BYTES_PER_SECOND: f64 = 16e3;
-/// How often a body that waits for room in the budget tries again.
+/// How often a body that waits for free bytes in the budget retries.
 const BUDGET_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a body can't be received.
+/// Why a body could not be received.
 #[derive(Debug, Error, PartialEq)]
 pub enum UploadError {
-    /// It is longer than is allowed.
+    /// The body is longer than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// The client sends it too slowly, or not at all.
-    #[error("the body did not come in time")]
+    /// The client sends the body too slowly or has stalled.
+    #[error("the body was not received in time")]
     Stalled,
-    /// It ended before its end.
-    #[error("the body is broken")]
+    /// The body ended early or is malformed.
+    #[error("the body ended early or is malformed")]
     Broken,
-    /// The budget for buffered bodies is used up.
-    #[error("no room for the body")]
+    /// The budget for buffered bodies is exhausted.
+    #[error("the budget for buffered bodies is exhausted")]
     NoRoom,
 }
 
-/// The body of a request, as attempts send it.
+/// The body of a client's request, as attempts send it.
 pub enum Payload {
-    Whole { bytes: Bytes, _held: Option<Reservation> },
-    Upload(Rc<Upload>),
+    Buffered { bytes: Bytes, _reservation: Option<Reservation> },
+    Streamed(Rc<Upload>),
 }
 
 impl Payload {
     pub fn empty() -> Self {
-        Payload::Whole { bytes: Bytes::new(), _held: None }
+        Payload::Buffered { bytes: Bytes::new(), _reservation: None }
     }
 
-    /// Whether there is none.
+    /// Whether the body is buffered and empty.
     pub fn is_empty(&self) -> bool {
-        matches!(self, Payload::Whole { bytes, .. } if bytes.is_empty())
+        matches!(self, Payload::Buffered { bytes, .. } if bytes.is_empty())
     }
 
-    /// The body for one more attempt, if it can be sent once more.
-    pub fn send(&self) -> Option<Sending> {
+    /// Returns the body for one more attempt; `None` if it can't be sent again.
+    pub fn for_attempt(&self) -> Option<AttemptBody> {
         match self {
-            Payload::Whole { bytes, .. } => Some(Sending::Whole(Full::new(bytes.clone()))),
-            Payload::Upload(upload) => Upload::send(upload).map(Sending::Upload),
+            Payload::Buffered { bytes, .. } => Some(AttemptBody::Buffered(Full::new(bytes.clone()))),
+            Payload::Streamed(upload) => Upload::for_attempt(upload).map(AttemptBody::Streamed),
         }
     }
 
-    /// Returns once the client's last byte has come.
-    pub async fn taken(&self) {
-        if let Payload::Upload(upload) = self {
-            upload.taken().await;
+    /// Waits until the client's last byte has been received.
+    pub async fn wait_received(&self) {
+        if let Payload::Streamed(upload) = self {
+            upload.wait_received().await;
         }
     }
 
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Payload::Whole { .. } => None,
-            Payload::Upload(upload) => Some(upload),
+            Payload::Buffered { .. } => None,
+            Payload::Streamed(upload) => Some(upload),
         }
     }
 }
 
-/// How long the client has been waited for, against what it has sent.
+/// How long a client has been waited for, and how many bytes it has sent.
 struct ReceiveRate {
     waited: Duration,
     received: u64,
 }
 
 impl ReceiveRate {
-    /// Whether a client sends so slowly that it would hold its connection for good.
+    /// Whether the client sends so slowly that it would occupy its connection indefinitely.
     fn too_slow(&self) -> bool {
         self.waited.saturating_sub(STALL_TIMEOUT).as_secs_f64() * MIN_BYTES_PER_SECOND > self.received as f64
     }
 }
 
-/// Reads a body whole, or so much of it that it has to be passed on as it comes. `large`: it may be.
-pub async fn read(mut body: Incoming, large: bool, budget: &Rc<Budget>) -> Result<Payload, UploadError> {
-    let told = body.size_hint();
-    let most = if large { MAX_STREAMED_BODY_BYTES } else { MAX_BUFFERED_BODY_BYTES as u64 };
-    if told.lower() > most {
+/// Reads a body: to its end if it is small, else up to the point where it has to be streamed. Accepts up to
+/// [`MAX_STREAMED_BODY_BYTES`] with `allow_large`, else up to [`MAX_BUFFERED_BODY_BYTES`].
+pub async fn read(
+    mut body: Incoming,
+    allow_large: bool,
+    budget: &Rc<Budget>,
+) -> Result<Payload, UploadError> {
+    let size = body.size_hint();
+    let max_length = if allow_large { MAX_STREAMED_BODY_BYTES } else { MAX_BUFFERED_BODY_BYTES as u64 };
+    if size.lower() > max_length {
         return Err(UploadError::TooLarge);
     }
     if body.is_end_stream() {
         return Ok(Payload::empty());
     }
-    let room = told
+    let reserved_bytes = size
         .exact()
         .map_or(MAX_BUFFERED_BODY_BYTES, |length| length.min(MAX_BUFFERED_BODY_BYTES as u64) as usize);
-    let since = Instant::now();
-    let mut held = loop {
-        match budget.reserve(room) {
-            Some(held) => break held,
-            None if since.elapsed() > STALL_TIMEOUT => return Err(UploadError::NoRoom),
+    let started_at = Instant::now();
+    let mut reservation = loop {
+        match budget.reserve(reserved_bytes) {
+            Some(reservation) => break reservation,
+            None if started_at.elapsed() > STALL_TIMEOUT => return Err(UploadError::NoRoom),
             None => sleep(BUDGET_RETRY_INTERVAL).await,
         }
     };
     let mut rate = ReceiveRate { waited: Duration::ZERO, received: 0 };
-    let mut ahead = Vec::new();
+    let mut read_ahead = Vec::new();
     while !body.is_end_stream() {
-        let asked = Instant::now();
+        let wait_start = Instant::now();
         let frame = timeout(STALL_TIMEOUT, body.frame()).await.map_err(|_| UploadError::Stalled)?;
-        rate.waited += asked.elapsed();
+        rate.waited += wait_start.elapsed();
         let Some(frame) = frame else { break };
         let Ok(data) = frame.map_err(|_| UploadError::Broken)?.into_data() else { continue };
         rate.received += data.len() as u64;
         if rate.too_slow() {
             return Err(UploadError::Stalled);
         }
-        if rate.received <= MAX_BUFFERED_BODY_BYTES as u64 && told.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
-            ahead.extend_from_slice(&data);
+        if rate.received <= MAX_BUFFERED_BODY_BYTES as u64 && size.lower() <= MAX_BUFFERED_BODY_BYTES as u64 {
+            read_ahead.extend_from_slice(&data);
             continue;
         }
-        if !large {
+        if !allow_large {
             return Err(UploadError::TooLarge);
         }
-        ahead.extend_from_slice(&data);
-        held.shrink(ahead.len());
+        read_ahead.extend_from_slice(&data);
+        reservation.shrink(read_ahead.len());
         let upload = Upload {
-            length: told.exact(),
-            ahead: RefCell::new(Some((ahead.into(), held))),
+            length: size.exact(),
+            read_ahead: RefCell::new(Some((read_ahead.into(), reservation))),
             rest: RefCell::new(Some((body, rate))),
-            taken: Cell::new(false),
+            received_all: Cell::new(false),
             failed: Cell::new(false),
-            news: Notify::new(),
-            then: RefCell::default(),
+            received_signal: Notify::new(),
+            callback: RefCell::default(),
         };
-        return Ok(Payload::Upload(Rc::new(upload)));
+        return Ok(Payload::Streamed(Rc::new(upload)));
     }
-    held.shrink(ahead.len());
-    Ok(Payload::Whole { bytes: ahead.into(), _held: Some(held) })
+    reservation.shrink(read_ahead.len());
+    Ok(Payload::Buffered { bytes: read_ahead.into(), _reservation: Some(reservation) })
 }
 
-/// A body that is passed on as it comes.
+/// A body that is streamed to a node as it is received.
 pub struct Upload {
     length: Option<u64>,
-    /// What has been read of it; kept until more is.
-    ahead: RefCell<Option<(Bytes, Reservation)>>,
-    /// What has not been read; gone once an attempt has begun to.
+    /// The bytes read before streaming began, and their reservation; dropped when an attempt reads further.
+    read_ahead: RefCell<Option<(Bytes, Reservation)>>,
+    /// The rest of the body; taken by the first attempt that reads further.
     rest: RefCell<Option<(Incoming, ReceiveRate)>>,
-    taken: Cell<bool>,
+    received_all: Cell<bool>,
     failed: Cell<bool>,
-    news: Notify,
-    then: RefCell<Option<Box<dyn FnOnce()>>>,
+    /// Signalled once the client's last byte has been received.
+    received_signal: Notify,
+    /// Called once the client's last byte has been received.
+    callback: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl Upload {
-    /// The body for one more attempt; none where an attempt has taken some of it that is not kept.
-    fn send(upload: &Rc<Upload>) -> Option<UploadBody> {
-        let ahead = upload.ahead.borrow().as_ref().map(|(ahead, _)| ahead.clone())?;
-        let stall = Box::pin(sleep(STALL_TIMEOUT));
-        Some(UploadBody { upload: upload.clone(), ahead: Some(ahead), rest: None, asked: None, stall })
+    /// Returns the body for one more attempt; `None` if an attempt has read bytes that are not buffered.
+    fn for_attempt(upload: &Rc<Upload>) -> Option<UploadBody> {
+        let read_ahead = upload.read_ahead.borrow().as_ref().map(|(read_ahead, _)| read_ahead.clone())?;
+        let stall_timer = Box::pin(sleep(STALL_TIMEOUT));
+        Some(UploadBody {
+            upload: upload.clone(),
+            read_ahead: Some(read_ahead),
+            rest: None,
+            wait_start: None,
+            stall_timer,
+        })
     }
 
-    /// Has something done once the client's last byte has come.
-    pub fn on_taken(&self, then: impl FnOnce() + 'static) {
-        self.then.replace(Some(Box::new(then)));
+    /// Registers a callback for when the client's last byte has been received.
+    pub fn on_received(&self, callback: impl FnOnce() + 'static) {
+        self.callback.replace(Some(Box::new(callback)));
     }
 
-    /// Returns once the client's last byte has come.
-    pub async fn taken(&self) {
-        while !self.taken.get() {
-            self.news.notified().await;
+    /// Waits until the client's last byte has been received.
+    pub async fn wait_received(&self) {
+        while !self.received_all.get() {
+            self.received_signal.notified().await;
         }
     }
 
-    /// Whether the client failed to send the rest.
+    /// Whether the rest of the body could not be received from the client.
     pub fn failed(&self) -> bool {
         self.failed.get()
     }
 }
 
-/// One attempt's sending of an upload.
+/// An upload as the body of one attempt's request.
 pub struct UploadBody {
     upload: Rc<Upload>,
-    ahead: Option<Bytes>,
+    read_ahead: Option<Bytes>,
     rest: Option<(Incoming, ReceiveRate)>,
-    /// Since when the client has been waited for.
-    asked: Option<Instant>,
-    stall: Pin<Box<Sleep>>,
+    /// When the current wait for the client began.
+    wait_start: Option<Instant>,
+    stall_timer: Pin<Box<Sleep>>,
 }
 
 impl UploadBody {
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
-        if let Some(ahead) = self.ahead.take() {
-            return Poll::Ready(Some(Ok(ahead)));
+        if let Some(read_ahead) = self.read_ahead.take() {
+            return Poll::Ready(Some(Ok(read_ahead)));
         }
         if self.rest.is_none() {
             self.rest = self.upload.rest.take();
-            self.upload.ahead.take();
+            self.upload.read_ahead.take();
         }
         let Some((rest, rate)) = &mut self.rest else { return Poll::Ready(Some(Err(UploadError::Broken))) };
         loop {
             let polled = Pin::new(&mut *rest).poll_frame(cx);
             let Poll::Ready(frame) = polled else {
-                if self.asked.is_none() {
-                    self.asked = Some(Instant::now());
-                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                if self.wait_start.is_none() {
+                    self.wait_start = Some(Instant::now());
+                    self.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                 }
-                ready!(self.stall.as_mut().poll(cx));
+                ready!(self.stall_timer.as_mut().poll(cx));
                 return Poll::Ready(Some(Err(UploadError::Stalled)));
             };
-            rate.waited += self.asked.take().map_or(Duration::ZERO, |asked| asked.elapsed());
+            rate.waited += self.wait_start.take().map_or(Duration::ZERO, |start| start.elapsed());
             let data = match frame {
                 None => {
                     self.upload.end();
@@ -242,11 +255,11 @@
 
 impl Upload {
     fn end(&self) {
-        self.taken.set(true);
-        self.news.notify_waiters();
-        let then = self.then.take();
-        if let Some(then) = then {
-            then();
+        self.received_all.set(true);
+        self.received_signal.notify_waiters();
+        let callback = self.callback.take();
+        if let Some(callback) = callback {
+            callback();
         }
     }
 }
@@ -263,23 +276,24 @@
         if let Some(Err(_)) = &next {
             self.upload.failed.set(true);
         }
-        let broken = |fault| io::Error::other(format!("the client's body: {fault:?}"));
-        Poll::Ready(next.map(|data| data.map(Frame::data).map_err(broken)))
+        let to_io_error =
+            |error| io::Error::other(format!("the client's body could not be received: {error:?}"));
+        Poll::Ready(next.map(|data| data.map(Frame::data).map_err(to_io_error)))
     }
 
     fn size_hint(&self) -> SizeHint {
-        // Asked for once, before anything is sent.
+        // Hyper asks once, before anything is sent, so the full length is correct.
         self.upload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// The body of one attempt's request.
-pub enum Sending {
-    Whole(Full<Bytes>),
-    Upload(UploadBody),
+/// The body of one attempt's request: buffered or streamed.
+pub enum AttemptBody {
+    Buffered(Full<Bytes>),
+    Streamed(UploadBody),
 }
 
-impl Body for Sending {
+impl Body for AttemptBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -288,22 +302,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut *self {
-            Sending::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Sending::Upload(body) => Pin::new(body).poll_frame(cx),
+            AttemptBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            AttemptBody::Streamed(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Sending::Whole(body) => body.is_end_stream(),
-            Sending::Upload(_) => false,
+            AttemptBody::Buffered(body) => body.is_end_stream(),
+            AttemptBody::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sending::Whole(body) => body.size_hint(),
-            Sending::Upload(body) => body.size_hint(),
+            AttemptBody::Buffered(body) => body.size_hint(),
+            AttemptBody::Streamed(body) => body.size_hint(),
         }
     }
 }
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -1,4 +1,4 @@
-//! A node's answer: reading it, and what its head tells of the node.
+//! Reading a node's answer, and the state of the node that its head reports.
 
 use super::{Outcome, Reply};
 use crate::budget::Budget;
@@ -14,26 +14,26 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Set by a node that has not run the request.
+/// Header set to 1 by a node that has not run the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
-/// Whether a node had the value.
+/// Header with the result of the cache lookup: `hit` or another value.
 const LOOKUP: HeaderName = HeaderName::from_static("x-lookup");
-/// A node's load report.
+/// Header with the node's load report, in JSON.
 const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
-/// An answer of unknown length that is not whole so long after its head is streamed.
+/// An answer of unknown length that is still incomplete this long after its head is streamed.
 const BUFFER_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What has been read of an answer.
+/// The result of reading an answer.
 pub(super) enum Received {
-    /// It can't be read, or is not worth it; its connection is of no further use.
+    /// The answer can't be read, or is an error that is not read to its end; its connection must be closed.
     Unusable,
-    /// All of it.
-    Whole(Outcome),
-    /// The rest of it still comes.
+    /// The answer was read to its end.
+    Complete(Outcome),
+    /// The rest of the answer is still to be received.
     Streamed(StreamedAnswer),
 }
 
-/// An answer of which a part has been read.
+/// An answer of which only the beginning has been read.
 pub(super) struct StreamedAnswer {
     head: Parts,
     read_ahead: Bytes,
@@ -41,17 +41,19 @@
 }
 
 impl StreamedAnswer {
-    /// The outcome of an attempt that was served; `done` is called when all of the answer has come.
-    pub(super) fn into_outcome(self, done: impl FnOnce() + 'static) -> Outcome {
+    /// Returns the outcome of a served attempt; `on_complete` is called when the whole answer has been
+    /// received.
+    pub(super) fn into_outcome(self, on_complete: impl FnOnce() + 'static) -> Outcome {
         let (hit, load) = (hit(&self.head.headers), load(&self.head.headers));
-        let body = StreamedBody::new(self.read_ahead, self.rest, done);
+        let body = StreamedBody::new(self.read_ahead, self.rest, on_complete);
         let answer = Response::from_parts(self.head, body.into());
         Outcome { status: Status::Ok, hit, load, answer: Some(answer) }
     }
 }
 
-/// Reads a small answer to its end. A body that is streamed would leave the client with half an answer when it breaks, so
-/// only what is large, or has no room in the budget, is streamed.
+/// Reads an answer: to its end if it is small. If a streamed body fails, the client is left with half an
+/// answer, so an answer is streamed only if it is large, exceeds the budget, or is slow and of unknown
+/// length.
 pub(super) async fn receive(response: Response<Incoming>, budget: &Rc<Budget>) -> Received {
     if is_malformed(&response) {
         return Received::Unusable;
@@ -59,15 +61,15 @@
     let (head, mut body) = response.into_parts();
     let size = body.size_hint();
     let small = size.lower() <= MAX_BUFFERED_BODY_BYTES as u64;
-    let room = size
+    let reserved_bytes = size
         .exact()
         .map_or(MAX_BUFFERED_BODY_BYTES, |length| length.min(MAX_BUFFERED_BODY_BYTES as u64) as usize);
-    let mut held = if small { budget.reserve(room) } else { None };
+    let mut reservation = if small { budget.reserve(reserved_bytes) } else { None };
     let mut read_ahead = Vec::new();
-    // What tells no length may be large, and the first bytes of a slow one would wait for long.
+    // An answer of unknown length may be large; buffering a slow one would delay its first bytes.
     let unknown_length = size.exact().is_none() && status(&head) == Status::Ok;
     let mut buffer_timeout = std::pin::pin!(sleep(BUFFER_TIMEOUT));
-    // Read to its end and not just to its last byte: by then hyper has seen what may stand behind it.
+    // Reads to the end of the stream, not just to the last byte: by then hyper has seen any surplus bytes.
     loop {
         let frame = tokio::select! {
             biased;
@@ -77,31 +79,31 @@
             }
         };
         let Some(frame) = frame else { break };
-        // What can't be read may have run.
+        // The node may have run the request although its answer can't be read.
         let Ok(frame) = frame else { return Received::Unusable };
         let Ok(data) = frame.into_data() else { continue };
         read_ahead.extend_from_slice(&data);
-        if held.is_none() || read_ahead.len() > MAX_BUFFERED_BODY_BYTES {
+        if reservation.is_none() || read_ahead.len() > MAX_BUFFERED_BODY_BYTES {
             return match status(&head) {
                 Status::Ok => {
                     Received::Streamed(StreamedAnswer { head, read_ahead: read_ahead.into(), rest: body })
                 }
-                // An error is not worth reading through.
+                // A long error body is not read to its end.
                 _ => Received::Unusable,
             };
         }
     }
-    if let Some(held) = &mut held {
-        held.shrink(read_ahead.len());
+    if let Some(reservation) = &mut reservation {
+        reservation.shrink(read_ahead.len());
     }
     let (status, hit, load) = (status(&head), hit(&head.headers), load(&head.headers));
     let answer: Option<Reply> = (status == Status::Ok)
-        .then(|| Response::from_parts(head, ResponseBody::buffered(read_ahead.into(), held)));
-    Received::Whole(Outcome { status, hit, load, answer })
+        .then(|| Response::from_parts(head, ResponseBody::buffered(read_ahead.into(), reservation)));
+    Received::Complete(Outcome { status, hit, load, answer })
 }
 
-/// Whether an answer's head is one that no sound node sends: a switch of protocols, a length that contradicts itself or is
-/// over the limit, or none though the connection is to stay open, so that its end could not be told.
+/// Whether an answer's head is invalid: a protocol switch, contradictory framing, a length over the limit, or
+/// no length on a connection that stays open, where the end of the body can't be determined.
 fn is_malformed(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let has_length = headers.contains_key(CONTENT_LENGTH);
@@ -128,7 +130,7 @@
     headers.get(&LOOKUP).map(|value| value == "hit")
 }
 
-/// What an answer says of its node's load; a report that can't be read says nothing.
+/// Returns the load report of an answer, if it has a valid one.
 fn load(headers: &HeaderMap) -> Option<Load> {
     #[derive(serde::Deserialize)]
     struct Report {
--- a/crates/proxy/src/upstream/answer/tests.rs
+++ b/crates/proxy/src/upstream/answer/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
 use hyper::header::HeaderValue;
 
-/// Guards against a report that can't be read, or says what can't be, and spoils its answer or what is known.
+/// Guards against a malformed or impossible load report that invalidates its answer or replaces known
+/// figures.
 #[test]
-fn a_load_report_counts_only_if_it_makes_sense() {
-    let told = |text: &[u8]| {
+fn a_malformed_or_impossible_load_report_is_ignored() {
+    let parsed = |text: &[u8]| {
         let value = HeaderValue::from_bytes(text).expect("a value");
         load(&HeaderMap::from_iter([(LOAD, value)]))
     };
-    let row = told(br#"{"load_share":0.62,"err_ps":0.5,"tps":14,"x0":0.4,"new":[1]}"#);
-    assert_eq!(row, Load::new(0.62, 14.0));
-    assert!(row.is_some() && load(&HeaderMap::new()).is_none());
-    let bad: [&[u8]; 7] = [
+    let report = parsed(br#"{"load_share":0.62,"err_ps":0.5,"tps":14,"x0":0.4,"new":[1]}"#);
+    assert_eq!(report, Load::new(0.62, 14.0));
+    assert!(report.is_some() && load(&HeaderMap::new()).is_none());
+    let invalid: [&[u8]; 7] = [
         b"",
         b"{\"load_share\":0.6",
         b"0.62,0.5,14",
@@ -20,5 +21,5 @@
         br#"{"load_share":1e300,"tps":1e300}"#,
         b"\xff\xfe",
     ];
-    assert!(bad.iter().all(|text| told(text).is_none()));
+    assert!(invalid.iter().all(|text| parsed(text).is_none()));
 }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -7,7 +7,7 @@
 use super::write_check::WriteCheck;
 use super::{Outcome, Upstreams};
 use crate::time_left::{self, TIME_LEFT};
-use crate::upload::Sending;
+use crate::upload::AttemptBody;
 use crate::MAX_BUFFERED_BODY_BYTES;
 use aniseyoke_decision::api::{ServerId, Status};
 use hyper::header::{HeaderValue, HOST};
@@ -17,32 +17,33 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// So many bytes may come in answer to a request: a body, what frames it, and interim answers ahead. Hyper reads on for as
-/// long as interim answers come, and hands none of them over.
+/// The maximum number of bytes received in answer to a request: a buffered body, its framing, and interim
+/// answers before it. Hyper reads on as long as interim answers arrive, and does not report them.
 const MAX_ANSWER_BYTES: usize = 8 * MAX_BUFFERED_BODY_BYTES;
-/// How often an attempt is tried anew whose request was withheld by the check before its first byte.
+/// How often the request of an attempt may be withheld by the check before its first byte, before the attempt
+/// is given up.
 const MAX_WITHHELD: usize = 2;
 
-/// An attempt that is being made.
+/// An attempt in flight.
 pub(super) struct Attempt<'a> {
     pub(super) pool: &'a Rc<Upstreams>,
     pub(super) server: ServerId,
     pub(super) job: &'a Job,
-    /// When it is over, where the request has come whole.
+    /// The deadline, if the client's request has been fully received.
     pub(super) due: Instant,
-    /// How long it may take in all.
+    /// The total time allowed.
     pub(super) time_limit: Duration,
     pub(super) handle: &'a Rc<AttemptHandle>,
 }
 
-/// Why a try on one connection has no outcome.
+/// Why the exchange on one connection has no outcome.
 enum TryError {
     /// The attempt ends with this status.
     Ended(Status),
-    /// A connection that had been used before ended before anything ran: another is tried.
+    /// A reused connection closed before the request was fully written: another connection is tried.
     ConnectionEnded,
-    /// The check before the first byte withheld the request: the process was held up, or its work came in another order. Who
-    /// may have left is asked anew.
+    /// The check before the first byte withheld the request, as the process was delayed or its tasks ran in
+    /// another order. The presence of the client is checked again.
     Withheld,
 }
 
@@ -51,34 +52,35 @@
     connection: Connection,
     reused: bool,
     addr: SocketAddr,
-    /// The node's epoch when it was chosen.
+    /// The node's epoch when the connection was chosen.
     epoch: u64,
-    body: Sending,
-    /// When the client was last asked whether it is there.
-    asked_at: Instant,
+    body: AttemptBody,
+    /// When the presence of the client was last checked.
+    checked_at: Instant,
 }
 
 impl Attempt<'_> {
-    /// Makes the attempt: until it is due, or, where the last byte of its request still comes, so long from then on.
+    /// Makes the attempt. It ends at its deadline, or, if the client's body is still being received,
+    /// `time_limit` after the body's last byte.
     pub(super) async fn run(&self) -> Outcome {
         tokio::select! {
             biased;
             () = self.handle.never_sent() => Status::NotSent.into(),
             outcome = self.exchange() => outcome,
-            () = self.over() => {
-                // A request that was not written whole has not run.
+            () = self.wait_over() => {
+                // A request that was not fully written has not run.
                 if self.handle.is_written() { Status::Timeout } else { Status::ConnectFailed }.into()
             }
         }
     }
 
-    /// Returns once the time for the attempt is over, or its node is stuck.
-    async fn over(&self) {
+    /// Waits until the time for the attempt is over or its node is stuck.
+    async fn wait_over(&self) {
         let time_over = async {
             match self.job.body.upload() {
                 None => sleep_until(self.due).await,
                 Some(upload) => {
-                    upload.taken().await;
+                    upload.wait_received().await;
                     sleep(self.time_limit).await;
                 }
             }
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Tries one connection after the other.
+    /// Tries connections one after the other until one gives an outcome.
     async fn exchange(&self) -> Outcome {
         let mut withheld = 0;
         loop {
@@ -111,8 +113,8 @@
     /// Sends the request on one connection and receives the answer.
     async fn try_connection(&self) -> Result<Outcome, TryError> {
         let ready = self.prepare_connection().await?;
-        let ReadyConnection { mut connection, reused, addr, epoch, body, asked_at } = ready;
-        connection.socket.begin_message(MAX_ANSWER_BYTES, Box::new(self.write_check(epoch, asked_at)));
+        let ReadyConnection { mut connection, reused, addr, epoch, body, checked_at } = ready;
+        connection.socket.begin_message(MAX_ANSWER_BYTES, Box::new(self.write_check(epoch, checked_at)));
         self.handle.set_socket(connection.socket.clone());
         if self.job.body.upload().is_some() {
             connection.socket.prepare_for_streaming();
@@ -121,9 +123,9 @@
         let Ok(response) = response else { return Err(self.send_error(&connection, reused)) };
         match receive(response, &self.pool.budget).await {
             Received::Unusable => Err(TryError::Ended(Status::Reset)),
-            Received::Whole(outcome) => {
+            Received::Complete(outcome) => {
                 if connection.socket.is_fully_written() {
-                    self.pool.keep_used(self.server, epoch, connection);
+                    self.pool.put_used(self.server, epoch, connection);
                 }
                 Ok(outcome)
             }
@@ -132,29 +134,30 @@
                 let (pool, server) = (Rc::downgrade(self.pool), self.server);
                 Ok(answer.into_outcome(move || {
                     if let Some(pool) = pool.upgrade().filter(|_| connection.socket.is_fully_written()) {
-                        pool.keep_used(server, epoch, connection);
+                        pool.put_used(server, epoch, connection);
                     }
                 }))
             }
         }
     }
 
-    /// Chooses an idle connection or opens one, once the client is known to be there.
+    /// Chooses an idle connection or opens one, after checking that the client still waits.
     async fn prepare_connection(&self) -> Result<ReadyConnection, TryError> {
         const NOT_SENT: TryError = TryError::Ended(Status::NotSent);
-        // A wait for a permit comes before the body is taken: what an attempt has read of an upload is gone with it.
-        let idle = self.pool.permit(self.server, self.due, self.time_limit).await.ok_or(NOT_SENT)?;
-        let mut asked_at = Instant::now();
-        let asked = self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
-        let idle = idle.filter(|idle| !asked || idle.is_clean());
-        let body = self.job.body.send().ok_or(NOT_SENT)?;
-        let (addr, epoch) = self.pool.open_to(self.server).ok_or(NOT_SENT)?;
+        // Waits for a permit before taking the body: what an attempt has read of an upload is lost with the
+        // attempt.
+        let idle = self.pool.wait_for_permit(self.server, self.due, self.time_limit).await.ok_or(NOT_SENT)?;
+        let mut checked_at = Instant::now();
+        let probed = self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
+        let idle = idle.filter(|idle| !probed || idle.is_clean());
+        let body = self.job.body.for_attempt().ok_or(NOT_SENT)?;
+        let (addr, epoch) = self.pool.address_and_epoch(self.server).ok_or(NOT_SENT)?;
         let idle = idle.or_else(|| self.pool.take_idle(self.server));
         let (mut connection, reused) = match idle.and_then(ReservedConnection::into_connection) {
             Some(connection) => (connection, true),
             None => {
                 let connection = self.pool.connect(addr).await.map_err(TryError::Ended)?;
-                asked_at = Instant::now();
+                checked_at = Instant::now();
                 self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
                 (connection, false)
             }
@@ -166,36 +169,36 @@
                 TryError::Ended(Status::ConnectFailed)
             });
         }
-        // While the connection came up the node may have been told to drain or have restarted, or the request may have had
-        // its answer. Nothing may be written then.
+        // While the connection was set up, the node may have started to drain or restarted, or the request
+        // may have been answered. Nothing may be written then.
         if self.handle.forbids_writing(Instant::now()) || self.pool.epoch(self.server) != Some(epoch) {
             return Err(NOT_SENT);
         }
-        Ok(ReadyConnection { connection, reused, addr, epoch, body, asked_at })
+        Ok(ReadyConnection { connection, reused, addr, epoch, body, checked_at })
     }
 
-    fn write_check(&self, epoch: u64, asked_at: Instant) -> WriteCheck {
+    fn write_check(&self, epoch: u64, checked_at: Instant) -> WriteCheck {
         WriteCheck {
             pool: Rc::downgrade(self.pool),
             server: self.server,
             epoch,
             handle: Rc::downgrade(self.handle),
             waiter: self.job.waiter.clone(),
-            asked_at,
+            checked_at,
             due: self.due,
         }
     }
 
-    /// What it means that a request got no answer on its connection.
+    /// Returns the meaning of a request that got no answer on its connection.
     fn send_error(&self, connection: &Connection, reused: bool) -> TryError {
         if connection.socket.is_withheld() {
             return TryError::Withheld;
         }
-        // The client's own failure says nothing of the node.
+        // A failure of the client says nothing about the node.
         if self.job.body.upload().is_some_and(|upload| upload.failed()) {
             return TryError::Ended(Status::NotSent);
         }
-        // After its last byte the request may have run, and is not for this side to repeat.
+        // A fully written request may have run, so it must not be repeated here.
         if connection.socket.is_fully_written() {
             return TryError::Ended(Status::Reset);
         }
@@ -205,17 +208,17 @@
         TryError::Ended(Status::ConnectFailed)
     }
 
-    fn request(&self, body: Sending, addr: SocketAddr) -> Request<Sending> {
+    fn request(&self, body: AttemptBody, addr: SocketAddr) -> Request<AttemptBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.job.method.clone();
         *request.uri_mut() = self.job.uri.clone();
         let headers = request.headers_mut();
         headers.reserve(self.job.headers.len() + 2);
-        // The check before the first byte replaces it; it is ahead of the others, so that it is among the bytes that are
-        // written first.
-        let left = self.due.saturating_duration_since(Instant::now());
-        if let Ok(left) = HeaderValue::try_from(time_left::format(left)) {
-            headers.insert(TIME_LEFT, left);
+        // The check before the first byte replaces the value. The header comes first, so that it is in the
+        // first bytes that are written.
+        let time_left = self.due.saturating_duration_since(Instant::now());
+        if let Ok(value) = HeaderValue::try_from(time_left::format(time_left)) {
+            headers.insert(TIME_LEFT, value);
         }
         for (name, value) in self.job.headers.iter().filter(|(name, _)| **name != TIME_LEFT) {
             headers.append(name, value.clone());
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -3,7 +3,7 @@
 use super::Upstreams;
 use crate::descriptors::DescriptorPermit;
 use crate::socket::{Io, Socket};
-use crate::upload::Sending;
+use crate::upload::AttemptBody;
 use crate::MAX_READ_BUFFER_BYTES;
 use aniseyoke_decision::api::ServerId;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -13,21 +13,21 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// An open connection; dropping it closes it.
+/// An open connection, closed on drop.
 pub struct Connection {
-    pub(super) sender: SendRequest<Sending>,
+    pub(super) sender: SendRequest<AttemptBody>,
     pub(super) socket: Rc<Socket>,
     driver: AbortHandle,
 }
 
 impl Connection {
-    /// A connection over a stream; `permit` is for its descriptor.
+    /// Starts HTTP/1 on a stream; `permit` is for its descriptor.
     ///
     /// # Errors
-    /// If it has ended already.
+    /// If the connection has already ended.
     pub(super) async fn open(stream: TcpStream, permit: DescriptorPermit) -> hyper::Result<Self> {
         let socket = Socket::new(stream, permit);
-        // By default hyper reads a head of some 400 KB before it gives up.
+        // Hyper's default buffer limit accepts heads of about 400 KB.
         let io = TokioIo::new(Io(socket.clone()));
         let (sender, driver) =
             http1::Builder::new().max_buf_size(MAX_READ_BUFFER_BYTES).handshake(io).await?;
@@ -35,9 +35,10 @@
         Ok(Connection { sender, socket, driver })
     }
 
-    /// Whether nothing has come behind the last answer. Answers carry no id, so that what is left of one would pass for the
-    /// answer to the next request. Hyper ends a connection when it finds such bytes in its own buffer, which it does before
-    /// the answer before them is handed over; the kernel's is looked at here.
+    /// Whether the connection is open and no bytes follow the last answer. Answers carry no id, so surplus
+    /// bytes would be taken for the answer to the next request. Hyper closes a connection if it finds surplus
+    /// bytes in its own buffer, before it returns the answer that precedes them; this checks the kernel's
+    /// buffer.
     pub(super) fn is_clean(&self) -> bool {
         !self.sender.is_closed() && self.socket.has_no_input()
     }
@@ -50,17 +51,17 @@
     }
 }
 
-/// A connection that carries no attempt.
+/// A connection without an attempt in flight.
 pub struct IdleConnection {
     pub(super) connection: Connection,
     pub(super) since: Instant,
 }
 
-/// An idle connection that was taken from the pool for an attempt. Unless the attempt uses it, it goes back.
+/// An idle connection taken from the pool for an attempt; returned on drop unless the attempt has used it.
 pub struct ReservedConnection {
     pool: Weak<Upstreams>,
     server: ServerId,
-    /// The node's epoch when it was taken.
+    /// The node's epoch when the connection was taken.
     epoch: u64,
     idle: Option<IdleConnection>,
 }
@@ -70,12 +71,12 @@
         ReservedConnection { pool: Rc::downgrade(pool), server, epoch, idle: Some(idle) }
     }
 
-    /// Whether nothing has come on it meanwhile.
+    /// Whether the connection is still open and has received nothing meanwhile.
     pub(super) fn is_clean(&self) -> bool {
         self.idle.as_ref().is_some_and(|idle| idle.connection.is_clean())
     }
 
-    /// The connection, for an attempt that uses it.
+    /// Returns the connection, for use by an attempt.
     pub(super) fn into_connection(mut self) -> Option<Connection> {
         self.idle.take().map(|idle| idle.connection)
     }
@@ -84,7 +85,7 @@
 impl Drop for ReservedConnection {
     fn drop(&mut self) {
         if let (Some(pool), Some(idle)) = (self.pool.upgrade(), self.idle.take()) {
-            pool.keep(self.server, self.epoch, idle);
+            pool.put_idle(self.server, self.epoch, idle);
         }
     }
 }
--- a/crates/proxy/src/upstream/handle.rs
+++ b/crates/proxy/src/upstream/handle.rs
@@ -7,11 +7,11 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// The process may be held up for so long between reading its clock and writing.
-const MAX_HOLD_UP: Duration = Duration::from_millis(150);
-/// A node that takes nothing more of a body for so long has hung up.
+/// The longest delay of the process between reading its clock and writing that the deadline allows for.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
+/// A node that accepts no bytes of a request for this long is considered stuck.
 const STUCK_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is looked whether a node is stuck.
+/// The interval between checks for a stuck node.
 const STUCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The engine's handle on an attempt in flight.
@@ -20,15 +20,16 @@
     /// The connection on which the attempt is made.
     socket: RefCell<Option<Rc<Socket>>>,
     writing_forbidden: Cell<bool>,
-    /// From then on nothing of it is written.
+    /// The time from which nothing of the attempt may be written.
     write_deadline: Cell<Option<Instant>>,
-    /// Writing was forbidden before all was written: there is no outcome to wait for.
+    /// Signalled when writing is forbidden before the request was fully written: no outcome will follow.
     never_sent: Notify,
 }
 
 impl aniseyoke_core::AttemptHandle for AttemptHandle {
-    /// Closes the connection of a request that is not written whole: what the kernel had no room for would be written once it
-    /// has, long after the request was over. A request whose last byte is not written has not run.
+    /// Closes the connection of a request that is not fully written: bytes that did not fit into the kernel's
+    /// buffer would otherwise be written later, long after the request ended. A node does not run a request
+    /// without its last byte.
     fn forbid_writing(&self) {
         self.writing_forbidden.set(true);
         if self.is_written() {
@@ -40,7 +41,7 @@
         self.never_sent.notify_one();
     }
 
-    /// Closes the connection at once, since the task that writes may run before the one that is aborted.
+    /// Closes the connection immediately, since the task that writes may run before the aborted task stops.
     fn abort(&self) {
         self.writing_forbidden.set(true);
         if let Some(socket) = self.socket.take() {
@@ -48,34 +49,36 @@
         }
     }
 
-    /// Leaves time for a process that is held up right behind its last look at the clock, and writes that much later.
+    /// Sets the deadline [`MAX_WRITE_DELAY`] before `since + time`, as the process may be delayed between its
+    /// last reading of the clock and the write.
     fn forbid_writing_after(&self, since: std::time::Instant, time: Duration) {
-        self.write_deadline.set(Some(Instant::from_std(since) + time.saturating_sub(MAX_HOLD_UP)));
+        self.write_deadline.set(Some(Instant::from_std(since) + time.saturating_sub(MAX_WRITE_DELAY)));
     }
 }
 
 impl AttemptHandle {
-    /// Whether nothing of the attempt may be written at this time any more.
+    /// Whether nothing of the attempt may be written at `now`.
     pub fn forbids_writing(&self, now: Instant) -> bool {
         self.writing_forbidden.get() || self.write_deadline.get().is_some_and(|deadline| now >= deadline)
     }
 
-    /// The attempt is made on this connection from now on.
+    /// Sets the connection on which the attempt is made.
     pub(super) fn set_socket(&self, socket: Rc<Socket>) {
         self.socket.replace(Some(socket));
     }
 
-    /// Whether the request has been written whole.
+    /// Whether the request has been fully written.
     pub(super) fn is_written(&self) -> bool {
         self.socket.borrow().as_ref().is_some_and(|socket| socket.is_fully_written())
     }
 
-    /// Returns once writing was forbidden before the request was written whole.
+    /// Waits until writing is forbidden before the request was fully written.
     pub(super) async fn never_sent(&self) {
         self.never_sent.notified().await;
     }
 
-    /// Returns once the node has taken nothing for long of a request that is not written whole.
+    /// Waits until the node has accepted no bytes for [`STUCK_TIMEOUT`] of a request that is not fully
+    /// written.
     pub(super) async fn stuck(&self) {
         loop {
             sleep(STUCK_CHECK_INTERVAL).await;
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -1,4 +1,4 @@
-//! A client's request as attempts carry it.
+//! A client's request, as attempts send it.
 
 use super::handle::AttemptHandle;
 use crate::socket::{Presence, Waiter};
@@ -7,32 +7,32 @@
 use std::rc::Weak;
 use tokio::time::Instant;
 
-/// A client's request as it goes on to any cache node.
+/// A client's request as it is forwarded to any node.
 pub struct Job {
-    /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Payload,
-    /// Who waits for the answer.
+    /// The client that waits for the answer, where its presence can be checked.
     pub waiter: Option<Waiter>,
 }
 
-/// Nothing tells whether the client is still there. An attempt that may be for nobody is not begun.
+/// It is unknown whether the client is still connected; no attempt is started then, as it might be for
+/// nobody.
 pub(super) struct ClientUnknown;
 
 impl Job {
-    /// Returns if the client still waits, and whether that had to be asked for; never if it has gone: who waits for the client
-    /// ends the attempt then.
+    /// Checks that the client still waits, and returns whether it had to be probed. Never returns if the
+    /// client has gone: the task that watches the client then ends the attempt.
     ///
-    /// Between the decision on an attempt and its writing lie a queue, a timer, a permit to open a connection and the
-    /// connection itself; the client may have left by then, unseen by a process that was busy.
+    /// Between the decision on an attempt and its first write, the attempt may wait in a queue, for a timer,
+    /// for a permit to open a connection and for the connection itself. A busy process may not notice that
+    /// the client left in that time.
     pub(super) async fn confirm_client(&self, handle: &AttemptHandle) -> Result<bool, ClientUnknown> {
         let presence = match &self.waiter {
-            // A client that has its answer must get nothing behind it, and asking sends something.
+            // A probe sends bytes, and a client that has its answer must not receive any after it.
             Some(waiter) if !handle.forbids_writing(Instant::now()) => waiter.presence().await,
             _ => Presence::Present,
         };
@@ -55,17 +55,18 @@
         self.body.upload().is_some()
     }
 
-    fn on_body_received(&self, then: impl FnOnce() + 'static) {
+    fn on_body_received(&self, callback: impl FnOnce() + 'static) {
         if let Some(upload) = self.body.upload() {
-            upload.on_taken(then);
+            upload.on_received(callback);
         }
     }
 
-    /// Holds the upload alone: a wait that held the job would hold the connection of its body as well.
+    /// Keeps only the upload alive: keeping the job would also keep the client connection that its body
+    /// belongs to.
     async fn body_received(job: Weak<Job>) {
         let Some(upload) = job.upgrade().map(|job| job.body.upload().cloned()) else { return };
         if let Some(upload) = upload {
-            upload.taken().await;
+            upload.wait_received().await;
         }
     }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! The connections to cache nodes and the origin, and the attempts that are made on them.
 //!
-//! - this module is the pool: the nodes that the list names, and their idle connections;
-//! - `attempt` is one attempt, on a `connection`, and `answer` reads what comes of it;
-//! - `job` is the request that it carries, `handle` the engine's hold on it;
-//! - `write_check` looks once more right before its first byte is written.
+//! - This module is the pool: the nodes of the endpoint list, and their idle connections.
+//! - `attempt` makes one attempt on a `connection`, and `answer` reads the node's answer.
+//! - `job` is the request of an attempt, and `handle` is the engine's control over the attempt.
+//! - `write_check` is the last check before the first byte of an attempt is written.
 
 mod answer;
 mod attempt;
@@ -32,37 +32,37 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Who waits for a permit to open a connection looks this often for one that has become idle.
+/// How often an attempt that waits for a permit to open a connection looks for an idle connection.
 const PERMIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a node has answered, on its way to whoever asked.
+/// A node's answer, as forwarded to the client.
 pub type Reply = Response<ResponseBody>;
 
 /// How an attempt ended.
 type Outcome = AttemptOutcome<Reply>;
 
-/// A node that the list names.
+/// A node of the endpoint list.
 struct Node {
     addr: Option<SocketAddr>,
     started: Nanos,
     ready: bool,
-    /// Counts what makes older connections useless: a restart, a new address, a drain.
+    /// Changes with every event that invalidates older connections: a restart, a new address, a drain, a ban.
     epoch: u64,
     idle: Vec<IdleConnection>,
 }
 
-/// All cache nodes that the list names.
+/// The pool of all nodes of the endpoint list, and their connections.
 pub struct Upstreams {
     nodes: RefCell<FxHashMap<ServerId, Node>>,
-    /// Taken out by operators, listed or not.
+    /// Nodes banned by operators, listed or not.
     banned: RefCell<FxHashSet<ServerId>>,
     descriptors: Rc<DescriptorBudget>,
     budget: Rc<Budget>,
     connect_timeout: Duration,
-    /// An idle connection is used again within this time.
+    /// How long a connection may be idle and still be reused.
     max_idle: Duration,
     last_epoch: Cell<u64>,
-    /// Permits to open connections, where that is limited.
+    /// Rate limits on opening connections, if configured.
     opening: Option<RefCell<OpenLimiter>>,
 }
 
@@ -71,12 +71,12 @@
     type Reply = Reply;
     type Handle = AttemptHandle;
 
-    fn update_endpoints(&self, whole: bool, entries: &[(Entry, Option<SocketAddr>)]) {
+    fn update_endpoints(&self, complete: bool, entries: &[(Entry, Option<SocketAddr>)]) {
         if let Some(opening) = &self.opening {
-            opening.borrow_mut().update(whole, entries.iter().map(|(entry, _)| entry));
+            opening.borrow_mut().update(complete, entries.iter().map(|(entry, _)| entry));
         }
         let mut nodes = self.nodes.borrow_mut();
-        if whole {
+        if complete {
             let named: FxHashSet<ServerId> = entries.iter().map(|(entry, _)| entry.server).collect();
             nodes.retain(|server, _| named.contains(server));
         }
@@ -91,17 +91,17 @@
                 continue;
             }
             let (started, epoch) = (entry.started, self.next_epoch());
-            // The idle connections of the old one close here.
+            // Dropping the replaced node closes its idle connections.
             nodes.insert(entry.server, Node { addr: *addr, started, ready, epoch, idle: Vec::new() });
         }
     }
 
-    fn set_banned(&self, server: ServerId, out: bool) {
-        let mut banned = self.banned.borrow_mut();
-        if out {
-            banned.insert(server);
+    fn set_banned(&self, server: ServerId, banned: bool) {
+        let mut all_banned = self.banned.borrow_mut();
+        if banned {
+            all_banned.insert(server);
         } else {
-            banned.remove(&server);
+            all_banned.remove(&server);
         }
         if let Some(node) = self.nodes.borrow_mut().get_mut(&server) {
             node.epoch = self.next_epoch();
@@ -137,8 +137,8 @@
 }
 
 impl Upstreams {
-    /// A pool without nodes. Nodes close connections that have been idle for `idle_time`; with 0 they do as soon as they
-    /// have answered, and no connection is used again.
+    /// Creates a pool without nodes. Nodes close connections that have been idle for `idle_time`; with 0 they
+    /// close them right after the answer, and no connection is reused.
     pub fn new(
         descriptors: Rc<DescriptorBudget>,
         budget: Rc<Budget>,
@@ -152,15 +152,15 @@
             descriptors,
             budget,
             connect_timeout,
-            // A request written to a connection that its node is just closing ends as a reset, and may have run. The node
-            // counts from its own last byte, so that a good part of the time is left to it.
+            // A request written to a connection that its node is just closing ends in a reset and may have
+            // run. The node measures from its own last byte, so only 3/4 of its idle time is used here.
             max_idle: Duration::from_nanos(idle_time / 4 * 3),
             last_epoch: Cell::new(0),
             opening: opening.map(RefCell::new),
         })
     }
 
-    /// Closes idle connections that have ended or stood too long.
+    /// Closes idle connections that have ended or have been idle for too long.
     pub fn close_expired_idle(&self) {
         let keep = |idle: &IdleConnection| {
             idle.since.elapsed() < self.max_idle && !idle.connection.sender.is_closed()
@@ -168,7 +168,8 @@
         self.nodes.borrow_mut().values_mut().for_each(|node| node.idle.retain(keep));
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
+    /// Closes the connection that has been idle for longest, to free its descriptor; returns false if none is
+    /// idle.
     pub fn close_longest_idle(&self) -> bool {
         let mut nodes = self.nodes.borrow_mut();
         let oldest =
@@ -181,9 +182,10 @@
         self.last_epoch.get()
     }
 
-    /// Waits for a permit to open a connection, or for one that has become idle meanwhile, which is returned. None if more
-    /// than half of the attempt's time would go by: another node may have room sooner, and this one is not to blame.
-    async fn permit(
+    /// Waits for a permit to open a connection, or for a connection that becomes idle meanwhile, which is
+    /// returned. Returns `None` if the wait would take more than half of the attempt's time: another node may
+    /// have capacity sooner, and this one is not at fault.
+    async fn wait_for_permit(
         self: &Rc<Self>,
         server: ServerId,
         due: Instant,
@@ -195,27 +197,27 @@
             if let Some(connection) = self.take_idle(server) {
                 return Some(Some(connection));
             }
-            let Err(later) = opening.borrow_mut().try_acquire(server) else { return Some(None) };
-            if Instant::now() + later > until || self.open_to(server).is_none() {
+            let Err(wait) = opening.borrow_mut().try_acquire(server) else { return Some(None) };
+            if Instant::now() + wait > until || self.address_and_epoch(server).is_none() {
                 return None;
             }
-            sleep(later.min(PERMIT_CHECK_INTERVAL)).await;
+            sleep(wait.min(PERMIT_CHECK_INTERVAL)).await;
         }
     }
 
-    /// The address and the epoch of a node that takes new work.
-    fn open_to(&self, server: ServerId) -> Option<(SocketAddr, u64)> {
+    /// Returns the address and the epoch of a node that accepts new requests.
+    fn address_and_epoch(&self, server: ServerId) -> Option<(SocketAddr, u64)> {
         let nodes = self.nodes.borrow();
         let node = nodes.get(&server).filter(|node| node.ready && !self.banned.borrow().contains(&server))?;
         Some((node.addr?, node.epoch))
     }
 
-    /// The epoch of a node that takes new work.
+    /// Returns the epoch of a node that accepts new requests.
     fn epoch(&self, server: ServerId) -> Option<u64> {
-        self.open_to(server).map(|(_, epoch)| epoch)
+        self.address_and_epoch(server).map(|(_, epoch)| epoch)
     }
 
-    /// The connection to a node that has become idle last, of those that can be used again.
+    /// Takes the reusable connection to a node that became idle last.
     fn take_idle(self: &Rc<Self>, server: ServerId) -> Option<ReservedConnection> {
         let mut nodes = self.nodes.borrow_mut();
         let Node { idle, epoch, .. } = nodes.get_mut(&server)?;
@@ -227,27 +229,29 @@
         None
     }
 
-    /// Keeps a connection that has just become idle for the next attempt.
-    fn keep_used(&self, server: ServerId, epoch: u64, connection: Connection) {
+    /// Returns a connection that has just become idle to the pool.
+    fn put_used(&self, server: ServerId, epoch: u64, connection: Connection) {
         if !self.max_idle.is_zero() {
-            self.keep(server, epoch, IdleConnection { connection, since: Instant::now() });
+            self.put_idle(server, epoch, IdleConnection { connection, since: Instant::now() });
         }
     }
 
-    /// Keeps an idle connection for the next attempt, if its node is the same as when it was chosen.
-    fn keep(&self, server: ServerId, epoch: u64, idle: IdleConnection) {
+    /// Returns an idle connection to the pool, if its node's epoch has not changed since the connection was
+    /// chosen.
+    fn put_idle(&self, server: ServerId, epoch: u64, idle: IdleConnection) {
         if !idle.connection.is_clean() {
             return;
         }
         let mut nodes = self.nodes.borrow_mut();
         if let Some(node) = nodes.get_mut(&server).filter(|node| node.epoch == epoch && node.ready) {
-            // The one that has been idle for longest stays the first.
-            let at = node.idle.partition_point(|other| other.since <= idle.since);
-            node.idle.insert(at, idle);
+            // The connections are ordered by idle time, the longest first.
+            let position = node.idle.partition_point(|other| other.since <= idle.since);
+            node.idle.insert(position, idle);
         }
     }
 
-    /// A new connection, or what to tell of its lack. The node is not to blame for a shortage of our own.
+    /// Opens a connection, or returns the status of the attempt that failed to. A local shortage is not
+    /// reported as a failure of the node.
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, Status> {
         let permit = loop {
             match self.descriptors.try_acquire() {
@@ -256,14 +260,14 @@
                 None => return Err(Status::NotSent),
             }
         };
-        let make_room = || {
+        let free_descriptor = || {
             self.close_longest_idle();
         };
-        let connecting = tokio::time::timeout(self.connect_timeout, connect(addr, make_room)).await;
+        let connecting = tokio::time::timeout(self.connect_timeout, connect(addr, free_descriptor)).await;
         let stream = match connecting {
             Ok(Ok(stream)) => stream,
             Ok(Err(ConnectError::Local(error))) => {
-                tracing::warn!("no socket for {addr}: {error}");
+                tracing::warn!("could not create a socket for {addr}: {error}");
                 return Err(Status::NotSent);
             }
             Ok(Err(ConnectError::Remote(_))) | Err(_) => return Err(Status::ConnectFailed),
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -9,12 +9,12 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-const LONG: Duration = Duration::from_secs(30);
-/// The number of the one node.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// The id of the only node.
 const NODE: ServerId = 1;
-/// A client that has gone is known to have within this time.
-const NOTICED_WITHIN: Duration = Duration::from_millis(300);
-/// A client that may have gone is waited for so long.
+/// An attempt whose client has gone must not end within this time.
+const NO_OUTCOME_TIME: Duration = Duration::from_millis(300);
+/// How long a client's reaction to a probe is waited for.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(20);
 
 fn job(waiter: Option<Waiter>) -> Rc<Job> {
@@ -23,21 +23,22 @@
 }
 
 async fn attempt(upstreams: &Rc<Upstreams>, job: Rc<Job>) -> Outcome {
-    upstreams.clone().attempt(NODE, job, std::time::Instant::now(), LONG, Rc::default()).await
+    upstreams.clone().attempt(NODE, job, std::time::Instant::now(), TEST_TIMEOUT, Rc::default()).await
 }
 
-/// Guards against a node that is blamed for the proxy's own shortage, and loses all its keys.
+/// Guards against a node that is ejected, and loses all its keys, because the proxy itself is short of
+/// descriptors.
 #[tokio::test(flavor = "current_thread")]
-async fn a_lack_of_descriptors_is_not_the_nodes_fault() {
+async fn an_attempt_without_a_free_descriptor_is_not_sent() {
     let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let upstreams = Upstreams::new(DescriptorBudget::new(0), Budget::new(0), LONG, 0, None);
+    let upstreams = Upstreams::new(DescriptorBudget::new(0), Budget::new(0), TEST_TIMEOUT, 0, None);
     let entry = Entry { server: NODE, ..Entry::default() };
     upstreams.update_endpoints(true, &[(entry, node.local_addr().ok())]);
     assert_eq!(attempt(&upstreams, job(None)).await.status, Status::NotSent);
 }
 
-/// A client that has closed its connection, as one that waits for an answer.
-async fn client_that_left() -> (Rc<Socket>, Waiter) {
+/// Returns the socket and the waiter of a client that has closed its connection.
+async fn disconnected_client() -> (Rc<Socket>, Waiter) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
     let (stream, _) = listener.accept().await.expect("accepted");
@@ -47,7 +48,7 @@
     (socket, waiter)
 }
 
-/// Answers one request on a connection.
+/// Reads one request from a connection and answers it.
 async fn answer_one(stream: &mut TcpStream) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -57,31 +58,31 @@
     stream.write_all(answer).await.expect("written");
 }
 
-/// Guards against a connection that is closed with a client that left while it waited for one: where opening is limited the
-/// next request may have to wait for a permit.
+/// Guards against closing an idle connection that was reserved for a client that left: if the opening of
+/// connections is limited, the next request may have to wait for a permit.
 #[tokio::test(flavor = "current_thread")]
-async fn an_idle_connection_goes_back_when_the_client_that_it_was_taken_for_has_left() {
-    let serving = async {
+async fn an_idle_connection_reserved_for_a_client_that_left_returns_to_the_pool() {
+    let scenario = async {
         let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let rules = OpeningRules { per_node: 1000.0, origin: 1000.0 };
         let opening = OpenLimiter::new(rules, None, FleetPosition::new(0, 1));
-        let idle_time = LONG.as_nanos() as Nanos;
+        let idle_time = TEST_TIMEOUT.as_nanos() as Nanos;
         let (descriptors, budget) = (DescriptorBudget::new(9), Budget::new(1 << 20));
-        let upstreams = Upstreams::new(descriptors, budget, LONG, idle_time, Some(opening));
+        let upstreams = Upstreams::new(descriptors, budget, TEST_TIMEOUT, idle_time, Some(opening));
         let entry = Entry { server: NODE, state: State::Ready, ..Entry::default() };
         upstreams.update_endpoints(true, &[(entry, node.local_addr().ok())]);
-        let first = async {
+        let first_answer = async {
             let (mut stream, _) = node.accept().await.expect("a connection");
             answer_one(&mut stream).await;
             stream
         };
-        let (outcome, mut stream) = tokio::join!(attempt(&upstreams, job(None)), first);
+        let (outcome, mut stream) = tokio::join!(attempt(&upstreams, job(None)), first_answer);
         assert_eq!(outcome.status, Status::Ok);
-        let (_socket, waiter) = client_that_left().await;
-        let for_nobody = timeout(NOTICED_WITHIN, attempt(&upstreams, job(Some(waiter)))).await;
-        assert!(for_nobody.is_err(), "an attempt whose client has gone is ended by who waits for the client");
+        let (_socket, waiter) = disconnected_client().await;
+        let without_client = timeout(NO_OUTCOME_TIME, attempt(&upstreams, job(Some(waiter)))).await;
+        assert!(without_client.is_err(), "an attempt whose client has gone must wait until it is aborted");
         let (outcome, ()) = tokio::join!(attempt(&upstreams, job(None)), answer_one(&mut stream));
         assert_eq!(outcome.status, Status::Ok);
     };
-    LocalSet::new().run_until(timeout(LONG, serving)).await.expect("in time");
+    LocalSet::new().run_until(timeout(TEST_TIMEOUT, scenario)).await.expect("in time");
 }
