--- a/crates/proxy/src/background_writer.rs
+++ b/crates/proxy/src/background_writer.rs
@@ -1,41 +1,43 @@
-//! Writes what outlives a restart on a thread of its own, so that a disk that hangs holds up neither incoming updates nor the
-//! proxy. What waits for the disk does not grow: only the newest value waits, and replaces the one that waited before it. A
-//! value that could not be written is written again with exponential backoff, until it is, or a newer one takes its place.
+//! Writes state that must survive a restart from a background thread, so that a hanging disk blocks neither
+//! incoming updates nor the proxy. At most one value is queued: a newer value replaces the one that waits. A
+//! failed write is retried with exponential backoff until it succeeds or a newer value replaces it.
 
 use crate::signals;
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The pause before the first retry of a write that failed; it doubles with each further one, up to the longest.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
-const LONGEST_RETRY: Duration = Duration::from_secs(8);
+/// Backoff before the first retry of a failed write. It doubles with each further retry, up to `MAX_BACKOFF`.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff between two retries.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// What the owner and the thread share.
+/// State that the owner and the thread share.
 struct Shared<T> {
     mailbox: Mutex<Mailbox<T>>,
     changed: Condvar,
 }
 
 struct Mailbox<T> {
+    /// The value that waits to be written.
     newest: Option<T>,
     closed: bool,
 }
 
-/// What the thread does next.
+/// The thread's next step.
 enum Step<T> {
-    /// Writes this value.
+    /// Write this value.
     Write(T),
-    /// Writes the value again that could not be written.
+    /// Retry the write that failed.
     Retry,
-    /// Ends.
+    /// Stop the thread.
     End,
 }
 
 impl<T> Shared<T> {
-    /// Waits for the next step; with a pause, no longer than that.
-    fn next_step(&self, retry_pause: Option<Duration>) -> Step<T> {
-        let retry_at = retry_pause.map(|pause| Instant::now() + pause);
+    /// Waits for the next step. With a backoff, returns [`Step::Retry`] once it has elapsed.
+    fn next_step(&self, backoff: Option<Duration>) -> Step<T> {
+        let retry_at = backoff.map(|delay| Instant::now() + delay);
         let mut mailbox = self.mailbox();
         loop {
             if let Some(value) = mailbox.newest.take() {
@@ -60,21 +62,21 @@
         self.mailbox.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes one value after the other until the mailbox is closed.
+    /// Writes values until the mailbox is closed.
     fn run(&self, mut write: impl FnMut(&T) -> bool) {
-        let (mut failed, mut pause) = (None, FIRST_RETRY);
+        let (mut failed, mut backoff) = (None, INITIAL_BACKOFF);
         loop {
-            let value = match self.next_step(failed.is_some().then_some(pause)) {
+            let value = match self.next_step(failed.is_some().then_some(backoff)) {
                 Step::Write(value) => value,
                 Step::Retry => {
-                    pause = LONGEST_RETRY.min(pause * 2);
+                    backoff = MAX_BACKOFF.min(backoff * 2);
                     let Some(value) = failed.take() else { continue };
                     value
                 }
                 Step::End => return,
             };
             if write(&value) {
-                (failed, pause) = (None, FIRST_RETRY);
+                (failed, backoff) = (None, INITIAL_BACKOFF);
             } else {
                 failed = Some(value);
             }
@@ -82,24 +84,24 @@
     }
 }
 
-/// A thread that writes a file, of which it is the only writer.
+/// Writes values from a background thread, which must be the only writer of its file.
 pub struct BackgroundWriter<T>(Arc<Shared<T>>);
 
 impl<T: Send + 'static> BackgroundWriter<T> {
-    /// Starts the thread; `write` is called with one value after the other, and returns whether that one is on disk.
+    /// Starts the thread. `write` is called with each value, and returns whether it was written to disk.
     ///
     /// # Errors
-    /// If no thread can be started.
+    /// If the thread can't be started.
     pub fn start(write: impl FnMut(&T) -> bool + Send + 'static) -> io::Result<Self> {
         let mailbox = Mutex::new(Mailbox { newest: None, closed: false });
         let shared = Arc::new(Shared { mailbox, changed: Condvar::new() });
-        let of_thread = shared.clone();
+        let thread_shared = shared.clone();
         let thread = std::thread::Builder::new().name("keeping".into());
-        signals::with_signals_blocked(|| thread.spawn(move || of_thread.run(write)))?;
+        signals::with_signals_blocked(|| thread.spawn(move || thread_shared.run(write)))?;
         Ok(BackgroundWriter(shared))
     }
 
-    /// Has this value written next, in place of one that still waits.
+    /// Queues a value to be written next. It replaces a value that still waits.
     pub fn write(&self, value: T) {
         self.0.mailbox().newest = Some(value);
         self.0.changed.notify_one();
--- a/crates/proxy/src/background_writer/tests.rs
+++ b/crates/proxy/src/background_writer/tests.rs
@@ -2,45 +2,46 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn while_the_disk_hangs_only_the_newest_value_waits_and_nobody_waits_for_it() {
-    let ((begun, begins), (release, released)) = (channel(), channel());
+fn while_the_disk_hangs_writers_are_not_blocked_and_only_the_newest_value_is_queued() {
+    let ((write_sender, writes), (release_sender, releases)) = (channel(), channel());
     let writer = BackgroundWriter::start(move |value: &u64| {
-        begun.send(*value).expect("the test looks");
-        // The disk hangs until the test says otherwise.
-        released.recv().expect("the test goes on");
+        write_sender.send(*value).expect("the test receives");
+        // The write hangs until the test releases it.
+        releases.recv().expect("the test releases the write");
         true
     });
     let writer = writer.expect("started");
     writer.write(1);
-    assert_eq!(begins.recv(), Ok(1));
+    assert_eq!(writes.recv(), Ok(1));
     (2..50).for_each(|n| writer.write(n));
-    release.send(()).expect("it waits");
-    assert_eq!(begins.recv(), Ok(49));
+    release_sender.send(()).expect("the write waits");
+    assert_eq!(writes.recv(), Ok(49));
     drop(writer);
-    release.send(()).expect("it waits");
-    assert!(begins.recv().is_err(), "the thread ends, and wrote nothing else");
+    release_sender.send(()).expect("the write waits");
+    assert!(writes.recv().is_err(), "the thread ends without a further write");
 }
 
-/// Danger: after a disk that was full for a moment the next start would find what was true before that.
+/// Guards against stale state on disk: if a write failed because the disk was full and was not retried, the
+/// next start would read the old value.
 #[test]
 fn a_failed_write_is_retried_until_it_succeeds_or_a_newer_value_comes() {
-    let (begun, begins) = channel();
+    let (write_sender, writes) = channel();
     let mut failures = vec![true, true, false, true, false].into_iter();
     let writer = BackgroundWriter::start(move |value: &u64| {
-        let done = !failures.next().expect("no more than that");
-        begun.send((*value, done)).expect("the test looks");
+        let done = !failures.next().expect("no more than five writes");
+        write_sender.send((*value, done)).expect("the test receives");
         done
     });
     let writer = writer.expect("started");
     writer.write(1);
     assert_eq!(
-        [begins.recv(), begins.recv(), begins.recv()],
+        [writes.recv(), writes.recv(), writes.recv()],
         [Ok((1, false)), Ok((1, false)), Ok((1, true))]
     );
     writer.write(2);
-    assert_eq!(begins.recv(), Ok((2, false)));
+    assert_eq!(writes.recv(), Ok((2, false)));
     writer.write(3);
-    assert_eq!(begins.recv(), Ok((3, true)), "the newer one is written in its place, at once");
+    assert_eq!(writes.recv(), Ok((3, true)), "the newer value is written immediately instead");
     drop(writer);
-    assert!(begins.recv().is_err(), "the thread ends, and wrote nothing else");
+    assert!(writes.recv().is_err(), "the thread ends without a further write");
 }
--- a/crates/proxy/src/bind.rs
+++ b/crates/proxy/src/bind.rs
@@ -1,4 +1,4 @@
-//! Opens the listeners whose addresses the platform sets.
+//! Opens listeners at the addresses that the platform's variables set.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,34 +9,34 @@
 #[derive(Debug, Error)]
 #[error("{variable}: {addr}: {source}")]
 pub struct BindError {
-    /// The variable that sets the address.
+    /// The environment variable that sets the address.
     pub variable: &'static str,
-    /// The address.
+    /// The address to listen on.
     pub addr: SocketAddr,
-    /// What the system says.
+    /// The error of the system call.
     pub source: io::Error,
 }
 
-/// Listens at the address that `variable` sets; returns the listener and the address that it has got.
+/// Listens on the address that `variable` sets, and returns the listener and its bound address.
 ///
 /// # Errors
-/// If the system does not allow it.
+/// If the address can't be bound.
 pub async fn bind(variable: &'static str, addr: SocketAddr) -> Result<(TcpListener, SocketAddr), BindError> {
     let listener = TcpListener::bind(addr).await;
-    with_address(variable, addr, listener)
+    with_bound_address(variable, addr, listener)
 }
 
-/// A listener with the address that it has got, where opening it was left to the caller.
+/// Returns a listener that the caller has opened, with its bound address.
 ///
 /// # Errors
-/// If it was not opened, or has no address.
-pub fn with_address(
+/// If opening the listener failed, or its address can't be determined.
+pub fn with_bound_address(
     variable: &'static str,
     addr: SocketAddr,
     listener: io::Result<TcpListener>,
 ) -> Result<(TcpListener, SocketAddr), BindError> {
-    let failed = |source| BindError { variable, addr, source };
-    let listener = listener.map_err(failed)?;
-    let bound = listener.local_addr().map_err(failed)?;
+    let bind_error = |source| BindError { variable, addr, source };
+    let listener = listener.map_err(bind_error)?;
+    let bound = listener.local_addr().map_err(bind_error)?;
     Ok((listener, bound))
 }
--- a/crates/proxy/src/front/accept.rs
+++ b/crates/proxy/src/front/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts and admits connections, and decides which of them is closed when descriptors run out.
+//! Accepts and admits connections, and selects the connection to close when descriptors run out.
 
 use super::client::{Client, FIRST_REQUEST_SOON};
 use super::close::CloseReason;
@@ -12,17 +12,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client that reuses its connection does so within this time, mostly.
+/// Most clients that reuse a connection do so within this time.
 const REUSE_WITHIN: Duration = Duration::from_millis(40);
-/// When more than this part of the allowed connections has sent no request, there is a flood.
+/// A flood is in progress when the idle connections without a complete request exceed the connection limit
+/// divided by this.
 const FLOOD_DIVISOR: usize = 4;
-/// A connection that is closed to make room is gone within this time, or another is closed.
+/// A connection that is closed to free its descriptor must be gone within this time, or another one is
+/// closed.
 const CLOSE_WAIT: Duration = Duration::from_millis(2);
-/// After a failure for lack of descriptors or memory the next connection is accepted so much later at most.
+/// Maximum pause before the next accept after a failure for lack of descriptors or memory.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
 
 impl Server {
-    /// Accepts connections without end.
+    /// Accepts connections forever.
     pub(super) async fn accept_all(self: &Rc<Self>, listener: &TcpListener) -> Infallible {
         loop {
             let accepted = listener.accept().await;
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Admits an accepted connection, once there is a descriptor of the budget for it. After a failure it returns when the
-    /// next may be accepted.
+    /// Admits an accepted connection once the budget has a descriptor for it. After a failed accept it
+    /// returns when the next connection may be accepted.
     pub(super) async fn handle_accept(self: &Rc<Self>, accepted: io::Result<(TcpStream, SocketAddr)>) {
         match accepted {
             Ok(connection) => self.pending_connection.replace(Some(connection)),
@@ -42,9 +44,9 @@
 
     async fn accept_failed(&self, e: &io::Error) {
         match classify_accept_error(e) {
-            // It says nothing of the connections behind it.
+            // The failure concerns only this connection.
             AcceptError::Transient => tracing::info!("accept: {e}"),
-            // Without a wait accept would fail again at once, in a busy loop.
+            // Without a pause, accept would fail again immediately, in a busy loop.
             AcceptError::Shortage => {
                 tracing::warn!("accept: {e}");
                 if !self.upstreams.close_longest_idle() {
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Admits the connection that was accepted last, if it waits still, once there is a descriptor for it. The
-    /// connection outlives the task that accepted it, which is dropped when the process is told to stop.
+    /// Admits the pending connection, if there is one, once a descriptor is available. The pending connection
+    /// outlives the future that accepted it, which is dropped when the shutdown begins.
     pub(super) async fn admit(self: &Rc<Self>) {
         if self.pending_connection.borrow().is_none() {
             return;
@@ -75,8 +77,8 @@
             } else if !self.upstreams.close_longest_idle() && !self.has_client_closing() {
                 self.close_idle_client(false);
             }
-            // A client whose connection is closed may have sent a request just then, and stays until it has its answer; the next
-            // one does not wait for that.
+            // A client may have sent a request just as its connection was selected, and stays until it is
+            // answered. The pending connection does not wait for that; another one is closed.
             let _ = timeout(CLOSE_WAIT, self.descriptors.freed()).await;
         };
         let Some((stream, peer)) = self.pending_connection.take() else { return };
@@ -86,24 +88,24 @@
         }
     }
 
-    /// Whether more clients stay than may keep idle connections.
+    /// Whether more than half of the allowed connections stay open.
     fn is_crowded(&self) -> bool {
         self.remaining_clients() > self.max_clients() / 2
     }
 
-    /// Whether few connections more can be admitted.
+    /// Whether more than three quarters of the allowed connections stay open.
     pub(super) fn is_nearly_full(&self) -> bool {
         self.remaining_clients() > self.max_clients() / 4 * 3
     }
 
-    /// The connections that are not about to be closed.
+    /// Returns the number of connections that are not being closed.
     fn remaining_clients(&self) -> usize {
         self.clients.borrow().iter().filter(|c| c.closing.get().is_none()).count()
     }
 
-    /// Closes connections that had one request and are kept open, while too many stay. Clients too have only so many
-    /// connections; those that they keep open would leave them none for requests, and then none would come to take the place
-    /// of another.
+    /// Closes idle connections, as selected by [`Self::close_idle_client`], while more than half of the
+    /// allowed ones stay open. Clients have a limited number of connections, too: if they keep all of them
+    /// idle, they have none left for requests, and no new connection arrives to displace an idle one.
     pub(super) fn shed_idle_clients(&self) {
         let mut surplus = self.remaining_clients().saturating_sub(self.max_clients() / 2);
         while surplus > 0 && self.close_idle_client(true) {
@@ -111,12 +113,14 @@
         }
     }
 
-    /// Closes the idle connection that is least likely to bring a request; false if none may be closed. `spare` leaves
-    /// new connections, and in a flood all but those that had one request and are kept open.
+    /// Closes the idle connection that is least likely to send a request. Returns false if none may be
+    /// closed. `spare_new` excludes new connections and, in a flood, all but those that are idle after
+    /// exactly one request.
     ///
-    /// Silent connections of a flood push out one another, and not those with requests; but a new one that is about to send
-    /// its request does not go before those that have their answer.
-    fn close_idle_client(&self, spare: bool) -> bool {
+    /// The silent connections of a flood displace one another rather than connections with requests.
+    /// Otherwise a new connection that is about to send its request is closed only after those whose requests
+    /// have been answered.
+    fn close_idle_client(&self, spare_new: bool) -> bool {
         let clients = self.clients.borrow();
         let mut idle: Vec<_> =
             clients.iter().filter(|c| !c.has_open_request.get() && c.closing.get().is_none()).collect();
@@ -126,13 +130,13 @@
         let flood = idle.iter().filter(|c| !c.all_answered()).count() > self.max_clients() / FLOOD_DIVISOR;
         let about_to_send = |c: &Client| !c.all_answered() && !inactive(c, FIRST_REQUEST_SOON);
         let rank = |c: &Client| match c.all_answered() {
-            // Some clients send one request and keep their connection for good.
+            // Some clients send one request and keep the connection open forever.
             true if c.heads.complete.get() == 1 && inactive(c, REUSE_WITHIN) => 0,
             false if inactive(c, FIRST_REQUEST_SOON) => 1,
             answered if answered == flood => 3,
             _ => 2,
         };
-        idle.retain(|c| !spare || if flood { rank(c) == 0 } else { !about_to_send(c) });
+        idle.retain(|c| !spare_new || if flood { rank(c) == 0 } else { !about_to_send(c) });
         idle.sort_by_key(|c| (rank(c), c.inactive_since()));
         let client = idle.iter().find(|c| c.socket.has_no_input()).or(idle.first());
         client.is_some_and(|client| {
@@ -141,8 +145,8 @@
         })
     }
 
-    /// Whether a connection is about to be closed. Were another closed for each that comes before it is gone, all those that
-    /// bring requests would be.
+    /// Whether an idle connection is already being closed. If another one were closed for each new connection
+    /// that arrives in the meantime, all connections in use by clients would be closed.
     fn has_client_closing(&self) -> bool {
         let about_to_close = |c: &Rc<Client>| {
             c.closing.get().is_some() && !c.has_open_request.get() && !c.socket.is_write_blocked()
--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -1,4 +1,4 @@
-//! Gives each request of a client its one final answer.
+//! Responds to each client request with exactly one final answer.
 
 use super::headers::{strip_hop_by_hop, CORRELATION_ID};
 use super::request::Rejection;
@@ -14,12 +14,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A client that may have gone gets a presence probe, which takes this part of the request's time
+/// A presence probe of a client that may have disconnected takes at most the remaining time divided by this,
 const PRESENCE_PROBE_DIVISOR: u64 = 20;
-/// and no longer than this.
+/// but no longer than this.
 const MAX_PRESENCE_PROBE: Duration = Duration::from_millis(20);
 
-/// Reserves a request's id while its answer is due.
+/// Reserves a request id until the request has been answered.
 struct OpenRequestId {
     server: Rc<Server>,
     id: HeaderValue,
@@ -32,7 +32,7 @@
 }
 
 impl Server {
-    /// Serves a request that came on this socket.
+    /// Serves a request that was received on `socket`.
     pub(super) async fn respond(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -55,16 +55,16 @@
                 return response;
             }
         };
-        // Nodes and the record of retries know a request by its id; a second one with the same id is somebody else's, and must
-        // not disturb the first.
+        // Nodes and the retry records identify a request by its id. A second open request with the same id
+        // comes from another client, and must not interfere with the first.
         let id = parsed.job.headers[CORRELATION_ID].clone();
         if !self.open_request_ids.borrow_mut().insert(id.clone()) {
             return reject(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
         }
         let open_id = OpenRequestId { server: self.clone(), id };
         let is_head = parsed.job.method == Method::HEAD;
-        // Nobody knows for how long a client has been gone that ended its sending before its request was read; what is sent
-        // for it now may be sent for nobody.
+        // A client that closed its sending side before its request was read may have disconnected long ago,
+        // and an attempt would then be sent for nobody.
         let probe_time =
             Duration::from_nanos(parsed.request.remaining / PRESENCE_PROBE_DIVISOR).min(MAX_PRESENCE_PROBE);
         if socket.presence(probe, probe_time).await == Presence::Gone {
@@ -84,18 +84,19 @@
     }
 }
 
-/// The response for a client that has gone: nobody reads it.
+/// Returns the response for a client that has disconnected. It is never read.
 fn client_gone() -> Response<ResponseBody> {
     text_response(StatusCode::BAD_GATEWAY, "the client has gone")
 }
 
-/// The engine's answer as a response. The answer to a HEAD tells the length of a body that does not come.
+/// Converts the engine's answer to a response. For a HEAD request, `Content-Length` states the length of the
+/// body that is not sent.
 fn to_response(answer: Answer<Reply>, is_head: bool) -> Response<ResponseBody> {
     match answer {
         Answer::Served(response) => {
             let (mut head, body) = response.into_parts();
             strip_hop_by_hop(&mut head.headers);
-            // Hyper believes a length that stands here, and the buffered body has one of its own.
+            // Hyper would use this header without a check, and a buffered body has its own length.
             if !is_head {
                 head.headers.remove(header::CONTENT_LENGTH);
             }
@@ -105,29 +106,29 @@
         Answer::Rejected(wait) => {
             let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
             if !wait.is_zero() {
-                if let Ok(advice) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
-                    response.headers_mut().insert(header::RETRY_AFTER, advice);
+                if let Ok(retry_after) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
+                    response.headers_mut().insert(header::RETRY_AFTER, retry_after);
                 }
             }
             response
         }
         Answer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed"),
         Answer::TimedOut => {
-            tracing::warn!("a request was left unanswered until its deadline");
+            tracing::warn!("request timed out: no answer from the engine by the deadline");
             text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
         }
     }
 }
 
-/// Rejects a request and closes its connection: what follows on it may be the rest of this one, and a client that sends
-/// malformed requests again and again costs less when it has to connect for each.
+/// Rejects a request and closes its connection. Further bytes on the connection may be the rest of this
+/// request, and a client that keeps sending malformed requests costs less if it has to reconnect for each.
 pub fn reject(status: StatusCode, reason: &'static str) -> Response<ResponseBody> {
     let mut response = text_response(status, reason);
     close_connection(&mut response);
     response
 }
 
-/// Has the connection closed after this response.
+/// Sets `Connection: close`, so that the connection is closed after this response.
 pub fn close_connection(response: &mut Response<ResponseBody>) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/proxy/src/front/answer/tests.rs
+++ b/crates/proxy/src/front/answer/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn advice_to_wait_reaches_the_client_as_seconds() {
-    for (wait, advice) in [(1500, Some("1.500")), (0, None)] {
+fn retry_after_is_sent_in_seconds_and_omitted_if_zero() {
+    for (wait, expected) in [(1500, Some("1.500")), (0, None)] {
         let answer = to_response(Answer::Rejected(Duration::from_millis(wait)), false);
-        let told = answer.headers().get(header::RETRY_AFTER).and_then(|v| v.to_str().ok());
-        assert_eq!((answer.status(), told), (StatusCode::SERVICE_UNAVAILABLE, advice));
+        let retry_after = answer.headers().get(header::RETRY_AFTER).and_then(|v| v.to_str().ok());
+        assert_eq!((answer.status(), retry_after), (StatusCode::SERVICE_UNAVAILABLE, expected));
     }
 }
--- a/crates/proxy/src/front/client.rs
+++ b/crates/proxy/src/front/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its state, its timeouts, and serving it with hyper.
+//! A client connection: its state, its timeouts, and how it is served with hyper.
 
 use super::answer::{close_connection, reject};
 use super::close::{CloseReason, CloseStep, ConnectionEnd, EndCause};
@@ -22,48 +22,48 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// A new connection without a complete request head is closed after this time. An honest client takes up to 2 s for a
-/// head, and a silent one must be closed within 3.
+/// A new connection is closed if its first request head is not complete within this time. Regular clients
+/// take up to 2 s for a head, and a silent connection must be closed within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2700);
-/// Within this time a new connection is expected to send its first request.
+/// A new connection is expected to send its first request within this time.
 pub const FIRST_REQUEST_SOON: Duration = Duration::from_millis(500);
-/// On a connection used before, a head that has begun must be complete within this time.
+/// On a connection that has had a request, a partial head must be completed within this time.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2700);
-/// The client must read the rest of a buffered answer within this time.
+/// A client must read the rest of a buffered answer within this time.
 const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// The client must read more of a streamed answer within this time.
+/// A client must read more of a streamed answer within this time.
 const STREAM_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection that has been without a request for so long is closed.
+/// A connection without a request for this time is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
-    /// Its socket.
+    /// The socket.
     pub socket: Rc<Socket>,
     /// The client's address.
     pub peer: SocketAddr,
-    /// What has come of its request heads.
+    /// What has been read of its request heads.
     pub heads: Rc<HeadProgress>,
-    /// Whether a request on it lacks its answer.
+    /// Whether a request is in progress.
     pub has_open_request: Cell<bool>,
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub accepted_at: Instant,
-    /// When it was accepted or last answered.
+    /// When the connection was accepted or the last answer ended.
     pub idle_since: Cell<Instant>,
-    /// Wakes its task to take the next step towards its close.
+    /// Wakes the connection's task to take the next step of the close.
     close_signal: Notify,
-    /// Why it is to be closed, if it is.
+    /// Why the connection is being closed, if it is.
     pub closing: Cell<Option<CloseReason>>,
-    /// How many requests on it have their answer.
+    /// Number of requests that have been answered.
     pub answered: Cell<u64>,
-    /// Whether the request that was read in part has been answered, with a refusal.
+    /// Whether a partially read request has been rejected.
     pub partial_head_refused: Cell<bool>,
-    /// Since the connection was to be closed, what had come on it has been read.
+    /// Whether pending input has been read since the close was requested.
     input_checked: Cell<bool>,
 }
 
 impl Client {
-    /// A connection that was just accepted; `permit` is for its descriptor.
+    /// Creates the state of a connection that was just accepted; `permit` is for its descriptor.
     pub fn new(stream: TcpStream, peer: SocketAddr, permit: DescriptorPermit) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Client {
@@ -81,23 +81,23 @@
         })
     }
 
-    /// Since when nothing has been read from it or answered on it.
+    /// When a head was last read on the connection, or an answer ended.
     pub fn inactive_since(&self) -> Instant {
         self.heads.last_bytes_at.get().map_or(self.idle_since.get(), |at| at.max(self.idle_since.get()))
     }
 
-    /// Whether it has sent a request, and each has its answer.
+    /// Whether the client has sent a request, and no partial head is pending.
     pub fn all_answered(&self) -> bool {
         self.heads.complete.get() > 0 && self.heads.partial_since.get().is_none()
     }
 
-    /// Has the connection closed after the request that it has open, if any.
+    /// Requests that the connection is closed, after the request in progress if there is one.
     pub fn request_close(&self, reason: CloseReason) {
         self.closing.set(Some(reason));
         self.close_signal.notify_one();
     }
 
-    /// Returns each time that the next step towards its close is due, with the reason for it.
+    /// Waits until the next step of the close is due, and returns the reason for the close.
     async fn close_requested(&self) -> CloseReason {
         loop {
             self.close_signal.notified().await;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Whether the client has read nothing of an answer for so long that it is not to have the rest.
+    /// Whether the client has read nothing of an answer for so long that the connection is closed.
     fn answer_unread(&self, now: Instant) -> bool {
         if self.has_open_request.get() {
             return self.socket.is_stuck(STREAM_READ_TIMEOUT);
@@ -116,12 +116,12 @@
             && now.saturating_duration_since(self.idle_since.get()) > ANSWER_READ_TIMEOUT
     }
 
-    /// Whether a part of a request head has been read behind the requests that have their answer.
+    /// Whether a part of a further request head has been read.
     fn has_partial_head(&self) -> bool {
         self.heads.partial_since.get().is_some()
     }
 
-    /// What the log tells of the connection, which is about to be dropped.
+    /// Returns the log record of the connection, which is about to be dropped.
     fn end(&self, cause: EndCause) -> ConnectionEnd {
         ConnectionEnd {
             peer: self.peer,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// The next step towards the close of the connection. The close was decided some time ago, and a request may have come
-    /// since; once it has been read it must be answered.
+    /// Returns the next step of the close. A request may have arrived since the close was requested; once it
+    /// has been read, it must be answered.
     fn next_close_step(&self) -> CloseStep {
         if self.answer_unread(Instant::now()) {
             return CloseStep::Now;
@@ -157,8 +157,8 @@
         CloseStep::Now
     }
 
-    /// Closes the connection if one of its timeouts is over. Silence, a head that does not end and an answer that
-    /// is not read would each hold a descriptor for good.
+    /// Closes the connection if one of its timeouts has expired. A silent client, a head that is never
+    /// completed and an answer that is not read would each hold a descriptor forever.
     pub fn close_if_overdue(&self, now: Instant, drain: &Drain) {
         if self.answer_unread(now) {
             return self.request_close(CloseReason::AnswerUnread);
@@ -166,21 +166,21 @@
         if self.has_open_request.get() {
             return;
         }
-        let over = |from: Instant, limit: Duration| now.saturating_duration_since(from) > limit;
+        let exceeded = |from: Instant, limit: Duration| now.saturating_duration_since(from) > limit;
         let used = self.heads.complete.get() > 0;
-        let overdue = if used {
-            self.heads.partial_since.get().is_some_and(|since| over(since, HEAD_TIMEOUT))
+        let head_overdue = if used {
+            self.heads.partial_since.get().is_some_and(|since| exceeded(since, HEAD_TIMEOUT))
         } else {
-            over(self.accepted_at, FIRST_REQUEST_TIMEOUT)
+            exceeded(self.accepted_at, FIRST_REQUEST_TIMEOUT)
         };
-        // A process that drains waits for a head that still comes, but not for one that has stopped.
-        let stopped =
-            drain.is_active() && !self.all_answered() && over(self.inactive_since(), FIRST_REQUEST_SOON);
-        let idle = (over(self.idle_since.get(), IDLE_TIMEOUT)
-            || drain.closes_idle(self.idle_since.get(), now))
+        // A draining process waits for a head that still makes progress, but not for one that has stopped.
+        let head_stopped =
+            drain.is_active() && !self.all_answered() && exceeded(self.inactive_since(), FIRST_REQUEST_SOON);
+        let idle = (exceeded(self.idle_since.get(), IDLE_TIMEOUT)
+            || drain.should_close_idle(self.idle_since.get(), now))
             && !self.has_partial_head()
             && self.socket.has_no_input();
-        let reason = match (overdue, stopped, idle) {
+        let reason = match (head_overdue, head_stopped, idle) {
             (true, ..) => CloseReason::HeadOverdue,
             (_, true, _) => CloseReason::HeadStopped,
             (.., true) => CloseReason::Idle,
@@ -194,7 +194,7 @@
 const INCOMPLETE_REQUEST_ANSWER: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// Marks a client's connection as idle again when its open request ends.
+/// Marks a client connection as idle when the request in progress ends.
 struct OpenRequest(Rc<Client>);
 
 impl Drop for OpenRequest {
@@ -206,7 +206,7 @@
 }
 
 impl Server {
-    /// Serves a connection on a task of its own until it is closed.
+    /// Spawns a task that serves a connection until it is closed.
     pub(super) fn serve_client(
         self: Rc<Self>,
         stream: TcpStream,
@@ -219,7 +219,7 @@
             let service = service_fn(|request| {
                 client.has_open_request.set(true);
                 let rejection = client.heads.rejection.take();
-                // The head's last byte came with the bytes that were read last, or before.
+                // The head's last byte arrived with the last bytes that were read, or earlier.
                 let received_at = client.heads.last_bytes_at.get().unwrap_or_else(Instant::now);
                 let (server, client) = (&self, &client);
                 let open_request = OpenRequest(client.clone());
@@ -228,11 +228,13 @@
                         Some(reason) => reject(StatusCode::BAD_REQUEST, reason),
                         None => server.respond(request, received_at, &client.socket).await,
                     };
-                    // In a crowd a connection is worth more to the next client than to the one that has its answer.
-                    let makes_room = client.heads.complete.get() == 1 && server.is_nearly_full();
-                    let closes = makes_room || server.drain.is_active() || client.closing.get().is_some();
-                    // A request read behind this one would go without its answer.
-                    if closes && !client.has_partial_head() || client.heads.unbounded_body.get() {
+                    // Close to the connection limit, a descriptor is worth more to the next client than to
+                    // one that already has its answer.
+                    let frees_descriptor = client.heads.complete.get() == 1 && server.is_nearly_full();
+                    let close_after_answer =
+                        frees_descriptor || server.drain.is_active() || client.closing.get().is_some();
+                    // Closing now would leave a partially read pipelined request without an answer.
+                    if close_after_answer && !client.has_partial_head() || client.heads.unbounded_body.get() {
                         close_connection(&mut response);
                     }
                     if response.body().is_streamed() {
@@ -242,8 +244,8 @@
                     Ok::<_, Infallible>(response)
                 }
             });
-            // By default hyper drops the request of a client that has ended its sending and still waits,
-            // and lets one connection hold some 400 KB.
+            // By default hyper drops the request of a client that has shut down its sending side and still
+            // waits for the answer, and buffers some 400 KB per connection.
             let reader = HeadReader::new(client.socket.clone(), client.heads.clone());
             let connection = http1::Builder::new()
                 .half_close(true)
@@ -251,12 +253,12 @@
                 .serve_connection(TokioIo::new(reader), service);
             let mut connection = std::pin::pin!(connection);
             let cause = loop {
-                // What has come in is read before the connection is asked to end.
+                // Pending input is read before the connection is closed.
                 tokio::select! {
                     biased;
                     served = connection.as_mut() => break EndCause::of_served(&served, client.heads.input_end.get()),
                     reason = client.close_requested() => {
-                        // Hyper waits without end for the rest of a head.
+                        // Hyper waits without a timeout for the rest of a head.
                         match client.next_close_step() {
                             CloseStep::Now => break EndCause::Closed(reason),
                             CloseStep::AfterAnswer => connection.as_mut().graceful_shutdown(),
--- a/crates/proxy/src/front/close.rs
+++ b/crates/proxy/src/front/close.rs
@@ -1,21 +1,21 @@
-//! How a client's connection ends: why, in which steps, and what the log tells of it.
+//! The end of a client connection: its cause, the steps of a close, and the log record.
 
 use super::head_reader::InputEnd;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why this side closes a connection.
+/// Why the proxy closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client does not read its answer.
     AnswerUnread,
     /// A request head was not complete in time.
     HeadOverdue,
-    /// A head has stopped while clients are asked to go elsewhere.
+    /// A request head stopped arriving during a drain.
     HeadStopped,
-    /// No request came for a while.
+    /// No request arrived within the idle timeout, or within the grace period of a drain.
     Idle,
-    /// Its descriptor is worth more to another client.
+    /// The descriptor is needed for another client.
     Displaced,
 }
 
@@ -31,36 +31,36 @@
     }
 }
 
-/// How a connection that is to be closed goes on.
+/// The next step of a close.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseStep {
-    /// It is closed at once: no answer is due on it.
+    /// Close immediately: no answer is due.
     Now,
-    /// It is closed with the answer that is due.
+    /// Close after the answer that is due.
     AfterAnswer,
-    /// It is closed with the answer to the request that has been read in part behind the one whose answer is due.
+    /// Close after the answer to the partially read request that follows the one in progress.
     AfterNextAnswer,
-    /// Decided again once the runtime has read what has come.
+    /// Decide again after pending input has been read.
     CheckInput,
 }
 
 /// What ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndCause {
-    /// The client ended it.
+    /// The client closed it.
     Client,
-    /// The socket failed, as it does when the client resets the connection.
+    /// The socket failed, for example because the client reset the connection.
     SocketFailure,
-    /// The last answer announced it.
+    /// The last answer announced the close.
     LastAnswer,
-    /// A head that can't be parsed, which hyper answers with an error.
+    /// A head could not be parsed; hyper responded with an error.
     MalformedHead,
-    /// This side closed it.
+    /// The proxy closed it.
     Closed(CloseReason),
 }
 
 impl EndCause {
-    /// Why hyper ended a connection whose input had ended so, if it had.
+    /// Returns why hyper stopped serving a connection. `input_end` is how its input ended, if it did.
     pub fn of_served(served: &hyper::Result<()>, input_end: Option<InputEnd>) -> Self {
         match (served, input_end) {
             (Err(error), _) if error.is_parse() => EndCause::MalformedHead,
@@ -83,26 +83,26 @@
     }
 }
 
-/// A connection in the moment of its end. `requests` above `answered`, or `partial_bytes` without a refusal on a connection
-/// that this side ended, is a request that was read and is lost; `unread_bytes` were left in the kernel, which resets the
-/// connection.
+/// The log record of a connection that ends. A request was read and lost if `requests` exceeds `answered`, or
+/// if the proxy closed the connection with `partial_bytes` and without a refusal. If `unread_bytes` remain in
+/// the kernel, it resets the connection.
 #[derive(Debug)]
 pub struct ConnectionEnd {
     /// The client's address.
     pub peer: SocketAddr,
-    /// What ended it.
+    /// What ended the connection.
     pub cause: EndCause,
-    /// Why it was about to be closed, if it was.
+    /// Why the proxy was closing the connection, if it was.
     pub close_reason: Option<CloseReason>,
-    /// How many requests were read as a whole.
+    /// Number of requests that were read.
     pub requests: u64,
-    /// How many of them were answered.
+    /// Number of requests that were answered.
     pub answered: u64,
-    /// How many bytes of a further request were read.
+    /// Number of bytes of a further, partial request that were read.
     pub partial_bytes: usize,
-    /// Whether that one was answered with a refusal.
+    /// Whether the partial request was rejected.
     pub refused: bool,
-    /// How many bytes had come and were not read.
+    /// Number of received bytes that were not read.
     pub unread_bytes: usize,
 }
 
--- a/crates/proxy/src/front/head_reader.rs
+++ b/crates/proxy/src/front/head_reader.rs
@@ -1,4 +1,5 @@
-//! Passes a client's bytes to hyper one request at a time, and checks each request head before hyper reads it.
+//! Passes the bytes of a client to hyper one request at a time, and checks each request head before hyper
+//! reads it.
 
 use crate::socket::{Io, Socket};
 use crate::MAX_READ_BUFFER_BYTES;
@@ -10,60 +11,61 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// As many headers as hyper takes.
+/// Maximum number of headers, the same as hyper's.
 const MAX_HEADERS: usize = 100;
-/// Bytes read at a time while a head is due.
+/// Number of bytes per read while a head is expected.
 const READ_SIZE: usize = 4096;
-/// All that is still to come may be forwarded.
+/// Value of `HeadReader::forwardable` when all further input may be forwarded.
 const UNLIMITED: u64 = u64::MAX;
 
-/// How a client's sending ended.
+/// How the input from a client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InputEnd {
-    /// The client ended it in order.
+    /// The client closed its sending side.
     Closed,
-    /// The socket failed, as it does when the client resets the connection.
+    /// The socket failed, for example because the client reset the connection.
     Failed,
 }
 
-/// What has come of a connection's request heads.
+/// What has been read of the request heads on a connection.
 #[derive(Default)]
 pub struct HeadProgress {
-    /// When the first byte of a head came that is incomplete; none: there is no such head.
+    /// When the first byte of the partial head was read; `None` if there is no partial head.
     pub partial_since: Cell<Option<Instant>>,
-    /// When bytes of a head last came.
+    /// When bytes of a head were last read.
     pub last_bytes_at: Cell<Option<Instant>>,
-    /// How many bytes have been read of it.
+    /// Number of bytes of the partial head that have been read.
     pub partial_bytes: Cell<usize>,
-    /// How many complete heads have come.
+    /// Number of complete heads that have been read.
     pub complete: Cell<u64>,
-    /// Why the last of them must be rejected.
+    /// Why the last complete head must be rejected, if it must.
     pub rejection: Cell<Option<&'static str>>,
-    /// Its body has no length in the head, so nothing behind it is read as a head.
+    /// Whether the last complete head states no length for its body, so that no further input is parsed as a
+    /// head.
     pub unbounded_body: Cell<bool>,
-    /// How the client's sending ended, once that has been read.
+    /// How the input ended, once the end has been read.
     pub input_end: Cell<Option<InputEnd>>,
 }
 
-/// Hyper's end of a client's connection.
+/// The stream of a client connection that hyper reads and writes.
 pub struct HeadReader {
     io: Io,
     heads: Rc<HeadProgress>,
-    /// Read and not yet passed on.
+    /// Bytes that were read and not yet forwarded to hyper.
     buffer: Vec<u8>,
-    /// So many bytes may be passed on: what is left of a head that was checked and of its body.
+    /// Number of bytes that may be forwarded: the rest of a checked head and its body.
     forwardable: u64,
 }
 
 impl HeadReader {
-    /// Reads from `socket` and notes in `heads` what has come.
+    /// Creates a reader for `socket` that records the progress in `heads`.
     pub fn new(socket: Rc<Socket>, heads: Rc<HeadProgress>) -> Self {
         HeadReader { io: Io(socket), heads, buffer: Vec::new(), forwardable: 0 }
     }
 
-    /// Reads into `part`, and notes when nothing more will come.
-    fn poll_input(&self, cx: &mut Context<'_>, part: &mut [u8]) -> Poll<io::Result<usize>> {
-        let read = ready!(self.io.poll_fill(cx, part));
+    /// Reads into `buf`, and records the end of the input.
+    fn poll_input(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+        let read = ready!(self.io.poll_fill(cx, buf));
         match read {
             Ok(0) => self.heads.input_end.set(Some(InputEnd::Closed)),
             Err(_) => self.heads.input_end.set(Some(InputEnd::Failed)),
@@ -72,8 +74,8 @@
         Poll::Ready(read)
     }
 
-    /// How many bytes may be passed on, once the head in the buffer is complete or can never be; hyper says what is wrong
-    /// with it then.
+    /// Returns the number of bytes that may be forwarded, or `None` while the head in the buffer is
+    /// incomplete. A head that is malformed or too long is forwarded, so that hyper responds with the error.
     fn check_head(&self) -> Option<u64> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -82,18 +84,18 @@
             Ok(httparse::Status::Partial) if self.buffer.len() < MAX_READ_BUFFER_BYTES => return None,
             _ => return Some(UNLIMITED),
         };
-        let named = |name: &'static str| {
-            let of_name = move |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case(name);
-            request.headers.iter().filter(of_name).map(|h| h.value)
+        let header_values = |name: &'static str| {
+            let has_name = move |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case(name);
+            request.headers.iter().filter(has_name).map(|h| h.value)
         };
-        let content_length = named("content-length").next();
-        let chunked = named("transfer-encoding").next().is_some();
+        let content_length = header_values("content-length").next();
+        let chunked = header_values("transfer-encoding").next().is_some();
         let has_fragment = request.path.is_some_and(|path| path.contains('#'));
         let rejection = match (content_length, chunked) {
-            // A proxy and a node that each believe another of the two see other requests in the same
-            // bytes. Hyper takes the one out and shows nothing of it.
+            // Request smuggling: a proxy and a node that each rely on a different one of the two headers see
+            // different requests in the same bytes. Hyper removes one of them silently.
             (Some(_), true) => Some("both Content-Length and Transfer-Encoding"),
-            // Hyper drops this part, so that another path would go on.
+            // Hyper drops the fragment, so that a different path would be forwarded.
             _ if has_fragment => Some("bad path"),
             _ => None,
         };
@@ -115,48 +117,48 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let me = &mut *self;
-        while me.forwardable == 0 {
-            if !me.buffer.is_empty() {
-                if let Some(bytes) = me.check_head() {
-                    me.forwardable = bytes;
+        let this = &mut *self;
+        while this.forwardable == 0 {
+            if !this.buffer.is_empty() {
+                if let Some(bytes) = this.check_head() {
+                    this.forwardable = bytes;
                     break;
                 }
             }
             let mut chunk = [0; READ_SIZE];
-            match ready!(me.poll_input(cx, &mut chunk))? {
-                0 => me.forwardable = UNLIMITED,
+            match ready!(this.poll_input(cx, &mut chunk))? {
+                0 => this.forwardable = UNLIMITED,
                 n => {
                     let now = Some(Instant::now());
-                    if me.buffer.is_empty() {
-                        me.heads.partial_since.set(now);
+                    if this.buffer.is_empty() {
+                        this.heads.partial_since.set(now);
                     }
-                    me.heads.last_bytes_at.set(now);
-                    me.buffer.extend_from_slice(&chunk[..n]);
-                    me.heads.partial_bytes.set(me.buffer.len());
+                    this.heads.last_bytes_at.set(now);
+                    this.buffer.extend_from_slice(&chunk[..n]);
+                    this.heads.partial_bytes.set(this.buffer.len());
                 }
             }
         }
-        let limit = buf.remaining().min(usize::try_from(me.forwardable).unwrap_or(usize::MAX));
-        let n = if me.buffer.is_empty() {
-            let n = ready!(me.poll_input(cx, buf.initialize_unfilled_to(limit)))?;
+        let limit = buf.remaining().min(usize::try_from(this.forwardable).unwrap_or(usize::MAX));
+        let n = if this.buffer.is_empty() {
+            let n = ready!(this.poll_input(cx, buf.initialize_unfilled_to(limit)))?;
             buf.advance(n);
             n
         } else {
-            let n = limit.min(me.buffer.len());
-            buf.put_slice(&me.buffer[..n]);
-            me.buffer.drain(..n);
-            if me.buffer.is_empty() {
-                // An idle connection holds nothing.
-                me.buffer = Vec::new();
-            } else if me.forwardable == n as u64 {
-                me.heads.partial_since.set(Some(Instant::now()));
-                me.heads.partial_bytes.set(me.buffer.len());
+            let n = limit.min(this.buffer.len());
+            buf.put_slice(&this.buffer[..n]);
+            this.buffer.drain(..n);
+            if this.buffer.is_empty() {
+                // An idle connection must not hold memory.
+                this.buffer = Vec::new();
+            } else if this.forwardable == n as u64 {
+                this.heads.partial_since.set(Some(Instant::now()));
+                this.heads.partial_bytes.set(this.buffer.len());
             }
             n
         };
-        if me.forwardable != UNLIMITED {
-            me.forwardable -= n as u64;
+        if this.forwardable != UNLIMITED {
+            this.forwardable -= n as u64;
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/proxy/src/front/headers.rs
+++ b/crates/proxy/src/front/headers.rs
@@ -1,11 +1,11 @@
-//! Headers that the proxy reads itself or does not forward.
+//! Headers that the proxy reads or does not forward.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// The id of a request, which the client chooses.
+/// The request id, chosen by the client.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
-/// Headers that belong to one connection and are not forwarded.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -17,7 +17,7 @@
     header::EXPECT,
 ];
 
-/// Removes the headers that belong to one connection: the usual ones, and those that `Connection` names.
+/// Removes the hop-by-hop headers: the standard ones, and those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -1,10 +1,11 @@
-//! The clients' side of the proxy: its listener, the connections on it, and their requests.
+//! The client side of the proxy: the listener, its connections, and their requests.
 //!
-//! - `startup` builds the parts, and `tasks` runs beside them;
-//! - `accept` admits connections and decides which one is closed when descriptors run out;
-//! - `client` is one connection, whose request heads `head_reader` checks before hyper reads them, and `close` is its end;
-//! - `request` parses a request and `answer` gives it its one final answer;
-//! - `resources` are the process's limits, and `shutdown` is the graceful shutdown.
+//! - `startup` builds the components, and `tasks` runs the background tasks;
+//! - `accept` admits connections and selects the one to close when descriptors run out;
+//! - `client` serves a connection, `head_reader` checks its request heads before hyper reads them, and `close`
+//!   describes its end;
+//! - `request` parses a request, and `answer` responds to it;
+//! - `resources` has the limits of the process, and `shutdown` the graceful shutdown.
 
 mod accept;
 mod answer;
@@ -52,20 +53,21 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, Instant};
 
-/// Idle clients' connections beyond their part are closed so often.
+/// Interval of closing surplus idle client connections.
 const SHED_IDLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Overdue clients, the operators' orders and the other processes are looked for so often.
+/// Interval of the checks for overdue clients, operators' orders and other processes of this proxy.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Idle connections to cache nodes that are too old are closed so often.
+/// Interval of closing connections to cache nodes that have been idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// A process that takes over admits clients once it has the list from discovery, or without it after this time.
+/// A process that takes over accepts clients once it has the endpoint list from discovery, or after this time
+/// without it.
 const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often it looks whether it has it.
+/// Interval of the checks whether the endpoint list has been received.
 const ENDPOINT_LIST_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// A process that stops claims so many descriptors beyond those that it uses.
+/// Number of descriptors that a process claims during shutdown beyond those in use.
 const SPARE_DESCRIPTORS: usize = 4;
 
-/// What all connections of clients share.
+/// State shared by all client connections.
 struct Server {
     engine: Rc<Engine>,
     upstreams: Rc<Upstreams>,
@@ -74,68 +76,69 @@
     settings: api::Settings,
     names: Rc<Names>,
     drain: Rc<Drain>,
-    /// How many processes of this proxy live beside this one.
+    /// Number of other running processes of this proxy.
     other_processes: Cell<usize>,
     clients: RefCell<Vec<Rc<Client>>>,
-    /// A connection that was accepted, and waits for a descriptor of the budget.
+    /// An accepted connection that waits for a descriptor of the budget.
     pending_connection: RefCell<Option<(TcpStream, SocketAddr)>>,
-    /// The ids of all requests that lack their answer. Their hash is keyed, since clients choose them.
+    /// The ids of all requests in progress. The hash must be keyed, since clients choose the ids.
     open_request_ids: RefCell<HashSet<HeaderValue>>,
     client_closed: Notify,
-    /// When a process that was told to stop may be killed with whatever it has not answered.
+    /// During shutdown, the time by which requests must be answered, since the process may be killed after
+    /// it.
     kill_deadline: Cell<Option<Instant>>,
 }
 
-/// What the operator sets beyond the platform's settings.
+/// Options beyond the platform's configuration.
 pub struct FrontOptions {
-    /// How requests are served.
+    /// Options of the engine.
     pub engine: EngineOptions,
-    /// What the admin endpoint shows.
+    /// Options of the admin endpoint.
     pub admin: AdminOptions,
-    /// What else is to be done at certain moments.
+    /// Callbacks of the caller.
     pub hooks: Hooks,
-    /// Logs the phases of the start.
+    /// Logs the startup phases.
     pub start_timer: StartTimer,
 }
 
-/// How requests are served.
+/// Options of the engine and its connections.
 pub struct EngineOptions {
     /// The engine's configuration.
     pub plan: Arc<EngineConfig>,
-    /// The poll schedule, status and cache of the endpoint list, where the operator's file has a section for it.
+    /// The poll schedule, status and cache of the endpoint list, if the operator's file has a section for it.
     pub polling: Option<ListPolling>,
-    /// Permits to open connections, where that is limited.
+    /// Permits to open connections, if opening is rate-limited.
     pub opening: Option<OpenLimiter>,
-    /// Memory that is no connection's beside what every proxy keeps, in bytes.
+    /// Memory that is not available to connections, beyond the base memory of every proxy, in bytes.
     pub reserved_memory: usize,
 }
 
-/// What the admin endpoint shows.
+/// What the admin endpoint reports.
 pub struct AdminOptions {
-    /// The program, its configuration and its version; it changes with versions from a control service.
+    /// The versions of the program and the configuration; updated with each version from a control service.
     pub version_info: Rc<RefCell<serde_json::Value>>,
-    /// The status of the endpoint list, where the operator's file has a section for it.
+    /// The status of the endpoint list, if the operator's file has a section for it.
     pub list_status: Option<Rc<ListStatus>>,
 }
 
-/// Called once the engine runs, with the address where clients are accepted.
+/// Callback for when the engine runs, with the address of the client listener.
 pub type StartedHook = Box<dyn FnOnce(Rc<Engine>, SocketAddr) -> Result<(), StartError>>;
 
-/// What else is to be done at certain moments.
+/// Callbacks of the caller.
 pub struct Hooks {
     /// Called once the engine runs.
     pub started: StartedHook,
     /// Called once a second.
     pub each_second: Box<dyn Fn()>,
-    /// Called when the platform's file is to be read again.
+    /// Called on SIGHUP, after the platform's file has been reread.
     pub reload: Box<dyn Fn()>,
 }
 
-/// Serves until `stop`, then drains; follows another discovery when the file names one at a `hangup`. Returns by when the
-/// process has to have ended.
+/// Serves until `stop` completes, then drains. At each `hangup`, rereads the platform's file and switches to
+/// the discovery service that it names. Returns the time by which the process must have exited.
 ///
 /// # Errors
-/// If the proxy can't start to serve.
+/// If the proxy can't start.
 pub async fn run(
     config: Config,
     options: FrontOptions,
@@ -162,7 +165,7 @@
     server.start_housekeeping(hooks.each_second);
 
     if mgmt.is_some() && state_dir.is_none() {
-        tracing::warn!("TMPDIR is not set: what operators order ends with this process");
+        tracing::warn!("TMPDIR is not set: operators' orders will be lost when this process exits");
     }
     let store = OrderStore::open(state_dir);
     let AdminOptions { version_info, list_status } = admin_options;
@@ -170,17 +173,18 @@
     if let Some(mgmt) = mgmt {
         open_admin_endpoint(mgmt, &control).await?;
     }
-    let (orders, sharing) = (control.clone(), server.clone());
+    let (orders, limited_server) = (control.clone(), server.clone());
     every(CHECK_INTERVAL, move || {
         orders.apply_stored_orders();
-        sharing.adjust_limits(&limits, &peers);
+        limited_server.adjust_limits(&limits, &peers);
     });
     tokio::select! {
         biased;
         () = stop => {}
         never = async {
             if handed_over {
-                // A connection accepted before it can be served would be lost to the process that can serve it.
+                // A connection that is accepted too early can no longer be accepted by the old process, which
+                // can serve it.
                 server.wait_for_endpoint_list().await;
             }
             control.serving.set(true);
@@ -192,16 +196,16 @@
 
 async fn open_admin_endpoint(addr: SocketAddr, control: &Rc<Control>) -> Result<(), StartError> {
     let control = control.clone();
-    let act = move |call| {
+    let handler = move |call| {
         let control = control.clone();
         async move { control.handle_call(call).await }
     };
-    admin::open(addr, act).await?;
+    admin::open(addr, handler).await?;
     Ok(())
 }
 
 impl Server {
-    /// Starts the tasks that close connections which are too old, overdue or idle in a crowd.
+    /// Starts the tasks that close expired, overdue and surplus idle connections.
     fn start_housekeeping(self: &Rc<Self>, each_second: Box<dyn Fn()>) {
         let upstreams = self.upstreams.clone();
         every(SWEEP_INTERVAL, move || {
@@ -217,30 +221,35 @@
         every(SHED_IDLE_INTERVAL, move || server.shed_idle_clients());
     }
 
-    /// Clients get half of the descriptors, so that as many are left for the connections over which they are answered.
+    /// Returns the maximum number of client connections: half of the descriptors, so that as many are left
+    /// for connections to cache nodes.
     fn max_clients(&self) -> usize {
         self.descriptors.limit() / 2
     }
 
-    /// Takes no more descriptors than the other processes of this proxy leave; one that stops takes ever fewer.
+    /// Limits descriptors and memory to what the other processes of this proxy leave. During shutdown the
+    /// claim shrinks with the descriptors in use.
     fn adjust_limits(&self, limits: &ResourceLimits, peers: &Peers) {
-        let others = peers.other_claims();
-        let mut connections = limits.max_connections(&others);
-        if self.drain.is_shutting_down() && !others.is_empty() {
+        let other_claims = peers.other_claims();
+        let mut connections = limits.max_connections(&other_claims);
+        if self.drain.is_shutting_down() && !other_claims.is_empty() {
             connections = connections.min(self.descriptors.used() + SPARE_DESCRIPTORS);
             limits.claim(peers, connections);
         }
-        self.budget.set_limit(limits.max_buffered_bytes(&others));
+        self.budget.set_limit(limits.max_buffered_bytes(&other_claims));
         if connections != self.descriptors.limit() {
             self.descriptors.set_limit(connections);
         }
-        if self.other_processes.replace(others.len()) != others.len() {
-            tracing::info!("{} other processes live: {connections} connections at most", others.len());
+        if self.other_processes.replace(other_claims.len()) != other_claims.len() {
+            tracing::info!(
+                "{} other processes of this proxy are running: limit is {connections} connections",
+                other_claims.len()
+            );
         }
         while self.descriptors.used() > connections && self.upstreams.close_longest_idle() {}
     }
 
-    /// Waits until this process can serve as well as the one that it takes over from.
+    /// Waits until the engine can serve and the endpoint list has been received, or its timeout has expired.
     async fn wait_for_endpoint_list(&self) {
         let start = Instant::now();
         while !(self.engine.can_serve()
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -1,4 +1,4 @@
-//! Parses a client's request for the engine, or says why it is rejected.
+//! Parses a client request for the engine, or rejects it.
 
 use super::headers::{strip_hop_by_hop, CORRELATION_ID};
 use super::Server;
@@ -16,20 +16,20 @@
 use tokio::time::Instant;
 
 const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
-const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
+const RETRY_MARK: HeaderName = HeaderName::from_static("x-repeat");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// An id is at most this long, in bytes.
+/// Maximum length of a request id, in bytes.
 const MAX_ID_BYTES: usize = 128;
-/// A client may not give a request more time than this, in seconds.
+/// Maximum value of the time-left header, in seconds. Larger values count as this.
 const MAX_TIME_LEFT: f64 = 3600.0;
 
-/// Why a request is rejected before the engine sees it.
+/// The rejection of a request before it reaches the engine.
 #[derive(Debug, Error)]
 #[error("{status}: {reason}")]
 pub struct Rejection {
     /// The status of the response.
     pub status: StatusCode,
-    /// The text of the response.
+    /// The body of the response.
     pub reason: &'static str,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What the head of a request says, once it has been checked.
+/// The checked head of a request.
 struct CheckedHead {
     class: usize,
     write: bool,
@@ -63,8 +63,8 @@
 }
 
 impl Server {
-    /// Parses a request whose head was received at a time and reads its body, or says why it is rejected. Its time counts
-    /// from its last byte.
+    /// Parses a request whose head was received at `received_at`, and reads its body. The time left counts
+    /// from the last byte of the request.
     pub(super) async fn parse_request(
         &self,
         request: Request<Incoming>,
@@ -81,7 +81,7 @@
         let uri = path.parse().map_err(|_| Rejection::bad_request("bad path"))?;
         let mut headers = head.headers;
         strip_hop_by_hop(&mut headers);
-        // The body is forwarded with the length that it has.
+        // The forwarded request gets the actual length of the body.
         headers.remove(header::CONTENT_LENGTH);
         let job = Job { method: head.method, uri, headers, body, waiter: None };
         Ok(IncomingRequest { request, job, received_at: received_at.into_std() })
@@ -98,19 +98,19 @@
             _ => return Err(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "only GET, HEAD and PUT")),
         };
         let settings = &self.settings.classes[class];
-        let time_left = match single(head, &TIME_LEFT, "more than one X-Time-Left")? {
+        let time_left = match single_value(head, &TIME_LEFT, "more than one X-Time-Left")? {
             None => settings.deadline,
-            // A request may not have its state kept for longer than its class allows.
+            // The class's deadline limits how long the state of a request is kept.
             Some(value) => {
                 let time_left = parse_time_left(value).ok_or(Rejection::bad_request("bad X-Time-Left"))?;
                 time_left.min(settings.deadline)
             }
         };
-        let id = single(head, &CORRELATION_ID, "more than one X-Correlation-Id")?;
-        if !id.is_some_and(well_formed) {
+        let id = single_value(head, &CORRELATION_ID, "more than one X-Correlation-Id")?;
+        if !id.is_some_and(is_valid_id) {
             return Err(Rejection::bad_request("no X-Correlation-Id, or a bad one"));
         }
-        let idempotency_key = single(head, &IDEMPOTENCY_KEY, "more than one Idempotency-Key")?;
+        let idempotency_key = single_value(head, &IDEMPOTENCY_KEY, "more than one Idempotency-Key")?;
         if write
             && settings.idempotency == Idempotency::WithKey
             && idempotency_key.is_none_or(HeaderValue::is_empty)
@@ -120,12 +120,12 @@
         Ok(CheckedHead { class, write, time_left })
     }
 
-    /// The request in the engine's terms, once its body has come.
+    /// Returns the request for the engine. Called once the body has been read.
     fn engine_request(&self, head: &Parts, checked: &CheckedHead, received_at: Instant) -> api::Request {
         let account = head.headers.get(ACCOUNT).and_then(|account| account.to_str().ok());
         let tenant = account.and_then(|account| self.names.tenants.iter().position(|name| name == account));
         let key = path_segments(head).skip(1).last().filter(|key| !key.is_empty());
-        let until_kill =
+        let time_until_kill =
             self.kill_deadline.get().map(|deadline| nanos(deadline.saturating_duration_since(received_at)));
         api::Request {
             id: 0,
@@ -133,21 +133,21 @@
             tenant: tenant.map(|tenant| tenant as u32),
             pool: None,
             key: key.map(parse_key),
-            remaining: until_kill.map_or(checked.time_left, |until| until.min(checked.time_left)),
+            remaining: time_until_kill.map_or(checked.time_left, |limit| limit.min(checked.time_left)),
             write: checked.write,
-            retry: head.headers.get(REPEAT).is_some_and(|value| value == "1"),
+            retry: head.headers.get(RETRY_MARK).is_some_and(|value| value == "1"),
         }
     }
 }
 
-/// The segments of the path: the class first, the key last.
+/// Returns the segments of the path. The first is the class, the last is the key.
 fn path_segments(head: &Parts) -> impl Iterator<Item = &str> {
     let path = head.uri.path();
     path.strip_prefix('/').unwrap_or("").split('/')
 }
 
-/// The value of a header that may come once only.
-fn single<'a>(
+/// Returns the value of a header, and rejects the request if the header occurs more than once.
+fn single_value<'a>(
     head: &'a Parts,
     name: &HeaderName,
     reason: &'static str,
@@ -160,20 +160,22 @@
     }
 }
 
-/// An id is printable and has no blanks: anything else may be read otherwise by who it is forwarded to.
-fn well_formed(id: &HeaderValue) -> bool {
+/// Whether a request id has a valid length and only printable characters without blanks. Other characters may
+/// be interpreted differently by the receivers of the forwarded request.
+fn is_valid_id(id: &HeaderValue) -> bool {
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic)
 }
 
-/// Seconds with decimals, as nanoseconds.
+/// Parses decimal seconds to nanoseconds.
 fn parse_time_left(value: &HeaderValue) -> Option<Nanos> {
     let text = value.to_str().ok()?.trim();
-    let decimal = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let seconds: f64 = text.parse().ok().filter(|_| decimal)?;
+    let is_decimal = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let seconds: f64 = text.parse().ok().filter(|_| is_decimal)?;
     Some((seconds.min(MAX_TIME_LEFT) * 1e9) as Nanos)
 }
 
-/// A key as a number: hex as on the simulator's wire, anything else hashed.
+/// Returns the number of a key: 16 hexadecimal digits are parsed as the simulator does, anything else is
+/// hashed.
 fn parse_key(text: &str) -> u64 {
     let hex = (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok());
     hex.flatten().unwrap_or_else(|| api::server_id(text))
--- a/crates/proxy/src/front/shutdown.rs
+++ b/crates/proxy/src/front/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown of a process that was told to stop.
+//! Graceful shutdown after SIGTERM or SIGINT.
 
 use super::Server;
 use crate::drain;
@@ -7,51 +7,56 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// New connections come for some time after SIGTERM: they are accepted for at least this time,
-const MIN_ACCEPT: Duration = drain::GRACE_PERIOD;
-/// until none has come for this time,
-const QUIET_ACCEPT: Duration = Duration::from_millis(100);
-/// and no longer than this.
-const MAX_ACCEPT: Duration = Duration::from_millis(600);
-/// A proxy may be killed 0.7 s after the longest deadline after SIGTERM; so long after it the last clients are given up.
+/// New connections still arrive for some time after SIGTERM. They are accepted for at least this time,
+const MIN_ACCEPT_TIME: Duration = drain::GRACE_PERIOD;
+/// then until none has arrived for this time,
+const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(100);
+/// but no longer than this after SIGTERM.
+const MAX_ACCEPT_TIME: Duration = Duration::from_millis(600);
+/// The platform may kill a proxy once the longest deadline and 0.7 s have passed since SIGTERM. The remaining
+/// clients are disconnected this long after that deadline.
 const EXIT_MARGIN: Duration = Duration::from_millis(600);
-/// The log has so long, after the last client was given up, to write its last lines: a little less than until the kill.
+/// Time to write the last log lines after the remaining clients were disconnected; a little less than until
+/// the kill.
 const LOG_MARGIN: Duration = Duration::from_millis(50);
-/// What comes after SIGTERM is answered so long after the longest deadline at the latest: a process that is held up for 0.15 s
-/// before it writes is still in time.
+/// A request that arrives after SIGTERM is answered at most this long after the longest deadline, so that a
+/// process that stalls for 0.15 s before the write still answers before it may be killed.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
-/// A deadline that is longer counts as this then.
+/// The platform counts a longer deadline as this when it computes the kill time.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 
 impl Server {
-    /// Answers what comes and has clients close their connections, closes idle ones, and waits for the rest.
-    /// From a socket that was handed over nothing more is accepted: what waits there is for the successor.
-    /// Returns by when the process has to have ended.
+    /// Answers further requests with `Connection: close`, closes idle connections, and waits for the
+    /// remaining ones. On a socket that was handed over it accepts no more connections; queued ones are left
+    /// to the successor. Returns the time by which the process must have exited.
     pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener, handed_over: bool) -> Instant {
         tracing::info!("draining");
         self.drain.begin_shutdown();
         let start = Instant::now();
-        let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let longest = Duration::from_nanos(longest);
-        // A request that comes now on a connection that is still open may have a deadline beyond this process's
-        // own end; one that came before may keep it, since what is unanswered at the end is not held against it.
-        self.kill_deadline.set(Some(start + longest.min(MAX_DEADLINE) + ANSWER_MARGIN));
-        let mut until = start + MIN_ACCEPT;
+        let longest_deadline = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest_deadline = Duration::from_nanos(longest_deadline);
+        // A request that arrives from now on may have a deadline after this process must have exited, and is
+        // shortened. Earlier ones keep their deadlines: requests left unanswered at the exit don't count as
+        // errors.
+        self.kill_deadline.set(Some(start + longest_deadline.min(MAX_DEADLINE) + ANSWER_MARGIN));
+        let mut accept_until = start + MIN_ACCEPT_TIME;
         self.admit().await;
         if !handed_over {
-            while let Ok(accepted) = timeout_at(until.min(start + MAX_ACCEPT), listener.accept()).await {
+            while let Ok(accepted) =
+                timeout_at(accept_until.min(start + MAX_ACCEPT_TIME), listener.accept()).await
+            {
                 self.handle_accept(accepted).await;
-                until = until.max(Instant::now() + QUIET_ACCEPT);
+                accept_until = accept_until.max(Instant::now() + ACCEPT_QUIET_TIME);
             }
         }
         drop(listener);
-        let end = start + longest + EXIT_MARGIN;
-        let exit_by = start + time_to_exit(longest);
+        let disconnect_at = start + longest_deadline + EXIT_MARGIN;
+        let exit_by = start + max_shutdown_time(longest_deadline);
         while !self.clients.borrow().is_empty() {
             tokio::select! {
                 () = self.client_closed.notified() => {}
-                () = sleep_until(end) => {
-                    tracing::warn!("ended with clients still connected");
+                () = sleep_until(disconnect_at) => {
+                    tracing::warn!("shutdown: time limit reached with clients still connected");
                     break;
                 }
             }
@@ -60,8 +65,8 @@
     }
 }
 
-/// How long after SIGTERM a process has to have ended, with this longest deadline.
-fn time_to_exit(longest_deadline: Duration) -> Duration {
+/// Returns the time from SIGTERM by which a process must have exited, for this longest deadline.
+fn max_shutdown_time(longest_deadline: Duration) -> Duration {
     longest_deadline.min(MAX_DEADLINE) + EXIT_MARGIN + LOG_MARGIN
 }
 
--- a/crates/proxy/src/front/shutdown/tests.rs
+++ b/crates/proxy/src/front/shutdown/tests.rs
@@ -1,16 +1,22 @@
 use super::*;
 
-/// The platform kills a process this long after SIGTERM and the longest deadline,
+/// The platform kills a process once the longest deadline and this time have passed since SIGTERM.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// and counts a deadline that is longer as this.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
+/// The platform counts a longer deadline as this.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Guards against an end that still waits for the log when the process is killed.
+/// Guards against a shutdown that still waits for the log when the platform kills the process.
 #[test]
-fn a_process_has_to_have_ended_before_it_may_be_killed_whatever_its_deadlines() {
+fn the_process_exits_after_the_last_answer_and_before_the_kill_for_every_deadline() {
     for milliseconds in [0, 200, 2_999, 3_000, 3_001, 5_000, 60_000] {
         let deadline = Duration::from_millis(milliseconds);
-        assert!(time_to_exit(deadline) < deadline.min(LONGEST_COUNTED) + KILL_MARGIN, "{deadline:?}");
-        assert!(time_to_exit(deadline) > deadline.min(LONGEST_COUNTED) + ANSWER_MARGIN, "{deadline:?}");
+        assert!(
+            max_shutdown_time(deadline) < deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN,
+            "{deadline:?}"
+        );
+        assert!(
+            max_shutdown_time(deadline) > deadline.min(MAX_COUNTED_DEADLINE) + ANSWER_MARGIN,
+            "{deadline:?}"
+        );
     }
 }
--- a/crates/proxy/src/front/startup.rs
+++ b/crates/proxy/src/front/startup.rs
@@ -1,10 +1,10 @@
-//! Builds the parts that serve clients: the listener, the engine with its connections to cache nodes, and the client of the
-//! discovery service.
+//! Builds the components that serve clients: the listener, the engine with its connections to cache nodes,
+//! and the client of the discovery service.
 
 use super::error::StartError;
 use super::resources::ResourceLimits;
 use super::{EngineOptions, Server};
-use crate::bind::with_address;
+use crate::bind::with_bound_address;
 use crate::budget::Budget;
 use crate::config::Config;
 use crate::descriptors::DescriptorBudget;
@@ -19,16 +19,16 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, Notify};
 
-/// The clients' listener.
+/// The client listener.
 pub(super) struct ClientListener {
     pub(super) listener: TcpListener,
     pub(super) addr: SocketAddr,
-    /// The platform holds the socket, and hands it from one process to the next.
+    /// Whether the platform owns the socket and hands it over from one process to the next.
     pub(super) handed_over: bool,
 }
 
 impl ClientListener {
-    /// Takes the listening socket that the platform hands over, or opens one at this address.
+    /// Takes over the listening socket from the platform, or opens one on this address.
     pub(super) async fn open(addr: SocketAddr) -> Result<Self, StartError> {
         let inherited = handover::inherited(addr)?;
         let handed_over = inherited.is_some();
@@ -36,21 +36,21 @@
             Some(inherited) => TcpListener::from_std(inherited),
             None => TcpListener::bind(addr).await,
         };
-        let (listener, addr) = with_address("PROXY_LISTEN", addr, listener)?;
+        let (listener, addr) = with_bound_address("PROXY_LISTEN", addr, listener)?;
         Ok(ClientListener { listener, addr, handed_over })
     }
 }
 
-/// The folder for what outlives the process, if the platform names one.
+/// Returns the directory for state that survives restarts, if the platform names one.
 pub(super) fn state_dir() -> Option<PathBuf> {
     std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty()).map(PathBuf::from)
 }
 
-/// What serves clients, before the first is accepted.
+/// The components of the proxy, before the first connection is accepted.
 pub(super) struct Parts {
     pub(super) server: Rc<Server>,
     pub(super) watcher: EndpointWatcher,
-    /// The engine's requests for a watch.
+    /// Receives the engine's requests to start a watch.
     pub(super) watch_requests: mpsc::UnboundedReceiver<()>,
 }
 
@@ -59,11 +59,11 @@
     config: Config,
     options: EngineOptions,
     limits: &ResourceLimits,
-    others: &[Option<usize>],
+    other_claims: &[Option<usize>],
     handed_over: bool,
 ) -> Result<Parts, StartError> {
-    let descriptors = DescriptorBudget::new(limits.max_connections(others));
-    let budget = Budget::new(limits.max_buffered_bytes(others));
+    let descriptors = DescriptorBudget::new(limits.max_connections(other_claims));
+    let budget = Budget::new(limits.max_buffered_bytes(other_claims));
     let upstreams = Upstreams::new(
         descriptors.clone(),
         budget.clone(),
@@ -72,8 +72,8 @@
         options.opening,
     );
     let names = Rc::new(config.names);
-    // A process that takes over asks for the full list: who asks for what is newer than an old list hears nothing while
-    // nothing is, and can't tell that from a discovery that is down.
+    // A process that takes over requests the full list. A request for changes since a known version gets no
+    // answer while nothing changes, which can't be distinguished from a discovery service that is down.
     let version = config.known.as_ref().filter(|_| !handed_over).map(|known| known.version);
     let watcher = EndpointWatcher::new(
         config.discovery,
--- a/crates/proxy/src/front/tasks.rs
+++ b/crates/proxy/src/front/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that run beside the connections for as long as the process lives.
+//! Background tasks that run for the lifetime of the process.
 
 use crate::config::Config;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Does something again and again, with a pause before each time.
+/// Spawns a task that calls `action` repeatedly, waiting for `interval` before each call.
 pub(super) fn every(interval: Duration, mut action: impl FnMut() + 'static) {
     tokio::task::spawn_local(async move {
         loop {
@@ -17,7 +17,8 @@
     });
 }
 
-/// Reads the platform's file again at each SIGHUP: the discovery service may have another address. Then calls `reload`.
+/// Spawns a task that rereads the platform's file at each SIGHUP, since the address of the discovery service
+/// may have changed, and then calls `reload`.
 pub(super) fn reload_on_hangup(
     mut hangup: Signal,
     address_changes: mpsc::UnboundedSender<SocketAddr>,
@@ -26,7 +27,7 @@
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
             match Config::reload() {
-                // The receiver is gone only when the proxy ends.
+                // Sending fails only when the proxy is shutting down.
                 Ok(config) => drop(address_changes.send(config.discovery)),
                 Err(e) => tracing::warn!("the settings stay as they are: {e}"),
             }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,5 +1,5 @@
-//! The clients' listening socket where the platform holds it: every process of the proxy inherits it, and none closes it
-//! for the others.
+//! Takes over the client listener where the platform owns it: each process of the proxy inherits the socket,
+//! so that it stays open when one of them closes its descriptor.
 
 use socket2::SockRef;
 use std::io;
@@ -8,73 +8,73 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The environment variable that names the inherited descriptor.
+/// The environment variable with the number of the inherited descriptor.
 const FD_VARIABLE: &str = "PROXY_FD";
 
 /// Why the inherited descriptor can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The variable is not a number.
+    /// The variable is not a valid descriptor number.
     #[error("{FD_VARIABLE} is no descriptor: {0:?}")]
     NotADescriptor(String),
-    /// There is no such descriptor, or it can't be looked up.
+    /// The descriptor is not open, or can't be inspected.
     #[error("{FD_VARIABLE}: descriptor {fd}: {source}")]
     Lookup {
-        /// The descriptor.
+        /// The descriptor number.
         fd: RawFd,
-        /// Why.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// It is something else than a socket.
-    #[error("{FD_VARIABLE}: descriptor {fd} is no socket: {}", target.display())]
+    /// The descriptor is not a socket.
+    #[error("{FD_VARIABLE}: descriptor {fd} is not a socket: {}", target.display())]
     NotASocket {
-        /// The descriptor.
+        /// The descriptor number.
         fd: RawFd,
-        /// What it is.
+        /// The link target in `/proc/self/fd`.
         target: PathBuf,
     },
-    /// It was taken over before.
-    #[error("{FD_VARIABLE}: descriptor {0} is taken over already")]
+    /// The descriptor has been taken over before.
+    #[error("{FD_VARIABLE}: descriptor {0} has already been taken over")]
     AlreadyTaken(RawFd),
-    /// It is not the listening socket that it should be.
+    /// The descriptor is not the expected listening socket.
     #[error("{FD_VARIABLE}: descriptor {fd} {source}")]
     Listener {
-        /// The descriptor.
+        /// The descriptor number.
         fd: RawFd,
-        /// Why.
+        /// What is wrong with the socket.
         source: ListenerError,
     },
 }
 
-/// Why a socket is not the listening socket that it should be.
+/// A socket is not the expected listening socket.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenerError {
-    /// The kernel does not tell whether it listens.
-    #[error("cannot be asked: {0}")]
+    /// Whether the socket listens could not be determined.
+    #[error("cannot be queried: {0}")]
     Query(io::Error),
-    /// It does not listen.
+    /// The socket does not listen.
     #[error("does not listen")]
     NotListening,
-    /// The kernel does not tell its address.
+    /// The address of the socket could not be determined.
     #[error("has no address: {0}")]
     NoAddress(io::Error),
-    /// It listens at another address.
+    /// The socket listens on another address.
     #[error("listens at {bound}, not at {expected}")]
     OtherAddress {
-        /// Where it listens.
+        /// The address that it listens on.
         bound: SocketAddr,
-        /// Where it should.
+        /// The configured address.
         expected: SocketAddr,
     },
-    /// It stays blocking.
+    /// The socket could not be set to non-blocking mode.
     #[error("cannot be set to non-blocking: {0}")]
     Blocking(io::Error),
 }
 
-/// The inherited listening socket, if the environment names one.
+/// Returns the inherited listening socket, if the environment names one.
 ///
 /// # Errors
-/// Why it can't be used.
+/// If the descriptor is not a socket that listens on `expected`.
 pub fn inherited(expected: SocketAddr) -> Result<Option<TcpListener>, HandoverError> {
     let Ok(value) = std::env::var(FD_VARIABLE) else { return Ok(None) };
     let fd: Option<RawFd> = value.parse().ok().filter(|fd| *fd >= 0);
@@ -83,8 +83,8 @@
     listener.map(Some).map_err(|source| HandoverError::Listener { fd, source })
 }
 
-/// Takes over a descriptor that this process was started with. No other part of the program knows its number, and
-/// it is taken over once.
+/// Takes ownership of a descriptor that this process inherited. No other part of the program knows its
+/// number, and this function succeeds only once.
 fn adopt(fd: RawFd) -> Result<OwnedFd, HandoverError> {
     static TAKEN: AtomicBool = AtomicBool::new(false);
     let target = std::fs::read_link(format!("/proc/self/fd/{fd}"));
@@ -95,13 +95,13 @@
     if TAKEN.swap(true, Ordering::Relaxed) {
         return Err(HandoverError::AlreadyTaken(fd));
     }
-    // SAFETY: the descriptor is open, as was just looked up; it was inherited, so nothing in this process owns it;
-    // and this line is passed once.
+    // SAFETY: the descriptor is open, as was just checked. It was inherited, so nothing in this process owns
+    // it, and `TAKEN` ensures that this line is reached only once.
     #[allow(unsafe_code)]
     Ok(unsafe { OwnedFd::from_raw_fd(fd) })
 }
 
-/// The socket, if it listens where it should.
+/// Returns the socket in non-blocking mode, if it listens on `expected`.
 fn check_listener(fd: OwnedFd, expected: SocketAddr) -> Result<TcpListener, ListenerError> {
     if !SockRef::from(&fd).is_listener().map_err(ListenerError::Query)? {
         return Err(ListenerError::NotListening);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The sockets' side of the proxy: it translates between the network and the decision module.
+//! The network side of the proxy, between its sockets and the decision module.
 #![deny(unsafe_code)]
 #![doc = include_str!("../../../README.md")]
 
@@ -34,16 +34,17 @@
 use http_body_util::Full;
 use hyper::body::Bytes;
 
-/// Bodies and answers up to this length are held whole; beyond it they are passed on as they come.
+/// Longest request or answer body that is buffered completely; a longer one is streamed.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// Nothing that is passed on is longer than this.
+/// Longest body that is accepted, and then streamed.
 const MAX_STREAMED_BODY_BYTES: u64 = 40 << 20;
-/// What the kernel holds of a connection that carries something large is about twice this, in bytes. A buffer that the
-/// kernel sizes itself takes megabytes, and hides for long that the other side takes nothing.
+/// Size of the send and receive buffers of a socket that carries a large body, in bytes; the kernel uses
+/// about twice as much. Buffers that the kernel sizes itself grow to megabytes, and delay the detection of a
+/// peer that reads nothing.
 const KERNEL_BUFFER_BYTES: usize = 128 << 10;
-/// What is read ahead of a connection, heads among it, holds at most this.
+/// Maximum size of a connection's read buffer, which must also hold a complete head.
 const MAX_READ_BUFFER_BYTES: usize = 16 << 10;
-/// The core over the HTTP node side.
+/// The core engine with HTTP connections to the cache nodes.
 pub type Engine = aniseyoke_core::Engine<upstream::Upstreams>;
-/// A body that is held whole.
+/// A completely buffered body.
 type Body = Full<Bytes>;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The real proxy. What it does is told in `cli`.
+//! The proxy's executable; the command line is defined in `cli`.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,5 @@
-//! Starts the proxy as the environment and the operator's file say, rereads both on SIGHUP, and ends it on SIGTERM or SIGINT.
+//! Starts the proxy with the configuration from the environment and the operator's file, rereads both on
+//! SIGHUP, and shuts down on SIGTERM or SIGINT.
 
 mod error;
 
@@ -24,22 +25,23 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Serves until it is told to end. What keeps it from starting is printed on standard error, a line each.
+/// Serves until the process receives SIGTERM or SIGINT. Errors that prevent the start are printed on standard
+/// error, one per line.
 pub fn run(file: Option<PathBuf>) -> ExitCode {
     let start_timer = StartTimer::new();
     let file = file.filter(|file| !file.as_os_str().is_empty());
     match serve_on_new_runtime(file, start_timer) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // The log may not have been started.
+            // The log may not have been started yet.
             aniseyoke_logging::print_lines(error.lines().iter().map(|line| format!("aniseyoke: {line}")));
             ExitCode::FAILURE
         }
     }
 }
 
-/// Serves on the calling thread. At the end nothing waits for the threads of the runtime's pool: one of them may be in a
-/// write that the disk holds up.
+/// Serves on the calling thread. At the end it doesn't wait for the blocking threads of the runtime, since
+/// one of them may hang in a write to disk.
 fn serve_on_new_runtime(file: Option<PathBuf>, start_timer: StartTimer) -> Result<(), ServeError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(ServeError::Runtime)?;
@@ -48,7 +50,8 @@
     served
 }
 
-/// Starts step by step, and serves. SIGHUP is handled first, since until then it ends the process.
+/// Starts the proxy and serves. The handler for SIGHUP is installed first, since without one SIGHUP ends the
+/// process.
 async fn serve(file: Option<PathBuf>, mut start_timer: StartTimer) -> Result<(), ServeError> {
     let hangup = signals::hangup()?;
     start_timer.complete(StartPhase::SignalHandling);
@@ -74,7 +77,7 @@
     signals::with_signals_blocked(|| aniseyoke_logging::start(&options, || start_timer.log_beginning()))
 }
 
-/// The configuration with which the process starts.
+/// The configuration that the process starts with.
 struct StartConfig {
     /// The platform's configuration and the operator's file.
     base: Arc<BaseLayers>,
@@ -82,9 +85,9 @@
     control: Option<Control>,
     /// The last good version from a control service.
     version: Option<Arc<Version>>,
-    /// The operator's settings by all layers.
+    /// The operator's settings, resolved from all layers.
     resolved: Resolved,
-    /// The engine's configuration by all layers.
+    /// The engine's configuration, resolved from all layers.
     plan: EngineConfig,
 }
 
@@ -106,7 +109,8 @@
     }
 }
 
-/// The platform's configuration, with the endpoint list that was cached on disk, and the options of the front.
+/// Returns the platform's configuration, with the endpoint list that was cached on disk, and the options of
+/// the client side.
 fn front_options(
     start_config: StartConfig,
     file: Option<PathBuf>,
@@ -146,16 +150,16 @@
     }
 }
 
-/// This proxy's position in the fleet.
+/// Returns this proxy's position in the fleet.
 fn position(plan: &EngineConfig) -> FleetPosition {
     FleetPosition::new(plan.settings.proxy_index, plan.settings.proxies)
 }
 
-/// The polling of the endpoint list and its status, where the operator's file has a section for it. A list that was cached
-/// on disk takes the place of the platform's.
+/// Returns the polling of the endpoint list and its status, if the operator's file has a section for it. A
+/// list that was cached on disk replaces the platform's.
 ///
-/// Where the platform pushes its lists polls are not limited: each push counts as a notification to act upon at once, and to
-/// wait for a slot would be to use nodes that have been taken away.
+/// If the platform pushes its lists, polls are not rate-limited: each push requires an immediate poll, and
+/// waiting for a slot would mean sending requests to nodes that have been removed.
 fn list_polling(
     operator: &Operator,
     config: &mut Config,
@@ -171,14 +175,14 @@
     Some((ListPolling::new(schedule, status.clone(), cache), status))
 }
 
-/// What a version from a control service changes beside the engine.
+/// The state outside of the engine that a version from a control service changes.
 struct Updates {
     in_force: Rc<RefCell<ConfigInForce>>,
     log: Rc<LogHandle>,
     version_info: Rc<RefCell<serde_json::Value>>,
 }
 
-/// Follows the control services, if there are any, once the engine runs.
+/// Returns the hook that follows the control services, if any are configured, once the engine runs.
 fn follow_control(
     control: Option<Control>,
     base: Arc<BaseLayers>,
@@ -197,7 +201,7 @@
     })
 }
 
-/// What the admin endpoint answers to a call for the version.
+/// Returns the answer of the admin endpoint to a call for the version.
 fn version_info(resolved: &Resolved, file: Option<&Path>, version: Option<&Version>) -> serde_json::Value {
     serde_json::json!({
         "program": env!("CARGO_PKG_VERSION"),
@@ -207,8 +211,8 @@
     })
 }
 
-/// Puts in force what may change while the proxy runs, and names what waits for a restart. A file with a mistake in it
-/// changes nothing, and the proxy serves on.
+/// Applies the settings that may change at run time, and logs the changed settings that require a restart. An
+/// invalid file changes nothing, and the proxy continues to serve.
 fn reload(platform: &Config, in_force: &ConfigInForce, file: Option<&Path>, log: &LogHandle) {
     let source = file.map(operator::source).transpose().map_err(|error| vec![error]);
     let resolved = source.and_then(|file| {
--- a/crates/proxy/src/serve/error.rs
+++ b/crates/proxy/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why the process could not start.
+//! Errors that prevent the process from starting.
 
 use crate::config::PlatformError;
 use crate::front;
@@ -8,28 +8,28 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the process could not start.
+/// An error that prevents the process from starting.
 #[derive(Debug, Error)]
 pub(super) enum ServeError {
     /// The runtime could not be built.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// A signal can't be handled.
+    /// A signal handler could not be installed.
     #[error(transparent)]
     Signal(#[from] SignalError),
-    /// The operator's file and the environment say what can't be used.
+    /// The operator's file or environment variables are invalid.
     #[error("{}", joined(.0))]
     Configuration(Vec<ConfigError>),
     /// The log could not be started.
     #[error(transparent)]
     Log(#[from] aniseyoke_logging::StartError),
-    /// The wall clock of an experiment can't be used.
+    /// The simulated wall clock of an experiment is invalid.
     #[error(transparent)]
     Clock(#[from] ShiftError),
-    /// The platform's variables and file say what can't be used.
+    /// The platform's environment variables or file are invalid.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// The proxy could not start to serve.
+    /// The client side of the proxy could not start.
     #[error(transparent)]
     Front(#[from] front::StartError),
 }
@@ -41,7 +41,7 @@
 }
 
 impl ServeError {
-    /// What is wrong, a line each.
+    /// Returns the error messages, one per line.
     pub(super) fn lines(&self) -> Vec<String> {
         match self {
             ServeError::Configuration(errors) => errors.iter().map(ToString::to_string).collect(),
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -1,11 +1,11 @@
-//! The signals that the process acts on: SIGTERM and SIGINT stop it, SIGHUP has it read its files again.
+//! Signal handling: SIGTERM and SIGINT shut the process down, SIGHUP reloads its configuration files.
 
 use nix::sys::signal::{SigSet, SigmaskHow, Signal as SignalNumber};
 use std::future::Future;
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Why a signal can't be handled.
+/// A signal handler could not be installed.
 #[derive(Debug, thiserror::Error)]
 #[error("{name}: {source}")]
 pub struct SignalError {
@@ -13,18 +13,19 @@
     source: io::Error,
 }
 
-/// Receives each SIGHUP from now on; until then it ends the process.
+/// Installs a handler for SIGHUP and returns its stream of signals. Without a handler SIGHUP ends the
+/// process.
 ///
 /// # Errors
-/// If it can't be handled.
+/// If the handler can't be installed.
 pub fn hangup() -> Result<Signal, SignalError> {
     handle("SIGHUP", SignalKind::hangup())
 }
 
-/// Ends with the first signal from now on that tells the process to stop.
+/// Installs handlers for SIGTERM and SIGINT; the returned future completes with the first of these signals.
 ///
 /// # Errors
-/// If such a signal can't be handled.
+/// If a handler can't be installed.
 pub fn stop() -> Result<impl Future<Output = ()>, SignalError> {
     let mut terminate = handle("SIGTERM", SignalKind::terminate())?;
     let mut interrupt = handle("SIGINT", SignalKind::interrupt())?;
@@ -40,17 +41,18 @@
     signal(kind).map_err(|source| SignalError { name, source })
 }
 
-/// Runs `start` with these signals blocked in the calling thread. The threads that it creates inherit that, so that the
-/// signals are delivered to the serving thread alone.
+/// Runs `start` with SIGTERM, SIGINT and SIGHUP blocked in the calling thread. Threads that `start` creates
+/// inherit the mask, so that these signals are delivered to the serving thread only.
 ///
-/// A signal sent to the process is delivered to any thread that does not block it. The serving thread learns of it from a
-/// pipe, so while another thread is still on its way to write there, the serving thread may accept a connection that has
-/// waited in the queue since before the signal, and that belongs to the successor. A handler on the serving thread itself
-/// runs before that thread waits for events again, and the pipe's event then comes with the listener's.
+/// The kernel delivers a signal to any thread that does not block it, and the handler notifies the serving
+/// thread through a pipe. If the handler ran on another thread, the serving thread could accept a connection
+/// before that notification arrives, although a connection that is still queued at the signal belongs to the
+/// successor. A handler on the serving thread itself runs before the thread next waits for events, so that
+/// the pipe's event is returned together with the listener's.
 pub fn with_signals_blocked<T>(start: impl FnOnce() -> T) -> T {
     let signals: SigSet =
         [SignalNumber::SIGTERM, SignalNumber::SIGINT, SignalNumber::SIGHUP].into_iter().collect();
-    // It fails only for a wrong first argument; then the mask has not changed.
+    // This fails only for an invalid first argument, and the mask is unchanged then.
     let previous_mask = signals.thread_swap_mask(SigmaskHow::SIG_BLOCK);
     let started = start();
     if let Ok(previous_mask) = previous_mask {
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,30 +1,30 @@
-//! The phases of the start, each logged at debug level with the time since the start began: where a process gets stuck
-//! before it serves, the last of these lines says how far it came.
+//! Logs each phase of the startup at debug level with the time since the process began to start. If a process
+//! hangs before it serves, the last of these lines shows the phase that was completed last.
 //!
-//! The level is debug, since by default a start that fails prints what is wrong and nothing else. To see these lines
-//! alone: `targets = { startup = "debug" }` in the section `[log]` of the operator's file.
+//! The level is debug because a failed start prints only its error by default. To enable these lines alone,
+//! set `targets = { startup = "debug" }` in the section `[log]` of the operator's file.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// A part of the start, in the order in which they come.
+/// A phase of the startup. The variants are in chronological order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPhase {
-    /// The runtime exists, and SIGHUP is handled.
+    /// The runtime is running and the SIGHUP handler is installed.
     SignalHandling,
-    /// The operator's file and the environment have been read.
+    /// The operator's file and environment variables have been read.
     OperatorFile,
-    /// The log's thread has been started.
+    /// The log thread has been started.
     Log,
-    /// The platform's variables and file have been read.
+    /// The platform's environment variables and file have been read.
     PlatformConfiguration,
-    /// The last good version from a control service has been looked for on the disk.
+    /// The last good version from a control service has been looked up on disk.
     StoredVersion,
-    /// The engine's configuration has been made of all layers.
+    /// The engine's configuration has been resolved from all layers.
     Plan,
-    /// The clients' listener is open; nobody is accepted yet.
+    /// The client listener is open, but accepts no connections yet.
     Listening,
-    /// The engine exists, and follows the control services.
+    /// The engine has been created and follows the control services.
     Engine,
 }
 
@@ -43,36 +43,37 @@
     }
 }
 
-/// Logs the phases of one start as they are completed.
+/// Logs the startup phases as they are completed.
 pub struct StartTimer {
-    began: Instant,
-    /// Completed before the log was started.
-    not_logged: Vec<(StartPhase, Duration)>,
-    log_runs: bool,
+    started_at: Instant,
+    /// Phases that were completed before the log was started.
+    unlogged_phases: Vec<(StartPhase, Duration)>,
+    log_started: bool,
 }
 
 impl StartTimer {
-    /// The start begins now.
+    /// Starts the timer.
     pub fn new() -> Self {
-        StartTimer { began: Instant::now(), not_logged: Vec::new(), log_runs: false }
+        StartTimer { started_at: Instant::now(), unlogged_phases: Vec::new(), log_started: false }
     }
 
-    /// A phase is completed now.
+    /// Records the completion of a phase and logs it once the log runs.
     pub fn complete(&mut self, phase: StartPhase) {
-        let elapsed = self.began.elapsed();
-        if self.log_runs {
+        let elapsed = self.started_at.elapsed();
+        if self.log_started {
             log_phase(phase, elapsed);
         } else {
-            self.not_logged.push((phase, elapsed));
+            self.unlogged_phases.push((phase, elapsed));
         }
     }
 
-    /// Logs that the start has begun, and what has been completed; for the moment in which the log starts.
+    /// Logs the beginning of the startup and the phases completed so far. Called when the log has been
+    /// started.
     pub fn log_beginning(&mut self) {
-        self.log_runs = true;
+        self.log_started = true;
         let (version, process) = (env!("CARGO_PKG_VERSION"), std::process::id());
         tracing::debug!(process, version, "start: begun");
-        for (phase, elapsed) in std::mem::take(&mut self.not_logged) {
+        for (phase, elapsed) in std::mem::take(&mut self.unlogged_phases) {
             log_phase(phase, elapsed);
         }
     }
