--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -1,18 +1,19 @@
-//! Types between a proxy and the decision module: settings handed over at start, events in, actions out.
+//! The interface between a proxy and the decision module: settings, events in, actions out.
 //!
-//! All times are nanoseconds. The caller owns clock, sockets and timers; [`crate::Balancer`] owns none of
-//! them.
+//! All times are in nanoseconds. The caller owns the clock, sockets and timers; [`crate::Balancer`] owns none
+//! of them.
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 /// Stable identity of a server: the same value at every proxy (see [`server_id`]).
 pub type ServerId = u64;
-/// The most pools there can be, so that a bucket keeps its number when one is added.
+/// The maximum number of pools. It is fixed so that key buckets keep their numbers when a pool is added.
 pub const MAX_POOLS: usize = 63;
-/// Identity of a request at this proxy; below 2^52, never used twice.
+/// Identity of a request at this proxy; below 2^52 and never reused.
 pub type RequestId = u64;
 
-/// Derives the identity of a server from its name (FNV-1a, then mixed), so that all proxies agree on it.
+/// Derives the identity of a server from its name (FNV-1a, then mixed), so that it is the same at all
+/// proxies.
 pub fn server_id(name: &str) -> ServerId {
     let h = name
         .bytes()
@@ -21,19 +22,20 @@
     h ^ (h >> 32)
 }
 
-/// Whether a request of a class may run again.
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// They may run any number of times.
     #[default]
     Idempotent,
-    /// It carries an idempotency key: servers of the class's group drop repeats within its window.
+    /// They carry an idempotency key: the servers of the class's group drop repeats within the deduplication
+    /// window.
     WithKey,
-    /// It must never run twice.
+    /// They must never run twice.
     NonIdempotent,
 }
 
-/// Which servers remember a request with an idempotency key.
+/// Which servers share the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Group {
     /// All servers.
@@ -48,51 +50,51 @@
 /// A request class.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Latency objective: an answer has its full weight up to here.
+    /// Latency objective: an answer has its full priority weight up to this time after the arrival.
     pub latency_objective: Nanos,
-    /// The client gives up here, counted over all its retries.
+    /// Time after which the client gives up, including all its retries.
     pub deadline: Nanos,
-    /// Whether it may run again.
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
     /// With idempotency keys: which servers drop repeats.
     pub group: Group,
-    /// With idempotency keys: for how long repeats are dropped.
+    /// With idempotency keys: how long repeats are dropped.
     pub dedup_window: Nanos,
-    /// Part of its priority weight that a late answer has.
+    /// The fraction of the priority weight that a late answer has.
     pub late_weight: f64,
-    /// Priority weight of a request (or of a unit of its work).
+    /// Priority weight of a request, or of a unit of its work (see [`Settings::weight_by_work`]).
     pub priority_weight: f64,
-    /// The answer is streamed.
+    /// Whether answers are streamed.
     pub stream: bool,
-    /// The only servers that the class may be sent to.
+    /// The servers that requests of the class may be sent to.
     pub allowed_servers: Pool,
 }
 
-/// A pool of servers: those that fit both its zones and its kinds.
+/// A pool of servers: those that match both its zones and its machine kinds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
-    /// Its only zones; `None`: all.
+    /// The zones in the pool; `None`: all.
     pub zones: Option<Vec<u32>>,
-    /// Its only machine kinds; `None`: all.
+    /// The machine kinds in the pool; `None`: all.
     pub kinds: Option<Vec<u32>>,
 }
 
 impl Pool {
-    /// Whether a server of this zone and kind is part of it.
+    /// Whether the pool has servers of this zone and kind.
     pub fn contains(&self, zone: u32, kind: u32) -> bool {
-        let fits = |set: &Option<Vec<u32>>, at| set.as_ref().is_none_or(|set| set.contains(&at));
-        fits(&self.zones, zone) && fits(&self.kinds, kind)
+        let matches = |set: &Option<Vec<u32>>, member| set.as_ref().is_none_or(|set| set.contains(&member));
+        matches(&self.zones, zone) && matches(&self.kinds, kind)
     }
 }
 
 /// A tenant's quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all proxies.
+    /// Requests per second within the quota, over all proxies.
     pub quota_rps: f64,
 }
 
-/// What the proxy is configured with.
+/// Settings of the decision module.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Request classes.
@@ -103,70 +105,72 @@
     pub pools: Vec<Pool>,
     /// This proxy's zone.
     pub zone: u32,
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxies: u32,
     /// This proxy's number among them, from 0.
     pub proxy_index: u32,
-    /// The endpoint list must be subscribed to (else it is pushed).
+    /// Whether the proxy has to subscribe to the endpoint list; otherwise the list is pushed.
     pub subscribes: bool,
-    /// Cache-aside: a miss is answered as such, and the proxy asks the origin, a kind of its own.
+    /// Cache-aside: servers answer a miss as such, and the proxy fetches from the origin, which is listed as
+    /// a machine kind of its own.
     pub cache_aside: bool,
-    /// The machine kind of the origin where `cache_aside`.
+    /// The machine kind of the origin in cache-aside deployments.
     pub origin_kind: Option<u32>,
-    /// Weight of a request over its tenant's quota, as a part of its class's.
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's.
     pub over_quota_weight: f64,
-    /// Priority weights are for a unit of work (else for a request).
+    /// Whether priority weights apply to a unit of work; otherwise they apply to a request.
     pub weight_by_work: bool,
-    /// Most attempts for a request (0: one).
+    /// The maximum number of attempts of a request (0: one).
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Rejections may advise a wait, at most this long (0: no advice).
+    /// The longest wait that a rejection may advise (0: rejections advise none).
     pub max_retry_after: Nanos,
-    /// Idle connections close by themselves after this long (0: at once).
+    /// Time after which idle connections close (0: at once).
     pub idle_timeout: Nanos,
-    /// Cost of a new connection, for each first attempt.
+    /// Cost of a new connection for a first attempt.
     pub handshake_cost: f64,
     /// Cost of an attempt that crosses zones.
     pub cross_zone_cost: f64,
-    /// Slow start: the part of its capacity that a server starts with.
+    /// Slow start: the fraction of its capacity that a server starts with.
     pub slow_start_from: f64,
-    /// Slow start: a server has its full capacity after this long.
+    /// Slow start: the time until a server has its full capacity.
     pub slow_start_time: Nanos,
-    /// A server in slow start fails when sent more than this multiple of its capacity.
+    /// Slow start: a server fails when it gets more than this multiple of its capacity within
+    /// [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// For this long.
+    /// Slow start: the time over which that load is measured.
     pub overload_window: Nanos,
-    /// Idle connections to a draining server must be closed within this time (0: no such rule).
+    /// Time within which idle connections to a draining server must be closed (0: no limit).
     pub drain_close_within: Nanos,
-    /// Without a subscription the endpoint list must be asked for within this time.
+    /// Time within which the endpoint list must be polled while there is no subscription.
     pub poll_within: Nanos,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Where a row of a load report holds what.
+    /// Columns of a load report.
     pub report_columns: ReportColumns,
 }
 
-/// Where a load report that is a bare row holds what; `None`: it does not.
+/// Columns of a load report that is a row of numbers; `None`: the report lacks that value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportColumns {
-    /// The part of its cores that is busy.
+    /// The fraction of the server's cores that is busy.
     pub busy: Option<usize>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rate: Option<usize>,
 }
 
 impl ReportColumns {
-    /// What a row says.
+    /// Returns the load that a row reports, if it has both values and they are plausible.
     pub fn load(&self, row: &[Option<f64>]) -> Option<Load> {
-        let at = |column: Option<usize>| row.get(column?).copied().flatten();
-        Load::new(at(self.busy)?, at(self.rate)?)
+        let value = |column: Option<usize>| row.get(column?).copied().flatten();
+        Load::new(value(self.busy)?, value(self.rate)?)
     }
 }
 
-/// A server's report of its load.
+/// A server's reported load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
     busy: f64,
@@ -174,26 +178,27 @@
 }
 
 impl Load {
-    /// The part of its cores that is busy, and requests served a second; none if that can't be.
+    /// Takes the fraction of busy cores and the requests served per second; returns `None` if either is
+    /// implausible.
     pub fn new(busy: f64, rate: f64) -> Option<Self> {
-        let sound = |v: f64, most: f64| v.is_finite() && (0.0..=most).contains(&v);
-        (sound(busy, 64.0) && sound(rate, 1e9)).then_some(Load { busy, rate })
+        let plausible = |v: f64, max: f64| v.is_finite() && (0.0..=max).contains(&v);
+        (plausible(busy, 64.0) && plausible(rate, 1e9)).then_some(Load { busy, rate })
     }
 
-    /// The part of its cores that is busy; noise may carry it past 1.
+    /// The fraction of the server's cores that is busy; noise may raise it above 1.
     pub fn busy(&self) -> f64 {
         self.busy
     }
 
-    /// Requests served a second.
+    /// Requests served per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 }
 
 impl Settings {
-    /// Whether a request of this class, routed to this pool if to any, may be sent to a server of this zone
-    /// and kind. A class or pool that is not known allows all.
+    /// Whether a request of this class and, if it is routed to one, this pool may be sent to a server of this
+    /// zone and kind. An unknown class or pool allows all servers.
     pub fn allows(&self, class: usize, pool: Option<usize>, zone: u32, kind: u32) -> bool {
         self.classes.get(class).is_none_or(|c| c.allowed_servers.contains(zone, kind))
             && pool.and_then(|p| self.pools.get(p)).is_none_or(|p| p.contains(zone, kind))
@@ -203,10 +208,10 @@
 /// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// Takes work.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes its work; nothing new may be sent.
+    /// Finishes the requests in flight; no new ones may be sent.
     Draining,
     /// Removed.
     Gone,
@@ -215,7 +220,7 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
@@ -225,52 +230,52 @@
     pub cell: u32,
     /// Its state.
     pub state: State,
-    /// Size relative to others.
+    /// Size relative to other servers.
     pub weight: f64,
-    /// Time of its last start; 0: long ago.
+    /// Time of its last start; 0: unknown, long ago.
     pub started: Nanos,
 }
 
-/// What a list event carries.
+/// The content of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Full,
-    /// The whole list as it was known last; may be old.
+    /// The complete list as last known; it may be out of date.
     Cached,
-    /// A call failed or the subscription broke; the old list stays.
+    /// A call to the discovery service failed or the subscription broke; the previous list stays in use.
     Failed,
-    /// Only the changed entries, by the operators' word; discovery has said nothing.
+    /// Only the changed entries, set by an operator and not by the discovery service.
     Overlay,
 }
 
-/// How an attempt or probe ended.
+/// How an attempt or health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The server answered.
     Ok,
     /// The server returned an error; it may have run.
     Error,
-    /// Rejected by the server unprocessed; never ran.
+    /// The server rejected it unprocessed; it never ran.
     Rejected,
     /// No answer in time; it may run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be made; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Not sent; never ran.
+    /// Not sent; it never ran.
     NotSent,
-    /// No value for the key (cache-aside); never ran.
+    /// The server has no value for the key (cache-aside); it never ran.
     Miss,
 }
 
 impl Status {
-    /// True if this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss)
     }
@@ -285,15 +290,15 @@
     pub class: u32,
     /// Index into [`Settings::tenants`].
     pub tenant: Option<u32>,
-    /// Index into [`Settings::pools`], where it is routed to one.
+    /// Index into [`Settings::pools`], if the request is routed to one.
     pub pool: Option<u32>,
     /// The key, hashed or raw.
     pub key: Option<u64>,
-    /// Time left before the client gives up this attempt of its own.
+    /// Time left before the client gives up this attempt.
     pub remaining: Nanos,
-    /// It writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// Its client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub retry: bool,
 }
 
@@ -304,24 +309,24 @@
     pub id: RequestId,
     /// Attempt number, from 0.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub status: Status,
-    /// Time from the send.
+    /// Time since it was sent.
     pub elapsed: Nanos,
-    /// The request is over.
+    /// Whether the request has ended with this attempt.
     pub last: bool,
-    /// Hit or miss, where the server says so.
+    /// Whether it was a cache hit, if the server reports that.
     pub hit: Option<bool>,
 }
 
-/// What happens at the proxy.
+/// An event at the proxy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A whole endpoint list, changes of it, or a call for it that failed.
+    /// A complete endpoint list, changes to it, or a failed call for it.
     EndpointList {
-        /// What the entries are.
+        /// Which entries the event carries.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
@@ -330,44 +335,45 @@
     Arrival(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// A timer ran out.
+    /// The timer with this token expired.
     Timer(u64),
-    /// The client left; no answer is owed any more.
+    /// The client disconnected; it needs no answer.
     ClientLeft(RequestId),
-    /// The client is getting its answer.
+    /// The proxy has begun to send the client its answer.
     AnswerBegun(RequestId),
-    /// The last byte has come of a request that arrived before it: its time runs from now.
+    /// The body of a request is complete; the request's time limits count from now.
     BodyReceived(RequestId),
-    /// Operators took a server out, whatever the list says of it until they give it back.
+    /// An operator excluded a server. It stays excluded, whatever the endpoint list says, until
+    /// [`Event::Included`].
     Excluded(ServerId),
-    /// Operators gave it back.
+    /// An operator ended the exclusion of a server.
     Included(ServerId),
-    /// A server has reported its load.
+    /// A server reported its load.
     LoadReport {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// Its load, some time ago.
+        /// Its load at the time of the report.
         load: Load,
     },
-    /// A server's concurrency limit has changed. There is none until the first such event.
+    /// A server's concurrency limit changed. A server has none until the first such event.
     ConcurrencyLimit {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// Attempts of this proxy that may be in flight there at once.
+        /// The number of attempts of this proxy that may be in flight there at once.
         limit: f64,
     },
 }
 
-/// What the proxy is to do, in order.
+/// An action for the proxy to take; actions are taken in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; `timeout` 0 means until the client stops waiting.
+    /// Start an attempt; with a `timeout` of 0, wait for it as long as the client waits.
     Send {
         /// Request.
         id: RequestId,
         /// Server.
         server: ServerId,
-        /// Time-out.
+        /// Timeout of the attempt.
         timeout: Nanos,
     },
     /// Stop waiting for an attempt.
@@ -377,23 +383,23 @@
         /// Attempt.
         attempt: u32,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Final answer: the request is rejected, and the client may safely retry it.
     Reject {
         /// Request.
         id: RequestId,
-        /// Advised wait; 0: none.
+        /// The wait before a retry that the answer advises; 0: none.
         retry_after: Nanos,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: the request failed, and it may have run.
     Fail {
         /// Request.
         id: RequestId,
     },
-    /// Wake me.
+    /// Start a timer.
     Timer {
-        /// Token to hand back.
+        /// The token to return in [`Event::Timer`].
         token: u64,
-        /// From now.
+        /// Time from now until the timer expires.
         delay: Nanos,
     },
     /// Close the idle connections to a server.
--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -1,22 +1,22 @@
-//! Every decision of the proxy, one module for each. The interface (types, settings, events, actions) is
+//! The decisions of the proxy, one module for each. The interface (types, settings, events, actions) is in
 //! `src/api.rs`.
 //!
-//! A request passes these parts, each the one owner of its state:
+//! A request passes through these modules, each of which owns its state:
 //!
 //! | decision | module |
 //! | --- | --- |
-//! | how much time it has | `deadlines` |
+//! | how much time the request has | `deadlines` |
 //! | whether it is rejected unsent | `admission`, `tenant_quota`, `origin_protection` |
 //! | which servers its key prefers | `key_affinity`, with the weights of `machine_capacity` |
-//! | which servers may not be asked now | `outlier_ejection`, `slow_start` |
+//! | which servers are unavailable now | `outlier_ejection`, `slow_start` |
 //! | which server gets it | `load_balancing` |
 //! | whether the rules allow the attempt | `eligibility` |
 //! | whether another attempt follows | `hedging`, `retries`, `retry_budget` |
 //!
-//! `lifecycle` leads it from its arrival to its one final answer. What outcomes say goes back to the same
-//! parts. Each exception to the ordinary path names the danger that it guards against. `traffic` counts,
-//! and what decides nothing stands beside this module: `servers.rs`, `subscription.rs`, `latency.rs`,
-//! `arithmetic.rs`.
+//! `lifecycle` takes a request from its arrival to its single final answer, and passes the outcomes of its
+//! attempts back to these modules. Each exception to the ordinary path has a comment with the failure that it
+//! prevents. `traffic` keeps counts. Code that makes no decisions is outside this module: `servers.rs`,
+//! `subscription.rs`, `latency.rs`, `arithmetic.rs`.
 
 mod admission;
 mod deadlines;
@@ -67,7 +67,7 @@
 }
 
 impl Balancer {
-    /// A module with nothing learned; `seed` is its only source of random numbers.
+    /// Creates a module that has learned nothing yet. `seed` is the seed of all its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = Arc::new(settings);
         let classes = settings.classes.len();
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Takes other settings over between two events; requests without their answer go on under those they
-    /// came under. False, and nothing changes, where classes or tenants are others in number.
+    /// Replaces the settings between two events; pending requests keep the settings that they arrived under.
+    /// Returns false and changes nothing if the number of classes or tenants differs.
     pub fn update_settings(&mut self, settings: Settings) -> bool {
         let sizes = |s: &Settings| (s.classes.len(), s.tenants.len());
         if sizes(&settings) != sizes(&self.settings) {
@@ -104,20 +104,20 @@
         true
     }
 
-    /// Whether operators have taken a server out.
+    /// Whether an operator has excluded a server.
     pub fn is_excluded(&self, server: ServerId) -> bool {
         self.servers.excluded.contains(&server)
     }
 
-    /// Takes one event and appends the actions it calls for.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.traffic.started.get_or_insert(now);
         match event {
             Event::EndpointList { kind, entries } => self.endpoint_list(now, kind, entries, actions),
             Event::Arrival(request) => self.arrival(now, request, actions),
             Event::Outcome(o) => self.outcome(now, o, actions),
-            Event::Timer(token) if token & hedging::TOKEN != 0 => {
-                self.hedge(now, token & (hedging::TOKEN - 1), actions);
+            Event::Timer(token) if token & hedging::TOKEN_BIT != 0 => {
+                self.hedge(now, token & (hedging::TOKEN_BIT - 1), actions);
             }
             Event::Timer(token) => self.subscription.timer(token, actions),
             Event::ClientLeft(id) => self.client_left(now, id),
--- a/crates/decision/src/logic/deadlines.rs
+++ b/crates/decision/src/logic/deadlines.rs
@@ -47,7 +47,7 @@
         let latency = self.traffic.latency(Some(class));
         of.late_weight <= 0.0
             && self.is_short(class, objective, of)
-            && latency.part_answered_within(of, objective) < HOPELESS * self.random.draw().sqrt()
+            && latency.fraction_answered_within(of, objective) < HOPELESS * self.random.draw().sqrt()
     }
 
     /// Whether a further attempt can still bring an answer that is worth something.
--- a/crates/decision/src/logic/hedging.rs
+++ b/crates/decision/src/logic/hedging.rs
@@ -1,38 +1,39 @@
-//! Hedging: a second attempt while the first is still in flight, once that has taken longer than answers
-//! usually do.
+//! Hedged requests: a second attempt while the first is still in flight, once the first has taken longer than
+//! answers usually do.
 
 use super::*;
 
-/// Timer tokens of hedged requests carry this bit above the request's id.
-pub const TOKEN: u64 = 1 << 56;
-/// Answers after which a class's usual time is known.
-const LATENCY_KNOWN: f64 = 5.0;
-/// How long to wait while it is not known, as a part of the time left.
-const WAIT_UNKNOWN: f64 = 0.5;
-/// Deviations after the mean up to which an answer is waited for.
-const WAIT_DEVIATIONS: f64 = 3.5;
-/// The least wait, as a part of the time left.
-const WAIT_LEAST: f64 = 0.2;
-/// The longest wait for a server whose ejection has just ended, as a part of the time left.
-const WAIT_AFTER_EJECTION: f64 = 0.3;
+/// Bit set in the timer tokens of hedged requests, above the request's id.
+pub const TOKEN_BIT: u64 = 1 << 56;
+/// Number of answers from which a class's usual answer time counts as known.
+const MIN_ANSWERS: f64 = 5.0;
+/// Delay while the usual answer time is not known, as a fraction of the time left.
+const DEFAULT_DELAY_FRACTION: f64 = 0.5;
+/// Delay beyond the mean answer time, in mean deviations.
+const DELAY_DEVIATIONS: f64 = 3.5;
+/// Minimum delay, as a fraction of the time left.
+const MIN_DELAY_FRACTION: f64 = 0.2;
+/// Maximum delay for a server whose ejection has just ended, as a fraction of the time left.
+const MAX_DELAY_FRACTION_AFTER_EJECTION: f64 = 0.3;
 
 impl Balancer {
-    /// How long an attempt is waited for before another is sent beside it or in its place, in nanoseconds.
-    pub(super) fn hedging_delay(&self, class: usize, left: f64, after_ejection: bool) -> f64 {
+    /// Returns the time after which another attempt is sent beside an attempt or in its place, in
+    /// nanoseconds.
+    pub(super) fn hedging_delay(&self, class: usize, time_left: f64, after_ejection: bool) -> f64 {
         let usual = self.traffic.latency(Some(class));
-        let wait = if usual.count < LATENCY_KNOWN {
-            left * WAIT_UNKNOWN
+        let delay = if usual.count < MIN_ANSWERS {
+            time_left * DEFAULT_DELAY_FRACTION
         } else {
-            usual.mean_plus(WAIT_DEVIATIONS).max(WAIT_LEAST * left)
+            usual.mean_plus(DELAY_DEVIATIONS).max(MIN_DELAY_FRACTION * time_left)
         };
         if after_ejection {
-            wait.min(WAIT_AFTER_EJECTION * left)
+            delay.min(MAX_DELAY_FRACTION_AFTER_EJECTION * time_left)
         } else {
-            wait
+            delay
         }
     }
 
-    /// A request's hedging timer ran out: if its one attempt is still in flight, another is sent.
+    /// Handles an expired hedging timer: sends another attempt if exactly one is still in flight.
     pub(super) fn hedge(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let mut pending = request.attempts.iter().filter(|a| a.pending).map(|a| a.server);
@@ -40,7 +41,7 @@
         if request.answer_begun || now >= request.deadline {
             return;
         }
-        // No answer for so long counts against the server at once: a hung one is ejected after two of these.
+        // The missing answer counts against the server at once, so that a hung server is ejected after two.
         self.record_failure(now, slow, 1.0);
         self.send_another(now, id, FurtherAttempt { after_silence: true, asks_origin: false }, actions);
     }
--- a/crates/decision/src/logic/key_affinity.rs
+++ b/crates/decision/src/logic/key_affinity.rs
@@ -177,7 +177,7 @@
     /// Counts a request of a bucket, of `arrivals` lately; returns how many of the `servers` it is worth.
     pub fn record_request(&mut self, now: Nanos, bucket: u32, arrivals: f64, servers: f64) -> usize {
         let Some(state) = self.all.get_mut(&bucket) else { return 1 };
-        state.requests.add(now, traffic::MEMORY_S);
+        state.requests.add(now, traffic::ARRIVAL_TIME_CONSTANT_S);
         state.turn = state.turn.wrapping_add(1);
         // Few requests say little of a bucket's part in the whole: count it a deviation lower.
         let sure = state.requests.sum - state.requests.sum.sqrt();
--- a/crates/decision/src/logic/lifecycle.rs
+++ b/crates/decision/src/logic/lifecycle.rs
@@ -133,7 +133,7 @@
             // Danger: an answer that got lost, or a server that hangs, holds the request until its
             // objective. While all servers are slow, the delay grows past what is left and nothing is sent
             // twice.
-            actions.push(Action::Timer { token: hedging::TOKEN | id, delay: delay as Nanos });
+            actions.push(Action::Timer { token: hedging::TOKEN_BIT | id, delay: delay as Nanos });
             timeout
         } else if self.settings.cache_aside {
             delay as Nanos
--- a/crates/decision/src/logic/machine_capacity.rs
+++ b/crates/decision/src/logic/machine_capacity.rs
@@ -1,39 +1,42 @@
-//! Machine capacity: what a machine of each kind bears against the mean, and the part of their capacity that
-//! servers use, learned from load reports.
+//! Machine capacity: the capacity of each machine kind relative to the mean, and the fraction of their
+//! capacity that servers use, both learned from load reports.
 
 use super::*;
 
-/// The report of a server less busy than this is mostly noise.
-const BUSY_LEAST: f64 = 0.05;
-/// So much reported busy time makes a kind known.
-const KNOWN: f64 = 3.0;
-/// The part of what is known that each report replaces.
-const GAIN: f64 = 0.002;
-/// How far what a kind bears must have moved before ranks follow: each move costs misses.
-const STEP: f64 = 0.1;
-/// So many reports make the utilization known.
-const REPORTS_KNOWN: f64 = 20.0;
-/// The part of the known utilization that each report replaces.
+/// Reports of servers less busy than this are ignored, because they are mostly noise.
+const MIN_REPORTED_BUSY: f64 = 0.05;
+/// Sum of reported busy fractions from which the capacity of a kind counts as known.
+const MIN_BUSY_SUM: f64 = 3.0;
+/// Gain of the moving sums of a kind's reports.
+const KIND_GAIN: f64 = 0.002;
+/// Relative change of a kind's capacity from which servers are ranked again. Each new ranking costs cache
+/// misses.
+const MIN_CAPACITY_CHANGE: f64 = 0.1;
+/// Number of reports from which the utilization counts as known.
+const MIN_REPORTS: f64 = 20.0;
+/// Gain of the moving mean of the utilization.
 const UTILIZATION_GAIN: f64 = 0.01;
-/// Servers count as using at least this part of their capacity, whatever they report.
-const UTILIZATION_LEAST: f64 = 0.25;
-/// The most by which kinds may differ from the mean. Broken reports would starve a kind, or flood it.
-const MOST: f64 = 8.0;
+/// Lower bound of the utilization, whatever servers report.
+const MIN_UTILIZATION: f64 = 0.25;
+/// Maximum ratio between the capacity of a kind and the mean. Without a bound, broken reports could starve or
+/// overload a kind.
+const MAX_CAPACITY_RATIO: f64 = 8.0;
 
-/// What the machines of a kind have reported.
+/// Sums over the load reports of a machine kind.
 #[derive(Clone, Copy, Default)]
 pub struct KindReports {
-    /// Busy time.
+    /// Sum of the busy fractions.
     busy: f64,
-    /// What was served in it, for the size that the list tells.
+    /// Sum of the served rates, each divided by the server's size in the endpoint list.
     served: f64,
 }
 
-/// The reports by kind. One proxy of many meets each server seldom and sees nothing of what others
-/// send there; at even shares slow ones drown while fast ones idle.
+/// Reports by machine kind. Load reports are needed because one proxy of many contacts each server seldom and
+/// does not see what other proxies send there; with equal shares, slow machines would be overloaded while
+/// fast ones are idle.
 pub type ReportsByKind = FxHashMap<u32, KindReports>;
 
-/// The part of their capacity that warm servers use, by their load reports.
+/// The fraction of their capacity that warm servers use, by their load reports.
 #[derive(Clone, Copy, Default)]
 pub struct Utilization {
     mean: f64,
@@ -46,22 +49,22 @@
         self.mean += (1.0 / self.reports).max(UTILIZATION_GAIN) * (busy - self.mean);
     }
 
-    /// The part that they use; all of it while too little is known.
-    pub fn known(&self) -> f64 {
-        if self.reports < REPORTS_KNOWN {
+    /// Returns the mean utilization; 1 while there are too few reports.
+    pub fn estimate(&self) -> f64 {
+        if self.reports < MIN_REPORTS {
             return 1.0;
         }
-        self.mean.clamp(UTILIZATION_LEAST, 1.0)
+        self.mean.clamp(MIN_UTILIZATION, 1.0)
     }
 }
 
 impl Balancer {
-    /// Learns from a server's load report, and ranks anew where a kind bears more or less than was known.
+    /// Records a server's load report; updates the weights if the capacity of a kind has changed.
     pub(super) fn record_load_report(&mut self, now: Nanos, server: ServerId, load: Load) {
         if let Some(s) = self.servers.get_mut(server) {
-            s.reported = ReportedLoad { busy: load.busy(), at: now };
+            s.reported = ReportedLoad { busy: load.busy(), received_at: now };
         }
-        if load.busy() < BUSY_LEAST {
+        if load.busy() < MIN_REPORTED_BUSY {
             return;
         }
         let warm =
@@ -70,20 +73,25 @@
         self.utilization.record(load.busy());
         let kind = s.entry.kind;
         let reports = self.reports.entry(kind).or_default();
-        reports.busy = reports.busy * (1.0 - GAIN) + load.busy();
-        // For its size, which the list tells: what the list does not tell is how fast a kind is.
+        reports.busy = reports.busy * (1.0 - KIND_GAIN) + load.busy();
+        // The rate is divided by the server's size, which the list gives; the list does not give a kind's
+        // speed.
         let served = load.rate() * s.inverse_weight * self.servers.capacity_of(kind);
-        reports.served = reports.served * (1.0 - GAIN) + served;
+        reports.served = reports.served * (1.0 - KIND_GAIN) + served;
         self.update_capacities();
     }
 
     fn update_capacities(&mut self) {
-        let known = || self.reports.iter().filter(|(_, of)| of.busy >= KNOWN && of.served > 0.0);
-        let all = known().fold((0.0, 0.0), |sum, (_, of)| (sum.0 + of.busy, sum.1 + of.served));
-        let against_mean = |of: &KindReports| (of.served / of.busy * all.0 / all.1).clamp(1.0 / MOST, MOST);
-        let capacities = known().map(|(kind, of)| (*kind, against_mean(of)));
-        let moved = |(kind, now): (u32, f64)| (now / self.servers.capacity_of(kind) - 1.0).abs() > STEP;
-        if capacities.clone().any(moved) {
+        let known = || self.reports.iter().filter(|(_, sums)| sums.busy >= MIN_BUSY_SUM && sums.served > 0.0);
+        let all = known().fold((0.0, 0.0), |total, (_, sums)| (total.0 + sums.busy, total.1 + sums.served));
+        let relative_to_mean = |sums: &KindReports| {
+            (sums.served / sums.busy * all.0 / all.1).clamp(1.0 / MAX_CAPACITY_RATIO, MAX_CAPACITY_RATIO)
+        };
+        let capacities = known().map(|(kind, sums)| (*kind, relative_to_mean(sums)));
+        let has_changed = |(kind, capacity): (u32, f64)| {
+            (capacity / self.servers.capacity_of(kind) - 1.0).abs() > MIN_CAPACITY_CHANGE
+        };
+        if capacities.clone().any(has_changed) {
             let capacities = capacities.collect();
             self.servers.update_capacities(capacities);
         }
--- a/crates/decision/src/logic/slow_start.rs
+++ b/crates/decision/src/logic/slow_start.rs
@@ -138,7 +138,7 @@
         let more = (SERVED_MORE_ALL / f64::from(self.settings.proxies.max(1))).min(1.0);
         let traffic = self.traffic.arrival_rate_before(now).min(self.traffic.served_rate() + more);
         // This proxy's part of N for each second, by its own even share of traffic.
-        let own = self.settings.overload_multiple * warm * part * traffic / self.utilization.known();
+        let own = self.settings.overload_multiple * warm * part * traffic / self.utilization.estimate();
         if !own.is_finite() {
             return true;
         }
--- a/crates/decision/src/logic/tenant_quota.rs
+++ b/crates/decision/src/logic/tenant_quota.rs
@@ -1,10 +1,10 @@
-//! Tenant quota: whether a tenant is within this proxy's even part of its share.
+//! Tenant quotas: whether a tenant is within its quota, which is divided evenly among the proxies.
 
 use super::*;
 
 impl Admission {
-    /// Whether a tenant is within its quota, by what was served to it; `served` more are counted first.
-    /// Danger: counting what was only tried uses a quota up with retries of what full servers rejected.
+    /// Whether a tenant is within its quota, after `served` more requests are counted. Only served requests
+    /// count: counting attempts would use up the quota with retries of requests that full servers rejected.
     pub fn within_quota(&mut self, now: Nanos, tenant: Option<usize>, served: f64) -> bool {
         let Some(t) = tenant.filter(|&t| t < self.quotas.len()) else { return true };
         let proxies = f64::from(self.settings.proxies.max(1));
