--- a/crates/decision/src/logic/admission.rs
+++ b/crates/decision/src/logic/admission.rs
@@ -1,69 +1,72 @@
-//! Admission control: which part of the requests is rejected unsent because servers answer too many late,
-//! those of little priority first.
+//! Admission control: the fraction of requests that is rejected unsent because servers answer too many late.
+//! Requests of low priority are rejected first.
 //!
-//! Requests are judged in windows of arrival. Once what became of a window's requests is known, the
-//! admitted parts move by the part of them that was late or rejected.
+//! Requests are grouped into windows by their arrival. Once the outcomes of a window's requests are known,
+//! the admitted fractions are adjusted by the fraction that was late or rejected.
 
 use super::request::FailureCause;
 use super::*;
 
-/// The part late of a window past which less is admitted: well over what a silent fifth of the servers makes.
-const LATE: f64 = 0.35;
-/// The part late or rejected past which requests of low priority are rejected; below half of it more are
-/// admitted.
-const BUSY: f64 = 0.1;
-/// How much faster what is admitted grows again while hardly anything is late. Danger: growing alike slowly
-/// in any case, one silence has half of all rejected for a minute after it, with the servers idle.
-const REGAIN: f64 = 0.9;
-/// Requests with less than this part of the usual weight for their time are of low priority.
-const LOW_PRIORITY: f64 = 0.5;
-/// Fewer requests than this say nothing against the servers; the window stays open for more, for a while.
-const REQUESTS_LEAST: f64 = 8.0;
-/// The least part of all requests that is admitted.
-const ADMITTED_LEAST: f64 = 0.05;
-/// The least part of the requests of low priority that is admitted.
-const LOW_PRIORITY_LEAST: f64 = 0.02;
-/// The part that a rejection by a server counts as late, where new connections have a price.
-const REJECTED_AS_LATE: f64 = 0.5;
+/// Late fraction of a window above which less is admitted. It is well above the late fraction that results
+/// when a fifth of the servers does not answer.
+const LATE_THRESHOLD: f64 = 0.35;
+/// Late or rejected fraction of a window above which fewer requests of low priority are admitted; below half
+/// of it, more are admitted.
+const BUSY_THRESHOLD: f64 = 0.1;
+/// How much faster the admitted fraction grows while hardly any request is late. With the same slow growth in
+/// every case, half of all requests were rejected for a minute after a single hang, with the servers idle.
+const FAST_GROWTH: f64 = 0.9;
+/// Requests with less than this fraction of the usual priority weight for their time are of low priority.
+const LOW_PRIORITY_RATIO: f64 = 0.5;
+/// Minimum number of requests that a window is judged by; the window stays open for longer to reach it, up to
+/// a limit.
+const MIN_REQUESTS: f64 = 8.0;
+/// Minimum admitted fraction of all requests.
+const MIN_ADMITTED: f64 = 0.05;
+/// Minimum admitted fraction of the requests of low priority.
+const MIN_LOW_PRIORITY_ADMITTED: f64 = 0.02;
+/// The fraction of a late request that a rejection by a server counts for, if new connections have a cost.
+const REJECTION_LATE_WEIGHT: f64 = 0.5;
 
-/// What became of the requests that arrived in a window of time.
+/// Outcomes of the requests that arrived in a window of time.
 #[derive(Clone, Default)]
 struct Window {
     from: Nanos,
-    /// When it closed to new arrivals.
+    /// Time at which it closed to new arrivals.
     until: Option<Nanos>,
     sent: f64,
     ended: f64,
     late: f64,
     rejected: f64,
-    /// Weight and time of all requests asked for, for the usual weight of a second's work.
+    /// Sum of the priority weights of all its requests, including the rejected ones.
     weight: f64,
+    /// Sum of the mean answer times of the classes of these requests.
     time: f64,
 }
 
 impl Window {
-    fn holds(&self, arrived: Nanos, end: Nanos) -> bool {
+    fn contains(&self, arrived: Nanos, end: Nanos) -> bool {
         (self.from..self.until.unwrap_or(end)).contains(&arrived)
     }
 }
 
-/// What is admitted.
+/// The admitted fractions, and the window that adjusts them.
 pub struct Admission {
     /// The settings in force.
     pub settings: Arc<Settings>,
     window: Window,
-    /// Usual weight of a second's work.
+    /// Usual priority weight per unit of answer time.
     usual_weight: f64,
-    /// The part of the requests that is admitted.
+    /// The admitted fraction of the requests.
     admitted: f64,
-    /// The part of those of low priority that is admitted of these.
+    /// The fraction of these that is admitted among the requests of low priority.
     low_priority_admitted: f64,
-    /// What each tenant may still send within its quota.
+    /// The token bucket of each tenant's quota.
     pub(super) quotas: Vec<TokenBucket>,
 }
 
 impl Admission {
-    /// Everything is admitted.
+    /// Creates a state that admits all requests.
     pub fn new(settings: Arc<Settings>) -> Self {
         let quotas = vec![TokenBucket { tokens: 1.0, refilled_at: 0 }; settings.tenants.len()];
         Admission {
@@ -76,7 +79,7 @@
         }
     }
 
-    /// The part of the requests that is admitted, of those of low priority or of the others.
+    /// Returns the admitted fraction of the requests of low priority, or of the others.
     pub fn admitted(&self, low_priority: bool) -> f64 {
         self.admitted * if low_priority { self.low_priority_admitted } else { 1.0 }
     }
@@ -86,15 +89,15 @@
         self.window.sent += indicator(self.window.until.is_none());
     }
 
-    /// Takes note of how a request that was sent has ended; `earned` is the part of its weight that its
-    /// answer had.
-    pub fn record_end(&mut self, request: &ActiveRequest, earned: f64) {
-        // One that came past its objective could not have been in time: it says nothing of the servers.
+    /// Records the end of a request; `weight_fraction` is the fraction of its priority weight that its answer
+    /// has.
+    pub fn record_end(&mut self, request: &ActiveRequest, weight_fraction: f64) {
+        // A request that arrived with too little time could not be answered in time whatever the servers do.
         let counts = request.judges_servers && !request.attempts.is_empty();
-        if counts && self.window.holds(request.arrived, Nanos::MAX) {
+        if counts && self.window.contains(request.arrived, Nanos::MAX) {
             self.window.ended += 1.0;
             match request.failure_cause {
-                _ if earned > 0.0 => {}
+                _ if weight_fraction > 0.0 => {}
                 FailureCause::Late => self.window.late += 1.0,
                 FailureCause::Overloaded => self.window.rejected += 1.0,
                 FailureCause::Other => {}
@@ -102,39 +105,40 @@
         }
     }
 
-    /// Moves the admitted parts by what became of those of one window that were sent. What was rejected
-    /// unsent says nothing, or rejecting would feed itself.
-    fn adjust(&mut self, now: Nanos, settle: Nanos, window: Window) {
-        let ended = window.ended.max(REQUESTS_LEAST);
+    /// Adjusts the admitted fractions by the outcomes of the requests of a window that were sent. Requests
+    /// that were rejected unsent do not count, since otherwise rejections would cause more rejections.
+    fn adjust(&mut self, now: Nanos, settling_time: Nanos, window: Window) {
+        let ended = window.ended.max(MIN_REQUESTS);
         let (late, busy) = (window.late / ended, (window.late + window.rejected) / ended);
         if window.time > 0.0 {
             self.usual_weight = window.weight / window.time;
         }
-        // The windows of a proxy with little traffic last long: what is admitted again goes by time, or it
-        // would take minutes.
-        let steps = (now.saturating_sub(window.from) as f64 / (1.5 * settle as f64)).clamp(1.0, 8.0);
-        let growth = |ill: f64| (1.1 + REGAIN * (1.0 - ill).max(0.0)).powf(steps);
-        // By chance a few of a small window go wrong.
-        let chance = 1.5 * (BUSY / window.ended.max(1.0)).sqrt();
-        if busy > BUSY + chance {
-            self.low_priority_admitted = (self.low_priority_admitted * 0.5).max(LOW_PRIORITY_LEAST);
-        } else if busy < BUSY / 2.0 + chance {
-            let grown = self.low_priority_admitted * growth(busy / (BUSY / 2.0 + chance));
+        // The windows of a proxy with little traffic are long. Growth depends on the time passed, since
+        // otherwise recovery would take minutes.
+        let steps = (now.saturating_sub(window.from) as f64 / (1.5 * settling_time as f64)).clamp(1.0, 8.0);
+        let growth = |severity: f64| (1.1 + FAST_GROWTH * (1.0 - severity).max(0.0)).powf(steps);
+        // Margin for random failures in a small window.
+        let margin = 1.5 * (BUSY_THRESHOLD / window.ended.max(1.0)).sqrt();
+        if busy > BUSY_THRESHOLD + margin {
+            self.low_priority_admitted = (self.low_priority_admitted * 0.5).max(MIN_LOW_PRIORITY_ADMITTED);
+        } else if busy < BUSY_THRESHOLD / 2.0 + margin {
+            let grown = self.low_priority_admitted * growth(busy / (BUSY_THRESHOLD / 2.0 + margin));
             self.low_priority_admitted = (grown + 0.01 * steps).min(1.0);
         }
-        // To be rejected costs a handshake; where those have a price, hammering full servers is waste.
-        let waste = if self.settings.handshake_cost > 0.0 { REJECTED_AS_LATE } else { 0.0 };
-        let late = late + waste * window.rejected / ended;
-        if late > LATE {
-            self.admitted = (self.admitted * (1.0 - late).max(0.1)).max(ADMITTED_LEAST);
-        } else if late < LATE / 2.0 {
-            self.admitted = (self.admitted * growth(late / (LATE / 2.0)) + 0.02 * steps).min(1.0);
+        // A rejection costs a handshake. If handshakes have a cost, sending more to full servers wastes it.
+        let rejection_weight = if self.settings.handshake_cost > 0.0 { REJECTION_LATE_WEIGHT } else { 0.0 };
+        let late = late + rejection_weight * window.rejected / ended;
+        if late > LATE_THRESHOLD {
+            self.admitted = (self.admitted * (1.0 - late).max(0.1)).max(MIN_ADMITTED);
+        } else if late < LATE_THRESHOLD / 2.0 {
+            self.admitted = (self.admitted * growth(late / (LATE_THRESHOLD / 2.0)) + 0.02 * steps).min(1.0);
         }
     }
 }
 
 impl Balancer {
-    /// The usual latency objective: what most of a window's requests came to is known by then.
+    /// Returns the average latency objective, after which the outcomes of most of a window's requests are
+    /// known.
     fn settling_time(&self) -> Nanos {
         let classes = self.settings.classes.iter().zip(self.traffic.latencies());
         let each = classes.map(|(c, latency)| (c.latency_objective as f64, latency.count + 0.1));
@@ -142,45 +146,46 @@
         ((sum / count) as Nanos).clamp(100 * MS, 4 * SECOND)
     }
 
-    /// Closes a window to new arrivals once enough have come, and judges it once what came of these is known.
-    /// Danger: judging by what ends just now answers to the load of before, and swings between all and none.
-    fn judge_window(&mut self, now: Nanos) {
-        let settle = self.settling_time();
+    /// Closes the window to new arrivals once it has enough, and evaluates it once their outcomes are known.
+    /// Evaluating the requests that end at the moment would react to an earlier load, and oscillate between
+    /// admitting all and none.
+    fn evaluate_window(&mut self, now: Nanos) {
+        let settling_time = self.settling_time();
         let window = &mut self.admission.window;
         let Some(until) = window.until else {
             let age = now.saturating_sub(window.from);
-            if window.sent >= REQUESTS_LEAST && age >= settle / 2 || age >= 4 * settle {
+            if window.sent >= MIN_REQUESTS && age >= settling_time / 2 || age >= 4 * settling_time {
                 window.until = Some(now);
             }
             return;
         };
-        if now < until.saturating_add(settle) {
+        if now < until.saturating_add(settling_time) {
             return;
         }
         let mut window = std::mem::replace(window, Window { from: now, ..Window::default() });
         let overdue = self.overdue(now, &window);
         (window.late, window.ended) = (window.late + overdue, window.ended + overdue);
-        self.admission.adjust(now, settle, window);
+        self.admission.adjust(now, settling_time, window);
     }
 
-    /// The requests of a window that are still in flight: they have run past their objective. Danger: where
-    /// clients wait for longer, servers that answer nothing would not be seen until they give up. What
-    /// waits at the origin is not the servers' doing.
+    /// Returns the number of requests of a window that are still in flight, which are past their objective.
+    /// If they were not counted, servers that do not answer would go unnoticed until the clients give up.
+    /// Requests that wait for an overloaded origin do not count against the servers.
     fn overdue(&self, now: Nanos, window: &Window) -> f64 {
         let overdue = self.requests.values().filter(|r| {
             let last = r.attempts.last().and_then(|a| self.servers.get(a.server));
             let at_servers = !r.fetch_expected || self.origin.is_healthy();
             at_servers
-                && window.holds(r.arrived, now)
+                && window.contains(r.arrived, now)
                 && last.is_some_and(|s| self.servers.can_be_candidate(s))
         });
         overdue.count() as f64
     }
 
-    /// The part of a class's and tenant's requests to reject unsent: those of low priority for their work
-    /// first.
-    pub(super) fn rejected_part(&mut self, now: Nanos, request: &mut ActiveRequest) -> f64 {
-        self.judge_window(now);
+    /// Returns the probability with which a request is rejected unsent; it is higher for requests with a low
+    /// priority weight for their work.
+    pub(super) fn rejection_probability(&mut self, now: Nanos, request: &mut ActiveRequest) -> f64 {
+        self.evaluate_window(now);
         let time = self.traffic.latency(Some(request.class)).mean.max(1.0);
         let class = self.settings.classes.get(request.class);
         let mut weight = class.map_or(1.0, |c| c.priority_weight.max(1e-9));
@@ -195,7 +200,7 @@
         admission.window.time += time;
         let ratio = weight / time / admission.usual_weight.max(1e-30);
         let mut admitted = 1.0 - (1.0 - admission.admitted).powf(ratio.clamp(0.25, 4.0));
-        request.low_priority = ratio < LOW_PRIORITY && admission.usual_weight > 0.0;
+        request.low_priority = ratio < LOW_PRIORITY_RATIO && admission.usual_weight > 0.0;
         if request.low_priority {
             admitted *= admission.low_priority_admitted;
         }
--- a/crates/decision/src/logic/eligibility.rs
+++ b/crates/decision/src/logic/eligibility.rs
@@ -1,22 +1,22 @@
-//! Eligibility: whether the rules allow an attempt of a request at a server, whatever chose that server.
+//! Eligibility: whether the rules allow an attempt of a request at a server, however the server was chosen.
 
 use super::*;
 
-/// What a request needs to reach its server: an attempt that is sent so long before the end of the window
-/// in which repeats are dropped still arrives within it.
-const WAY_TO_SERVER: Nanos = 100 * MS;
+/// Time allowed for a request to reach its server: an attempt sent this long before the end of the
+/// deduplication window still arrives within it.
+const DELIVERY_TIME: Nanos = 100 * MS;
 
 impl Balancer {
-    /// Whether a further attempt may go to this server, after attempts that may have run.
+    /// Whether a further attempt may go to this server, given the earlier attempts that may have run.
     pub(super) fn may_repeat_at(&self, now: Nanos, request: &ActiveRequest, s: &Server) -> bool {
         let Some(class) = self.settings.classes.get(request.class) else { return true };
-        let mut ran = request.attempts.iter().filter(|a| a.pending || a.may_have_run);
+        let mut possibly_run = request.attempts.iter().filter(|a| a.pending || a.may_have_run);
         match class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::NonIdempotent => ran.next().is_none(),
-            Idempotency::WithKey => ran.all(|a| {
+            Idempotency::NonIdempotent => possibly_run.next().is_none(),
+            Idempotency::WithKey => possibly_run.all(|a| {
                 let window_ends = a.sent.saturating_add(class.dedup_window);
-                let in_window = now.saturating_add(WAY_TO_SERVER) < window_ends;
+                let in_window = now.saturating_add(DELIVERY_TIME) < window_ends;
                 let in_group = match class.group {
                     Group::All => true,
                     Group::Zone => a.zone == s.entry.zone,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Whether the rules allow an attempt now. Whatever chose the server, nothing is sent without it.
+    /// Whether the rules allow an attempt now. Nothing is sent without this check, however the server was
+    /// chosen.
     pub(super) fn is_eligible(&self, now: Nanos, request: &ActiveRequest, s: &Server) -> bool {
         s.is_ready()
             && self.servers.is_open_to(&request.settings, request.class, request.pool, s)
@@ -40,9 +41,15 @@
 }
 
 impl ServerTable {
-    /// Whether a request may be sent to a server by its class and pool. The origin of a cache-aside
-    /// deployment is open to all.
-    pub(super) fn is_open_to(&self, by: &Settings, class: usize, pool: Option<usize>, s: &Server) -> bool {
-        by.allows(class, pool, s.entry.zone, s.entry.kind) || by.cache_aside && self.is_origin(s)
+    /// Whether the class and pool of a request allow a server. The origin of a cache-aside deployment is open
+    /// to all requests.
+    pub(super) fn is_open_to(
+        &self,
+        settings: &Settings,
+        class: usize,
+        pool: Option<usize>,
+        s: &Server,
+    ) -> bool {
+        settings.allows(class, pool, s.entry.zone, s.entry.kind) || settings.cache_aside && self.is_origin(s)
     }
 }
--- a/crates/decision/src/logic/hedging.rs
+++ b/crates/decision/src/logic/hedging.rs
@@ -43,6 +43,6 @@
         }
         // The missing answer counts against the server at once, so that a hung server is ejected after two.
         self.record_failure(now, slow, 1.0);
-        self.send_another(now, id, FurtherAttempt { after_silence: true, asks_origin: false }, actions);
+        self.send_another(now, id, FurtherAttempt { after_timeout: true, after_origin: false }, actions);
     }
 }
--- a/crates/decision/src/logic/key_affinity.rs
+++ b/crates/decision/src/logic/key_affinity.rs
@@ -1,50 +1,52 @@
 //! Key affinity: which servers a key's bucket prefers (Go-With-The-Winner).
 //!
-//! Keys are hashed into buckets. A bucket ranks the servers by weighted rendezvous hashing, alike at all
-//! proxies; the first ones that slow start admits are its candidates. Each candidate has a window of its
-//! last reads; the first one with [`HITS_TO_WIN`] hits in a row wins the bucket and keeps it. A hot bucket
-//! is shared by its first servers.
+//! Keys are hashed into buckets. A bucket ranks the servers by weighted rendezvous hashing, with the same
+//! result at all proxies; the first ones that slow start admits are its candidates. Each candidate has a
+//! window of its last reads; the first one with [`HITS_TO_WIN`] hits in a row wins the bucket and keeps it. A
+//! hot bucket is spread over its first servers.
 
 use super::*;
 
-/// Candidates of a bucket.
+/// Number of candidates of a bucket.
 pub const CANDIDATES: usize = 2;
-/// Straight hits with which a candidate wins a bucket.
+/// Number of hits in a row with which a candidate wins a bucket.
 const HITS_TO_WIN: u32 = 3;
-/// How much better than the first its window must make a later candidate of an undecided bucket look. Danger:
-/// with many proxies each sees few requests of a bucket; those that ask in turn fill every candidate with a
-/// copy, and the origin pays for each.
-const LATER_CANDIDATE: f64 = 0.25;
-/// Key buckets; a bucket's state exists only once it was used.
-const BUCKETS: u64 = 1 << 13;
-/// Pools that a class's buckets may be of, and none.
-const POOLS: u64 = MAX_POOLS as u64 + 1;
-/// Servers ranked for each bucket: candidates first, then those that stand in for them.
-const RANKED: usize = 16;
-/// The keys that a server in slow start gets, by its warm fraction. Danger: at just its share newcomers
-/// idle (they warm sooner than they must, and their misses cost them little) while warm servers drown in a
-/// release.
-const SLOW_START_KEYS: f64 = 2.5;
-/// A bucket's part of one server's even share that it may bring before it is spread.
-const HOT: f64 = 0.25;
-/// How much sooner it is spread for the price of crossing zones: a copy in each zone saves crossings.
-const COPY_IN_EACH_ZONE: f64 = 20.0;
-/// Salts of the hashes that rank servers and that admit those in slow start.
+/// How much lower the miss rate of a later candidate must be for it to be asked before the first one, while
+/// the bucket has no winner. With many proxies, each sees few requests of a bucket; asking the candidates in
+/// turn would put a copy on each of them, and each copy costs a fetch from the origin.
+const LATER_CANDIDATE_PENALTY: f64 = 0.25;
+/// Number of key buckets in each scope; the state of a bucket is created on first use.
+const BUCKETS_PER_SCOPE: u64 = 1 << 13;
+/// Number of pool scopes of each class: one for each pool, and one for requests without a pool.
+const POOL_SCOPES: u64 = MAX_POOLS as u64 + 1;
+/// Number of servers ranked for each bucket: its candidates first, then their substitutes.
+const MAX_RANKED: usize = 16;
+/// The fraction of its keys that a server in slow start gets, as a multiple of its warm fraction. With a
+/// multiple of one, new servers are underused during a rollout, since they warm up faster than required and
+/// their misses cost them little, while warm servers are overloaded.
+const SLOW_START_KEY_FACTOR: f64 = 2.5;
+/// The load of a bucket above which it is spread, as a fraction of the average load of a server.
+const HOT_LOAD: f64 = 0.25;
+/// How much the cost of crossing zones lowers that load: a copy in each zone saves cross-zone traffic.
+const CROSS_ZONE_FACTOR: f64 = 20.0;
+/// Salt of the hash that ranks servers.
 const RANK_SALT: u64 = 0x5ca1_ab1e;
+/// Salt of the hash that admits servers in slow start.
 const ADMIT_SALT: u64 = 0xc01d;
 
-/// Where a bucket stands in the hash: alike in every scope, so that scopes share copies where they may.
+/// Returns the position of a bucket in the hash. It is the same in every scope, so that scopes share cached
+/// copies where their servers overlap.
 pub fn hash_position(bucket: u32) -> u64 {
-    u64::from(bucket) % BUCKETS
+    u64::from(bucket) % BUCKETS_PER_SCOPE
 }
 
 /// The last reads of a bucket at one candidate.
 #[derive(Clone, Copy, Default)]
 struct Window {
     server: ServerId,
-    /// One bit for each read, 1 for a hit; the last is the lowest.
+    /// One bit for each read, 1 for a hit; the lowest bit is the last read.
     hits: u32,
-    /// Reads counted, up to the length of the window.
+    /// Number of reads, up to the length of the window.
     seen: u32,
 }
 
@@ -56,105 +58,110 @@
         self.seen = (self.seen + 1).min(HITS_TO_WIN);
     }
 
-    /// The part of the reads that misses, from few of them.
-    fn misses(&self) -> f64 {
+    /// Estimates the miss rate from the few reads of the window.
+    fn miss_rate(&self) -> f64 {
         1.0 - (f64::from(self.hits.count_ones()) + 1.0) / (f64::from(self.seen) + 2.0)
     }
 }
 
 #[derive(Default)]
 struct Bucket {
-    /// The version of the server table that it was ranked by.
+    /// The version of the server table at the last ranking.
     version: u64,
     ranked: Vec<u32>,
     windows: [Window; CANDIDATES],
     winner: Option<ServerId>,
     requests: DecayingCounter,
-    /// Whose turn it is among the servers that share it.
+    /// Counter that rotates the requests over the servers that share the bucket.
     turn: u32,
-    /// Its last read was answered, so that a server surely holds it.
+    /// Whether its last read was answered, so that some server has it cached.
     answered: bool,
+    /// Whether it was ever read.
     read: bool,
 }
 
-/// What is known of where a bucket's values are cached.
+/// What is known about the cached copies of a bucket.
 #[derive(Clone, Copy, Default)]
 pub struct CacheState {
-    /// Some server surely holds it.
+    /// Whether some server has it cached.
     pub cached: bool,
-    /// It was read at all.
+    /// Whether it was ever read.
     pub read: bool,
 }
 
-/// All buckets that were used.
+/// All buckets used so far.
 pub struct KeyBuckets {
     all: FxHashMap<u32, Bucket>,
-    /// For each class, the first class that may use the same servers: these share candidates and winners.
+    /// For each class, the first class that may use the same servers; such classes share candidates and
+    /// winners.
     scopes: Vec<usize>,
     /// The first class of each scope.
-    distinct: Vec<usize>,
-    /// A bucket that brings more than this part of one server's even share is spread.
-    hot: f64,
+    scope_classes: Vec<usize>,
+    /// The load above which a bucket is spread, as a fraction of the average load of a server.
+    hot_load: f64,
     proxy_index: usize,
 }
 
-/// For each class, the first class that may use the same servers; and the first classes of these scopes.
+/// Returns for each class the first class that may use the same servers, and the first classes of these
+/// scopes.
 fn scopes_of(settings: &Settings) -> (Vec<usize>, Vec<usize>) {
     let first =
         |c: &Class| settings.classes.iter().position(|o| o.allowed_servers == c.allowed_servers).unwrap_or(0);
     let scopes: Vec<usize> = settings.classes.iter().map(first).collect();
-    let distinct = (0..scopes.len()).filter(|c| scopes[*c] == *c).collect();
-    (scopes, distinct)
+    let scope_classes = (0..scopes.len()).filter(|c| scopes[*c] == *c).collect();
+    (scopes, scope_classes)
 }
 
 impl KeyBuckets {
-    /// No bucket used yet.
+    /// Creates the state without any bucket.
     pub fn new(settings: &Settings) -> Self {
-        let hot = HOT / (1.0 + COPY_IN_EACH_ZONE * settings.cross_zone_cost.max(0.0));
-        let (scopes, distinct) = scopes_of(settings);
+        let hot_load = HOT_LOAD / (1.0 + CROSS_ZONE_FACTOR * settings.cross_zone_cost.max(0.0));
+        let (scopes, scope_classes) = scopes_of(settings);
         KeyBuckets {
             all: FxHashMap::default(),
             scopes,
-            distinct,
-            hot,
+            scope_classes,
+            hot_load,
             proxy_index: settings.proxy_index as usize,
         }
     }
 
-    /// Takes over who may be sent where.
+    /// Updates the scopes to new settings.
     pub fn update_settings(&mut self, settings: &Settings) {
-        (self.scopes, self.distinct) = scopes_of(settings);
+        (self.scopes, self.scope_classes) = scopes_of(settings);
     }
 
-    /// The bucket of a key for a class and pool; another scope's has candidates and a winner of its own.
+    /// Returns the bucket of a key for a class and pool; buckets of other scopes have their own candidates
+    /// and winner.
     pub fn bucket_of(&self, class: usize, pool: Option<usize>, key: u64) -> u32 {
         let scope = self.scopes.get(class).map_or(0, |s| s + 1) as u64;
-        let scope = scope * POOLS + pool.map_or(0, |p| p as u64 + 1) % POOLS;
-        (scope * BUCKETS + mix(key) % BUCKETS) as u32
+        let scope = scope * POOL_SCOPES + pool.map_or(0, |p| p as u64 + 1) % POOL_SCOPES;
+        (scope * BUCKETS_PER_SCOPE + mix(key) % BUCKETS_PER_SCOPE) as u32
     }
 
-    /// Ranks the servers open to a bucket's classes by weighted rendezvous hashing: the same at every proxy.
+    /// Ranks the servers open to a bucket's classes by weighted rendezvous hashing; the ranking is the same
+    /// at every proxy.
     pub fn rank(&mut self, servers: &ServerTable, bucket: u32) {
         let state = self.all.entry(bucket).or_default();
         if state.version == servers.version && !state.ranked.is_empty() {
             return;
         }
-        let scope = (u64::from(bucket) / BUCKETS) as usize;
-        let class = (scope / POOLS as usize).wrapping_sub(1);
-        let pool = (scope % POOLS as usize).checked_sub(1);
-        state.ranked = best_ranked(servers, bucket, class, pool, &self.distinct);
+        let scope = (u64::from(bucket) / BUCKETS_PER_SCOPE) as usize;
+        let class = (scope / POOL_SCOPES as usize).wrapping_sub(1);
+        let pool = (scope % POOL_SCOPES as usize).checked_sub(1);
+        state.ranked = best_ranked(servers, bucket, class, pool, &self.scope_classes);
         state.version = servers.version;
     }
 
-    /// A server in slow start is admitted to a bucket once its warm fraction is past what a hash of both
-    /// says, alike at all proxies.
+    /// Whether a server may serve a bucket. A server in slow start is admitted once its warm fraction exceeds
+    /// a threshold from a hash of both, which is the same at all proxies.
     fn is_admitted(servers: &ServerTable, now: Nanos, bucket: u32, s: &Server) -> bool {
         let warm = servers.warm_fraction(now, s);
         let threshold = || unit_interval(mix(s.entry.server ^ mix(hash_position(bucket) ^ ADMIT_SALT)));
-        !s.excluded && (warm >= 1.0 || threshold() < SLOW_START_KEYS * warm)
+        !s.excluded && (warm >= 1.0 || threshold() < SLOW_START_KEY_FACTOR * warm)
     }
 
-    /// Takes note of what a read of a bucket came to.
+    /// Records the result of a read of a bucket at a server.
     pub fn record_read(&mut self, bucket: u32, server: ServerId, answered: bool, hit: bool) {
         let Some(state) = self.all.get_mut(&bucket) else { return };
         (state.answered, state.read) = (answered, true);
@@ -166,27 +173,28 @@
         }
     }
 
-    /// What is known of where a bucket's values are cached. Danger: one late read of a rare key would shut
-    /// a bucket whose other keys its candidates hold.
+    /// Returns what is known about the cached copies of a bucket. A hit in any window counts; otherwise one
+    /// late read of a rare key would block a bucket whose other keys are cached by its candidates.
     pub fn cache_state(&self, bucket: u32) -> CacheState {
         let Some(state) = self.all.get(&bucket) else { return CacheState::default() };
         let hit = state.windows.iter().any(|w| w.hits != 0);
         CacheState { cached: state.answered || hit, read: state.read }
     }
 
-    /// Counts a request of a bucket, of `arrivals` lately; returns how many of the `servers` it is worth.
+    /// Counts a request of a bucket; returns over how many servers the bucket is to be spread, given the
+    /// recent number of `arrivals` and the number of candidate `servers`.
     pub fn record_request(&mut self, now: Nanos, bucket: u32, arrivals: f64, servers: f64) -> usize {
         let Some(state) = self.all.get_mut(&bucket) else { return 1 };
         state.requests.add(now, traffic::ARRIVAL_TIME_CONSTANT_S);
         state.turn = state.turn.wrapping_add(1);
-        // Few requests say little of a bucket's part in the whole: count it a deviation lower.
-        let sure = state.requests.sum - state.requests.sum.sqrt();
-        ((sure / arrivals.max(1.0) * servers / self.hot).ceil() as usize).clamp(1, RANKED)
+        // With few requests a bucket's share of the traffic is uncertain: use one deviation less.
+        let lower_bound = state.requests.sum - state.requests.sum.sqrt();
+        ((lower_bound / arrivals.max(1.0) * servers / self.hot_load).ceil() as usize).clamp(1, MAX_RANKED)
     }
 
-    /// The ranked servers admitted to a bucket, in the order to ask: the winner, else the best window, ties
-    /// broken alike at all proxies; then those that stand in for them. The first `spread` servers come in
-    /// turn.
+    /// Returns the ranked servers admitted to a bucket in order of preference: the winner, or else the
+    /// candidate with the best window, with ties broken in the same way at all proxies; then the substitutes.
+    /// The first `spread` servers take turns at the first place.
     pub fn preference_order(
         &mut self,
         servers: &ServerTable,
@@ -198,24 +206,25 @@
         let admitted = |index: &u32| Self::is_admitted(servers, now, bucket, servers.at(*index));
         let mut order: Vec<u32> = state.ranked.iter().copied().filter(admitted).take(CANDIDATES).collect();
         state.set_candidates(servers, &order);
-        let demerit = |index: u32| state.demerit(servers.at(index).entry.server);
-        order.sort_by(|a, b| demerit(*a).total_cmp(&demerit(*b)));
+        let penalty = |index: u32| state.penalty(servers.at(index).entry.server);
+        order.sort_by(|a, b| penalty(*a).total_cmp(&penalty(*b)));
         for &index in &state.ranked {
             if !order.contains(&index) && admitted(&index) {
                 order.push(index);
             }
         }
-        let sharing = spread.min(order.len());
-        if sharing > 1 {
-            // A hot bucket is shared by its first servers: one alone would drown.
-            order[..sharing].rotate_left((state.turn as usize).wrapping_add(self.proxy_index) % sharing);
+        let sharing_servers = spread.min(order.len());
+        if sharing_servers > 1 {
+            // A hot bucket would overload a single server, so its first servers share it.
+            order[..sharing_servers]
+                .rotate_left((state.turn as usize).wrapping_add(self.proxy_index) % sharing_servers);
         }
         order
     }
 }
 
 impl Bucket {
-    /// Takes over its candidates; what their windows hold stays.
+    /// Replaces the candidates; those that stay candidates keep their windows.
     fn set_candidates(&mut self, servers: &ServerTable, candidates: &[u32]) {
         let ids: Vec<ServerId> = candidates.iter().map(|&index| servers.at(index).entry.server).collect();
         if self.windows.iter().map(|w| w.server).eq(ids.iter().copied()) {
@@ -223,50 +232,53 @@
         }
         let old = std::mem::take(&mut self.windows);
         for (window, &server) in self.windows.iter_mut().zip(&ids) {
-            let kept = old.iter().find(|o| o.server == server).copied();
-            *window = kept.unwrap_or(Window { server, ..Window::default() });
+            let window_before = old.iter().find(|o| o.server == server).copied();
+            *window = window_before.unwrap_or(Window { server, ..Window::default() });
         }
-        // Reopen when the winner left the candidates, but for one that operators will give back.
+        // A winner that is no longer a candidate is cleared, unless an operator excluded it: then its keys
+        // return to it with the end of the exclusion.
         if self.winner.is_some_and(|w| !ids.contains(&w) && !servers.excluded.contains(&w)) {
             self.winner = None;
         }
     }
 
-    /// What speaks against asking a candidate first.
-    fn demerit(&self, server: ServerId) -> f64 {
+    /// Returns the penalty of a candidate; the one with the lowest penalty is asked first.
+    fn penalty(&self, server: ServerId) -> f64 {
         if self.winner == Some(server) {
             return -1.0;
         }
         let position = self.windows.iter().position(|w| w.server == server).unwrap_or(CANDIDATES);
         let window = self.windows.get(position).copied().unwrap_or_default();
-        window.misses() + LATER_CANDIDATE * position as f64
+        window.miss_rate() + LATER_CANDIDATE_PENALTY * position as f64
     }
 }
 
-/// The servers that a bucket ranks first, of those open to its class and pool.
+/// Returns the best-ranked servers of a bucket, of those open to its class and pool.
 fn best_ranked(
     servers: &ServerTable,
     bucket: u32,
     class: usize,
     pool: Option<usize>,
-    distinct: &[usize],
+    scope_classes: &[usize],
 ) -> Vec<u32> {
     let salt = mix(hash_position(bucket) ^ RANK_SALT);
     let open = |class, pool, s: &Server| servers.is_open_to(&servers.settings, class, pool, s);
     let fits = |s: &Server| (servers.can_be_candidate(s) || s.excluded) && open(class, pool, s);
-    let mut best: Vec<(f64, u32)> = Vec::with_capacity(RANKED + 1);
+    let mut best: Vec<(f64, u32)> = Vec::with_capacity(MAX_RANKED + 1);
     for (index, s) in servers.servers.iter().enumerate() {
-        // As -ln(x) is at least 1 - x, most servers are cheaply known to score past the worst kept.
-        let worst = best.get(RANKED - 1).map_or(f64::INFINITY, |x| x.0);
+        // Since -ln(x) >= 1 - x, this cheap bound shows for most servers that they score above the worst one
+        // in the list.
+        let worst_score = best.get(MAX_RANKED - 1).map_or(f64::INFINITY, |x| x.0);
         let hash = unit_interval(mix(salt ^ s.entry.server));
-        if (1.0 - hash) * s.inverse_weight < worst && fits(s) {
-            // Danger: what only some servers may serve needs these; others' keys would crowd them.
-            let scopes = distinct.iter().filter(|c| open(**c, None, s)).count();
+        if (1.0 - hash) * s.inverse_weight < worst_score && fits(s) {
+            // A server that is open to more scopes and pools gets a worse score, so that keys that any server
+            // may serve do not crowd the servers that restricted classes and pools depend on.
+            let scopes = scope_classes.iter().filter(|c| open(**c, None, s)).count();
             let pools = (0..servers.settings.pools.len()).filter(|p| open(class, Some(*p), s)).count();
             let score = -hash.ln() * s.inverse_weight * (scopes + pools).max(1) as f64;
-            if score < worst {
+            if score < worst_score {
                 best.insert(best.partition_point(|x| x.0 <= score), (score, index as u32));
-                best.truncate(RANKED);
+                best.truncate(MAX_RANKED);
             }
         }
     }
--- a/crates/decision/src/logic/lifecycle.rs
+++ b/crates/decision/src/logic/lifecycle.rs
@@ -1,14 +1,16 @@
-//! The life of a request: admitted or rejected, its attempts with their time-outs, and its one final answer.
+//! The lifecycle of a request: its admission or rejection, its attempts with their timeouts, and its single
+//! final answer.
 
 use super::*;
 
-/// The wait that a rejection advises where nothing is overloaded.
-const RETRY_SOON: Nanos = 50 * MS;
-/// The part of a long advised wait that is drawn. Danger: those rejected together return together.
-const JITTER: f64 = 0.5;
+/// The wait that a rejection advises while nothing is overloaded.
+const SHORT_RETRY_AFTER: Nanos = 50 * MS;
+/// The fraction of an advised wait that is random. Without it, clients rejected at the same time would all
+/// retry at the same time.
+const RETRY_AFTER_JITTER: f64 = 0.5;
 
 impl Balancer {
-    /// A request arrives: it is sent to a server, or gets its final answer at once.
+    /// Handles an arriving request: sends it to a server, or gives it its final answer at once.
     pub(super) fn arrival(&mut self, now: Nanos, r: Request, actions: &mut Vec<Action>) {
         self.traffic.record_arrival(now);
         self.retry_budget.earn(r.tenant.map(|t| t as usize));
@@ -31,16 +33,17 @@
             settings: self.settings.clone(),
             ..ActiveRequest::default()
         };
-        let rejected_part = self.rejected_part(now, &mut request);
-        let mut rejected = hopeless || rejected_part > 0.0 && self.random.draw() < rejected_part;
+        let rejection_probability = self.rejection_probability(now, &mut request);
+        let mut rejected =
+            hopeless || rejection_probability > 0.0 && self.random.draw() < rejection_probability;
         let mut spread = 1;
         if let Some(bucket) = bucket.filter(|_| !rejected) {
-            spread = self.note_in_bucket(now, bucket);
-            // Danger: a bucket not read yet is no fetch for sure; while fetches come in time none is
-            // rejected.
-            let known = self.buckets.cache_state(bucket);
-            request.fetch_expected = !self.settings.cache_aside && !r.write && !known.cached;
-            rejected = self.origin_rejects(&request, known.read);
+            spread = self.record_in_bucket(now, bucket);
+            // A bucket that was not read yet may be cached all the same, so its requests are not rejected
+            // while fetches are in time.
+            let cache_state = self.buckets.cache_state(bucket);
+            request.fetch_expected = !self.settings.cache_aside && !r.write && !cache_state.cached;
+            rejected = self.origin_rejects(&request, cache_state.read);
         }
         let drawn = self.random.draw();
         let target = match (rejected, self.settings.cache_aside && r.write) {
@@ -58,15 +61,15 @@
         }
     }
 
-    /// Counts a request in its bucket; returns how many servers share that.
-    fn note_in_bucket(&mut self, now: Nanos, bucket: u32) -> usize {
+    /// Counts a request in its bucket; returns the number of servers that share the bucket.
+    fn record_in_bucket(&mut self, now: Nanos, bucket: u32) -> usize {
         self.buckets.rank(&self.servers, bucket);
         let (arrivals, servers) = (self.traffic.arrivals.sum, self.servers.candidates);
         self.buckets.record_request(now, bucket, arrivals, servers)
     }
 
-    /// Sends an attempt, if the rules and slow start allow it; gives the request up otherwise, unless another
-    /// attempt is in flight.
+    /// Sends an attempt if the rules and slow start allow it; otherwise gives up on the request unless
+    /// another attempt is in flight.
     pub(super) fn send(&mut self, now: Nanos, id: RequestId, index: u32, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let eligible = self.is_eligible(now, request, self.servers.at(index));
@@ -77,7 +80,7 @@
             }
             return;
         }
-        // Permits of slow start are spent here, last of all, by whatever is sent.
+        // All attempts spend their slow start permits here, after every other check.
         self.slow_start_spend(now, index, class);
         let to_origin = self.servers.is_origin(self.servers.at(index));
         if to_origin || fetch {
@@ -92,7 +95,7 @@
         actions.push(Action::Send { id, server, timeout });
     }
 
-    /// Counts an attempt at its server; tells whether it is the first after an ejection.
+    /// Counts an attempt at its server; returns whether it is the first one after an ejection.
     fn record_send(&mut self, now: Nanos, index: u32) -> bool {
         let threshold = self.ejection_threshold(now);
         self.servers.in_flight += 1.0;
@@ -100,14 +103,14 @@
         s.in_flight += 1.0;
         let after_ejection = s.failure_evidence >= 0.5 * threshold && s.ejection_time > 0;
         if after_ejection {
-            // No second attempt there before the answer to this one is due.
+            // Prevents a second attempt there before the answer to this one is due.
             s.ejected_until = now.saturating_add(s.ejection_time.max(SECOND));
         }
         after_ejection
     }
 
-    /// The time-out of the attempt that a request has just begun; 0: until its client gives up. Arms the
-    /// timer of a hedged request where one may follow.
+    /// Returns the timeout of the attempt that a request has just started; 0: until the client gives up.
+    /// Starts the timer of a hedged request if one may follow.
     fn attempt_timeout(
         &self,
         now: Nanos,
@@ -117,22 +120,21 @@
         actions: &mut Vec<Action>,
     ) -> Nanos {
         let Some(request) = self.requests.get(&id) else { return 0 };
-        let more = (request.attempts.len() as u32) < request.settings.max_attempts;
-        let left = request.time_left(now);
+        let attempts_left = (request.attempts.len() as u32) < request.settings.max_attempts;
+        let time_left = request.time_left(now);
         let class = self.settings.classes.get(request.class);
         let repeatable = class.is_some_and(|c| c.idempotency != Idempotency::NonIdempotent && !c.stream);
-        let delay = self.hedging_delay(request.class, left, after_ejection);
-        // Danger: work for an answer that is worth nothing any more keeps others waiting.
-        let worthless_late = left > 0.0 && class.is_some_and(|c| c.late_weight <= 0.0);
-        let timeout = if worthless_late { left as Nanos } else { 0 };
-        let in_time = delay + self.traffic.latency(Some(request.class)).mean < left;
-        if !(repeatable && more && !to_origin && in_time) {
+        let delay = self.hedging_delay(request.class, time_left, after_ejection);
+        // Work for an answer that has lost all its value would delay other requests.
+        let worthless_late = time_left > 0.0 && class.is_some_and(|c| c.late_weight <= 0.0);
+        let timeout = if worthless_late { time_left as Nanos } else { 0 };
+        let in_time = delay + self.traffic.latency(Some(request.class)).mean < time_left;
+        if !(repeatable && attempts_left && !to_origin && in_time) {
             return timeout;
         }
         if request.settings.hedging {
-            // Danger: an answer that got lost, or a server that hangs, holds the request until its
-            // objective. While all servers are slow, the delay grows past what is left and nothing is sent
-            // twice.
+            // Without hedging, a lost answer or a hung server would hold the request until its objective.
+            // While all servers are slow, the delay exceeds the time left and no hedged request is sent.
             actions.push(Action::Timer { token: hedging::TOKEN_BIT | id, delay: delay as Nanos });
             timeout
         } else if self.settings.cache_aside {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// An attempt has ended: every part that learns from it does, then the request ends or proceeds.
+    /// Handles the end of an attempt: updates the statistics, then ends the request or takes its next step.
     pub(super) fn outcome(&mut self, now: Nanos, o: Outcome, actions: &mut Vec<Action>) {
         if self.servers.attempt_ended(now, &o, actions) {
             self.failure_rates.record_connect(o.status);
@@ -155,7 +157,7 @@
         if fetch {
             self.origin.record_fetch(now, class, &o, self.failure_rates.failures);
         }
-        // Without a note an answer no slower than usual passes for a hit.
+        // If the server does not report hit or miss, an answer no slower than usual counts as a hit.
         let usual = self.traffic.latency(class).mean_plus(2.0);
         self.record_outcome(now, &o, class, cut_short);
         let Some(request) = self.requests.get_mut(&o.id) else { return };
@@ -172,16 +174,16 @@
         }
     }
 
-    /// Whether an attempt ended because its client waits for less than the objective. Danger: taken for
-    /// silence, such attempts, which were not late yet, would have servers ejected that are well.
+    /// Whether an attempt ended because its client waits for less than the latency objective. Such an attempt
+    /// was not late yet; counting it as a failure would eject healthy servers.
     fn was_cut_short(&self, now: Nanos, o: &Outcome, class: Option<usize>) -> bool {
         let objective = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.latency_objective);
         let over = self.requests.get(&o.id).is_some_and(|r| now.saturating_add(MS) >= r.deadline);
         over && o.status == Status::Timeout && o.elapsed < objective
     }
 
-    /// What an answer says of where the bucket is cached and of the class's work; `soon` if it came no
-    /// later than usual.
+    /// Records what an answer shows about the cached copies of the bucket and the work of the class; `soon`
+    /// if it was no slower than usual.
     fn learn_from_answer(&mut self, o: &Outcome, to_origin: bool, soon: bool) {
         let Some(request) = self.requests.get(&o.id) else { return };
         let answered = o.status == Status::Ok;
@@ -194,17 +196,17 @@
         }
     }
 
-    /// The request has had its answer: what it earned is noted, attempts still in flight are cancelled.
+    /// Ends a request that has its answer: records the result and cancels the attempts still in flight.
     fn finish(&mut self, now: Nanos, o: &Outcome, actions: &mut Vec<Action>) {
-        let Some(request) = self.close(o.id) else { return };
-        let late = self.settings.classes.get(request.class).map_or(0.0, |c| c.late_weight);
+        let Some(request) = self.remove_request(o.id) else { return };
+        let late_weight = self.settings.classes.get(request.class).map_or(0.0, |c| c.late_weight);
         let served = o.status == Status::Ok;
-        let mut earned = 0.0;
+        let mut weight_fraction = 0.0;
         if served {
             self.admission.within_quota(now, request.tenant, 1.0);
-            earned = if now <= request.objective_at { 1.0 } else { late };
+            weight_fraction = if now <= request.objective_at { 1.0 } else { late_weight };
         }
-        self.admission.record_end(&request, earned);
+        self.admission.record_end(&request, weight_fraction);
         self.record_wait(now, &request, served);
         if request.settings.cancellation {
             let pending = request.attempts.iter().enumerate().filter(|(_, a)| a.pending);
@@ -212,8 +214,8 @@
         }
     }
 
-    /// Takes a request off the books.
-    fn close(&mut self, id: RequestId) -> Option<ActiveRequest> {
+    /// Removes a request and releases its fetches at the origin.
+    fn remove_request(&mut self, id: RequestId) -> Option<ActiveRequest> {
         let request = self.requests.remove(&id)?;
         if request.fetch_expected {
             self.origin.release(request.attempts.iter().filter(|a| a.pending).count() as f64);
@@ -221,15 +223,16 @@
         Some(request)
     }
 
-    /// The client has left: nothing more is owed.
+    /// Handles a client that disconnected: the request ends without an answer.
     pub(super) fn client_left(&mut self, now: Nanos, id: RequestId) {
-        let Some(mut request) = self.close(id) else { return };
-        // Danger: clients that leave early show no late servers; taken for that, more was rejected.
+        let Some(mut request) = self.remove_request(id) else { return };
+        // A client that disconnects early is no sign of late servers; counting it as one would reject too
+        // much.
         request.judges_servers &= now >= request.objective_at;
         self.record_unserved(now, &request);
     }
 
-    /// The last byte of a request has come: its time runs from now.
+    /// Handles the end of a request's body: its time limits count from now.
     pub(super) fn body_received(&mut self, now: Nanos, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             let shift = now.saturating_sub(std::mem::replace(&mut request.arrived, now));
@@ -238,25 +241,25 @@
         }
     }
 
-    /// Takes note of a request that was not served.
+    /// Records a request that was not served.
     fn record_unserved(&mut self, now: Nanos, request: &ActiveRequest) {
         self.admission.record_end(request, 0.0);
         self.record_wait(now, request, false);
     }
 
-    /// The final answer when nothing more can be done: a rejection where it is true that a retry does no
-    /// harm.
+    /// Gives a request its final answer when no further attempt is possible: a rejection if a retry is safe,
+    /// a failure otherwise.
     pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.close(id) else { return };
+        let Some(request) = self.remove_request(id) else { return };
         self.record_unserved(now, &request);
         let class = self.settings.classes.get(request.class);
         let ran = request.attempts.iter().any(|a| a.pending || a.may_have_run);
-        let harmless = match class.map_or(Idempotency::NonIdempotent, |c| c.idempotency) {
+        let retry_is_safe = match class.map_or(Idempotency::NonIdempotent, |c| c.idempotency) {
             Idempotency::Idempotent => true,
             Idempotency::WithKey => !ran || class.is_some_and(|c| c.group == Group::All),
             Idempotency::NonIdempotent => !ran,
         };
-        if !harmless {
+        if !retry_is_safe {
             return actions.push(Action::Fail { id });
         }
         let worthless_late = class.is_some_and(|c| c.late_weight <= 0.0);
@@ -265,13 +268,13 @@
         actions.push(Action::Reject { id, retry_after });
     }
 
-    /// The wait that a rejection advises: a short one to the part that would be admitted then, a long one
-    /// to the rest. Danger: advised to stay away for a few rejections in a hundred, clients do not come again
-    /// at all.
+    /// Returns the wait that a rejection advises: a short one for the fraction of requests that would be
+    /// admitted then, a long one for the rest. If all rejected clients were advised a long wait while only a
+    /// few requests in a hundred are rejected, these clients would not return at all.
     fn advised_wait(&mut self, too_late: bool, low_priority: bool) -> Nanos {
-        let stay_away = too_late || self.random.draw() > self.admission.admitted(low_priority);
-        let most = if stay_away { Nanos::MAX } else { RETRY_SOON };
-        let most = self.settings.max_retry_after.min(most) as f64;
-        (most * (1.0 - JITTER * self.random.draw())) as Nanos
+        let long_wait = too_late || self.random.draw() > self.admission.admitted(low_priority);
+        let max_wait = if long_wait { Nanos::MAX } else { SHORT_RETRY_AFTER };
+        let max_wait = self.settings.max_retry_after.min(max_wait) as f64;
+        (max_wait * (1.0 - RETRY_AFTER_JITTER * self.random.draw())) as Nanos
     }
 }
--- a/crates/decision/src/logic/origin_protection.rs
+++ b/crates/decision/src/logic/origin_protection.rs
@@ -1,93 +1,96 @@
-//! Origin protection: a limit on the fetches in flight at the origin, learned from how they end.
+//! Origin protection: a limit on the fetches in flight at the origin, adapted to their outcomes.
 
 use super::*;
 
-/// The limit of one proxy before anything is known of the origin.
-const LIMIT_AT_FIRST: f64 = 32.0;
-/// The same for all proxies together: what a few of them take by that figure.
-const LIMIT_AT_FIRST_ALL: f64 = 128.0;
-/// The least limit at first,
-const LIMIT_AT_FIRST_LEAST: f64 = 2.0;
-/// and what all proxies together may have by it: the many proxies of a large fleet have less each.
-const LIMIT_AT_FIRST_LEAST_ALL: f64 = 600.0;
-/// The least limit; below one, a fetch is let through by chance. Many proxies with one each would still send
-/// more than is served.
-const LIMIT_LEAST: f64 = 0.3;
-/// The part of fetches that may come late with the origin still well.
-const LATE: f64 = 0.1;
-/// The gain with which that part is followed.
-const LATE_GAIN: f64 = 0.1;
-/// The part that a limit keeps when it is reduced.
-const REDUCED_TO: f64 = 0.8;
-/// A proxy of a fleet larger than this sees so few of the fetches that come late that it reduces its limit
-/// several times for each,
-const FLEET_OF_SINGLE_REDUCTIONS: f64 = 300.0;
-/// but no more often than this.
-const REDUCTIONS_MOST: f64 = 8.0;
-/// The part of the limit that writes may use: they have nowhere else to go.
-const PART_FOR_WRITES: f64 = 1.5;
-/// The part of the limit that requests of low priority may use: they leave room for the rest.
-const PART_FOR_LOW_PRIORITY: f64 = 0.5;
+/// Maximum initial limit of a proxy, before anything is known about the origin.
+const MAX_INITIAL_LIMIT: f64 = 32.0;
+/// Initial limit of all proxies together; it equals that of a few proxies with the maximum each.
+const INITIAL_FLEET_LIMIT: f64 = 128.0;
+/// Minimum initial limit of a proxy, unless the fleet is so large that the next constant is reached.
+const MIN_INITIAL_LIMIT: f64 = 2.0;
+/// Maximum sum of the minimum initial limits of all proxies: in a large fleet, each proxy gets less.
+const MIN_INITIAL_FLEET_LIMIT: f64 = 600.0;
+/// Minimum limit. Below one, a fetch is admitted with that probability, because many proxies with a limit of
+/// one could still exceed the origin's capacity.
+const MIN_LIMIT: f64 = 0.3;
+/// The fraction of late fetches that is normal for a healthy origin.
+const NORMAL_LATE_FRACTION: f64 = 0.1;
+/// Gain of the moving fraction of late fetches.
+const LATE_FRACTION_GAIN: f64 = 0.1;
+/// Factor of one reduction of the limit.
+const REDUCTION_FACTOR: f64 = 0.8;
+/// Fleet size, in proxies, up to which a late fetch reduces the limit once. In a larger fleet, each proxy
+/// sees so few of the late fetches that it reduces its limit several times for each one.
+const MAX_FLEET_FOR_SINGLE_REDUCTION: f64 = 300.0;
+/// Maximum number of reductions for one late fetch.
+const MAX_REDUCTIONS: f64 = 8.0;
+/// The multiple of the limit that writes may use, since only the origin can take them.
+const WRITE_LIMIT_FACTOR: f64 = 1.5;
+/// The fraction of the limit that requests of low priority may use; the rest is reserved for other requests.
+const LOW_PRIORITY_LIMIT_FACTOR: f64 = 0.5;
 
-/// What is known of the origin.
+/// The limit on fetches at the origin, and the statistics that it is adapted to.
 pub struct OriginProtection {
     /// The settings in force.
     pub settings: Arc<Settings>,
     /// Fetches of this proxy in flight there.
     pub in_flight: f64,
-    /// How many may be.
+    /// The number of fetches that may be in flight there.
     pub limit: f64,
+    /// Time of the last reduction of the limit.
     reduced_at: Nanos,
-    /// The part of the fetches that come late or not at all, lately.
-    late: f64,
+    /// The recent fraction of fetches that were late or failed.
+    late_fraction: f64,
 }
 
 impl OriginProtection {
-    /// Nothing known yet.
+    /// Creates the initial limit.
     pub fn new(settings: Arc<Settings>) -> Self {
-        // Hundreds of proxies that each trust an origin they know nothing of would flood it together.
+        // Hundreds of proxies with the full initial limit each would together overload an unknown origin.
         let proxies = f64::from(settings.proxies.max(1));
-        let least = (LIMIT_AT_FIRST_LEAST_ALL / proxies).clamp(LIMIT_LEAST, LIMIT_AT_FIRST_LEAST);
-        let limit = (LIMIT_AT_FIRST_ALL / proxies).clamp(least, LIMIT_AT_FIRST);
-        OriginProtection { settings, in_flight: 0.0, limit, reduced_at: 0, late: 0.0 }
+        let min_limit = (MIN_INITIAL_FLEET_LIMIT / proxies).clamp(MIN_LIMIT, MIN_INITIAL_LIMIT);
+        let limit = (INITIAL_FLEET_LIMIT / proxies).clamp(min_limit, MAX_INITIAL_LIMIT);
+        OriginProtection { settings, in_flight: 0.0, limit, reduced_at: 0, late_fraction: 0.0 }
     }
 
-    /// Whether fetches come in time on the whole.
+    /// Whether the fraction of late fetches is low.
     pub fn is_healthy(&self) -> bool {
-        self.late < 2.0 * LATE
+        self.late_fraction < 2.0 * NORMAL_LATE_FRACTION
     }
 
-    /// Whether one more request of this kind may be in flight.
+    /// Whether the limit allows one more request like this one.
     pub fn admits(&self, request: &ActiveRequest) -> bool {
-        self.in_flight + 1.0 <= (self.limit * part_for(request)).max(1.0)
+        self.in_flight + 1.0 <= (self.limit * limit_factor(request)).max(1.0)
     }
 
-    /// The same; below a limit of one, `drawn` (from 0 to 1) decides.
+    /// Whether the limit allows one more request like this one; below a limit of one, `drawn`, a random
+    /// number from 0 to 1, decides.
     fn admits_by_chance(&self, request: &ActiveRequest, drawn: f64) -> bool {
-        self.admits(request) && (self.limit >= 1.0 || drawn <= self.limit * part_for(request))
+        self.admits(request) && (self.limit >= 1.0 || drawn <= self.limit * limit_factor(request))
     }
 
-    /// A fetch is no longer in flight.
+    /// Records that a number of fetches are no longer in flight.
     pub fn release(&mut self, fetches: f64) {
         self.in_flight = (self.in_flight - fetches).max(0.0);
     }
 
-    /// Learns from a fetch how many may be in flight; `failing` is the part of all attempts that fails.
-    /// An origin that goes on with work nobody waits for any more fills no cache, so every read
-    /// stays a miss and the overload feeds itself.
+    /// Adapts the limit to the outcome of a fetch; `failing` is the fraction of all attempts that fail.
+    /// Without a limit, an overloaded origin works on fetches that nobody waits for any more; these fill no
+    /// cache, so that every read stays a miss and the overload sustains itself.
     pub fn record_fetch(&mut self, now: Nanos, class: Option<usize>, o: &Outcome, failing: f64) {
         self.release(1.0);
         let in_time = o.status == Status::Ok && o.elapsed <= self.time_allowed(class);
-        // A connection that breaks is no sign of overload.
+        // A broken connection is not a sign of overload.
         if matches!(o.status, Status::Cancelled | Status::NotSent | Status::ConnectFailed | Status::Reset) {
             return;
         }
-        self.late += LATE_GAIN * (indicator(!in_time) - self.late);
-        // Where servers fetch and answers get lost or work is uneven, some fetches fail with no
-        // overload.
-        let overloaded = self.settings.cache_aside || self.late > LATE + 1.5 * failing;
-        // A limit that is not used proves nothing; and overload counts once for all that was in flight when
-        // it was met.
+        self.late_fraction += LATE_FRACTION_GAIN * (indicator(!in_time) - self.late_fraction);
+        // In read-through deployments some fetches fail without an overload, because answers get lost or the
+        // work is uneven.
+        let overloaded =
+            self.settings.cache_aside || self.late_fraction > NORMAL_LATE_FRACTION + 1.5 * failing;
+        // The limit only grows while it is used, and it is reduced only once for all fetches that were in
+        // flight at the time of the reduction.
         if in_time && self.in_flight + 1.0 >= 0.5 * self.limit {
             self.limit += (0.2 * self.limit).min(1.0 / self.limit);
         } else if !in_time && overloaded && now.saturating_sub(o.elapsed) >= self.reduced_at {
@@ -95,37 +98,37 @@
         }
     }
 
-    /// The time in which a fetch of a class has to come.
+    /// Returns the time within which a fetch of a class has to be answered.
     fn time_allowed(&self, class: Option<usize>) -> Nanos {
         let classes = self.settings.classes.iter().enumerate();
-        // A server that fetches adds its own work to the time, which is a class's own matter.
+        // In read-through deployments the time includes the server's own work, which depends on the class.
         let counted = classes.filter(|(n, _)| self.settings.cache_aside || class == Some(*n));
         counted.map(|(_, c)| c.latency_objective).min().unwrap_or(SECOND)
     }
 
     fn reduce(&mut self, now: Nanos, status: Status) {
-        // In read-through deployments it may be the servers that are overloaded, and a quick fall helps.
-        let most = if self.settings.cache_aside { f64::MAX } else { 2.0 * self.in_flight + 2.0 };
-        let least = if status == Status::Rejected { self.limit.min(1.0) } else { LIMIT_LEAST };
-        let fleet = f64::from(self.settings.proxies.max(1)) / FLEET_OF_SINGLE_REDUCTIONS;
-        let times = fleet.sqrt().clamp(1.0, REDUCTIONS_MOST);
-        self.limit = (self.limit.min(most) * REDUCED_TO.powf(times)).max(least);
+        // In read-through deployments the servers may be what is overloaded, and a fast reduction helps them.
+        let max_limit = if self.settings.cache_aside { f64::MAX } else { 2.0 * self.in_flight + 2.0 };
+        let min_limit = if status == Status::Rejected { self.limit.min(1.0) } else { MIN_LIMIT };
+        let fleet = f64::from(self.settings.proxies.max(1)) / MAX_FLEET_FOR_SINGLE_REDUCTION;
+        let times = fleet.sqrt().clamp(1.0, MAX_REDUCTIONS);
+        self.limit = (self.limit.min(max_limit) * REDUCTION_FACTOR.powf(times)).max(min_limit);
         self.reduced_at = now;
     }
 }
 
-/// The part of the limit that a request may use.
-fn part_for(request: &ActiveRequest) -> f64 {
+/// Returns the multiple of the limit that a request may use.
+fn limit_factor(request: &ActiveRequest) -> f64 {
     match (request.write, request.low_priority) {
-        (true, _) => PART_FOR_WRITES,
-        (_, true) => PART_FOR_LOW_PRIORITY,
+        (true, _) => WRITE_LIMIT_FACTOR,
+        (_, true) => LOW_PRIORITY_LIMIT_FACTOR,
         _ => 1.0,
     }
 }
 
 impl Balancer {
-    /// The origin, where it is to be asked by the proxy and has room for this request; `drawn` is drawn for
-    /// it from 0 to 1.
+    /// Returns the origin if the proxy fetches from it and its limit allows this request; `drawn` is a random
+    /// number from 0 to 1 for that decision.
     pub(super) fn choose_origin(&self, now: Nanos, request: &ActiveRequest, drawn: f64) -> Option<u32> {
         let fits = |index: &u32| {
             let s = self.servers.at(*index);
@@ -138,11 +141,12 @@
         all.min_by(|a, b| self.servers.at(*a).in_flight.total_cmp(&self.servers.at(*b).in_flight))
     }
 
-    /// Whether to reject a read that its server would fetch from an origin that has no room for it.
+    /// Whether to reject a read that its server would fetch from an origin whose limit is reached.
     pub(super) fn origin_rejects(&mut self, request: &ActiveRequest, was_read: bool) -> bool {
-        // An origin overloaded with fetches nobody waits for fills no cache; each read would join it.
-        let shut = self.origin.limit < 1.0 && self.random.draw() > self.origin.limit;
-        let full = shut || !self.origin.admits(request);
+        // Fetches that nobody waits for fill no cache; while the origin is overloaded with them, each further
+        // read would add one.
+        let rejected_by_chance = self.origin.limit < 1.0 && self.random.draw() > self.origin.limit;
+        let full = rejected_by_chance || !self.origin.admits(request);
         request.fetch_expected && (was_read || !self.origin.is_healthy()) && full
     }
 }
--- a/crates/decision/src/logic/request.rs
+++ b/crates/decision/src/logic/request.rs
@@ -1,10 +1,10 @@
-//! A request without its final answer, and its attempts.
+//! Requests that are waiting for their final answer, and their attempts.
 
 use super::*;
 
-/// An attempt to have a request answered by a server.
+/// An attempt of a request at a server.
 pub struct Attempt {
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// The zone of that server.
     pub zone: u32,
@@ -12,26 +12,26 @@
     pub cell: u32,
     /// When it was sent.
     pub sent: Nanos,
-    /// It has not ended.
+    /// Whether it is still in flight.
     pub pending: bool,
-    /// It has ended, and may have run.
+    /// Whether it has ended and may have run.
     pub may_have_run: bool,
 }
 
-/// What the last bad outcome of a request says of the servers.
+/// The cause of a request's last failed attempt.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub enum FailureCause {
-    /// Nothing yet: if it ends so, it was late.
+    /// No other cause is known: the request is late.
     #[default]
     Late,
-    /// The server had no capacity left.
+    /// The server had no spare capacity.
     Overloaded,
-    /// The origin's doing, or the server's own fault: sending less would not mend it.
+    /// The origin, or a fault of the server that less load would not fix.
     Other,
 }
 
 impl FailureCause {
-    /// What an outcome says; `fetch` where it had to come from the origin.
+    /// Returns the cause that an outcome shows; `fetch` if the answer had to come from the origin.
     pub fn of(o: &Outcome, fetch: bool) -> Self {
         match o.status {
             Status::Rejected | Status::ConnectFailed => FailureCause::Overloaded,
@@ -43,10 +43,10 @@
     }
 }
 
-/// A request without its final answer.
+/// A request that is waiting for its final answer.
 #[derive(Default)]
 pub struct ActiveRequest {
-    /// The settings that it came under, which say where it may go until its answer.
+    /// The settings at its arrival; they apply to it until its final answer.
     pub settings: Arc<Settings>,
     /// Index of its class.
     pub class: usize,
@@ -54,25 +54,25 @@
     pub pool: Option<usize>,
     /// The bucket of its key.
     pub bucket: Option<u32>,
-    /// It writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// When its latency objective is reached.
+    /// Time at which its latency objective is reached.
     pub objective_at: Nanos,
-    /// When its client gives up.
+    /// Time at which its client gives up.
     pub deadline: Nanos,
-    /// The client is getting its answer.
+    /// Whether the proxy has begun to send the client its answer.
     pub answer_begun: bool,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// When it arrived.
+    /// Time of its arrival.
     pub arrived: Nanos,
-    /// It came with enough time for its end to say something of the servers.
+    /// Whether it arrived with enough time for its outcome to count for or against the servers.
     pub judges_servers: bool,
-    /// It has little weight for its work.
+    /// Whether it has a low priority weight for its work.
     pub low_priority: bool,
-    /// Its server will probably fetch it from the origin.
+    /// Whether its server will probably fetch the value from the origin.
     pub fetch_expected: bool,
-    /// What its last bad outcome says of the servers.
+    /// The cause of its last failed attempt.
     pub failure_cause: FailureCause,
     /// Its attempts.
     pub attempts: Vec<Attempt>,
@@ -89,7 +89,7 @@
         (self.attempts.len() as u32) < self.settings.max_attempts.max(1)
     }
 
-    /// The time left to its objective, or to its deadline if that is sooner, in nanoseconds.
+    /// Returns the time left to its latency objective, or to its deadline if that is earlier, in nanoseconds.
     pub fn time_left(&self, now: Nanos) -> f64 {
         self.objective_at.min(self.deadline).saturating_sub(now) as f64
     }
--- a/crates/decision/src/logic/retries.rs
+++ b/crates/decision/src/logic/retries.rs
@@ -1,18 +1,19 @@
-//! Retries: what is done about a request whose attempt brought no answer.
+//! Retries: the next step of a request whose attempt was not answered.
 
 use super::*;
 
-/// Why a further attempt is sent.
+/// The reason for a further attempt.
 #[derive(Clone, Copy)]
 pub struct FurtherAttempt {
-    /// The attempt before it got no answer.
-    pub after_silence: bool,
-    /// The attempt before it was sent to the origin.
-    pub asks_origin: bool,
+    /// Whether the previous attempt was not answered in time.
+    pub after_timeout: bool,
+    /// Whether the previous attempt was sent to the origin.
+    pub after_origin: bool,
 }
 
 impl Balancer {
-    /// The next step of a request that still lacks its answer: the origin, a retry, or the final answer.
+    /// Takes the next step of a request that is still without an answer: a fetch from the origin, a retry, or
+    /// the final answer.
     pub(super) fn proceed(&mut self, now: Nanos, o: &Outcome, to_origin: bool, actions: &mut Vec<Action>) {
         let drawn = self.random.draw();
         let waiting = |request: &&ActiveRequest| !request.answer_begun && !request.has_pending();
@@ -23,26 +24,26 @@
                 return;
             }
         }
-        let after_silence = o.status == Status::Timeout && self.settings.cache_aside;
-        let further = FurtherAttempt { after_silence, asks_origin: to_origin };
-        if !self.is_retried(now, o, further) || !self.send_another(now, o.id, further, actions) {
+        let after_timeout = o.status == Status::Timeout && self.settings.cache_aside;
+        let further = FurtherAttempt { after_timeout, after_origin: to_origin };
+        if !self.should_retry(now, o, further) || !self.send_another(now, o.id, further, actions) {
             self.give_up(now, o.id, actions);
         }
     }
 
-    /// Whether an outcome is worth a retry. Danger: the key's other servers do not hold it, so a retry
-    /// after a full, late or failed answer is a miss more at an origin that may be the cause. Only a server
-    /// that did not take the request, because it cannot be reached or is ejected, is worth another; and in
-    /// cache-aside deployments silence counts as a miss.
-    fn is_retried(&self, now: Nanos, o: &Outcome, further: FurtherAttempt) -> bool {
-        let to_origin = further.asks_origin;
+    /// Whether an outcome is followed by a retry. The other servers do not have the key cached, so a retry
+    /// after a rejected, late or failed attempt is one more miss at an origin that may be the cause. Only
+    /// requests that a server did not take, because it is unreachable or ejected, are retried. In cache-aside
+    /// deployments, a timeout counts as a miss.
+    fn should_retry(&self, now: Nanos, o: &Outcome, further: FurtherAttempt) -> bool {
+        let to_origin = further.after_origin;
         let not_taken = matches!(o.status, Status::ConnectFailed | Status::Reset | Status::NotSent);
         let not_taken = not_taken && (!to_origin || o.status == Status::Reset);
-        not_taken || !to_origin && (further.after_silence || self.servers.is_ejected(now, o.server))
+        not_taken || !to_origin && (further.after_timeout || self.servers.is_ejected(now, o.server))
     }
 
-    /// Sends a further attempt if time, budget and rules allow it; tells whether it did. After silence,
-    /// cache-aside proxies ask the origin and no other server, which would lack the key.
+    /// Sends a further attempt if time, budget and rules allow it; returns whether it did. After a timeout,
+    /// cache-aside proxies ask the origin, because other servers do not have the key cached.
     pub(super) fn send_another(
         &mut self,
         now: Nanos,
@@ -54,7 +55,7 @@
         let tenant = request.tenant;
         let allowed = self.may_send_another(now, &request, further);
         let drawn = self.random.draw();
-        let target = match (allowed, further.after_silence || further.asks_origin) {
+        let target = match (allowed, further.after_timeout || further.after_origin) {
             (false, _) => None,
             (true, true) if self.settings.cache_aside => self.choose_origin(now, &request, drawn),
             (true, _) => self.choose_server(now, &request, 1),
@@ -67,8 +68,9 @@
     }
 
     fn may_send_another(&mut self, now: Nanos, request: &ActiveRequest, further: FurtherAttempt) -> bool {
-        // Danger: where a hot key drowns a server, silence of a thousand proxies floods the origin as well.
-        let floods_origin = further.after_silence && self.settings.cache_aside && !self.origin.is_healthy();
+        // When a hot key overloads a server, the timeouts at a thousand proxies would overload the origin as
+        // well.
+        let floods_origin = further.after_timeout && self.settings.cache_aside && !self.origin.is_healthy();
         !floods_origin
             && request.may_attempt_again()
             && self.retry_budget.allows(request.tenant)
--- a/crates/decision/src/logic/retry_budget.rs
+++ b/crates/decision/src/logic/retry_budget.rs
@@ -1,44 +1,46 @@
-//! The retry budget: how many retries and hedged requests may be sent, for the process and for each tenant.
+//! The retry budget: the number of retries and hedged requests that may be sent, for the process and for each
+//! tenant.
 
-/// Retries earned by each request.
-const PER_REQUEST: f64 = 0.3;
-/// The most that is saved. Danger: with one budget for all, a tenant whose every request fails spends what
-/// the others' lost requests would need.
-const SAVED_MOST: f64 = 10.0;
-/// What each budget starts with.
-const AT_START: f64 = 1.0;
+/// Attempts added to the budget by each request.
+const ATTEMPTS_PER_REQUEST: f64 = 0.3;
+/// Maximum balance of a budget. Each tenant has a budget of its own: with a single one, a tenant whose
+/// requests all fail would use up the retries that other tenants need.
+const MAX_BALANCE: f64 = 10.0;
+/// Initial balance of a budget.
+const INITIAL_BALANCE: f64 = 1.0;
 
-/// What may be spent on retries and hedged requests.
+/// The budgets for retries and hedged requests.
 pub struct RetryBudget {
-    /// The process's budget, and behind that each tenant's.
-    earned: Vec<f64>,
+    /// Balance of the process's budget, followed by that of each tenant.
+    balances: Vec<f64>,
 }
 
 impl RetryBudget {
-    /// The budgets of a process with so many tenants.
+    /// Creates the budgets of a process with a number of tenants.
     pub fn new(tenants: usize) -> Self {
-        RetryBudget { earned: vec![AT_START; 1 + tenants] }
+        RetryBudget { balances: vec![INITIAL_BALANCE; 1 + tenants] }
     }
 
-    /// The budgets that a tenant's request counts for: the process's and its own.
-    fn of(&mut self, tenant: Option<usize>) -> impl Iterator<Item = &mut f64> {
+    /// Returns the balances that a tenant's request counts for: the process's and the tenant's.
+    fn balances_for(&mut self, tenant: Option<usize>) -> impl Iterator<Item = &mut f64> {
         let own = tenant.map_or(0, |t| t + 1);
-        let all = self.earned.iter_mut().enumerate();
-        all.filter(move |(n, _)| *n == 0 || *n == own).map(|(_, earned)| earned)
+        let all = self.balances.iter_mut().enumerate();
+        all.filter(move |(n, _)| *n == 0 || *n == own).map(|(_, balance)| balance)
     }
 
-    /// A request has arrived.
+    /// Adds to the budgets for an arrived request.
     pub fn earn(&mut self, tenant: Option<usize>) {
-        self.of(tenant).for_each(|earned| *earned = (*earned + PER_REQUEST).min(SAVED_MOST));
+        self.balances_for(tenant)
+            .for_each(|balance| *balance = (*balance + ATTEMPTS_PER_REQUEST).min(MAX_BALANCE));
     }
 
-    /// Whether a further attempt has been earned.
+    /// Whether the budgets allow a further attempt.
     pub fn allows(&mut self, tenant: Option<usize>) -> bool {
-        self.of(tenant).all(|earned| *earned >= 1.0)
+        self.balances_for(tenant).all(|balance| *balance >= 1.0)
     }
 
-    /// Pays for a further attempt.
+    /// Charges a further attempt to the budgets.
     pub fn spend(&mut self, tenant: Option<usize>) {
-        self.of(tenant).for_each(|earned| *earned -= 1.0);
+        self.balances_for(tenant).for_each(|balance| *balance -= 1.0);
     }
 }
