--- a/crates/decision/src/logic/request.rs
+++ b/crates/decision/src/logic/request.rs
@@ -18,7 +18,7 @@
     pub may_have_run: bool,
 }
 
-/// The cause of a request's last failed attempt.
+/// Why a request is not answered in time, by the outcome of its last attempt.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub enum FailureCause {
     /// No other cause is known: the request is late.
@@ -72,7 +72,7 @@
     pub low_priority: bool,
     /// Whether its server will probably fetch the value from the origin.
     pub fetch_expected: bool,
-    /// The cause of its last failed attempt.
+    /// Why it is not answered in time, by the outcome of its last attempt.
     pub failure_cause: FailureCause,
     /// Its attempts.
     pub attempts: Vec<Attempt>,
