--- a/crates/pace/src/connection_permits/tests.rs
+++ b/crates/pace/src/connection_permits/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
-const UNIX: Nanos = 1_000_000 * SECOND;
+const UNIX_NOW: Nanos = 1_000_000 * SECOND;
 
 #[test]
 fn a_fleet_that_starts_at_once_opens_connections_to_a_node_at_its_rate() {
     let (size, rate, node) = (300, 100.0, 7);
-    let permits = |index| ConnectionPermits::new(FleetPosition::new(index, size), UNIX, 0);
+    let permits = |index| ConnectionPermits::new(FleetPosition::new(index, size), UNIX_NOW, 0);
     let mut fleet: Vec<ConnectionPermits> = (0..size).map(permits).collect();
     fleet.iter_mut().for_each(|permits| permits.add_node(0, node, rate));
     let mut by_second = [0; 6];
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn one_unused_permit_is_kept_and_no_more() {
-    let mut permits = ConnectionPermits::new(FleetPosition::new(0, 10), UNIX, 0);
+fn at_most_one_unused_permit_is_kept() {
+    let mut permits = ConnectionPermits::new(FleetPosition::new(0, 10), UNIX_NOW, 0);
     permits.add_node(0, 1, 10.0);
-    assert!(permits.try_acquire(0, 1).is_err(), "its first slot has not come");
+    assert!(permits.try_acquire(0, 1).is_err(), "there is no permit before the first slot");
     let later = 10 * SECOND;
     assert_eq!(permits.try_acquire(later, 1), Ok(()));
     let wait = permits.try_acquire(later, 1).unwrap_err();
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn removed_nodes_are_forgotten_and_unlisted_nodes_are_not_limited() {
-    let mut permits = ConnectionPermits::new(FleetPosition::new(0, 10), UNIX, 0);
+fn removed_and_unlisted_nodes_are_not_limited() {
+    let mut permits = ConnectionPermits::new(FleetPosition::new(0, 10), UNIX_NOW, 0);
     (0..5).for_each(|node| permits.add_node(0, node, 10.0));
     permits.remove_node(0);
     permits.retain(|node| node == 4);
@@ -42,10 +42,10 @@
 
 proptest! {
     #[test]
-    fn in_any_span_a_proxy_opens_one_connection_in_a_cycle_and_one_more(
+    fn in_any_time_span_a_proxy_opens_at_most_one_connection_per_cycle_plus_one(
         steps in prop::collection::vec(0u64..3_000_000_000, 1..200), index in 0u32..20, rate in 0.5f64..500.0
     ) {
-        let mut permits = ConnectionPermits::new(FleetPosition::new(index, 20), UNIX, 0);
+        let mut permits = ConnectionPermits::new(FleetPosition::new(index, 20), UNIX_NOW, 0);
         permits.add_node(0, 9, rate);
         let cycle = (20.0 / rate * SECOND as f64) as Nanos;
         let (mut now, mut opened) = (0, Vec::new());
--- a/crates/pace/src/lib.rs
+++ b/crates/pace/src/lib.rs
@@ -1,16 +1,18 @@
-//! Pacing: how hundreds of proxies that do not talk to each other keep the load that they cause together within bounds.
+//! Paces hundreds of proxies that do not communicate, so that the load they cause together stays bounded.
 //!
-//! All that a proxy knows of the others is how many there are and which of them it is ([`FleetPosition`]). From that
-//! alone it computes a time slot of its own in a cycle that all share ([`slots`]). What is done in such slots only is
-//! done by the whole fleet at an even rate, whatever happened before: a cold start, an outage, a burst of changes.
+//! A proxy knows only the size of the fleet and its own index in it ([`FleetPosition`]). From these it
+//! computes its own time slot in a cycle that all proxies share ([`slots`]). Operations that are limited to
+//! these slots are performed by the fleet at an even rate, also after a cold start, an outage or a burst of
+//! changes.
 //!
-//! - [`notification_deadline`]: by when a change of the endpoint list has to have arrived, and what follows for each call.
-//! - [`watch`]: timeouts of long polls to the discovery service where calls are not paced.
-//! - [`poll_schedule`]: when the discovery service is polled where calls are paced.
+//! - [`notification_deadline`]: the deadline for a change of the endpoint list to arrive, and the call
+//!   timeouts that follow.
+//! - [`watch`]: timeouts of long polls to the discovery service, where calls are not paced.
+//! - [`poll_schedule`]: when the discovery service is polled, where calls are paced.
 //! - [`connection_permits`]: when a connection to a node may be opened.
-//! - [`retained_list`]: whether an endpoint list that was stored on disk may be used at a start.
+//! - [`retained_list`]: whether an endpoint list that was stored on disk may be used at startup.
 //!
-//! No I/O and no clock: times are passed in as nanoseconds on one monotonic clock of the caller.
+//! The crate does no I/O and reads no clock: the caller passes times as nanoseconds of one monotonic clock.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/pace/src/retained_list.rs
+++ b/crates/pace/src/retained_list.rs
@@ -1,29 +1,29 @@
-//! Whether an endpoint list that was stored on disk may be used at a start.
+//! Decides whether an endpoint list that was stored on disk may be used at startup.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// Clocks of healthy machines differ by less than this.
+/// The largest difference between the clocks of healthy machines.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
-/// What is stored beside an endpoint list.
+/// Metadata that is stored with an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListMetadata {
     /// The site that the list belongs to.
     pub site: String,
     /// The version of the list.
     pub version: u64,
-    /// When the list was last confirmed to be current, in milliseconds of Unix time.
+    /// The Unix time in milliseconds at which the list was last confirmed to be current.
     pub confirmed_unix_ms: u64,
 }
 
-/// Why a stored list is not used.
+/// Why a stored list can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnusableList {
     /// It belongs to another site.
     #[error("it is of another site ({stored}; this is {own})")]
     OtherSite {
-        /// The site that it belongs to.
+        /// The site that the list belongs to.
         stored: String,
         /// The site of this proxy.
         own: String,
@@ -31,21 +31,21 @@
     /// It is older than the operator allows.
     #[error("it is {} s old", .0.as_secs())]
     TooOld(Duration),
-    /// It was stored at a time that has not come yet.
-    #[error("it was kept {} s ahead of this machine's clock", .0.as_secs())]
+    /// The time of its last confirmation is in the future.
+    #[error("its last confirmation is {} s ahead of this machine's clock", .0.as_secs())]
     FromTheFuture(Duration),
-    /// The platform's configuration has a newer one.
-    #[error("its version {stored} is behind the platform's {known}")]
+    /// The platform's configuration announces a newer version.
+    #[error("its version {stored} is older than the platform's {known}")]
     Outdated {
-        /// The version that was stored.
+        /// The version of the stored list.
         stored: u64,
-        /// The version of the platform.
+        /// The version in the platform's configuration.
         known: u64,
     },
 }
 
-/// The age of a stored list, if it may be used: it belongs to site `own_site`, is not behind the version `known` that the
-/// platform tells, and was confirmed no longer than `max_age` before `now_unix_ms`.
+/// Returns the age of a stored list if it may be used: it belongs to site `own_site`, is not older than the
+/// version `known` in the platform's configuration, and was confirmed at most `max_age` before `now_unix_ms`.
 ///
 /// # Errors
 /// Why it may not be used.
--- a/crates/pace/src/slots/tests.rs
+++ b/crates/pace/src/slots/tests.rs
@@ -2,15 +2,15 @@
 use proptest::prelude::*;
 
 #[test]
-fn slots_of_a_fleet_are_evenly_spaced_whenever_each_proxy_started() {
+fn slots_of_a_fleet_are_evenly_spaced_independent_of_start_times() {
     let (cycle, size) = (1000, 10);
     let mut slots: Vec<Nanos> = (0..size)
         .map(|index| {
-            // Each proxy has a clock of its own, which began at another time.
-            let began = 777 * u64::from(index);
+            // Each proxy has a clock of its own that started at a different time.
+            let clock_start = 777 * u64::from(index);
             let schedule =
-                SlotSchedule::new(cycle, FleetPosition::new(index, size), 0.0, 50_000, 50_000 - began);
-            schedule.first_from(60_000 - began) + began
+                SlotSchedule::new(cycle, FleetPosition::new(index, size), 0.0, 50_000, 50_000 - clock_start);
+            schedule.first_from(60_000 - clock_start) + clock_start
         })
         .collect();
     slots.sort_unstable();
@@ -19,11 +19,11 @@
 
 proptest! {
     #[test]
-    fn slots_come_once_in_each_cycle(
+    fn there_is_one_slot_in_each_cycle(
         cycle in 1u64..10_000_000, index in 0u32..2000, size in 0u32..1000, shift in -2.0f64..2.0,
-        unix in 0u64..u64::MAX / 4, now in 0u64..1 << 40, time in 0u64..1 << 50,
+        unix_now in 0u64..u64::MAX / 4, now in 0u64..1 << 40, time in 0u64..1 << 50,
     ) {
-        let schedule = SlotSchedule::new(cycle, FleetPosition::new(index, size), shift, unix, now);
+        let schedule = SlotSchedule::new(cycle, FleetPosition::new(index, size), shift, unix_now, now);
         let slot = schedule.first_from(time);
         prop_assert!(slot >= time && slot - time < cycle);
         prop_assert_eq!(schedule.first_from(slot), slot);
--- a/crates/pace/src/watch/tests.rs
+++ b/crates/pace/src/watch/tests.rs
@@ -5,16 +5,16 @@
 #[test]
 fn a_call_that_timed_out_is_followed_by_one_with_more_grace_and_a_shorter_watch() {
     let mut watch = WatchTimeouts::new(10 * SECOND);
-    let given = |watch: &WatchTimeouts| (watch.watch_duration(), watch.call_timeout(false));
-    assert_eq!(given(&watch), (2600 * SECOND / 1000, MAX_CALL_INTERVAL));
+    let timeouts = |watch: &WatchTimeouts| (watch.watch_duration(), watch.call_timeout(false));
+    assert_eq!(timeouts(&watch), (2600 * SECOND / 1000, MAX_CALL_INTERVAL));
     watch.call_started(0);
-    assert!(watch.timed_out(), "one lost call says nothing of discovery");
-    assert_eq!(given(&watch), (1600 * SECOND / 1000, MAX_CALL_INTERVAL));
+    assert!(watch.timed_out(), "the next call starts at once after a first timeout");
+    assert_eq!(timeouts(&watch), (1600 * SECOND / 1000, MAX_CALL_INTERVAL));
     watch.call_started(MAX_CALL_INTERVAL);
     assert!(!watch.timed_out());
     assert_eq!(watch.retry_deadline(), Some(2 * MAX_CALL_INTERVAL));
     watch.call_started(2 * MAX_CALL_INTERVAL);
-    // The answer comes after the watch, and later than it would if discovery were not slow.
+    // The answer comes after the watch, and later than from a discovery service that is not slow.
     watch.answered(2 * MAX_CALL_INTERVAL + 2700 * SECOND / 1000);
     assert_eq!((watch.retry_deadline(), watch.watch_duration()), (None, 1600 * SECOND / 1000));
     watch.call_started(4 * MAX_CALL_INTERVAL);
@@ -33,28 +33,30 @@
     assert_eq!(watch.call_timeout(true), MIN_CALL_TIMEOUT);
 }
 
-/// How a call may end: after which part of its time, and how long another party would wait before the next.
+/// How a call ends: after which fraction of its timeout, and how long a caller would otherwise wait before
+/// the next one.
 #[derive(Clone, Copy, Debug)]
 enum CallOutcome {
-    Answered { part: f64 },
-    Failed { part: f64, wait_ms: u64 },
+    Answered { fraction: f64 },
+    Failed { fraction: f64, wait_ms: u64 },
     TimedOut { wait_ms: u64 },
-    AddressChanged { part: f64 },
+    AddressChanged { fraction: f64 },
 }
 
 fn call_outcome() -> impl Strategy<Value = CallOutcome> {
-    let part = || 0.0f64..1.0;
+    let fraction = || 0.0f64..1.0;
     prop_oneof![
-        part().prop_map(|part| CallOutcome::Answered { part }),
-        (part(), 0u64..100_000).prop_map(|(part, wait_ms)| CallOutcome::Failed { part, wait_ms }),
+        fraction().prop_map(|fraction| CallOutcome::Answered { fraction }),
+        (fraction(), 0u64..100_000).prop_map(|(fraction, wait_ms)| CallOutcome::Failed { fraction, wait_ms }),
         (0u64..100_000).prop_map(|wait_ms| CallOutcome::TimedOut { wait_ms }),
-        part().prop_map(|part| CallOutcome::AddressChanged { part }),
+        fraction().prop_map(|fraction| CallOutcome::AddressChanged { fraction }),
     ]
 }
 
 proptest! {
-    /// Whatever becomes of the calls, and however long other parties would wait between them: a discovery service that can
-    /// be reached from any moment on has been called, and its answer waited for, before the notification deadline.
+    /// Regardless of the outcomes of calls and of longer waits between them, a discovery service that is
+    /// reachable from any moment on is called, and given the time to answer, before the notification
+    /// deadline.
     #[test]
     fn from_any_moment_on_a_call_is_answered_before_the_notification_deadline(
         must_poll_within in 0u64..100, full_list in any::<bool>(),
@@ -64,8 +66,8 @@
         let (mut now, mut last, mut full_list) = (0u64, None::<(u64, bool)>, full_list);
         for outcome in outcomes {
             if let Some((last, first_at_address)) = last {
-                // Discovery becomes reachable just after the last call started. The first call at an address may be given up
-                // early; the one after it is not.
+                // The discovery service becomes reachable just after the last call started. The first call at
+                // an address may time out early; the one after it may not.
                 let timeout = watch.call_timeout(full_list);
                 prop_assert!(timeout >= MIN_CALL_TIMEOUT || first_at_address, "{timeout} at {now}");
                 let early = if timeout >= MIN_CALL_TIMEOUT { 0 } else { timeout };
@@ -77,13 +79,13 @@
             prop_assert!(timeout <= MAX_CALL_INTERVAL);
             let mut first_at_address = false;
             match outcome {
-                CallOutcome::Answered { part } => {
-                    now += (timeout as f64 * part) as u64;
+                CallOutcome::Answered { fraction } => {
+                    now += (timeout as f64 * fraction) as u64;
                     watch.answered(now);
                     full_list = false;
                 }
-                CallOutcome::Failed { part, wait_ms } => {
-                    now += (timeout as f64 * part) as u64;
+                CallOutcome::Failed { fraction, wait_ms } => {
+                    now += (timeout as f64 * fraction) as u64;
                     watch.failed();
                     let next = now + wait_ms * SECOND / 1000;
                     now = next.min(watch.retry_deadline().expect("a time")).max(now);
@@ -95,13 +97,13 @@
                         now = next.min(watch.retry_deadline().expect("a time")).max(now);
                     }
                 }
-                CallOutcome::AddressChanged { part } => {
-                    now += (timeout as f64 * part) as u64;
+                CallOutcome::AddressChanged { fraction } => {
+                    now += (timeout as f64 * fraction) as u64;
                     watch.address_changed();
                     (full_list, first_at_address) = (true, true);
                 }
             }
-            // A change at a new address counts from the change of address on.
+            // A change at a new address counts from the change of the address.
             last = Some((if first_at_address { now } else { start }, first_at_address));
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Parses the platform's settings of a proxy, a dotted path and a value for each, into the decision module's [`Settings`].
-//! The simulator's wire and the configuration file of a real proxy use the same paths.
+//! Parses the platform's settings of a proxy, given as dotted paths with values, into the decision module's
+//! [`Settings`]. The simulator's protocol and the configuration file of a real proxy use the same paths.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -9,16 +9,16 @@
 use setting::Setting;
 pub use setting::SettingsError;
 
-/// How long connections may be idle where the settings do not say: 5 s. A value of 0 says that nodes close connections at
-/// once.
+/// The default idle timeout of connections in nanoseconds: 5 s. A setting of 0 means that nodes close
+/// connections at once.
 pub const DEFAULT_CONN_IDLE: Nanos = 5_000_000_000;
-/// More classes or tenants than this are an error.
-const MAX_COUNT: usize = 4096;
+/// The maximum number of classes, and of tenants; more are an error.
+const MAX_ITEMS: usize = 4096;
 
 /// Parses settings from `path=value` pairs; unknown paths are ignored.
 ///
 /// # Errors
-/// If a pair has no value, or a known path has a value that can't be used.
+/// If a pair has no value, or the value of a known path is invalid.
 pub fn parse_settings<'a>(pairs: impl IntoIterator<Item = &'a str>) -> Result<Settings, SettingsError> {
     let mut parser = Parser::default();
     for pair in pairs {
@@ -27,10 +27,10 @@
     Ok(parser.finish())
 }
 
-/// The settings read so far, and those that need others to be understood.
+/// The settings read so far, and values that are resolved once all settings are read.
 struct Parser {
     settings: Settings,
-    /// Negative: there is no origin.
+    /// The machine kind of the origin; negative: there is no origin.
     origin_kind: i64,
     retry_after_allowed: bool,
 }
@@ -49,10 +49,10 @@
         let settings = &mut self.settings;
         match steps {
             ("categories", "count", None) => {
-                settings.classes.resize(setting.count(MAX_COUNT)?, Class::default());
+                settings.classes.resize(setting.count(MAX_ITEMS)?, Class::default());
             }
             ("customers", "count", None) => {
-                settings.tenants.resize(setting.count(MAX_COUNT)?, Tenant::default());
+                settings.tenants.resize(setting.count(MAX_ITEMS)?, Tenant::default());
             }
             ("categories", index, Some(field)) => {
                 if let Some(class) = indexed(&mut settings.classes, index) {
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Settings that are neither of a class nor of a tenant.
+    /// Applies a setting that belongs neither to a class nor to a tenant.
     fn apply_to_proxy(&mut self, setting: &Setting<'_>) -> Result<(), SettingsError> {
         let settings = &mut self.settings;
         match setting.path {
@@ -123,7 +123,7 @@
     }
 }
 
-/// The item that a step of a path names by its number.
+/// Returns the item whose index is given as a step of a path, if there is one.
 fn indexed<'a, T>(items: &'a mut [T], index: &str) -> Option<&'a mut T> {
     index.parse::<usize>().ok().and_then(|index| items.get_mut(index))
 }
@@ -142,7 +142,7 @@
             class.idempotency = match setting.value {
                 "safe" => Idempotency::Idempotent,
                 "keyed" => Idempotency::WithKey,
-                // An unknown effect is held to the strictest rule.
+                // An unknown effect is treated as non-idempotent, the strictest rule.
                 _ => Idempotency::NonIdempotent,
             }
         }
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// Which columns of a load report mean what.
+/// Finds the positions of the known columns in the comma-separated column names of a load report.
 fn report_columns(names: &str) -> ReportColumns {
     let position = |name| names.split(',').position(|column| column == name);
     ReportColumns { busy: position("load_share"), rate: position("tps") }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as the platform writes them, and what is wrong with some.
+//! Tests the parsing of settings as the platform writes them, and the errors for invalid ones.
 
 use aniseyoke_decision::api::{Group, Idempotency};
 use aniseyoke_settings::{parse_settings, SettingsError, DEFAULT_CONN_IDLE};
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn fields_of_classes_that_are_not_counted_are_ignored() {
+fn fields_of_classes_beyond_the_count_are_ignored() {
     let settings = parse_settings(["categories.count=1", "categories.7.value=x"]).expect("sound");
     assert_eq!(settings.classes.len(), 1);
 }
--- a/crates/sockets/src/connect.rs
+++ b/crates/sockets/src/connect.rs
@@ -1,4 +1,5 @@
-//! Connections to others: a shortage of this machine's own is waited out for a moment, and told apart from their faults.
+//! Opens outgoing connections. Retries after a local resource shortage, and reports it separately from faults
+//! of the peer.
 
 use crate::errors::is_local_shortage;
 use std::fmt;
@@ -8,16 +9,17 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// The waits after failures for lack of something on this machine; after the last one the shortage is told.
+/// The waits between attempts during a local resource shortage. If the attempt after the last wait fails, the
+/// shortage is returned as an error.
 const BACKOFF: [Duration; 3] =
     [Duration::from_millis(1), Duration::from_millis(4), Duration::from_millis(16)];
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// This machine lacked a descriptor, memory or a port; the other side was not asked.
+    /// This machine lacked a file descriptor, memory or a port; the peer was not contacted.
     Local(io::Error),
-    /// The other side refused, or can't be reached.
+    /// The peer refused the connection or can't be reached.
     Remote(io::Error),
 }
 
@@ -31,15 +33,15 @@
 
 impl std::error::Error for ConnectError {}
 
-/// Connects to an address. What this machine is short of is asked of `make_room`, and it is tried again.
+/// Connects to an address. During a local resource shortage, calls `release_resources` and retries.
 ///
 /// # Errors
-/// If the other side can't be reached, or the shortage lasts.
-pub async fn connect(addr: SocketAddr, make_room: impl Fn()) -> Result<TcpStream, ConnectError> {
+/// If the peer refuses the connection or can't be reached, or if the shortage outlasts the retries.
+pub async fn connect(addr: SocketAddr, release_resources: impl Fn()) -> Result<TcpStream, ConnectError> {
     for wait in BACKOFF {
         match TcpStream::connect(addr).await {
             Ok(stream) => return Ok(stream),
-            Err(e) if is_local_shortage(&e) => make_room(),
+            Err(e) if is_local_shortage(&e) => release_resources(),
             Err(e) => return Err(ConnectError::Remote(e)),
         }
         sleep(wait).await;
--- a/crates/sockets/src/errors.rs
+++ b/crates/sockets/src/errors.rs
@@ -1,19 +1,20 @@
-//! What the numbers of errors say, as accept(2), connect(2) and socket(2) document them.
+//! Classifies error numbers as documented in accept(2), connect(2) and socket(2).
 
 use std::io;
 
-/// What a failed accept says.
+/// The cause of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// It was about one connection, or a signal: the next one may be taken at once.
+    /// A fault of one connection, or a signal: the next accept may follow at once.
     Transient,
-    /// This machine or process is short of descriptors or memory; the connection still waits.
+    /// This machine or process is short of file descriptors or memory; the connection stays in the accept
+    /// queue.
     Shortage,
-    /// Anything else.
+    /// Any other error.
     Other,
 }
 
-/// Sorts a failed accept. Linux hands on errors of a connection that has broken before it was taken.
+/// Classifies a failed accept. Linux also returns errors of a connection that failed before it was accepted.
 #[must_use]
 pub fn classify_accept_error(error: &io::Error) -> AcceptError {
     match error.raw_os_error() {
@@ -36,7 +37,8 @@
     }
 }
 
-/// Whether a failure to make or connect a socket is this machine's own shortage, which says nothing of the other side.
+/// Whether a socket could not be created or connected because of a resource shortage on this machine, which
+/// says nothing about the peer.
 #[must_use]
 pub fn is_local_shortage(error: &io::Error) -> bool {
     matches!(
@@ -53,8 +55,8 @@
     )
 }
 
-/// Whether a connection's read or write failed for a lack of memory in the kernel, which passes, and leaves the connection as
-/// it was.
+/// Whether a read or write failed for lack of kernel memory, which is transient and leaves the connection
+/// usable.
 #[must_use]
 pub fn is_transient_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::ENOBUFS | libc::ENOMEM))
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,5 +1,4 @@
-//! What failing socket calls mean: which are made again, which are this machine's own shortage, and which say something of
-//! the other side.
+//! Classifies socket errors: calls to retry, local resource shortages, and faults of the peer.
 #![forbid(unsafe_code)]
 
 mod connect;
--- a/crates/sockets/src/uninterrupted.rs
+++ b/crates/sockets/src/uninterrupted.rs
@@ -1,38 +1,39 @@
-//! Calls that a signal has interrupted are made again: that says nothing of the connection.
+//! Retries calls that a signal interrupted: an interruption says nothing about the connection.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// So often in a row a call is made again. A machine that interrupts more often than that has another fault.
-const AGAIN_MOST: usize = 1000;
+/// The maximum number of consecutive retries of one call. More interruptions than that have another cause.
+const MAX_RETRIES: usize = 1000;
 
-/// Makes a call, and again where a signal has interrupted it.
+/// Makes a call, and retries it while signals interrupt it.
 ///
 /// # Errors
-/// As the call's.
+/// The error of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..AGAIN_MOST {
+    for _ in 0..MAX_RETRIES {
         match call() {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            made => return made,
+            result => return result,
         }
     }
     call()
 }
 
 fn poll_uninterrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-    for _ in 0..AGAIN_MOST {
+    for _ in 0..MAX_RETRIES {
         match call() {
             Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {}
-            made => return made,
+            result => return result,
         }
     }
     call()
 }
 
-/// A stream whose reads and writes go on over interruptions: the runtime's own streams hand these on as errors.
+/// A stream that retries interrupted reads and writes; the runtime's own streams return interruptions as
+/// errors.
 #[derive(Debug)]
 pub struct Uninterrupted<S>(pub S);
 
--- a/crates/sockets/tests/errors.rs
+++ b/crates/sockets/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What errors mean, and what is made again.
+//! Tests the classification of socket errors and the retry of interrupted calls.
 
 use aniseyoke_sockets::{
     classify_accept_error, connect, is_local_shortage, uninterrupted, AcceptError, ConnectError,
@@ -11,28 +11,28 @@
 use tokio::net::TcpListener;
 
 #[test]
-fn failed_accepts_are_sorted_as_documented() {
-    let sorted = |numbers: &[i32]| -> Vec<AcceptError> {
+fn accept_errors_are_classified_as_documented() {
+    let classified = |numbers: &[i32]| -> Vec<AcceptError> {
         numbers.iter().map(|n| classify_accept_error(&io::Error::from_raw_os_error(*n))).collect()
     };
-    let passing = [libc::ECONNABORTED, libc::EPROTO, libc::EINTR, libc::EHOSTUNREACH];
+    let transient = [libc::ECONNABORTED, libc::EPROTO, libc::EINTR, libc::EHOSTUNREACH];
     let shortages = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    assert_eq!(sorted(&passing), [AcceptError::Transient; 4]);
-    assert_eq!(sorted(&shortages), [AcceptError::Shortage; 4]);
-    assert_eq!(sorted(&[libc::EBADF, libc::EINVAL]), [AcceptError::Other; 2]);
+    assert_eq!(classified(&transient), [AcceptError::Transient; 4]);
+    assert_eq!(classified(&shortages), [AcceptError::Shortage; 4]);
+    assert_eq!(classified(&[libc::EBADF, libc::EINVAL]), [AcceptError::Other; 2]);
 }
 
 #[test]
-fn a_shortage_of_this_machine_is_no_fault_of_the_other_side() {
+fn a_local_shortage_is_distinguished_from_a_fault_of_the_peer() {
     let local = |number| is_local_shortage(&io::Error::from_raw_os_error(number));
     assert!([libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL].into_iter().all(local));
     assert!(![libc::ECONNREFUSED, libc::ETIMEDOUT, libc::ENETUNREACH].into_iter().any(local));
 }
 
 #[test]
-fn an_interrupted_call_is_made_again_and_not_for_ever() {
+fn an_interrupted_call_is_retried_a_limited_number_of_times() {
     let mut calls = 0;
-    let made = uninterrupted(|| {
+    let result = uninterrupted(|| {
         calls += 1;
         if calls < 3 {
             Err(io::ErrorKind::Interrupted.into())
@@ -40,29 +40,29 @@
             Ok(calls)
         }
     });
-    assert_eq!(made.expect("made"), 3);
-    let never = uninterrupted(|| -> io::Result<()> { Err(io::ErrorKind::Interrupted.into()) });
-    assert_eq!(never.expect_err("never made").kind(), io::ErrorKind::Interrupted);
+    assert_eq!(result.expect("made"), 3);
+    let always_interrupted = uninterrupted(|| -> io::Result<()> { Err(io::ErrorKind::Interrupted.into()) });
+    assert_eq!(always_interrupted.expect_err("always interrupted").kind(), io::ErrorKind::Interrupted);
 }
 
-/// Every other read is interrupted.
-struct Flaky {
-    again: bool,
-    left: u8,
+/// A reader that interrupts every other read, and yields `remaining` bytes.
+struct InterruptedReader {
+    interrupt: bool,
+    remaining: u8,
 }
 
-impl AsyncRead for Flaky {
+impl AsyncRead for InterruptedReader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.again = !self.again;
-        if self.again {
+        self.interrupt = !self.interrupt;
+        if self.interrupt {
             return Poll::Ready(Err(io::ErrorKind::Interrupted.into()));
         }
-        if self.left > 0 {
-            self.left -= 1;
+        if self.remaining > 0 {
+            self.remaining -= 1;
             buf.put_slice(b"x");
         }
         Poll::Ready(Ok(()))
@@ -70,18 +70,18 @@
 }
 
 #[tokio::test]
-async fn a_stream_goes_on_over_interruptions() {
-    let mut came = String::new();
-    let mut stream = Uninterrupted(Flaky { again: false, left: 3 });
-    stream.read_to_string(&mut came).await.expect("read");
-    assert_eq!(came, "xxx");
+async fn a_stream_retries_interrupted_reads() {
+    let mut received = String::new();
+    let mut stream = Uninterrupted(InterruptedReader { interrupt: false, remaining: 3 });
+    stream.read_to_string(&mut received).await.expect("read");
+    assert_eq!(received, "xxx");
 }
 
 #[tokio::test]
-async fn who_refuses_a_connection_is_told_apart_from_a_shortage() {
+async fn a_refused_connection_is_reported_as_a_remote_error() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let addr = listener.local_addr().expect("an address");
-    assert!(connect(addr, || panic!("nothing is short")).await.is_ok());
+    assert!(connect(addr, || panic!("there is no shortage")).await.is_ok());
     drop(listener);
     assert!(matches!(connect(addr, || ()).await, Err(ConnectError::Remote(_))));
 }
