--- a/crates/logging/src/early.rs
+++ b/crates/logging/src/early.rs
@@ -1,4 +1,5 @@
-//! The lines from before the log's thread exists: the calling thread writes them itself where that can't make it wait.
+//! Lines from before the log thread exists: the calling thread writes them itself if it can do so without
+//! blocking.
 
 use crate::layer::{LineLayer, LineOutput, LineWriter};
 use crate::Options;
@@ -8,11 +9,12 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::Registry;
 
-/// Calls `body`, whose lines this thread writes to `out`, and returns those that `out` did not take, in their order.
+/// Calls `body`, writes its lines to `out` on this thread, and returns the lines that could not be written,
+/// in order.
 ///
-/// `out` must return an error where it would have to wait. After the first line that it did not take it gets no other, so
-/// that the order stays.
-pub fn write_lines_of<W>(options: &Options, out: W, body: impl FnOnce()) -> Vec<String>
+/// `out` must return an error instead of blocking. After the first line that could not be written it gets no
+/// others, which preserves the order.
+pub fn write_lines_directly<W>(options: &Options, out: W, body: impl FnOnce()) -> Vec<String>
 where
     W: Write + Send + 'static,
 {
@@ -23,11 +25,11 @@
     lines.output().take_not_written()
 }
 
-/// Writes lines at once, and keeps them once one could not be written.
+/// Writes lines at once, and collects them after one could not be written.
 struct EarlyOutput<W>(Mutex<EarlyState<W>>);
 
 struct EarlyState<W> {
-    /// None once it did not take a line.
+    /// None after a line could not be written.
     out: Option<W>,
     not_written: Vec<String>,
 }
@@ -49,7 +51,7 @@
 impl<W: Write + Send + 'static> LineOutput for EarlyOutput<W> {
     fn write_line(&self, line: &str) {
         let mut state = self.state();
-        // A line is shorter than what a pipe takes as a whole or not at all (PIPE_BUF).
+        // A line fits into PIPE_BUF, so that a pipe takes all of it or nothing.
         let written =
             state.out.as_mut().is_some_and(|out| out.write(line.as_bytes()).is_ok_and(|n| n == line.len()));
         if !written {
--- a/crates/logging/src/format.rs
+++ b/crates/logging/src/format.rs
@@ -1,4 +1,4 @@
-//! Turns an event into one line of text.
+//! Formats an event as one line of text.
 
 use serde_json::{Map, Value};
 use std::fmt::{self, Write as _};
@@ -6,12 +6,12 @@
 use tracing::field::{Field, Visit};
 use tracing::Metadata;
 
-/// Longer lines are cut, in bytes.
+/// The maximum length of a line in bytes; longer lines are truncated.
 pub const MAX_LINE_BYTES: usize = 4096;
-/// Longer values of fields are cut, in bytes.
+/// The maximum length of a field's value in bytes; longer values are truncated.
 const MAX_VALUE_BYTES: usize = MAX_LINE_BYTES / 2;
-/// What each plain line begins with.
-const PROGRAM: &str = "aniseyoke";
+/// The program name at the start of each plain line.
+const PROGRAM_NAME: &str = "aniseyoke";
 
 /// The format of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -19,8 +19,8 @@
     /// The program's name, the message, and its fields.
     #[default]
     Plain,
-    /// A JSON object with `time` (RFC 3339), `level`, `target`, `message`, the fields, and `left_out` where lines were
-    /// suppressed.
+    /// A JSON object with `time` (RFC 3339), `level`, `target`, `message`, the fields, and `left_out`, the
+    /// number of lines that were suppressed, if any.
     Json,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl EventFields {
-    /// A message without fields.
+    /// Creates a message without fields.
     pub fn message(message: String) -> Self {
         EventFields { message, others: Map::new() }
     }
@@ -49,11 +49,11 @@
 
 impl Visit for EventFields {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        self.insert(field, Value::String(shortened(format!("{value:?}"))));
+        self.insert(field, Value::String(truncated_value(format!("{value:?}"))));
     }
 
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.insert(field, Value::String(shortened(value.to_owned())));
+        self.insert(field, Value::String(truncated_value(value.to_owned())));
     }
 
     fn record_i64(&mut self, field: &Field, value: i64) {
@@ -73,8 +73,8 @@
     }
 }
 
-/// A text that is too long for a field, cut and marked.
-fn shortened(mut text: String) -> String {
+/// Truncates a text that is too long for a field, and marks it with `...`.
+fn truncated_value(mut text: String) -> String {
     if text.len() > MAX_VALUE_BYTES {
         truncate(&mut text, MAX_VALUE_BYTES);
         text.push_str("...");
@@ -82,19 +82,20 @@
     text
 }
 
-/// Cuts a text to a length at most, between two characters.
+/// Truncates a text to at most `max` bytes, at a character boundary.
 fn truncate(text: &mut String, max: usize) {
     let end = (0..=max.min(text.len())).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
     text.truncate(end);
 }
 
-/// A line in a format with its line end; `suppressed`: so many lines of its call site were suppressed before it.
+/// Formats an event as a line with its line end; `suppressed` is the number of suppressed lines of its call
+/// site since the last one that was written.
 pub fn format(format: Format, metadata: &Metadata<'_>, fields: EventFields, suppressed: u64) -> String {
     let line = match format {
         Format::Plain => plain(fields, suppressed),
         Format::Json => json(metadata, fields, suppressed),
     };
-    // Text from a client must not look like a line of its own.
+    // Text from a client must not be able to forge a log line.
     let mut line = line.replace(['\n', '\r'], " ");
     truncate(&mut line, MAX_LINE_BYTES);
     line.push('\n');
@@ -102,13 +103,13 @@
 }
 
 fn plain(fields: EventFields, suppressed: u64) -> String {
-    let mut line = format!("{PROGRAM}: {}", fields.message);
+    let mut line = format!("{PROGRAM_NAME}: {}", fields.message);
     for (name, value) in &fields.others {
         // Writing to a string can't fail.
         let _ = write!(line, " {name}={value}");
     }
     if suppressed > 0 {
-        let _ = write!(line, " ({suppressed} like it left out)");
+        let _ = write!(line, " ({suppressed} similar lines suppressed)");
     }
     line
 }
@@ -124,7 +125,7 @@
     if suppressed > 0 {
         object.insert("left_out".into(), suppressed.into());
     }
-    // A field of the same name does not replace what every line says.
+    // A field does not replace a standard key of the same name.
     for (name, value) in fields.others {
         object.entry(name).or_insert(value);
     }
@@ -132,7 +133,7 @@
     if line.len() <= MAX_LINE_BYTES {
         return line;
     }
-    // JSON that is cut can't be read: a line that is too long is written without its fields.
-    let message = format!("a line of {} bytes was too long", line.len());
+    // Truncated JSON can't be parsed: a line that is too long is replaced by a message without its fields.
+    let message = format!("a log line of {} bytes was too long and was dropped", line.len());
     serde_json::json!({ "level": level, "target": metadata.target(), "message": message }).to_string()
 }
--- a/crates/logging/src/layer.rs
+++ b/crates/logging/src/layer.rs
@@ -1,4 +1,4 @@
-//! Takes the events of the program, limits their rate, and passes on a line for each.
+//! A subscriber layer that limits the rate of events and formats each as a line.
 
 use crate::format::{format, EventFields, Format};
 use crate::rate_limit::{Admission, RateLimit, RateLimiter};
@@ -8,13 +8,13 @@
 use tracing::{Event, Metadata, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// Where finished lines go. It must not make the thread that logs wait.
+/// A destination for formatted lines. It must not block the thread that logs.
 pub trait LineOutput: Send + Sync + 'static {
-    /// Takes a line with its line end.
+    /// Writes a line, which includes its line end.
     fn write_line(&self, line: &str);
 }
 
-/// Writes lines in one format, limited for each call site.
+/// Writes lines in one format, rate-limited by call site.
 pub struct LineWriter<O> {
     format: Format,
     start: Instant,
@@ -37,7 +37,7 @@
 }
 
 impl<O: LineOutput> LineWriter<O> {
-    /// A writer that passes its lines on to an output.
+    /// Creates a writer that passes lines to an output.
     pub fn new(format: Format, rate_limit: RateLimit, output: O) -> Self {
         LineWriter {
             format,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Where the lines go.
+    /// Returns the output.
     pub fn output(&self) -> &O {
         &self.output
     }
@@ -60,13 +60,13 @@
         self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes how many lines of each call site were suppressed and not reported yet.
+    /// Writes the number of suppressed lines of each call site that were not reported yet.
     pub fn report_suppressed(&self) {
         let suppressed = self.limiter().take_suppressed();
         for (call_site, count) in suppressed {
             let metadata = call_site.0.metadata();
-            let place = format!("{}:{}", metadata.target(), metadata.line().unwrap_or(0));
-            let fields = EventFields::message(format!("{count} lines from {place} were left out"));
+            let location = format!("{}:{}", metadata.target(), metadata.line().unwrap_or(0));
+            let fields = EventFields::message(format!("{count} lines from {location} were suppressed"));
             self.write(metadata, fields, 0);
         }
     }
--- a/crates/logging/src/levels.rs
+++ b/crates/logging/src/levels.rs
@@ -1,4 +1,4 @@
-//! Which lines are written: a level for all, and levels for parts of the program.
+//! Log levels: one for the whole program, and overrides for parts of it.
 
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
@@ -6,27 +6,27 @@
 /// The least severe level that is written, for the whole program and for parts of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Levels {
-    /// For all that is not named.
+    /// The level of all targets that are not listed.
     pub all: Level,
-    /// By the beginning of a target's name.
+    /// Levels by prefix of the target's name.
     pub targets: Vec<(String, Level)>,
 }
 
 /// The severity of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Level {
-    /// Nothing is written.
+    /// No lines are written.
     Off,
-    /// What failed.
+    /// Failures.
     Error,
-    /// What may fail next.
+    /// Conditions that may lead to failures.
     Warn,
-    /// What changed.
+    /// Changes of state.
     #[default]
     Info,
-    /// What happened.
+    /// Individual events.
     Debug,
-    /// Everything.
+    /// Details for tracing.
     Trace,
 }
 
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,12 +1,13 @@
-//! The log: plain or JSON lines on standard error.
+//! Logging: plain or JSON lines on standard error.
 //!
-//! The thread that logs never waits: a line goes to a bounded queue, from which another thread writes. When the queue is
-//! full the line is dropped and counted. Each call site has a rate limit of its own, so that a fault that repeats with
-//! every request neither fills the queue nor hides other lines. How many lines were suppressed is reported with the next
-//! line of that site, or by [`LogHandle::report_suppressed`] when none comes. Levels can be changed while the program runs.
+//! Logging never blocks the calling thread: lines go to a bounded queue, from which another thread writes
+//! them. If the queue is full, the line is dropped and counted. Each call site has its own rate limit, so
+//! that a fault that repeats with every request neither fills the queue nor hides other lines. The number of
+//! suppressed lines is reported with the next line of the call site, or by [`LogHandle::report_suppressed`]
+//! if there is none. Levels can be changed while the program runs.
 //!
-//! The first lines are written by the thread that starts the log, before the other thread exists, so that a process that
-//! gets stuck while it creates its threads has logged that it began.
+//! The first lines are written by the thread that starts the log, before the log thread exists, so that a
+//! process that hangs while it creates its threads has logged its start.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -34,25 +35,25 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::{reload, Registry};
 
-/// Lines that may wait to be written; further ones are dropped.
+/// The capacity of the queue in lines; further lines are dropped.
 const MAX_QUEUED_LINES: usize = 1024;
-/// The shortest wait at the end for lines that are not written yet: the writing thread has to be scheduled once.
+/// The shortest wait at shutdown for queued lines: the log thread has to be scheduled once.
 const MIN_CLOSE_WAIT: Duration = Duration::from_millis(20);
-/// The longest wait at the end for lines that are not written yet: standard error may be a pipe that nobody reads.
+/// The longest wait at shutdown for queued lines: standard error may be a pipe that nobody reads.
 const MAX_CLOSE_WAIT: Duration = Duration::from_secs(1);
 
-/// How lines are written.
+/// Options of the log.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Their format.
+    /// The format of lines.
     pub format: Format,
     /// The rate limit of each call site.
     pub rate_limit: RateLimit,
-    /// Which lines are written.
+    /// The levels that are written.
     pub levels: Levels,
 }
 
-/// Controls a running log. Dropping it writes the lines that still wait, and takes no more than a second.
+/// Controls a running log. Dropping it writes the queued lines, and takes at most a second.
 pub struct LogHandle {
     lines: Arc<LineWriter<LineQueue>>,
     levels: reload::Handle<Targets, Registry>,
@@ -60,23 +61,23 @@
 }
 
 impl LogHandle {
-    /// Changes which lines are written from now on.
+    /// Changes the levels that are written from now on.
     pub fn set_levels(&self, levels: &Levels) {
-        // It fails only when the subscriber is gone, and then nothing is written anyhow.
+        // This fails only if the subscriber no longer exists, in which case no lines are written.
         let _ = self.levels.reload(Targets::from(levels));
     }
 
-    /// Writes how many lines of each call site were suppressed and not reported yet.
+    /// Writes the number of suppressed lines of each call site that were not reported yet.
     pub fn report_suppressed(&self) {
         self.lines.report_suppressed();
     }
 
-    /// How many lines were dropped because the queue was full, or after the log was closed.
+    /// Returns the number of lines that were dropped because the queue was full or the log was closed.
     pub fn dropped(&self) -> usize {
         self.lines.output().dropped()
     }
 
-    /// Sets until when the end of the log may wait for lines that are not written yet.
+    /// Sets the deadline for writing queued lines when the log is closed.
     pub fn set_close_deadline(&self, deadline: Instant) {
         self.close_deadline.set(Some(deadline));
     }
@@ -85,27 +86,28 @@
 impl Drop for LogHandle {
     fn drop(&mut self) {
         let deadline = self.close_deadline.get();
-        let left =
+        let remaining =
             deadline.map_or(MAX_CLOSE_WAIT, |deadline| deadline.saturating_duration_since(Instant::now()));
-        self.lines.output().close(left.clamp(MIN_CLOSE_WAIT, MAX_CLOSE_WAIT));
+        self.lines.output().close(remaining.clamp(MIN_CLOSE_WAIT, MAX_CLOSE_WAIT));
     }
 }
 
 /// Why the log can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The thread that writes the lines can't be started.
-    #[error("the log's thread: {0}")]
+    /// The log thread can't be started.
+    #[error("the log thread can't be started: {0}")]
     Thread(#[from] io::Error),
-    /// A log was started before.
+    /// A log was already started.
     #[error(transparent)]
     AlreadyStarted(#[from] tracing::subscriber::SetGlobalDefaultError),
 }
 
-/// A log that writes to `out`: a subscriber that is still to be installed, and the handle that controls it.
+/// Creates a log that writes to `out`: a subscriber, which the caller installs, and the handle that controls
+/// it.
 ///
 /// # Errors
-/// If no thread can be started.
+/// If the log thread can't be started.
 pub fn build(
     options: &Options,
     out: impl Write + Send + 'static,
@@ -119,13 +121,14 @@
 
 /// Starts the log of this process on standard error.
 ///
-/// `first` is called before the log's thread exists. What it logs is written by the calling thread, at once and without
-/// waiting; lines that could not be written so, as to a full pipe, are the first in the queue.
+/// Calls `first` before the log thread exists. The calling thread writes the lines that it logs, at once and
+/// without blocking; lines that can't be written this way, such as to a full pipe, become the first in the
+/// queue.
 ///
 /// # Errors
-/// If one was started before, or no thread can be started.
+/// If a log was already started, or the log thread can't be started.
 pub fn start(options: &Options, first: impl FnOnce()) -> Result<LogHandle, StartError> {
-    let not_written = early::write_lines_of(options, NonblockingStandardError::default(), first);
+    let not_written = early::write_lines_directly(options, NonblockingStandardError::default(), first);
     let (subscriber, handle) = build(options, std::io::stderr())?;
     not_written.iter().for_each(|line| handle.lines.output().write_line(line));
     tracing::subscriber::set_global_default(subscriber)?;
--- a/crates/logging/src/queue.rs
+++ b/crates/logging/src/queue.rs
@@ -1,7 +1,7 @@
-//! A bounded queue of lines, and the thread that writes them.
+//! A bounded queue of lines, and the log thread that writes them.
 //!
-//! Both sides share one lock, under which neither makes a system call that may wait, and they wait in condition variables
-//! alone: neither yields until the other has finished an operation that it has begun.
+//! Both sides share one lock. Neither makes a blocking system call while it holds the lock, and both wait
+//! only on condition variables; neither spins until the other side completes an operation that it has begun.
 
 use crate::layer::LineOutput;
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Name of the thread that writes.
+/// The name of the log thread.
 const THREAD_NAME: &str = "log";
 
 /// The sending side of the queue.
@@ -18,9 +18,9 @@
 
 struct Shared {
     state: Mutex<State>,
-    /// A line has come, or the queue was closed: wakes the writing thread.
+    /// Wakes the log thread when a line was added or the queue was closed.
     changed: Condvar,
-    /// The writing thread has ended: wakes who closes the queue.
+    /// Wakes the thread that closes the queue when the log thread has ended.
     thread_ended: Condvar,
     capacity: usize,
 }
@@ -30,42 +30,43 @@
     lines: VecDeque<String>,
     dropped: usize,
     closed: bool,
-    /// Whether the writing thread has ended.
+    /// Whether the log thread has ended.
     ended: bool,
 }
 
 impl LineQueue {
-    /// A queue for so many lines, and the thread that writes them to `out`.
+    /// Creates a queue for at most `capacity` lines, and starts the log thread, which writes them to `out`.
     ///
     /// # Errors
-    /// If no thread can be started.
+    /// If the log thread can't be started.
     pub fn start(capacity: usize, out: impl Write + Send + 'static) -> io::Result<Self> {
         let state = Mutex::new(State::default());
         let shared =
             Arc::new(Shared { state, changed: Condvar::new(), thread_ended: Condvar::new(), capacity });
-        let of_thread = shared.clone();
+        let thread_shared = shared.clone();
         let thread = std::thread::Builder::new().name(THREAD_NAME.into());
-        thread.spawn(move || of_thread.write_all_lines(out))?;
+        thread.spawn(move || thread_shared.write_all_lines(out))?;
         Ok(LineQueue(shared))
     }
 
-    /// How many lines were dropped because the queue was full or closed.
+    /// Returns the number of lines that were dropped because the queue was full or closed.
     pub fn dropped(&self) -> usize {
         self.0.state().dropped
     }
 
-    /// Takes no further lines, and waits until those in the queue are written, but no longer than `timeout`.
+    /// Stops accepting lines, and waits until the queued ones are written, at most for `timeout`.
     pub fn close(&self, timeout: Duration) {
-        let give_up_at = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut state = self.0.state();
         state.closed = true;
         self.0.changed.notify_one();
         while !state.ended {
-            let left = give_up_at.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return;
             }
-            state = self.0.thread_ended.wait_timeout(state, left).unwrap_or_else(PoisonError::into_inner).0;
+            state =
+                self.0.thread_ended.wait_timeout(state, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
@@ -89,17 +90,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes one line after the other until the queue is closed and empty.
+    /// Writes lines until the queue is closed and empty.
     fn write_all_lines(&self, mut out: impl Write) {
-        let _end = TellsEnd(self);
+        let _end_notifier = EndNotifier(self);
         while let Some(line) = self.next_line() {
-            // An output that takes nothing, such as a pipe whose reader has gone, is nobody's concern.
+            // Write errors, such as of a pipe whose reader has closed it, are ignored: there is no other
+            // place to report them.
             let _ = out.write_all(line.as_bytes());
         }
         let _ = out.flush();
     }
 
-    /// Waits for the next line; none once the queue is closed and empty.
+    /// Waits for the next line. Returns none if the queue is closed and empty.
     fn next_line(&self) -> Option<String> {
         let mut state = self.state();
         loop {
@@ -114,10 +116,10 @@
     }
 }
 
-/// Tells that the writing thread has ended, also where the output panics.
-struct TellsEnd<'a>(&'a Shared);
+/// Records that the log thread has ended, also if the output panics.
+struct EndNotifier<'a>(&'a Shared);
 
-impl Drop for TellsEnd<'_> {
+impl Drop for EndNotifier<'_> {
     fn drop(&mut self) {
         self.0.state().ended = true;
         self.0.thread_ended.notify_all();
--- a/crates/logging/src/rate_limit.rs
+++ b/crates/logging/src/rate_limit.rs
@@ -1,18 +1,18 @@
-//! How many lines of one call site are written: a burst, then so many a second (a token bucket). No clock: the time is
-//! passed in.
+//! Limits the lines of each call site with a token bucket: a burst, then a number of lines per second. The
+//! caller passes the time.
 
 use rustc_hash::FxHashMap;
 use std::hash::Hash;
 
-/// Nanoseconds from any fixed point.
+/// Nanoseconds since an arbitrary fixed point.
 type Nanos = u64;
 
 /// The rate limit of one call site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
-    /// So many lines at once.
+    /// The number of lines that may be written at once.
     pub burst: u32,
-    /// So many a second after that.
+    /// The number of lines per second after the burst.
     pub per_second: u32,
 }
 
@@ -22,15 +22,15 @@
     }
 }
 
-/// Whether a line is written.
+/// Whether a line is written or suppressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is written.
+    /// The line is written.
     Written {
-        /// How many lines were suppressed since the last one that was written.
+        /// The number of lines that were suppressed since the last written one.
         suppressed: u64,
     },
-    /// It is not.
+    /// The line is suppressed.
     Suppressed,
 }
 
@@ -41,19 +41,19 @@
     suppressed: u64,
 }
 
-/// The rate limits of all call sites. There are as many buckets as call sites, so that the table is bounded by the program.
+/// The token buckets of all call sites. Their number is bounded by the number of call sites in the program.
 pub struct RateLimiter<K> {
     limit: RateLimit,
     buckets: FxHashMap<K, Bucket>,
 }
 
 impl<K: Hash + Eq + Clone> RateLimiter<K> {
-    /// A limiter that has seen no line.
+    /// Creates a limiter with full buckets.
     pub fn new(limit: RateLimit) -> Self {
         RateLimiter { limit, buckets: FxHashMap::default() }
     }
 
-    /// A line of a call site is to be written.
+    /// Takes a token for a line of a call site, and returns whether the line may be written.
     pub fn admit(&mut self, now: Nanos, call_site: K) -> Admission {
         let burst = f64::from(self.limit.burst.max(1));
         let full = Bucket { tokens: burst, refilled: now, suppressed: 0 };
@@ -69,7 +69,7 @@
         Admission::Written { suppressed: std::mem::take(&mut bucket.suppressed) }
     }
 
-    /// The call sites with suppressed lines that were not reported, and how many; they count as reported from now on.
+    /// Returns the call sites with unreported suppressed lines and their number, and marks them as reported.
     pub fn take_suppressed(&mut self) -> Vec<(K, u64)> {
         let buckets = self.buckets.iter_mut().filter(|(_, bucket)| bucket.suppressed > 0);
         buckets.map(|(site, bucket)| (site.clone(), std::mem::take(&mut bucket.suppressed))).collect()
--- a/crates/logging/src/standard_error.rs
+++ b/crates/logging/src/standard_error.rs
@@ -1,4 +1,4 @@
-//! Standard error, written without waiting without a bound for who reads it.
+//! Writes to standard error without waiting indefinitely for its reader.
 
 use nix::fcntl::OFlag;
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -10,24 +10,25 @@
 use std::os::unix::fs::{FileTypeExt, OpenOptionsExt};
 use std::time::{Duration, Instant};
 
-/// The file of standard error, from which another description of it is opened.
+/// The path of standard error, used to open another file description of it.
 const STANDARD_ERROR: &str = "/proc/self/fd/2";
-/// The longest wait for a reader, over all lines that are printed together.
+/// The longest wait for the reader, over all lines that are printed together.
 const MAX_PRINT_WAIT: Duration = Duration::from_secs(1);
-/// The longest wait for a reader of a panic: the thread may go on serving after it.
+/// The longest wait for the reader when a panic is printed: the thread may continue to serve requests.
 const MAX_PANIC_WAIT: Duration = Duration::from_millis(20);
 
-/// Prints lines on standard error, such as why the program can't go on. Who reads slowly gets them all; for who reads
-/// nothing they wait no longer than a second. A reader that has gone is no error.
+/// Prints lines to standard error, such as the reason why the program exits. A slow reader gets all lines; if
+/// the reader reads nothing, the call returns after at most a second. A closed reader is not an error.
 ///
-/// Where standard error can't be opened again, as a pipe of another user, it is written as it is and may wait.
+/// If standard error can't be reopened, such as a pipe of another user, it is written directly and the call
+/// may block.
 pub fn print_lines(lines: impl IntoIterator<Item = String>) {
     let text: String = lines.into_iter().map(|line| line + "\n").collect();
     print_within(&text, MAX_PRINT_WAIT);
 }
 
-/// Has panics told on standard error like by default, but for a reader that reads nothing a panic waits for milliseconds
-/// only. The lines do not go through the log: what panicked may hold its lock.
+/// Installs a hook that prints panics to standard error like the default hook, but waits only milliseconds
+/// for a reader that reads nothing. Panics bypass the log, since the panicking code may hold its lock.
 pub fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         let thread = std::thread::current();
@@ -43,22 +44,22 @@
 }
 
 fn print_within(text: &str, timeout: Duration) {
-    // There is nobody to tell an error to.
+    // Errors are ignored: there is no other place to report them.
     let _ = match NonblockingOutput::open() {
         Some(output) => output.write_all_within(text.as_bytes(), timeout),
         None => io::stderr().write_all(text.as_bytes()),
     };
 }
 
-/// Standard error, opened at the first write, which fails where it would have to wait.
+/// Standard error, opened at the first write. Writes fail instead of blocking.
 #[derive(Default)]
 pub enum NonblockingStandardError {
     /// Nothing was written yet.
     #[default]
     NotOpened,
-    /// It takes lines.
+    /// Standard error is open for writing.
     Open(NonblockingOutput),
-    /// It can't be written without waiting.
+    /// Standard error can't be written without blocking.
     Unavailable,
 }
 
@@ -78,20 +79,20 @@
     }
 }
 
-/// What standard error is, such that a write to it never waits.
+/// A handle to standard error whose writes never block.
 pub enum NonblockingOutput {
-    /// A regular file, which waits for nobody, or a pipe or terminal that was opened once more.
+    /// A regular file, whose writes do not wait for a reader, or a pipe or terminal that was reopened.
     File(File),
-    /// A socket.
+    /// A socket, written with a non-blocking flag for each call.
     Socket(Socket),
 }
 
 impl NonblockingOutput {
-    /// None where a write to standard error may have to wait.
+    /// Opens standard error for writing without blocking. Returns none if that is not possible.
     ///
-    /// A pipe or a terminal may have nobody who reads it. It is opened once more, because the flag against waiting belongs
-    /// to the open file description, which other processes share. A regular file is used as it is: opened once more it
-    /// would be written from its beginning. A socket has a flag for each call.
+    /// A pipe or a terminal may have no reader. It is reopened, because the non-blocking flag belongs to the
+    /// open file description, which is shared with other processes. A regular file is used as it is: a
+    /// reopened file would be written from its beginning. A socket has a flag for each call.
     fn open() -> Option<Self> {
         let inherited = File::from(io::stderr().as_fd().try_clone_to_owned().ok()?);
         let kind = inherited.metadata().ok()?.file_type();
@@ -105,8 +106,8 @@
             return None;
         }
         let flags = OFlag::O_NONBLOCK | OFlag::O_NOCTTY;
-        let again = OpenOptions::new().write(true).custom_flags(flags.bits()).open(STANDARD_ERROR);
-        again.ok().map(Self::File)
+        let reopened = OpenOptions::new().write(true).custom_flags(flags.bits()).open(STANDARD_ERROR);
+        reopened.ok().map(Self::File)
     }
 
     fn write(&self, bytes: &[u8]) -> io::Result<usize> {
@@ -116,16 +117,16 @@
         }
     }
 
-    /// Writes everything, and waits no longer than this for who reads it.
+    /// Writes all bytes, and waits at most `timeout` for the reader.
     fn write_all_within(&self, mut bytes: &[u8], timeout: Duration) -> io::Result<()> {
-        let give_up_at = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         while !bytes.is_empty() {
             match self.write(bytes) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(written) => bytes = &bytes[written..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.wait_until_writable(give_up_at)?;
+                    self.wait_until_writable(deadline)?;
                 }
                 Err(error) => return Err(error),
             }
@@ -133,12 +134,12 @@
         Ok(())
     }
 
-    fn wait_until_writable(&self, give_up_at: Instant) -> io::Result<()> {
-        let left = give_up_at.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+    fn wait_until_writable(&self, deadline: Instant) -> io::Result<()> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(ErrorKind::TimedOut.into());
         }
-        let timeout = PollTimeout::try_from(left + Duration::from_millis(1)).unwrap_or(PollTimeout::MAX);
+        let timeout = PollTimeout::try_from(remaining + Duration::from_millis(1)).unwrap_or(PollTimeout::MAX);
         match poll(&mut [PollFd::new(self.as_fd(), PollFlags::POLLOUT)], timeout) {
             Ok(_) | Err(nix::errno::Errno::EINTR) => Ok(()),
             Err(error) => Err(error.into()),
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -3,10 +3,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Passes on what is written to it.
-struct Output(Sender<String>);
+/// Sends everything that is written to a channel.
+struct ChannelOutput(Sender<String>);
 
-impl Write for Output {
+impl Write for ChannelOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.send(String::from_utf8_lossy(bytes).into_owned());
         Ok(bytes.len())
@@ -24,14 +24,14 @@
 
 fn lines_of(options: &Options, body: impl FnOnce(&LogHandle)) -> Vec<String> {
     let (output, written): (_, Receiver<String>) = channel();
-    let (subscriber, handle) = build(options, Output(output)).expect("a thread");
+    let (subscriber, handle) = build(options, ChannelOutput(output)).expect("a thread");
     tracing::subscriber::with_default(subscriber, || body(&handle));
     drop(handle);
     written.into_iter().collect::<String>().lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn a_plain_line_is_the_message_after_the_name() {
+fn a_plain_line_is_the_program_name_the_message_and_its_fields() {
     let lines = lines_of(&options(Format::Plain, 9, Level::Info), |_| {
         tracing::info!("listening on {}", "127.0.0.1:80");
         tracing::warn!(node = "a", tries = 3, "slow");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_json_line_can_be_read_whatever_was_put_in_it() {
+fn a_json_line_is_valid_for_any_message_and_fields() {
     let lines = lines_of(&options(Format::Json, 9, Level::Info), |_| {
         tracing::info!(name = "a \"quoted\"\nthing", level = "forged", "of {}", "two\nlines");
         tracing::info!("{}", "x".repeat(1 << 20));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_line_that_repeats_is_written_for_a_while_and_then_counted() {
+fn lines_beyond_the_burst_are_suppressed_and_reported_once() {
     let lines = lines_of(&options(Format::Plain, 3, Level::Info), |handle| {
         (0..50).for_each(|n| tracing::info!("again {n}"));
         tracing::info!("another");
@@ -67,11 +67,11 @@
     assert_eq!(lines.len(), 5, "{lines:?}");
     assert_eq!(lines[2], "aniseyoke: again 2");
     assert_eq!(lines[3], "aniseyoke: another");
-    assert!(lines[4].contains("47 lines from") && lines[4].contains("left out"), "{}", lines[4]);
+    assert!(lines[4].contains("47 lines from") && lines[4].contains("were suppressed"), "{}", lines[4]);
 }
 
 #[test]
-fn levels_can_change_while_the_log_runs_and_depend_on_the_target() {
+fn levels_depend_on_the_target_and_can_be_changed_at_run_time() {
     let lines = lines_of(&options(Format::Plain, 9, Level::Warn), |handle| {
         tracing::info!("one");
         tracing::trace!(target: "loud::part", "two");
@@ -83,16 +83,16 @@
 }
 
 #[test]
-fn text_of_others_stays_on_one_line() {
+fn line_breaks_in_a_message_are_replaced() {
     let lines =
         lines_of(&options(Format::Plain, 9, Level::Info), |_| tracing::info!("{}", "a\r\naniseyoke: forged"));
     assert_eq!(lines, ["aniseyoke: a  aniseyoke: forged"]);
 }
 
 /// Blocks until the lock is released.
-struct Blocked(std::sync::Arc<Mutex<()>>);
+struct BlockedOutput(std::sync::Arc<Mutex<()>>);
 
-impl Write for Blocked {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         drop(self.0.lock());
         Ok(bytes.len())
@@ -103,30 +103,32 @@
     }
 }
 
-/// Guards against a log that holds up serving: standard error may be a pipe that nobody reads.
+/// Guards against logging that blocks request processing: standard error may be a pipe that nobody reads.
 #[test]
-fn an_output_that_blocks_delays_nobody_and_dropped_lines_are_counted() {
+fn a_blocked_output_does_not_block_logging_and_dropped_lines_are_counted() {
     let gate = std::sync::Arc::new(Mutex::new(()));
-    let held = gate.lock().expect("free");
+    let guard = gate.lock().expect("free");
     let (subscriber, handle) =
-        build(&options(Format::Plain, 100_000, Level::Info), Blocked(gate.clone())).expect("a thread");
+        build(&options(Format::Plain, 100_000, Level::Info), BlockedOutput(gate.clone())).expect("a thread");
     let start = std::time::Instant::now();
     tracing::subscriber::with_default(subscriber, || (0..20_000).for_each(|n| tracing::info!("line {n}")));
-    assert!(start.elapsed() < Duration::from_secs(5), "it did not wait");
+    assert!(start.elapsed() < Duration::from_secs(5), "logging must not block");
     assert!(handle.dropped() >= 20_000 - MAX_QUEUED_LINES - 10, "{} dropped", handle.dropped());
-    drop(held);
+    drop(guard);
 }
 
-/// Notes which thread writes each line, and takes only so many lines.
-struct FirstLines {
+/// Records the thread that writes each line, and accepts a limited number of lines.
+struct LimitedOutput {
     written: Sender<(std::thread::ThreadId, String)>,
-    room: usize,
+    remaining: usize,
 }
 
-impl Write for FirstLines {
+impl Write for LimitedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let Some(room) = self.room.checked_sub(1) else { return Err(std::io::ErrorKind::WouldBlock.into()) };
-        self.room = room;
+        let Some(remaining) = self.remaining.checked_sub(1) else {
+            return Err(std::io::ErrorKind::WouldBlock.into());
+        };
+        self.remaining = remaining;
         let line = String::from_utf8_lossy(bytes).into_owned();
         let _ = self.written.send((std::thread::current().id(), line));
         Ok(bytes.len())
@@ -137,12 +139,12 @@
     }
 }
 
-/// Guards against a start that gets stuck before its first line is written.
+/// Guards against a startup that hangs before its first line is written.
 #[test]
-fn first_lines_are_written_by_the_calling_thread_and_what_did_not_fit_is_returned_in_order() {
+fn first_lines_are_written_by_the_calling_thread_and_unwritten_ones_are_returned_in_order() {
     let (written, lines) = channel();
-    let out = FirstLines { written, room: 2 };
-    let not_written = early::write_lines_of(&options(Format::Plain, 9, Level::Info), out, || {
+    let out = LimitedOutput { written, remaining: 2 };
+    let not_written = early::write_lines_directly(&options(Format::Plain, 9, Level::Info), out, || {
         (1..=4).for_each(|n| tracing::info!("line {n}"));
         tracing::debug!("not logged at this level");
     });
@@ -152,16 +154,16 @@
     assert_eq!(not_written, ["aniseyoke: line 3\n", "aniseyoke: line 4\n"]);
 }
 
-/// Guards against an end that waits for a log that nobody reads until the process is killed.
+/// Guards against a shutdown that waits for a log that nobody reads until the process is killed.
 #[test]
-fn an_output_that_blocks_holds_the_end_up_no_longer_than_until_the_time_that_was_set() {
+fn a_blocked_output_delays_shutdown_at_most_until_the_close_deadline() {
     for deadline in
         [None, Some(Duration::ZERO), Some(Duration::from_millis(90)), Some(Duration::from_secs(60))]
     {
         let gate = std::sync::Arc::new(Mutex::new(()));
-        let held = gate.lock().expect("free");
+        let guard = gate.lock().expect("free");
         let (subscriber, handle) =
-            build(&options(Format::Plain, 9, Level::Info), Blocked(gate.clone())).expect("a thread");
+            build(&options(Format::Plain, 9, Level::Info), BlockedOutput(gate.clone())).expect("a thread");
         tracing::subscriber::with_default(subscriber, || tracing::info!("not written"));
         let start = Instant::now();
         if let Some(after) = deadline {
@@ -171,15 +173,15 @@
         let bound = deadline.unwrap_or(MAX_CLOSE_WAIT).clamp(MIN_CLOSE_WAIT, MAX_CLOSE_WAIT);
         assert!(start.elapsed() >= bound, "{:?} of {bound:?}", start.elapsed());
         assert!(start.elapsed() < bound + Duration::from_millis(700), "{:?} of {bound:?}", start.elapsed());
-        drop(held);
+        drop(guard);
     }
 }
 
-/// Guards against lines that are lost at the end of a log whose thread is behind.
+/// Guards against lines that are lost at shutdown when the log thread lags behind.
 #[test]
-fn all_lines_in_the_queue_are_written_before_the_end_and_none_after_it() {
+fn close_writes_all_queued_lines_and_later_lines_are_dropped() {
     let (output, written) = channel();
-    let queue = LineQueue::start(MAX_QUEUED_LINES, Output(output)).expect("a thread");
+    let queue = LineQueue::start(MAX_QUEUED_LINES, ChannelOutput(output)).expect("a thread");
     for n in 0..MAX_QUEUED_LINES {
         queue.write_line(&format!("line {n}\n"));
     }
@@ -190,11 +192,11 @@
     assert_eq!(written.try_iter().collect::<Vec<_>>(), expected);
 }
 
-/// Guards against a line that wakes nobody: the writing thread waits without a limit.
+/// Guards against a line that does not wake the log thread, which waits without a timeout.
 #[test]
 fn a_line_is_written_while_the_queue_stays_open() {
     let (output, written) = channel();
-    let queue = LineQueue::start(MAX_QUEUED_LINES, Output(output)).expect("a thread");
+    let queue = LineQueue::start(MAX_QUEUED_LINES, ChannelOutput(output)).expect("a thread");
     for n in 0..100 {
         queue.write_line(&format!("line {n}\n"));
         assert_eq!(written.recv_timeout(Duration::from_secs(30)).expect("written"), format!("line {n}\n"));
@@ -202,9 +204,9 @@
 }
 
 /// Panics at the first line.
-struct Panicking;
+struct PanickingOutput;
 
-impl Write for Panicking {
+impl Write for PanickingOutput {
     fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
         panic!("as planned");
     }
@@ -214,10 +216,10 @@
     }
 }
 
-/// Guards against an end that waits for a thread that is gone.
+/// Guards against a shutdown that waits for a thread that has ended.
 #[test]
 fn a_queue_whose_thread_has_panicked_closes_at_once() {
-    let queue = LineQueue::start(MAX_QUEUED_LINES, Panicking).expect("a thread");
+    let queue = LineQueue::start(MAX_QUEUED_LINES, PanickingOutput).expect("a thread");
     queue.write_line("line\n");
     let start = Instant::now();
     queue.close(Duration::from_secs(60));
--- a/crates/pace/src/poll_schedule/tests.rs
+++ b/crates/pace/src/poll_schedule/tests.rs
@@ -162,7 +162,8 @@
     #[test]
     fn a_proxy_polls_at_most_once_in_a_cycle_and_in_time_for_the_notification_deadline(
         index in 0u32..50, interval in 100u64..31_000, backoff in 100u64..300_000,
-        max_answer in 1_000u64..60_000, late in 0u64..20, outcomes in prop::collection::vec(call_outcome(), 1..60)
+        max_answer in 1_000u64..60_000, late in 0u64..20,
+        outcomes in prop::collection::vec(call_outcome(), 1..60)
     ) {
         let ms = SECOND / 1000;
         let rules = PollRules {
@@ -185,7 +186,10 @@
                 let timeout = watching.min(schedule.call_timeout(call_start, 0));
                 prop_assert!(timeout >= MIN_CALL_TIMEOUT, "{timeout} at {call_start}");
                 let notified = call_start + MIN_CALL_TIMEOUT - last;
-                prop_assert!(suspended || notified <= NOTIFICATION_DEADLINE - SAFETY_MARGIN, "{notified} after {last}");
+                prop_assert!(
+                    suspended || notified <= NOTIFICATION_DEADLINE - SAFETY_MARGIN,
+                    "{notified} after {last}"
+                );
             }
             // Timers fire late, by less than the time between two slots.
             let slot = call_start;
--- a/crates/pace/src/watch/tests.rs
+++ b/crates/pace/src/watch/tests.rs
@@ -72,7 +72,10 @@
                 prop_assert!(timeout >= MIN_CALL_TIMEOUT || first_at_address, "{timeout} at {now}");
                 let early = if timeout >= MIN_CALL_TIMEOUT { 0 } else { timeout };
                 let notified = now + early + MIN_CALL_TIMEOUT;
-                prop_assert!(notified - last <= NOTIFICATION_DEADLINE - SAFETY_MARGIN, "{} after {last}", notified - last);
+                prop_assert!(
+                    notified - last <= NOTIFICATION_DEADLINE - SAFETY_MARGIN,
+                    "{} after {last}", notified - last
+                );
             }
             let (timeout, start) = (watch.call_timeout(full_list), now);
             watch.call_started(now);
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,6 +1,6 @@
-//! Routing rules of the operators, without I/O or clock: which request goes to which pool ([`RoutingTable`]), what
-//! operators change of nodes on top of the endpoint list ([`Overlay`]), and what a change of either would break
-//! ([`review`](review::review)).
+//! Routing rules of the operators, without I/O or clock: the pool of each request ([`RoutingTable`]),
+//! overrides of nodes on top of the endpoint list ([`Overlay`]), and a check of what a change of either would
+//! break ([`review`](review::review)).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -11,11 +11,12 @@
 pub use overlay::Overlay;
 pub use table::{RouteError, RouteRule, RoutingTable, MAX_PREFIX_BYTES};
 
-/// What operators say of requests and of nodes. Classes, tenants and pools are named by their indexes in the settings.
+/// The routes and node overrides of the operators. Classes, tenants and pools are given by index in the
+/// settings.
 #[derive(Clone, Debug, Default)]
 pub struct Routing {
-    /// Which requests go to which pool.
+    /// The routes of requests to pools.
     pub table: RoutingTable<u32>,
-    /// What is changed of nodes.
+    /// The overrides of nodes.
     pub overlay: Overlay,
 }
--- a/crates/routes/src/overlay.rs
+++ b/crates/routes/src/overlay.rs
@@ -1,25 +1,26 @@
-//! What operators change of nodes on top of the endpoint list. The first override that matches a node applies.
+//! The operators' overrides of nodes on top of the endpoint list. The first override that matches a node
+//! applies.
 //!
-//! An override may make a node smaller or larger and may take it out of service; it can't move it to another zone, cell
-//! or kind. Danger: the nodes of a zone or cell deduplicate requests with idempotency keys among themselves. A node that only
-//! seems to belong to them would run such a request a second time.
+//! An override may change the weight of a node and may drain it; it can't move it to another zone, cell or
+//! kind. The nodes of a zone or cell deduplicate requests with idempotency keys among themselves: a node that
+//! is assigned to them only by an override would execute such a request a second time.
 
 use aniseyoke_decision::api::{Entry, ServerId, State};
 use rustc_hash::FxHashMap;
 
-/// Overrides for zones and kinds are all looked at for each entry of the list: at most so many.
+/// The maximum number of overrides for zones and kinds, which are all checked for each entry of the list.
 pub const MAX_GENERAL_OVERRIDES: usize = 256;
-/// Overrides for single nodes: at most so many.
+/// The maximum number of overrides for single nodes.
 pub const MAX_NODE_OVERRIDES: usize = 4096;
 
-/// Which nodes an override applies to: those that match every part that is given.
+/// Selects the nodes that an override applies to: those that match every given field.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeSelector {
-    /// One node.
+    /// Matches one node.
     pub node: Option<ServerId>,
-    /// The nodes of a zone.
+    /// Matches the nodes of a zone.
     pub zone: Option<u32>,
-    /// The nodes of a machine kind.
+    /// Matches the nodes of a machine kind.
     pub kind: Option<u32>,
 }
 
@@ -31,30 +32,30 @@
     }
 }
 
-/// What is changed of some nodes.
+/// An override of some nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeOverride {
-    /// Which nodes.
+    /// The nodes that it applies to.
     pub selector: NodeSelector,
-    /// Their weight, as a multiple of the one in the list.
+    /// The factor by which their weight in the list is multiplied.
     pub weight: f64,
-    /// They finish the requests that they have and get no new ones.
+    /// Whether the nodes are drained: they finish the requests in flight and get no new ones.
     pub drain: bool,
 }
 
-/// Overrides in their order, indexed so that entries of the list are matched fast.
+/// Overrides in their order, indexed for fast matching of entries of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overlay {
     overrides: Vec<NodeOverride>,
-    /// The index of the first override that selects one node by its id alone.
+    /// The index of the first override that selects a node by its id alone.
     by_node: FxHashMap<ServerId, usize>,
-    /// The indexes of all others.
+    /// The indexes of all other overrides.
     general: Vec<usize>,
 }
 
 impl Overlay {
-    /// An overlay of overrides, the first match first. To refuse more than [`MAX_GENERAL_OVERRIDES`] and
-    /// [`MAX_NODE_OVERRIDES`] is up to the caller.
+    /// Creates an overlay from overrides, of which the first match applies. The caller rejects more than
+    /// [`MAX_GENERAL_OVERRIDES`] and [`MAX_NODE_OVERRIDES`].
     pub fn new(overrides: Vec<NodeOverride>) -> Self {
         let (mut by_node, mut general) = (FxHashMap::default(), Vec::new());
         for (index, node_override) in overrides.iter().enumerate() {
@@ -68,21 +69,21 @@
         Overlay { overrides, by_node, general }
     }
 
-    /// Whether nothing is changed.
+    /// Whether there are no overrides.
     pub fn is_empty(&self) -> bool {
         self.overrides.is_empty()
     }
 
-    /// The override that applies to an entry.
+    /// Returns the override that applies to an entry.
     fn find(&self, entry: &Entry) -> Option<&NodeOverride> {
-        let named = self.by_node.get(&entry.server).copied();
-        let before = named.unwrap_or(usize::MAX);
+        let by_id = self.by_node.get(&entry.server).copied();
+        let before = by_id.unwrap_or(usize::MAX);
         let mut general = self.general.iter().copied().take_while(|index| *index < before);
-        let first = general.find(|index| self.overrides[*index].selector.matches(entry)).or(named)?;
+        let first = general.find(|index| self.overrides[*index].selector.matches(entry)).or(by_id)?;
         self.overrides.get(first)
     }
 
-    /// An entry of the list as operators want it.
+    /// Returns an entry of the list with its override applied.
     pub fn apply(&self, entry: &Entry) -> Entry {
         let mut changed = entry.clone();
         if let Some(node_override) = self.find(entry) {
--- a/crates/routes/src/overlay/tests.rs
+++ b/crates/routes/src/overlay/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_node_that_the_list_says_is_gone_does_not_come_back() {
+fn an_override_does_not_revive_a_node_that_is_gone() {
     let overlay = Overlay::new(vec![node_override(NodeSelector::default(), 1.0, true)]);
     let gone = Entry { state: State::Gone, ..entry(1, 0, 0) };
     assert_eq!(overlay.apply(&gone).state, State::Gone);
@@ -41,15 +41,15 @@
 
 proptest! {
     #[test]
-    fn the_index_finds_what_a_scan_in_order_finds(
+    fn the_index_finds_the_same_override_as_a_sequential_scan(
         selectors in prop::collection::vec(some_selector(), 0..12),
-        asked in prop::collection::vec((0u64..5, 0u32..4, 0u32..4), 1..20),
+        nodes in prop::collection::vec((0u64..5, 0u32..4, 0u32..4), 1..20),
     ) {
-        let numbered = selectors.iter().enumerate();
+        let enumerated = selectors.iter().enumerate();
         let overrides: Vec<NodeOverride> =
-            numbered.map(|(n, selector)| node_override(*selector, 1.0 + n as f64, n % 2 == 0)).collect();
+            enumerated.map(|(n, selector)| node_override(*selector, 1.0 + n as f64, n % 2 == 0)).collect();
         let overlay = Overlay::new(overrides.clone());
-        for (server, zone, kind) in asked {
+        for (server, zone, kind) in nodes {
             let entry = entry(server, zone, kind);
             prop_assert_eq!(overlay.find(&entry), overrides.iter().find(|o| o.selector.matches(&entry)));
         }
--- a/crates/routes/src/review.rs
+++ b/crates/routes/src/review.rs
@@ -1,37 +1,38 @@
-//! What a change of the configuration would break, given the nodes that take requests now. Danger: a version that is
-//! valid by itself may still leave a class or a tenant without service.
+//! Checks what a change of the configuration would break, given the nodes that accept requests now. A version
+//! that is valid by itself may still leave a class or a tenant without service.
 
 use crate::Routing;
 use aniseyoke_decision::api::{Entry, Settings, State};
 use rustc_hash::FxHashMap;
 
-/// A reason to refuse a version.
+/// A reason to reject a version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Breakage {
-    /// A class, or what is routed of it to a pool, would be left without a node that takes requests.
+    /// A class, or its requests that are routed to a pool, would be left without a node that accepts
+    /// requests.
     NoNode {
         /// The index of the class.
         class: usize,
         /// The index of the pool in the proposed settings.
         pool: Option<usize>,
-        /// How many nodes these requests can be sent to now.
+        /// The number of nodes that these requests can be sent to now.
         nodes_before: usize,
     },
     /// A tenant's quota would become zero.
     NoQuota {
         /// The index of the tenant.
         tenant: usize,
-        /// Its quota now, in requests a second.
+        /// The current quota, in requests per second.
         quota_before: f64,
     },
 }
 
-/// A configuration under review, or the one in force.
+/// A proposed configuration, or the one in force.
 #[derive(Clone, Copy)]
 pub struct Configuration<'a> {
-    /// Classes, tenants, pools.
+    /// The settings, with classes, tenants and pools.
     pub settings: &'a Settings,
-    /// What is routed where.
+    /// The routes and node overrides.
     pub routing: &'a Routing,
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// How many nodes take requests, by zone and kind.
+/// The number of nodes that accept requests, by zone and kind.
 struct ReadyNodes(FxHashMap<(u32, u32), usize>);
 
 impl ReadyNodes {
@@ -55,15 +56,16 @@
         ReadyNodes(counts)
     }
 
-    /// How many nodes requests of a class that are routed to a pool can be sent to.
+    /// Returns the number of nodes that requests of a class can be sent to if they are routed to a pool.
     fn reachable(&self, settings: &Settings, class: usize, pool: Option<usize>) -> usize {
         let allowed = self.0.iter().filter(|((zone, kind), _)| settings.allows(class, pool, *zone, *kind));
         allowed.map(|(_, nodes)| nodes).sum()
     }
 }
 
-/// All that a change from `current` to `proposed` would break, given the entries of the list that operators have not
-/// banned. What has no nodes already is not broken by the change.
+/// Returns everything that a change from `current` to `proposed` would break, given the entries of the list
+/// that operators have not banned. Classes and pools that already have no nodes do not count as broken by the
+/// change.
 pub fn review(current: Configuration<'_>, proposed: Configuration<'_>, entries: &[Entry]) -> Vec<Breakage> {
     let (before, after) = (ReadyNodes::count(current, entries), ReadyNodes::count(proposed, entries));
     let mut breakages = Vec::new();
@@ -71,7 +73,8 @@
         if after.reachable(proposed.settings, class, pool) > 0 {
             continue;
         }
-        let nodes_before = before.reachable(current.settings, class, same_pool(current, proposed, pool));
+        let nodes_before =
+            before.reachable(current.settings, class, current_pool_index(current, proposed, pool));
         if nodes_before > 0 {
             breakages.push(Breakage::NoNode { class, pool, nodes_before });
         }
@@ -85,7 +88,7 @@
     breakages
 }
 
-/// Every class by itself, and with each pool that its requests may be routed to.
+/// Returns every class by itself, and with each pool that its requests may be routed to.
 fn classes_and_pools(configuration: Configuration<'_>) -> Vec<(usize, Option<usize>)> {
     let classes = 0..configuration.settings.classes.len();
     let mut pairs: Vec<(usize, Option<usize>)> = classes.clone().map(|class| (class, None)).collect();
@@ -98,8 +101,12 @@
     pairs
 }
 
-/// The index that a pool of the proposed settings has in the current ones, if it is there.
-fn same_pool(current: Configuration<'_>, proposed: Configuration<'_>, pool: Option<usize>) -> Option<usize> {
+/// Returns the index in the current settings of a pool of the proposed settings, if it exists there.
+fn current_pool_index(
+    current: Configuration<'_>,
+    proposed: Configuration<'_>,
+    pool: Option<usize>,
+) -> Option<usize> {
     let pool = proposed.settings.pools.get(pool?)?;
     current.settings.pools.iter().position(|other| other == pool)
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,40 +1,40 @@
-//! Which requests go to which pool. The first rule that matches applies.
+//! Maps requests to pools. The first rule that matches applies.
 //!
-//! Ten thousand rules are not scanned one by one: they are indexed by which of class and tenant they name and by the
-//! length of their prefix. A lookup takes one probe for each of these combinations, and the earliest rule found applies.
-//! Considered: a radix tree (`patricia_tree`, `radix_trie`) finds the longest prefix, while here the order that operators
-//! write decides; a scan in order is correct and takes 10,000 comparisons for each request.
+//! Rules are indexed by class, tenant and prefix length. A lookup probes each combination once, and the
+//! earliest rule found applies. Alternatives: a radix tree (`patricia_tree`, `radix_trie`) finds the longest
+//! prefix, while here the operators' order decides; a sequential scan of 10,000 rules would be correct, but
+//! take 10,000 comparisons for each request.
 
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-/// The longest prefix, in bytes. Each length in use costs a probe for each request.
+/// The maximum length of a prefix in bytes. Each distinct length costs a probe for each request.
 pub const MAX_PREFIX_BYTES: usize = 256;
 
-/// Where some requests go. Each condition that is given has to match; `K` names classes and tenants.
+/// Routes requests to a pool. Every given condition has to match. `K` is the type of class and tenant names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRule<K> {
-    /// The class, if one is named.
+    /// The class to match; none matches any.
     pub class: Option<K>,
-    /// The tenant, if one is named.
+    /// The tenant to match; none matches any.
     pub tenant: Option<K>,
-    /// What the key begins with; empty: any.
+    /// The prefix of the key to match; empty matches any.
     pub prefix: Vec<u8>,
-    /// The pool that these requests go to, by its index.
+    /// The index of the pool that matching requests are routed to.
     pub pool: u32,
 }
 
-/// What is wrong with a rule.
+/// Why a rule is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// It has no condition, so that no rule after it could ever apply.
+    /// It has no condition, so that no later rule could ever apply.
     #[error("it has no condition")]
     NoCondition,
     /// An earlier rule matches every request that it would match.
-    #[error("route {by} takes all that would fit it")]
+    #[error("route {by} matches all requests that it would match")]
     Shadowed {
-        /// The index of that rule.
+        /// The index of the earlier rule.
         by: usize,
     },
     /// Its prefix is longer than [`MAX_PREFIX_BYTES`].
@@ -45,14 +45,14 @@
 /// The rules for one combination of class and tenant.
 #[derive(Clone, Debug, Default)]
 struct PrefixIndex {
-    /// The lengths in use, the shortest first.
+    /// The distinct prefix lengths in ascending order.
     lengths: Vec<usize>,
-    /// The index of the earliest rule of each prefix.
+    /// The index of the earliest rule for each prefix.
     earliest: FxHashMap<Vec<u8>, usize>,
 }
 
 impl PrefixIndex {
-    /// The earliest rule whose prefix the key begins with.
+    /// Returns the earliest rule whose prefix matches the key.
     fn find(&self, key: &[u8]) -> Option<usize> {
         let lengths = self.lengths.iter().take_while(|length| **length <= key.len());
         lengths.filter_map(|length| self.earliest.get(&key[..*length]).copied()).min()
@@ -66,7 +66,7 @@
     }
 }
 
-/// Rules in their order, indexed for lookups.
+/// Rules in their order, indexed for lookup.
 #[derive(Clone, Debug)]
 pub struct RoutingTable<K> {
     /// The pool of each rule.
@@ -81,18 +81,22 @@
 }
 
 impl<K: Hash + Eq + Clone> RoutingTable<K> {
-    /// A table of rules, the first match first.
+    /// Creates a table from rules, of which the first match applies.
     ///
     /// # Errors
-    /// All rules that are wrong, with their indexes.
+    /// All invalid rules by index, with the reason for each.
     pub fn new(rules: &[RouteRule<K>]) -> Result<Self, Vec<(usize, RouteError)>> {
         let (mut table, mut errors) = (RoutingTable::default(), Vec::new());
         for (index, rule) in rules.iter().enumerate() {
             match table.check(rule) {
                 Err(error) => errors.push((index, error)),
                 Ok(()) => {
-                    let named = (rule.class.clone(), rule.tenant.clone());
-                    table.by_class_and_tenant.entry(named).or_default().insert(&rule.prefix, index);
+                    let class_and_tenant = (rule.class.clone(), rule.tenant.clone());
+                    table
+                        .by_class_and_tenant
+                        .entry(class_and_tenant)
+                        .or_default()
+                        .insert(&rule.prefix, index);
                 }
             }
             table.pools.push(rule.pool);
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Whether a rule may follow those of the table.
+    /// Checks whether a rule is valid after the rules that are already in the table.
     fn check(&self, rule: &RouteRule<K>) -> Result<(), RouteError> {
         if rule.class.is_none() && rule.tenant.is_none() && rule.prefix.is_empty() {
             return Err(RouteError::NoCondition);
@@ -118,12 +122,13 @@
         }
     }
 
-    /// Whether there is no rule.
+    /// Whether there are no rules.
     pub fn is_empty(&self) -> bool {
         self.pools.is_empty()
     }
 
-    /// The classes that rules name, none for any, with the pools that they route to; each pair once, in order.
+    /// Returns the classes that rules match (none: any) with the pools that they route to; each pair once, in
+    /// order.
     pub fn targets(&self) -> BTreeSet<(Option<K>, u32)>
     where
         K: Ord,
@@ -135,13 +140,13 @@
         targets
     }
 
-    /// The pool of a request; none where no rule matches.
+    /// Returns the pool of a request; none if no rule matches.
     pub fn pool(&self, class: Option<&K>, tenant: Option<&K>, key: &[u8]) -> Option<u32> {
         self.first_match(class, tenant, key).map(|rule| self.pools[rule])
     }
 
-    /// The index of the first rule that matches all requests of this kind. Where a class or tenant is not given, only
-    /// rules for any match.
+    /// Returns the index of the first rule that matches all requests with this class, tenant and key prefix.
+    /// If the class or tenant is not given, only rules that match any class or tenant are considered.
     fn first_match(&self, class: Option<&K>, tenant: Option<&K>, key: &[u8]) -> Option<usize> {
         let classes = [None, class.cloned()];
         let tenants = [None, tenant.cloned()];
--- a/crates/routes/src/table/tests.rs
+++ b/crates/routes/src/table/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn the_first_rule_that_matches_applies_whatever_matches_better_after_it() {
+fn the_first_matching_rule_applies_even_if_a_later_one_is_more_specific() {
     let rules = [
         rule(Some(1), None, "a/", 10),
         rule(None, Some(7), "", 11),
@@ -34,9 +34,9 @@
         rule(Some(1), None, &"x".repeat(300), 4),
     ];
     let errors = RoutingTable::new(&rules).expect_err("three");
-    let wanted =
+    let expected =
         [(1, RouteError::Shadowed { by: 0 }), (2, RouteError::NoCondition), (4, RouteError::PrefixTooLong)];
-    assert_eq!(errors, wanted);
+    assert_eq!(errors, expected);
 }
 
 fn matches(rule: &RouteRule<u8>, class: u8, tenant: Option<u8>, key: &[u8]) -> bool {
@@ -52,31 +52,34 @@
 
 proptest! {
     #[test]
-    fn the_index_finds_what_a_scan_in_order_finds(
+    fn the_index_finds_the_same_rule_as_a_sequential_scan(
         rules in prop::collection::vec(some_rule(), 0..12),
-        asked in prop::collection::vec((0u8..4, prop::option::of(0u8..4), "[abc]{0,4}"), 1..20),
+        requests in prop::collection::vec((0u8..4, prop::option::of(0u8..4), "[abc]{0,4}"), 1..20),
     ) {
-        // Rules that are refused are left out, as an operator would.
+        // Rules that are rejected are removed, as an operator would do.
         let mut accepted = rules;
         while let Err(errors) = RoutingTable::new(&accepted) {
             accepted.remove(errors[0].0);
         }
         let table = RoutingTable::new(&accepted).expect("sound");
-        for (class, tenant, key) in asked {
+        for (class, tenant, key) in requests {
             let scanned = accepted.iter().find(|r| matches(r, class, tenant, key.as_bytes())).map(|r| r.pool);
             prop_assert_eq!(table.pool(Some(&class), tenant.as_ref(), key.as_bytes()), scanned);
         }
     }
 
     #[test]
-    fn a_rule_refused_as_shadowed_never_applies(rules in prop::collection::vec(some_rule(), 1..10)) {
+    fn a_rule_rejected_as_shadowed_never_applies(rules in prop::collection::vec(some_rule(), 1..10)) {
         for (index, error) in RoutingTable::new(&rules).err().unwrap_or_default() {
             let RouteError::Shadowed { by } = error else { continue };
             prop_assert!(by < index);
             for class in 0..4 {
                 for tenant in [None, Some(0), Some(1), Some(2), Some(3)] {
                     let key = [&rules[index].prefix[..], b"b"].concat();
-                    prop_assert!(!matches(&rules[index], class, tenant, &key) || matches(&rules[by], class, tenant, &key));
+                    prop_assert!(
+                        !matches(&rules[index], class, tenant, &key)
+                            || matches(&rules[by], class, tenant, &key)
+                    );
                 }
             }
         }
