--- a/crates/pace/src/poll_schedule.rs
+++ b/crates/pace/src/poll_schedule.rs
@@ -11,7 +11,7 @@
 
 /// The length of a watch in cycles while nothing changes. Proxies whose watches a change has ended together
 /// would from then on all poll in the same one of each two cycles. Each proxy therefore renews its watch in a
-/// fixed one of the two; its first watch after a change lasts one or two cycles.
+/// fixed one of the two: its first watch after a change lasts one or two cycles, whichever ends in that one.
 const WATCH_CYCLES: Nanos = 2;
 /// The divisor that gives the part of a cycle by which a watch ends before the slot of the next call, at most
 /// [`MAX_EARLY_END`]: the answer has to arrive before the slot, and a call that follows within 200 ms
@@ -194,8 +194,8 @@
         (self.failures, self.answer_timeout_doublings, self.not_before) = (0, 0, now);
     }
 
-    /// Waits for the backoff, which doubles with each failure, or for `retry_after` if that is longer, but
-    /// not beyond the time at which the next call has to start.
+    /// Delays the next call by the backoff, which doubles with each failure, or by `retry_after` if that is
+    /// longer, but not beyond the time at which the next call has to start.
     fn back_off(&mut self, now: Nanos, retry_after: Option<Nanos>) {
         let backoff = doubled(self.rules.interval, self.failures).min(self.rules.max_backoff);
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
