--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -26,7 +26,7 @@
 /// The descriptors that the endpoint may need: its listener, its callers, and one that was just accepted.
 pub const DESCRIPTORS: usize = MAX_CALLERS + 2;
 /// The memory that the endpoint may need, in bytes.
-pub const MEMORY: usize = (MAX_CALLERS + 1) * 4 * MAX_CALL_BYTES;
+pub const MEMORY_BYTES: usize = (MAX_CALLERS + 1) * 4 * MAX_CALL_BYTES;
 /// A call must be complete, and carried out, within this time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// What a caller still sends after its answer is read for so long, or the answer might be lost with it.
--- a/crates/proxy/src/cli/configuration.rs
+++ b/crates/proxy/src/cli/configuration.rs
@@ -1,7 +1,7 @@
 //! `aniseyoke config ...`.
 
 use super::{lines, Shape};
-use crate::operator::{read, source};
+use crate::operator::{read, read_layer};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::{diff, explain, resolve, schema, ConfigError};
 use std::fmt::Write as _;
@@ -18,7 +18,7 @@
     /// Print what is in force with a file and this environment, and which layer says so.
     Show {
         /// The file.
-        #[arg(long, value_name = "FILE", env = crate::operator::FILE)]
+        #[arg(long, value_name = "FILE", env = crate::operator::FILE_VARIABLE)]
         file: Option<PathBuf>,
         /// The form.
         #[arg(long, value_enum, default_value_t = Shape::Text)]
@@ -69,7 +69,7 @@
 
 /// What a file says without any environment.
 fn alone(file: &Path) -> Result<Resolved, Vec<ConfigError>> {
-    resolve([source(file).map_err(|fault| vec![fault])?])
+    resolve([read_layer(file).map_err(|fault| vec![fault])?])
 }
 
 fn check(files: &[PathBuf]) -> Result<String, Vec<String>> {
--- a/crates/proxy/src/cli/mod.rs
+++ b/crates/proxy/src/cli/mod.rs
@@ -44,7 +44,7 @@
 #[derive(Args, Clone, Default)]
 struct Serve {
     /// The operator's file; without it only the environment sets what is beyond the platform's settings.
-    #[arg(long, value_name = "FILE", env = operator::FILE)]
+    #[arg(long, value_name = "FILE", env = operator::FILE_VARIABLE)]
     file: Option<PathBuf>,
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -38,11 +38,11 @@
     /// The decision module's settings.
     pub settings: Settings,
     /// The platform pushes its lists: what its agent has counts as notified, whether or not it was polled.
-    pub pushed: bool,
+    pub lists_pushed: bool,
     /// The names of what the decision module knows by number.
     pub names: Names,
     /// The endpoint list that the platform knows at the start.
-    pub known: Option<EndpointList>,
+    pub initial_list: Option<EndpointList>,
 }
 
 /// The names that stand on the sockets for what the decision module knows by number.
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -31,20 +31,20 @@
         let mut settings = settings(object)?;
         // Lists that are pushed come unasked on the simulator's wire alone. On sockets a proxy without an open watch hears of no
         // change, which counts as notified all the same.
-        let pushed = !std::mem::replace(&mut settings.subscribes, true);
+        let lists_pushed = !std::mem::replace(&mut settings.subscribes, true);
         let names = names(object)?;
         check_classes(&settings, &names)?;
         Ok(Config {
             listen,
             discovery,
             mgmt,
-            known: known(&root)?,
+            initial_list: initial_list(&root)?,
             seed: seed(&root["seed"])?,
             sockets: limit(&root, "sockets", DEFAULT_SOCKETS)?,
             memory: limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?.saturating_mul(1 << 20),
             connect_timeout: connect_timeout(object)?,
             settings,
-            pushed,
+            lists_pushed,
             names,
         })
     }
@@ -96,7 +96,7 @@
 }
 
 /// The endpoint list that the platform knows at the start.
-fn known(root: &Value) -> Result<Option<EndpointList>, ParseError> {
+fn initial_list(root: &Value) -> Result<Option<EndpointList>, ParseError> {
     let known = root.get("known").filter(|known| !known.is_null());
     known.map(|known| EndpointList::deserialize(known).map_err(ParseError::Known)).transpose()
 }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 /// Carries out the calls at the admin endpoint.
-pub struct Control {
+pub struct AdminHandler {
     engine: Rc<Engine>,
     drain: Rc<Drain>,
     store: OrderStore,
@@ -23,7 +23,7 @@
     pub serving: Cell<bool>,
 }
 
-impl Control {
+impl AdminHandler {
     /// Begins with the orders that another process left.
     pub fn new(
         engine: Rc<Engine>,
@@ -33,7 +33,7 @@
         list_status: Option<Rc<ListStatus>>,
     ) -> Rc<Self> {
         let (applied, serving) = (RefCell::default(), Cell::new(false));
-        let control = Control { engine, drain, store, version_info, list_status, applied, serving };
+        let control = AdminHandler { engine, drain, store, version_info, list_status, applied, serving };
         control.apply_stored_orders();
         Rc::new(control)
     }
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -72,7 +72,7 @@
 /// Begins with the list on disk in place of the platform's, if it may be used. Returns the status of the list, and the
 /// writer of the cache, if there is to be one. A file that may not be used is named in the log, and prevents no start.
 pub fn restore(rules: &List, config: &mut Config) -> (Rc<ListStatus>, Option<CachedListWriter>) {
-    let platform = |config: &Config| match &config.known {
+    let platform = |config: &Config| match &config.initial_list {
         Some(known) => ListStatus::new(ListSource::Platform, Some(known.version), None),
         None => ListStatus::new(ListSource::Nothing, None, None),
     };
@@ -82,13 +82,13 @@
     let found = find(&file, &site, rules.fresh_for, config);
     let held = match &found {
         Some((kept, age)) => {
-            config.known = Some(kept.list.clone());
+            config.initial_list = Some(kept.list.clone());
             ListStatus::new(ListSource::Disk, Some(kept.list.version), Some(*age))
         }
         None => platform(config),
     };
     // What the service tells next may be changes to the list that is held, wherever that came from.
-    let list = config.known.as_ref().filter(|known| known.full);
+    let list = config.initial_list.as_ref().filter(|known| known.full);
     let writer = CachedListWriter::start(folder, file, site, rules.fresh_for / REFRESH_DIVISOR, list);
     (held, writer.map_err(|why| tracing::warn!("the list is not kept: {why}")).ok())
 }
@@ -122,7 +122,7 @@
     };
     let label =
         ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
-    let known = config.known.as_ref().map(|known| known.version);
+    let known = config.initial_list.as_ref().map(|known| known.version);
     match check_age(&label, site, known, unix_millis(), fresh_for) {
         Ok(age) => {
             let (entries, version) = (kept.list.servers.len(), kept.list.version);
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::budget::Budget;
 use crate::config::{Config, Names};
-use crate::control::Control;
+use crate::control::AdminHandler;
 use crate::descriptors::DescriptorBudget;
 use crate::discovery::{ListPolling, ListStatus, WatchTriggers};
 use crate::drain::Drain;
@@ -169,7 +169,8 @@
     }
     let store = OrderStore::open(state_dir);
     let AdminOptions { version_info, list_status } = admin_options;
-    let control = Control::new(server.engine.clone(), server.drain.clone(), store, version_info, list_status);
+    let control =
+        AdminHandler::new(server.engine.clone(), server.drain.clone(), store, version_info, list_status);
     if let Some(mgmt) = mgmt {
         open_admin_endpoint(mgmt, &control).await?;
     }
@@ -194,7 +195,7 @@
     Ok(server.shut_down(listener, handed_over).await)
 }
 
-async fn open_admin_endpoint(addr: SocketAddr, control: &Rc<Control>) -> Result<(), StartError> {
+async fn open_admin_endpoint(addr: SocketAddr, control: &Rc<AdminHandler>) -> Result<(), StartError> {
     let control = control.clone();
     let handler = move |call| {
         let control = control.clone();
--- a/crates/proxy/src/front/resources.rs
+++ b/crates/proxy/src/front/resources.rs
@@ -26,7 +26,7 @@
     /// Returns the platform's limits, less the needs of the admin endpoint and `reserved_memory`, in bytes.
     pub fn new(config: &Config, reserved_memory: usize) -> Self {
         let (admin_descriptors, admin_memory) =
-            config.mgmt.map_or((0, 0), |_| (admin::DESCRIPTORS, admin::MEMORY));
+            config.mgmt.map_or((0, 0), |_| (admin::DESCRIPTORS, admin::MEMORY_BYTES));
         ResourceLimits {
             max_descriptors: config.sockets,
             base_descriptors: BASE_DESCRIPTORS + admin_descriptors,
--- a/crates/proxy/src/front/startup.rs
+++ b/crates/proxy/src/front/startup.rs
@@ -74,7 +74,7 @@
     let names = Rc::new(config.names);
     // A process that takes over requests the full list. A request for changes since a known version gets no
     // answer while nothing changes, which can't be distinguished from a discovery service that is down.
-    let version = config.known.as_ref().filter(|_| !handed_over).map(|known| known.version);
+    let version = config.initial_list.as_ref().filter(|_| !handed_over).map(|known| known.version);
     let watcher = EndpointWatcher::new(
         config.discovery,
         version,
@@ -82,7 +82,7 @@
         names.clone(),
         options.polling,
     );
-    let known = config.known.as_ref().map_or_else(Vec::new, |known| names.entries(known));
+    let known = config.initial_list.as_ref().map_or_else(Vec::new, |known| names.entries(known));
     let (request_watch, watch_requests) = mpsc::unbounded_channel();
     let engine = Engine::new(options.plan, config.seed, &known, upstreams.clone(), request_watch);
     let engine = engine.map_err(|error| StartError::Engine(error.to_string()))?;
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// The variable that names the file.
-pub const FILE: &str = "ANISEYOKE_FILE";
+pub const FILE_VARIABLE: &str = "ANISEYOKE_FILE";
 
 /// Reads the file, if one is named, and the environment on top of it.
 ///
@@ -15,14 +15,14 @@
 pub fn read(file: Option<&Path>) -> Result<Resolved, Vec<ConfigError>> {
     let mut layers = Vec::new();
     if let Some(file) = file {
-        layers.push(source(file).map_err(|fault| vec![fault])?);
+        layers.push(read_layer(file).map_err(|fault| vec![fault])?);
     }
-    layers.extend(environment(variables()));
+    layers.extend(environment(env_variables()));
     resolve(layers)
 }
 
 /// The environment, as far as it is text; what is none sets none of our keys.
-pub fn variables() -> impl Iterator<Item = (String, String)> {
+pub fn env_variables() -> impl Iterator<Item = (String, String)> {
     std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)))
 }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// If it can't be read.
-pub fn source(file: &Path) -> Result<Layer, ConfigError> {
+pub fn read_layer(file: &Path) -> Result<Layer, ConfigError> {
     /// A larger file is no configuration, in bytes.
     const MOST: u64 = 16 << 20;
     let place = file.display().to_string();
@@ -45,8 +45,8 @@
 }
 
 /// The file that the environment names, if it names one.
-pub fn named() -> Option<PathBuf> {
-    std::env::var_os(FILE).filter(|path| !path.is_empty()).map(PathBuf::from)
+pub fn file_from_env() -> Option<PathBuf> {
+    std::env::var_os(FILE_VARIABLE).filter(|path| !path.is_empty()).map(PathBuf::from)
 }
 
 /// How the log is written, in its own terms.
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 /// All that names a tenant, class, zone or kind that the platform does not, with the place that says so.
-pub fn plan(resolved: &Resolved, platform: &Config) -> Result<EngineConfig, Vec<ConfigError>> {
+pub fn engine_config(resolved: &Resolved, platform: &Config) -> Result<EngineConfig, Vec<ConfigError>> {
     let operator = &resolved.operator;
     let mut settings = platform.settings.clone();
     let Names { classes, tenants, zones, kinds } = &platform.names;
--- a/crates/proxy/src/plan/tests.rs
+++ b/crates/proxy/src/plan/tests.rs
@@ -17,7 +17,7 @@
 fn planned(text: &str) -> Result<EngineConfig, Vec<ConfigError>> {
     let platform = Config::parse(PLATFORM, |_| None).expect("sound");
     let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
-    plan(&resolved, &platform)
+    engine_config(&resolved, &platform)
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let platform = Config::parse(&PLATFORM.replace("\"localities\"", caps), |_| None).expect("sound");
     let caps = |text: &str| {
         let resolved = resolve([Layer::File("f.toml".into(), text.into())]).expect("sound by itself");
-        let s = plan(&resolved, &platform).expect("sound").settings;
+        let s = engine_config(&resolved, &platform).expect("sound").settings;
         (s.max_attempts, s.cancellation, s.hedging)
     };
     assert_eq!(caps(""), (4, true, false));
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::front::{AdminOptions, EngineOptions, FrontOptions, Hooks, StartError, StartedHook};
 use crate::opening::OpenLimiter;
 use crate::startup::{StartPhase, StartTimer};
-use crate::versions::{last_good, reserve, BaseLayers, ConfigInForce, ConfigUpdater, Subscription};
+use crate::versions::{last_good, memory_reserve, BaseLayers, ConfigInForce, ConfigUpdater, Subscription};
 use crate::{front, operator, signals, wall_clock};
 use aniseyoke_config::layers::Resolved;
 use aniseyoke_config::model::{Control, Log, Operator};
@@ -99,7 +99,7 @@
     ) -> Result<Self, ServeError> {
         let platform = Config::from_env()?;
         start_timer.complete(StartPhase::PlatformConfiguration);
-        let source = file.map(operator::source).transpose().map_err(|error| vec![error])?;
+        let source = file.map(operator::read_layer).transpose().map_err(|error| vec![error])?;
         let base = Arc::new(BaseLayers { platform, file: source });
         let version = control.as_ref().and_then(|control| last_good(control, &base));
         start_timer.complete(StartPhase::StoredVersion);
@@ -125,7 +125,7 @@
     let (polling, list_status) = list_polling(&operator, &mut config, &plan).unzip();
     let opening = operator.opening.clone();
     let opening = opening.map(|rules| OpenLimiter::new(rules, plan.settings.origin_kind, position(&plan)));
-    let reserved_memory = control.as_ref().map_or(0, |_| reserve(config.memory));
+    let reserved_memory = control.as_ref().map_or(0, |_| memory_reserve(config.memory));
     let engine = EngineOptions { plan: Arc::new(plan), polling, opening, reserved_memory };
     let admin = AdminOptions { version_info: version_info.clone(), list_status };
     let in_force = Rc::new(RefCell::new(ConfigInForce { operator, version: version.clone() }));
@@ -167,8 +167,8 @@
 ) -> Option<(ListPolling, Rc<ListStatus>)> {
     let rules = operator.list.as_ref()?;
     let (status, cache) = discovery::restore(rules, config);
-    let schedule =
-        (!config.pushed).then(|| discovery::poll_schedule(rules, plan.settings.poll_within, position(plan)));
+    let schedule = (!config.lists_pushed)
+        .then(|| discovery::poll_schedule(rules, plan.settings.poll_within, position(plan)));
     if schedule.is_none() {
         tracing::info!("list: the platform pushes its lists, so that polls are not limited");
     }
@@ -214,7 +214,7 @@
 /// Applies the settings that may change at run time, and logs the changed settings that require a restart. An
 /// invalid file changes nothing, and the proxy continues to serve.
 fn reload(platform: &Config, in_force: &ConfigInForce, file: Option<&Path>, log: &LogHandle) {
-    let source = file.map(operator::source).transpose().map_err(|error| vec![error]);
+    let source = file.map(operator::read_layer).transpose().map_err(|error| vec![error]);
     let resolved = source.and_then(|file| {
         let base = BaseLayers { platform: platform.clone(), file };
         base.with(in_force.version.as_deref())
--- a/crates/proxy/src/versions/layers.rs
+++ b/crates/proxy/src/versions/layers.rs
@@ -3,7 +3,7 @@
 use super::KEPT;
 use crate::config::Config;
 use crate::operator;
-use crate::plan::plan;
+use crate::plan::engine_config;
 use crate::wall_clock::unix_millis;
 use aniseyoke_config::layers::{environment, resolve, Layer, Resolved};
 use aniseyoke_config::model::{Control, Operator};
@@ -28,13 +28,13 @@
     /// All that is wrong in the layers.
     pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, EngineConfig), Vec<ConfigError>> {
         let mut layers: Vec<Layer> = self.file.clone().into_iter().collect();
-        layers.extend(environment(operator::variables()));
+        layers.extend(environment(operator::env_variables()));
         if let Some(version) = version {
             layers.push(Layer::Service(version.stamp.number, version.body.value()));
         }
         let resolved = resolve(layers)?;
-        let plan = plan(&resolved, &self.platform)?;
-        Ok((resolved, plan))
+        let engine_config = engine_config(&resolved, &self.platform)?;
+        Ok((resolved, engine_config))
     }
 }
 
--- a/crates/proxy/src/versions/mod.rs
+++ b/crates/proxy/src/versions/mod.rs
@@ -18,13 +18,13 @@
 const MEMORY_PER_BYTE: usize = 60;
 
 /// The memory that is kept free for versions, in bytes.
-pub fn reserve(memory: usize) -> usize {
+pub fn memory_reserve(memory: usize) -> usize {
     memory / RESERVED_DIVISOR
 }
 
 /// The longest frame with a version that a proxy of so much memory can take, in bytes.
 fn max_frame_bytes(memory: usize) -> usize {
-    (reserve(memory) / MEMORY_PER_BYTE).min(aniseyoke_control::frame::MAX_FRAME_BYTES)
+    (memory_reserve(memory) / MEMORY_PER_BYTE).min(aniseyoke_control::frame::MAX_FRAME_BYTES)
 }
 
 /// The file in the folder that keeps the last good version.
