--- a/crates/lab-memcached-server/src/server.rs
+++ b/crates/lab-memcached-server/src/server.rs
@@ -49,7 +49,7 @@
 impl Server {
     /// A server of a store whose values are at most `max_value_bytes` long.
     pub fn new(store: Store, max_value_bytes: usize, users: BTreeMap<String, String>) -> Rc<Self> {
-        let limits = Limits { value: max_value_bytes, ..Limits::default() };
+        let limits = Limits { max_value_bytes, ..Limits::default() };
         Rc::new(Server { store: RefCell::new(store), limits, users })
     }
 
--- a/crates/memcached/src/decode.rs
+++ b/crates/memcached/src/decode.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The longest key, in bytes.
-    pub key: usize,
+    pub max_key_bytes: usize,
     /// The longest value, in bytes.
-    pub value: usize,
+    pub max_value_bytes: usize,
 }
 
 impl Default for Limits {
     /// A key as servers accept it, and 1 MiB of value, their usual item size.
     fn default() -> Self {
-        Limits { key: MAX_KEY_BYTES, value: 1 << 20 }
+        Limits { max_key_bytes: MAX_KEY_BYTES, max_value_bytes: 1 << 20 }
     }
 }
 
@@ -144,9 +144,9 @@
         })
     }
 
-    fn header(&self, extras: Extras, key: Bytes, value: usize) -> Header {
+    fn header(&self, extras: Extras, key: Bytes, value_len: usize) -> Header {
         let FixedHeader { opcode, vbucket_or_status, opaque, cas, .. } = *self;
-        Header { opcode, vbucket_or_status, opaque, cas, extras, key, value }
+        Header { opcode, vbucket_or_status, opaque, cas, extras, key, value_len }
     }
 
     /// Whether a request can be carried out.
@@ -161,7 +161,7 @@
             Err(InvalidRequest::Malformed(why))
         } else if !opcode.value().allows(value) {
             Err(InvalidRequest::Malformed("the operation has no value"))
-        } else if self.key > limits.key {
+        } else if self.key > limits.max_key_bytes {
             Err(InvalidRequest::KeyTooLong)
         } else {
             Ok(())
@@ -220,7 +220,7 @@
         let fixed = FixedHeader::read(buffer);
         let value = fixed.value()?;
         let valid = self.check(&fixed, value)?;
-        if value > self.limits.value {
+        if value > self.limits.max_value_bytes {
             let FixedHeader { opaque, opcode, .. } = fixed;
             return Err(ProtocolError::ValueTooLarge { value, opaque, opcode });
         }
@@ -253,7 +253,9 @@
     fn check(&self, fixed: &FixedHeader, value: usize) -> Result<Result<(), InvalidRequest>, ProtocolError> {
         match self.direction {
             Direction::Request => Ok(fixed.check_request(self.limits, value)),
-            Direction::Response if fixed.key > self.limits.key || fixed.extras > MAX_EXTRAS_BYTES => {
+            Direction::Response
+                if fixed.key > self.limits.max_key_bytes || fixed.extras > MAX_EXTRAS_BYTES =>
+            {
                 Err(ProtocolError::InvalidResponse)
             }
             Direction::Response => Ok(Ok(())),
--- a/crates/memcached/src/encode.rs
+++ b/crates/memcached/src/encode.rs
@@ -15,7 +15,7 @@
 /// If the format has no room for it; nothing is written then.
 pub fn header(direction: Direction, header: &Header, out: &mut impl BufMut) -> Result<(), PacketTooLong> {
     let key = u16::try_from(header.key.len()).map_err(|_| PacketTooLong)?;
-    let body = u32::try_from(header.body()).map_err(|_| PacketTooLong)?;
+    let body = u32::try_from(header.body_len()).map_err(|_| PacketTooLong)?;
     out.put_u8(direction.magic());
     out.put_u8(header.opcode);
     out.put_u16(key);
@@ -41,12 +41,12 @@
     value: &[u8],
     out: &mut impl BufMut,
 ) -> Result<(), PacketTooLong> {
-    header(direction, &Header { value: value.len(), ..of.clone() }, out)?;
+    header(direction, &Header { value_len: value.len(), ..of.clone() }, out)?;
     out.put_slice(value);
     Ok(())
 }
 
 /// The length of a packet, in bytes.
 pub fn length(of: &Header) -> usize {
-    HEADER_BYTES + of.body()
+    HEADER_BYTES + of.body_len()
 }
--- a/crates/memcached/src/header.rs
+++ b/crates/memcached/src/header.rs
@@ -45,14 +45,14 @@
     /// The key; empty where there is none.
     pub key: Bytes,
     /// The length of the value that follows, in bytes.
-    pub value: usize,
+    pub value_len: usize,
 }
 
 impl Header {
     /// A request without key and value.
     pub fn request(opcode: Opcode) -> Self {
         let (opcode, extras, key) = (opcode as u8, Extras::None, Bytes::new());
-        Header { opcode, vbucket_or_status: 0, opaque: 0, cas: 0, extras, key, value: 0 }
+        Header { opcode, vbucket_or_status: 0, opaque: 0, cas: 0, extras, key, value_len: 0 }
     }
 
     /// A response to a request, without extras, key and value.
@@ -64,7 +64,7 @@
             cas: 0,
             extras: Extras::None,
             key: Bytes::new(),
-            value: 0,
+            value_len: 0,
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// The length of all that follows the fixed part, in bytes.
-    pub fn body(&self) -> usize {
-        self.extras.len() + self.key.len() + self.value
+    pub fn body_len(&self) -> usize {
+        self.extras.len() + self.key.len() + self.value_len
     }
 }
--- a/crates/memcached/src/session.rs
+++ b/crates/memcached/src/session.rs
@@ -6,7 +6,7 @@
 
 mod types;
 
-pub use types::{Event, Nanos, Output, Response, Rules, Timeout};
+pub use types::{Event, Nanos, Output, Response, SessionConfig, Timeout};
 
 use crate::decode::InvalidRequest;
 use crate::response_queue::{RequestNumber, ResponseQueue};
@@ -30,7 +30,7 @@
 
 /// The server's side of one connection.
 pub struct Session<B> {
-    rules: Rules,
+    config: SessionConfig,
     decoder: Decoder,
     responses: ResponseQueue<Output<B>>,
     incoming: Incoming,
@@ -44,16 +44,16 @@
 
 impl<B> Session<B> {
     /// A connection that has just been accepted.
-    pub fn new(now: Nanos, rules: Rules) -> Self {
+    pub fn new(now: Nanos, config: SessionConfig) -> Self {
         Session {
-            decoder: Decoder::new(Direction::Request, rules.limits),
-            responses: ResponseQueue::new(rules.queue),
+            decoder: Decoder::new(Direction::Request, config.limits),
+            responses: ResponseQueue::new(config.queue),
             incoming: Incoming::Nothing,
-            authenticated: !rules.require_authentication,
+            authenticated: !config.require_authentication,
             closing: false,
             incomplete_since: None,
             last_active: now,
-            rules,
+            config,
         }
     }
 
@@ -98,11 +98,11 @@
     /// Whether the connection is to be closed because its client is too slow or idle.
     pub fn timed_out(&self, now: Nanos) -> Option<Timeout> {
         let limit =
-            if self.decoder.in_packet() { self.rules.value_timeout } else { self.rules.header_timeout };
+            if self.decoder.in_packet() { self.config.value_timeout } else { self.config.header_timeout };
         if self.incomplete_since.is_some_and(|since| now.saturating_sub(since) > limit) {
             return Some(Timeout::Incomplete);
         }
-        let idle = now.saturating_sub(self.last_active) > self.rules.idle_timeout;
+        let idle = now.saturating_sub(self.last_active) > self.config.idle_timeout;
         (self.responses.is_empty() && idle).then_some(Timeout::Idle)
     }
 
@@ -234,7 +234,7 @@
             return self.responses.respond(request, Output { bytes, value: None }, buffered);
         };
         let mut bytes = BytesMut::new();
-        let response = Header { value: length, ..response };
+        let response = Header { value_len: length, ..response };
         if encode::header(Direction::Response, &response, &mut bytes).is_err() {
             let bytes = packet(&Header::response_to(header, Status::Internal), b"");
             return self.responses.respond(request, Output { bytes, value: None }, 0);
--- a/crates/memcached/src/session/tests.rs
+++ b/crates/memcached/src/session/tests.rs
@@ -9,7 +9,7 @@
 type TestSession = Session<&'static str>;
 
 fn session() -> TestSession {
-    Session::new(0, Rules::default())
+    Session::new(0, SessionConfig::default())
 }
 
 fn packet_of(opcode: Opcode, key: &str, opaque: u32, value: &[u8]) -> Vec<u8> {
@@ -106,8 +106,9 @@
 /// Danger: a thousand requests behind a slow one would each wait for it, or be kept without end.
 #[test]
 fn no_more_is_read_than_may_be_in_flight_and_reading_continues_with_capacity() {
-    let rules = Rules { queue: QueueLimits { requests: 10, bytes: 100 }, ..Rules::default() };
-    let mut s: TestSession = Session::new(0, rules);
+    let config =
+        SessionConfig { queue: QueueLimits { requests: 10, bytes: 100 }, ..SessionConfig::default() };
+    let mut s: TestSession = Session::new(0, config);
     let bytes: Vec<u8> = (0..30).flat_map(|n| packet_of(Opcode::Get, "k", n, b"")).collect();
     let mut buffer = BytesMut::from(&bytes[..]);
     let first: Vec<_> = std::iter::from_fn(|| s.next_event(1, &mut buffer)).collect();
@@ -145,7 +146,8 @@
 
 #[test]
 fn a_client_that_must_authenticate_gets_nothing_before() {
-    let mut s: TestSession = Session::new(0, Rules { require_authentication: true, ..Rules::default() });
+    let mut s: TestSession =
+        Session::new(0, SessionConfig { require_authentication: true, ..SessionConfig::default() });
     let login = packet_of(Opcode::SaslAuth, "PLAIN", 3, b"\0acme\0secret");
     let bytes =
         [packet_of(Opcode::Set, "k", 1, b"x"), packet_of(Opcode::SaslAuth, "CRAM-MD5", 2, b""), login]
--- a/crates/memcached/src/session/types.rs
+++ b/crates/memcached/src/session/types.rs
@@ -11,7 +11,7 @@
 
 /// What a connection may do.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct SessionConfig {
     /// The longest key and value.
     pub limits: Limits,
     /// What may be in flight and what may wait.
@@ -26,9 +26,9 @@
     pub idle_timeout: Nanos,
 }
 
-impl Default for Rules {
+impl Default for SessionConfig {
     fn default() -> Self {
-        Rules {
+        SessionConfig {
             limits: Limits::default(),
             queue: QueueLimits { requests: 1024, bytes: 1 << 20 },
             require_authentication: false,
--- a/crates/memcached/tests/codec.rs
+++ b/crates/memcached/tests/codec.rs
@@ -46,7 +46,7 @@
     let [(Part::Header(header), value)] = &read[..] else { panic!("{read:?}") };
     let extras = Extras::Store { flags: 0xdead_beef, expires: 3600 };
     let key = Bytes::from_static(b"Hello");
-    assert_eq!(*header, Header { extras, key, value: 5, ..Header::request(Opcode::Add) });
+    assert_eq!(*header, Header { extras, key, value_len: 5, ..Header::request(Opcode::Add) });
     assert_eq!(value, b"World");
     let mut written = Vec::new();
     encode::packet(Direction::Request, header, b"World", &mut written).expect("fits");
@@ -162,7 +162,7 @@
                 cas: b,
                 extras,
                 key,
-                value: length,
+                value_len: length,
             };
             (header, value)
         },
--- a/crates/memcached/tests/noise/mod.rs
+++ b/crates/memcached/tests/noise/mod.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 
 /// Values up to this length are taken, in bytes.
-const VALUE: usize = 1000;
+const MAX_VALUE_BYTES: usize = 1000;
 
 /// A packet as it was read: its header, or why it was passed over, and its value.
 #[derive(Debug, PartialEq)]
@@ -15,7 +15,7 @@
 
 /// Reads bytes that come `step` at a time.
 fn read(side: Direction, bytes: &[u8], step: usize) -> (Vec<Read>, Option<ProtocolError>) {
-    let mut decoder = Decoder::new(side, Limits { value: VALUE, ..Limits::default() });
+    let mut decoder = Decoder::new(side, Limits { max_value_bytes: MAX_VALUE_BYTES, ..Limits::default() });
     let (mut buffer, mut packets) = (BytesMut::new(), Vec::new());
     for part in bytes.chunks(step.max(1)) {
         buffer.extend_from_slice(part);
@@ -32,7 +32,7 @@
                 },
                 Ok(Some(Part::End)) => match packets.last_mut() {
                     Some(Read::Packet(header, value, ended @ false)) => {
-                        assert_eq!(header.value, value.len());
+                        assert_eq!(header.value_len, value.len());
                         *ended = true;
                     }
                     Some(Read::InvalidRequest(_, _, ended @ false)) => *ended = true,
