--- a/crates/proxy/tests/closes.rs
+++ b/crates/proxy/tests/closes.rs
@@ -54,7 +54,7 @@
 
 /// The head of an answer, or what became of the request without one.
 fn head(stream: &mut TcpStream) -> Result<String, Fate> {
-    stream.set_read_timeout(Some(LONG)).expect("time-out");
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("time-out");
     let mut came = Vec::new();
     let mut part = [0; 4096];
     loop {
@@ -198,7 +198,7 @@
     loop {
         let mut client = f.rig.proxy.client();
         client.ask("order", "");
-        match f.rig.cache.taken.recv_timeout(Duration::from_millis(500)) {
+        match f.rig.cache.accepted.recv_timeout(Duration::from_millis(500)) {
             Ok(stream) => {
                 let mut node = Peer::new(stream);
                 node.request();
@@ -298,7 +298,7 @@
         let f = faulty(512);
         let Rig { proxy, cache, origin, discovery: _discovery } = f.rig;
         for server in [cache, origin] {
-            std::thread::spawn(move || fail_all(server.taken, how));
+            std::thread::spawn(move || fail_all(server.accepted, how));
         }
         let until = Instant::now() + Duration::from_secs(3);
         let raging: Vec<_> = (0..2).map(|_| rage(proxy.addr, until)).collect();
@@ -439,7 +439,7 @@
     let log = f.rig.proxy.take_log();
     let Rig { mut proxy, cache, origin, discovery: _discovery } = f.rig;
     for server in [cache, origin] {
-        std::thread::spawn(move || answer_all(server.taken));
+        std::thread::spawn(move || answer_all(server.accepted));
     }
     // Between what is decided and what is done about it more comes in.
     let slow = Rule::new("slow", &[Call::EpollWait], Effect::DelayBefore(1_000));
--- a/crates/proxy/tests/command.rs
+++ b/crates/proxy/tests/command.rs
@@ -112,7 +112,7 @@
     config["mgmt"] = json!("127.0.0.1:0");
     let on = file("[limits]\n");
     let mut proxy = Proxy::with(&config, |c| _ = c.env("ANISEYOKE_FILE", &on.path));
-    let door = proxy.door().to_string();
+    let door = proxy.admin_addr().to_string();
     let ctl = |args: &[&str]| program(&[&["ctl", "--door", &door], args].concat());
     until("it serves", || ctl(&["ready"]).status.success());
     assert!(ctl(&["exclude", "c1"]).status.success() && ctl(&["include", "c1"]).status.success());
--- a/crates/proxy/tests/crowds.rs
+++ b/crates/proxy/tests/crowds.rs
@@ -156,7 +156,7 @@
     let (_watch, told) = told.join().expect("told");
     // The next call is there, so that the list is in force: nothing can be served but by the node that drains.
     assert_eq!(ask_until_answered(&proxy), 503, "{down:?}");
-    assert!(cache.none_came(), "{down:?}");
+    assert!(cache.no_new_connection(), "{down:?}");
     println!("{down:?}: in force {told:?} after its return, a request answered after {:?}", back.elapsed());
     drop(crowd);
     told
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -156,7 +156,7 @@
     r.proxy.signal("-HUP");
     drop(client);
     assert_eq!(r.proxy.child.wait().expect("ended").code(), Some(0));
-    assert!(r.discovery.none_came());
+    assert!(r.discovery.no_new_connection());
 }
 
 #[test]
@@ -170,7 +170,7 @@
         assert_eq!(call.request().line, "GET /catalog/members HTTP/1.1");
         call.reply("503 Service Unavailable", "", "");
     }
-    assert!(r.discovery.none_came());
+    assert!(r.discovery.no_new_connection());
     assert_eq!(r.proxy.health(), 200);
 }
 
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -364,7 +364,7 @@
         command.env("ANISEYOKE_FILE", &file);
         armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
     });
-    let (door, armed) = (proxy.door(), armed.expect("armed"));
+    let (door, armed) = (proxy.admin_addr(), armed.expect("armed"));
     let row = || service.statuses().into_iter().next();
     until("it follows", || row().is_some());
     let mut rules = interrupted(3);
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -66,7 +66,7 @@
             more(command);
         });
         assert_eq!(proxy.addr, self.addr());
-        let door = proxy.door();
+        let door = proxy.admin_addr();
         let mut poll = self.first_poll();
         poll.reply("200 OK", "", &list(42, true, &self.listed()).to_string());
         until("ready", || call(door, "GET", "/api/ready", "") == 200);
@@ -93,7 +93,7 @@
     fn read_key(&self, key: u64) -> usize {
         let mut client = Peer::to(self.addr());
         client.write(&get("read", "").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
-        let (at, mut node) = take_any(&self.nodes);
+        let (at, mut node) = accept_any(&self.nodes);
         node.request();
         node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "value");
         assert_eq!(client.answer().status(), 200);
@@ -108,25 +108,25 @@
     let (mut old, old_door) = p.start();
     let home = p.read();
     let id = format!("c{home}");
-    assert_eq!(about(old_door, "/api/exclude", &id), 200);
+    assert_eq!(call_for_node(old_door, "/api/exclude", &id), 200);
     assert_eq!(p.read(), 1 - home);
     let (mut new, new_door) = p.start();
     (0..8).for_each(|_| assert_eq!(p.read(), 1 - home));
     // The call back at the new door reaches the old process, and the drain as well.
-    assert_eq!(about(new_door, "/api/include", &id), 200);
+    assert_eq!(call_for_node(new_door, "/api/include", &id), 200);
     old.logged("out {}");
     assert_eq!(call(new_door, "POST", "/api/evacuate", ""), 200);
     old.logged("drain: called");
     new.logged("drain: called");
     assert_eq!(call(old_door, "POST", "/api/rejoin", ""), 200);
-    assert_eq!(about(old_door, "/api/exclude", &id), 200);
+    assert_eq!(call_for_node(old_door, "/api/exclude", &id), 200);
     old.signal("-TERM");
     assert_eq!(old.child.wait().expect("ended").code(), Some(0));
     // Its ban comes behind the drain's end, in an order of its own, and the new process looks for both now and then.
     new.logged(&format!("drain false, out {{\"{id}\"}}"));
     assert_eq!(Peer::health(p.addr()), 200);
     assert_eq!(p.read(), 1 - home);
-    assert_eq!(about(new_door, "/api/include", &id), 200);
+    assert_eq!(call_for_node(new_door, "/api/include", &id), 200);
     // The new process has pinned this key elsewhere by now, but others have their home there.
     let mut key = 0;
     until("the node is in use again", || {
@@ -149,7 +149,7 @@
     old.signal("-CONT");
     assert_eq!(old.child.wait().expect("ended").code(), Some(0));
     let (_new, _) = p.start();
-    let (_, mut node) = take_any(&p.nodes);
+    let (_, mut node) = accept_any(&p.nodes);
     node.request();
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
     assert_eq!(waiting.answer().status(), 200);
@@ -179,7 +179,7 @@
         old.signal("-TERM");
         old.signal("-CONT");
         until("it has ended, or has sent a request on", || {
-            let sent_on = p.nodes.iter().any(|node| node.taken.try_recv().is_ok());
+            let sent_on = p.nodes.iter().any(|node| node.accepted.try_recv().is_ok());
             taken += usize::from(sent_on);
             sent_on || old.child.try_wait().expect("a state").is_some()
         });
@@ -204,14 +204,14 @@
     let mut proxy = Proxy::with(&config, |command| {
         command.env("TMPDIR", &p.folder).env("PROXY_FD", "0").stdin(Stdio::from(socket));
     });
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     let mut waiting = Peer::to(p.addr());
     waiting.ask("read", "");
     assert_eq!(call(door, "GET", "/api/ready", ""), 503);
     let mut watch = p.discovery.take();
     watch.request();
     watch.reply("200 OK", "", &list(42, true, &p.listed()).to_string());
-    let (_, mut node) = take_any(&p.nodes);
+    let (_, mut node) = accept_any(&p.nodes);
     node.request();
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
     assert_eq!(waiting.answer().status(), 200);
@@ -224,7 +224,7 @@
     std::fs::write(p.folder.join("aniseyoke-operators.json"), "{\"bans\":[\"c0\"").expect("written");
     let (_proxy, door) = p.start();
     let home = p.read();
-    assert_eq!(about(door, "/api/exclude", &format!("c{home}")), 200);
+    assert_eq!(call_for_node(door, "/api/exclude", &format!("c{home}")), 200);
     assert_eq!(p.read(), 1 - home);
 }
 
--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 /// So long a process is held up.
-pub const HELD_UP: Duration = Duration::from_millis(150);
+pub const DELAY: Duration = Duration::from_millis(150);
 /// The reading of a request is held up for so long, until the plan has been changed.
-pub const READ_HELD: Duration = Duration::from_millis(30);
+pub const READ_DELAY: Duration = Duration::from_millis(30);
 /// Proxies that are tried side by side.
 const SIDE_BY_SIDE: usize = 5;
 /// So many requests pay for one retry, or one hedged request.
@@ -22,8 +22,8 @@
 
 /// What a node does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
-    Nothing,
+pub enum NodeBehavior {
+    Hangs,
     Hits,
     Misses,
     /// It ends the connection so long after the request.
@@ -37,74 +37,78 @@
 const MARKED: &str = "marked-";
 
 /// The id of a marked request.
-pub fn marked() -> String {
+pub fn marked_id() -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     format!("{MARKED}{}", NUMBER.fetch_add(1, Ordering::Relaxed))
 }
 
 /// A request as it came to a node.
-pub struct Came {
-    pub at: Instant,
+pub struct ReceivedRequest {
+    pub received_at: Instant,
     pub id: String,
-    pub left: f64,
+    pub time_left: f64,
 }
 
 /// What happens at a node before it does anything with a marked request.
-type Before = Arc<Mutex<Option<Box<dyn FnOnce() + Send>>>>;
+type RequestHook = Arc<Mutex<Option<Box<dyn FnOnce() + Send>>>>;
 
 /// A node whose connections are each served on a thread.
 pub struct Node {
     pub port: u16,
-    pub came: Receiver<Came>,
-    pub before: Before,
+    pub received: Receiver<ReceivedRequest>,
+    pub on_marked_request: RequestHook,
     server: std::net::SocketAddr,
 }
 
 /// What the connections of one site's nodes share.
 #[derive(Clone)]
 struct Shared {
-    tell: Sender<Came>,
-    before: Before,
+    tell: Sender<ReceivedRequest>,
+    on_marked_request: RequestHook,
     seen: Arc<Mutex<HashSet<String>>>,
 }
 
-fn node(does: Does, seen: &Arc<Mutex<HashSet<String>>>) -> Node {
+fn node(does: NodeBehavior, seen: &Arc<Mutex<HashSet<String>>>) -> Node {
     let server = Server::new();
-    let (addr, (tell, came)) = (server.addr, channel());
-    let before = Before::default();
-    let shared = Shared { tell, before: before.clone(), seen: seen.clone() };
+    let (addr, (tell, received)) = (server.addr, channel());
+    let on_marked_request = RequestHook::default();
+    let shared = Shared { tell, on_marked_request: on_marked_request.clone(), seen: seen.clone() };
     std::thread::spawn(move || {
-        while let Ok(stream) = server.taken.recv() {
+        while let Ok(stream) = server.accepted.recv() {
             let shared = shared.clone();
             std::thread::spawn(move || serve(Peer::new(stream), does, &shared));
         }
     });
-    Node { port: addr.port(), server: addr, came, before }
+    Node { port: addr.port(), server: addr, received, on_marked_request }
 }
 
-fn serve(mut peer: Peer, does: Does, shared: &Shared) {
+fn serve(mut peer: Peer, does: NodeBehavior, shared: &Shared) {
     while let Some(request) = peer.read() {
         let told = |name| request.header(name).unwrap_or_default().to_owned();
         let id = told("x-correlation-id");
-        let left = told("x-time-left")
+        let time_left = told("x-time-left")
             .parse()
             .unwrap_or_else(|_| panic!("no time at {:?} in {request:?}", peer.0.get_ref().local_addr()));
-        if shared.tell.send(Came { at: Instant::now(), id: id.clone(), left }).is_err() {
+        if shared
+            .tell
+            .send(ReceivedRequest { received_at: Instant::now(), id: id.clone(), time_left })
+            .is_err()
+        {
             return;
         }
         let marked = id.starts_with(MARKED);
         // What a test does at a marked request isn't done at those that go ahead of it.
-        let called = if marked { shared.before.lock().expect("whole").take() } else { None };
+        let called = if marked { shared.on_marked_request.lock().expect("whole").take() } else { None };
         called.into_iter().for_each(|before| before());
         match does {
-            Does::Nothing => {}
-            Does::HangsMarked if marked => {}
-            Does::BreaksFirst if marked && shared.seen.lock().expect("whole").insert(id) => return,
-            Does::Hits | Does::HangsMarked | Does::BreaksFirst => {
+            NodeBehavior::Hangs => {}
+            NodeBehavior::HangsMarked if marked => {}
+            NodeBehavior::BreaksFirst if marked && shared.seen.lock().expect("whole").insert(id) => return,
+            NodeBehavior::Hits | NodeBehavior::HangsMarked | NodeBehavior::BreaksFirst => {
                 peer.reply("200 OK", "X-Lookup: hit\r\n", "");
             }
-            Does::Misses => peer.reply("404 Not Found", "X-Lookup: miss\r\n", ""),
-            Does::Breaks(after) => {
+            NodeBehavior::Misses => peer.reply("404 Not Found", "X-Lookup: miss\r\n", ""),
+            NodeBehavior::Breaks(after) => {
                 sleep(after);
                 return;
             }
@@ -122,7 +126,7 @@
 }
 
 /// A proxy before some cache nodes and an origin.
-pub fn site(caches: &[Does], origin: Does, change: impl FnOnce(&mut Value)) -> Site {
+pub fn site(caches: &[NodeBehavior], origin: NodeBehavior, change: impl FnOnce(&mut Value)) -> Site {
     let seen = Arc::default();
     let (origin, discovery) = (node(origin, &seen), Server::new());
     let caches: Vec<Node> = caches.iter().map(|does| node(*does, &seen)).collect();
@@ -142,7 +146,7 @@
 }
 
 /// Holds the process up behind each of these readings of its clock, counted from now on.
-pub fn held_behind(readings: &[u64]) -> Plan {
+pub fn delays_after_readings(readings: &[u64]) -> Plan {
     let rule = |n: &u64| Rule::new("held", &[Call::ClockGettime], held_after()).often(Often::Only(*n));
     Plan::new(0, &readings.iter().map(rule).collect::<Vec<_>>())
 }
@@ -157,7 +161,7 @@
 }
 
 fn held_after() -> Effect {
-    Effect::DelayAfter(micros(HELD_UP))
+    Effect::DelayAfter(micros(DELAY))
 }
 
 impl Site {
@@ -169,8 +173,8 @@
         client
     }
 
-    pub fn hold(&self, readings: &[u64]) {
-        self.put(&held_behind(readings));
+    pub fn delay_readings(&self, readings: &[u64]) {
+        self.put(&delays_after_readings(readings));
     }
 
     fn put(&self, plan: &Plan) {
@@ -178,32 +182,32 @@
     }
 
     /// From the next marked request at a cache node on, before it does anything with it.
-    pub fn hold_from_there(&self, readings: &[u64]) {
-        let once = Arc::new(Mutex::new(Some(held_behind(readings))));
+    pub fn delay_readings_from_marked_request(&self, readings: &[u64]) {
+        let once = Arc::new(Mutex::new(Some(delays_after_readings(readings))));
         for cache in &self.caches {
             let (faults, once) = (self.faults.clone(), once.clone());
             let change = move || {
                 let plan = once.lock().expect("whole").take();
                 plan.into_iter().for_each(|plan| faults.change(&plan).expect("written"));
             };
-            cache.before.lock().expect("whole").replace(Box::new(change));
+            cache.on_marked_request.lock().expect("whole").replace(Box::new(change));
         }
     }
 
     /// From the moment on in which it has read a request, and not before: its first read that finds bytes is told.
-    pub fn hold_once_read(&self, client: &mut Peer, request: &str, readings: &[u64]) -> Instant {
-        self.hold_once_read_behind(client, request, readings, || {})
+    pub fn delay_readings_once_read(&self, client: &mut Peer, request: &str, readings: &[u64]) -> Instant {
+        self.delay_readings_once_read_after(client, request, readings, || {})
     }
 
     /// The same where something else happens right before the request is sent.
-    pub fn hold_once_read_behind(
+    pub fn delay_readings_once_read_after(
         &self,
         client: &mut Peer,
         request: &str,
         readings: &[u64],
         before_it: impl FnOnce(),
     ) -> Instant {
-        let rule = Rule::new("read", &Call::RECEIVING, Effect::DelayAfter(micros(READ_HELD)));
+        let rule = Rule::new("read", &Call::RECEIVING, Effect::DelayAfter(micros(READ_DELAY)));
         let rule = rule.about(arrived_from(client)).often(Often::Only(1));
         let before = self.faults.forced("read");
         self.put(&Plan::new(0, &[rule]));
@@ -213,9 +217,9 @@
         let sent = Instant::now();
         client.write(request);
         until("it has been read", || self.faults.forced("read") > before);
-        self.hold(readings);
+        self.delay_readings(readings);
         // What the test itself held up is not counted.
-        sent + READ_HELD
+        sent + READ_DELAY
     }
 
     /// Whether the proxy's one thread that serves sleeps.
@@ -225,41 +229,41 @@
     }
 
     /// Before the read that takes the client's next request.
-    pub fn hold_before_read(&self, client: &Peer) {
-        let rule = Rule::new("held", &Call::RECEIVING, Effect::DelayBefore(micros(HELD_UP)));
+    pub fn delay_before_read(&self, client: &Peer) {
+        let rule = Rule::new("held", &Call::RECEIVING, Effect::DelayBefore(micros(DELAY)));
         let rule = rule.about(arrived_from(client)).often(Often::Only(1));
         self.put(&Plan::new(0, &[rule]));
     }
 
     /// Before the next write to each node.
-    pub fn hold_before_writes(&self, nodes: &[&Node]) {
+    pub fn delay_before_writes(&self, nodes: &[&Node]) {
         let rule = |node: &&Node| {
-            Rule::new("held", &Call::SENDING, Effect::DelayBefore(micros(HELD_UP)))
+            Rule::new("held", &Call::SENDING, Effect::DelayBefore(micros(DELAY)))
                 .about(About::PeerPort(node.port))
                 .often(Often::Only(1))
         };
         self.put(&Plan::new(0, &nodes.iter().map(rule).collect::<Vec<_>>()));
     }
 
-    pub fn rest(&self) {
+    pub fn clear_faults(&self) {
         for node in self.caches.iter().chain([&self.origin]) {
-            node.before.lock().expect("whole").take();
+            node.on_marked_request.lock().expect("whole").take();
         }
         self.put(&Plan::default());
     }
 
     /// Has requests answered that pay for a retry, and forgets them.
-    pub fn earn_a_retry(&self, client: &mut Peer) {
+    pub fn earn_retry(&self, client: &mut Peer) {
         for _ in 0..EARN_ONE {
             client.ask("read", "");
             client.answer();
         }
-        self.came().for_each(drop);
+        self.received().for_each(drop);
     }
 
     /// What has come to nodes since that was asked last.
-    pub fn came(&self) -> impl Iterator<Item = Came> + '_ {
-        self.caches.iter().chain([&self.origin]).flat_map(|node| node.came.try_iter())
+    pub fn received(&self) -> impl Iterator<Item = ReceivedRequest> + '_ {
+        self.caches.iter().chain([&self.origin]).flat_map(|node| node.received.try_iter())
     }
 }
 
@@ -286,7 +290,7 @@
 }
 
 /// The same on a site of its own for each case: nodes that fail are avoided later on.
-pub fn sweep_anew<C: Clone + Send + 'static, R: Send + 'static>(
+pub fn sweep_with_fresh_sites<C: Clone + Send + 'static, R: Send + 'static>(
     cases: &[C],
     site: fn() -> Site,
     look: fn(&Site, &C) -> R,
@@ -302,6 +306,6 @@
 }
 
 /// Pairs of readings of which the second is soon after the first.
-pub fn pairs(most: u64) -> Vec<[u64; 2]> {
+pub fn reading_pairs(most: u64) -> Vec<[u64; 2]> {
     (1..=most).flat_map(|n| (1..=4).map(move |more| [n, n + more])).collect()
 }
--- a/crates/proxy/tests/held_up.rs
+++ b/crates/proxy/tests/held_up.rs
@@ -25,23 +25,23 @@
     let mut client = site.client();
     let before = site.faults.forced("held");
     hold(site);
-    client.write(&get_as(&marked(), "read", "X-Time-Left: 5\r\n"));
+    client.write(&get_as(&marked_id(), "read", "X-Time-Left: 5\r\n"));
     until("it is held up", || site.faults.forced("held") > before);
     if way == Way::Resets {
         SockRef::from(client.0.get_ref()).set_linger(Some(Duration::ZERO)).expect("lingering");
     }
     drop(client);
     let left = Instant::now();
-    sleep(HELD_UP + TERM);
-    site.rest();
+    sleep(DELAY + TERM);
+    site.clear_faults();
     let came = site
         .origin
-        .came
+        .received
         .try_iter()
-        .chain(site.caches.iter().filter(|_| !at_origin).flat_map(|c| c.came.try_iter()));
-    let late: Vec<_> = came.filter_map(|came| came.at.checked_duration_since(left)).collect();
+        .chain(site.caches.iter().filter(|_| !at_origin).flat_map(|c| c.received.try_iter()));
+    let late: Vec<_> = came.filter_map(|came| came.received_at.checked_duration_since(left)).collect();
     // What a cache node got is of no interest there.
-    site.came().for_each(drop);
+    site.received().for_each(drop);
     late.into_iter().max().filter(|late| *late > TERM)
 }
 
@@ -61,27 +61,29 @@
     };
     let new = sweep(
         &cases(24),
-        || site(&[Does::Nothing], Does::Nothing, |_| {}),
-        |site, (n, way)| left_while_held_up(site, *way, false, |site| site.hold(&[*n])),
+        || site(&[NodeBehavior::Hangs], NodeBehavior::Hangs, |_| {}),
+        |site, (n, way)| left_while_held_up(site, *way, false, |site| site.delay_readings(&[*n])),
     );
     judge_left(&new, "on a new connection");
     let pooled = sweep(
         &cases(24),
-        || site(&[Does::Misses], Does::Misses, |_| {}),
+        || site(&[NodeBehavior::Misses], NodeBehavior::Misses, |_| {}),
         |site, (n, way)| {
             // One request leaves a connection to each.
             let mut client = site.client();
             client.ask("read", "");
             client.answer();
-            site.came().for_each(drop);
-            left_while_held_up(site, *way, false, |site| site.hold(&[*n]))
+            site.received().for_each(drop);
+            left_while_held_up(site, *way, false, |site| site.delay_readings(&[*n]))
         },
     );
     judge_left(&pooled, "on a connection from the pool");
     let origin = sweep(
         &cases(16),
-        || site(&[Does::Misses], Does::Nothing, |_| {}),
-        |site, (n, way)| left_while_held_up(site, *way, true, |site| site.hold_from_there(&[*n])),
+        || site(&[NodeBehavior::Misses], NodeBehavior::Hangs, |_| {}),
+        |site, (n, way)| {
+            left_while_held_up(site, *way, true, |site| site.delay_readings_from_marked_request(&[*n]))
+        },
     );
     judge_left(&origin, "at the origin");
 }
@@ -94,38 +96,38 @@
 /// How long after the first attempt the last repeat of it came; nothing if none came.
 fn repeated(site: &Site, breaks: Duration, readings: &[u64]) -> Option<Duration> {
     let mut client = site.client();
-    site.earn_a_retry(&mut client);
-    let (faults, plan) = (site.faults.clone(), held_behind(readings));
+    site.earn_retry(&mut client);
+    let (faults, plan) = (site.faults.clone(), delays_after_readings(readings));
     // On the node's own thread, so that only one writes the plan at a time. The readings are counted from here on.
     let then_ends = move || {
         sleep(breaks);
         faults.change(&plan).expect("written");
     };
-    site.origin.before.lock().expect("whole").replace(Box::new(then_ends));
-    let id = marked();
+    site.origin.on_marked_request.lock().expect("whole").replace(Box::new(then_ends));
+    let id = marked_id();
     client.write(&format!(
         "PUT /set/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {id}\r\nIdempotency-Key: {id}\r\n\
          Content-Length: 1\r\n\r\nx"
     ));
     client.answer();
-    site.rest();
-    let at_caches = site.caches.iter().flat_map(|cache| cache.came.try_iter()).count();
+    site.clear_faults();
+    let at_caches = site.caches.iter().flat_map(|cache| cache.received.try_iter()).count();
     assert_eq!(at_caches, 0, "a write goes to the origin");
-    let came: Vec<Came> = site.origin.came.try_iter().collect();
+    let came: Vec<ReceivedRequest> = site.origin.received.try_iter().collect();
     assert!(came.iter().all(|came| came.id == id));
-    let first = came.iter().map(|came| came.at).min().expect("one attempt");
-    came.iter().map(|came| came.at - first).max().filter(|after| !after.is_zero())
+    let first = came.iter().map(|came| came.received_at).min().expect("one attempt");
+    came.iter().map(|came| came.received_at - first).max().filter(|after| !after.is_zero())
 }
 
 /// Danger: a repeat whose writing is held up runs twice.
 #[test]
 fn a_repeat_that_is_held_up_is_not_written_after_its_window() {
     let cases: Vec<_> =
-        BREAKS.into_iter().flat_map(|at| pairs(16).into_iter().map(move |pair| (at, pair))).collect();
-    let rows = sweep_anew(
+        BREAKS.into_iter().flat_map(|at| reading_pairs(16).into_iter().map(move |pair| (at, pair))).collect();
+    let rows = sweep_with_fresh_sites(
         &cases,
         || {
-            site(&[Does::Hits], Does::Breaks(Duration::ZERO), |config| {
+            site(&[NodeBehavior::Hits], NodeBehavior::Breaks(Duration::ZERO), |config| {
                 let window = u64::try_from(WINDOW.as_nanos()).expect("short");
                 config["settings"]["categories"][1]["dedup_window_ns"] = json!(window);
             })
--- a/crates/proxy/tests/idle.rs
+++ b/crates/proxy/tests/idle.rs
@@ -50,5 +50,5 @@
     first.request();
     first.reply("200 OK", "X-Lookup: hit\r\n", "two");
     assert_eq!(client.answer().body, b"two");
-    assert!(r.cache.none_came());
+    assert!(r.cache.no_new_connection());
 }
--- a/crates/proxy/tests/leavers.rs
+++ b/crates/proxy/tests/leavers.rs
@@ -135,7 +135,10 @@
         assert_eq!(origin.request().header("x-correlation-id"), Some(fence));
         origin.reply("200 OK", "", "");
         assert_eq!(client.answer().status(), 200);
-        assert!(self.origin.none_came() && self.nodes.iter().all(Server::none_came), "{way:?}");
+        assert!(
+            self.origin.no_new_connection() && self.nodes.iter().all(Server::no_new_connection),
+            "{way:?}"
+        );
     }
 
     /// Whether any node gets a request before this one, which is asked a little later.
@@ -147,7 +150,7 @@
         );
         let mut sent = false;
         loop {
-            let came = self.nodes.iter().chain([&self.origin]).find_map(|s| s.taken.try_recv().ok());
+            let came = self.nodes.iter().chain([&self.origin]).find_map(|s| s.accepted.try_recv().ok());
             let Some(stream) = came else {
                 sleep(Duration::from_millis(1));
                 continue;
@@ -172,7 +175,7 @@
     let s = site(no_cancel, "");
     let mut client = s.proxy.client();
     way.ask(&mut client, "read");
-    let (_, mut node) = take_any(&s.nodes);
+    let (_, mut node) = accept_any(&s.nodes);
     node.request();
     if busy {
         s.proxy.pause();
@@ -219,7 +222,7 @@
             let s = site(no_cancel, "");
             let mut client = s.proxy.client();
             way.ask(&mut client, "read");
-            let (_, mut node) = take_any(&s.nodes);
+            let (_, mut node) = accept_any(&s.nodes);
             node.request();
             way.leave(client);
             sleep(TERM);
@@ -240,7 +243,7 @@
         let s = site(|_| {}, "");
         let mut client = s.proxy.client();
         way.ask(&mut client, "read");
-        let (_, mut node) = take_any(&s.nodes);
+        let (_, mut node) = accept_any(&s.nodes);
         node.request();
         way.leave(client);
         assert_eq!(node.read(), None, "{way:?}");
@@ -261,13 +264,13 @@
         );
         let mut client = s.proxy.client();
         way.ask(&mut client, "read");
-        let (_, mut node) = take_any(&s.nodes);
+        let (_, mut node) = accept_any(&s.nodes);
         node.request();
         way.leave(client);
         // Half of the time that is left is over by then.
         sleep(Duration::from_millis(1300));
         for server in s.nodes.iter().chain([&s.origin]) {
-            if let Ok(stream) = server.taken.try_recv() {
+            if let Ok(stream) = server.accepted.try_recv() {
                 panic!("{way:?}: {:?}", Peer::new(stream).read());
             }
         }
@@ -287,7 +290,7 @@
         );
         let mut client = s.proxy.client();
         way.ask(&mut client, "read");
-        let (_, mut node) = take_any(&s.nodes);
+        let (_, mut node) = accept_any(&s.nodes);
         node.request();
         s.proxy.pause();
         way.leave(client);
@@ -389,7 +392,7 @@
         let mut client = s.proxy.client();
         way.ask(&mut client, "read");
         assert_eq!(s.proxy.health(), 200);
-        assert!(s.nodes[0].none_came());
+        assert!(s.nodes[0].no_new_connection());
         if busy {
             s.proxy.pause();
         }
@@ -473,7 +476,7 @@
     let mut earlier = proxy.client();
     for _ in 0..EARN_RETRIES {
         earlier.ask("read", "");
-        let (_, mut node) = take_any(&nodes);
+        let (_, mut node) = accept_any(&nodes);
         node.request();
         node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "");
         assert_eq!(earlier.answer().status(), 200);
@@ -483,7 +486,7 @@
     peer.write(&get("read", "").replacen("HTTP/1.1", "HTTP/1.0", 1));
     peer.0.get_ref().shutdown(Shutdown::Write).expect("half closed");
     // The first node takes long, so that five of the nine are spent.
-    let (mut at, mut held, mut got, mut left) = (take_any(&nodes), 1600, 0, None::<std::time::Instant>);
+    let (mut at, mut held, mut got, mut left) = (accept_any(&nodes), 1600, 0, None::<std::time::Instant>);
     loop {
         at.1.request();
         let late = left.map(|left| left.elapsed());
@@ -507,7 +510,7 @@
         drop(at.1);
         let more = std::time::Instant::now() + Duration::from_millis(800);
         let next = loop {
-            let came = nodes.iter().enumerate().find_map(|(n, s)| Some((n, s.taken.try_recv().ok()?)));
+            let came = nodes.iter().enumerate().find_map(|(n, s)| Some((n, s.accepted.try_recv().ok()?)));
             if came.is_some() || std::time::Instant::now() > more {
                 break came;
             }
@@ -529,7 +532,7 @@
         let mut client = s.proxy.client();
         client.write(&get("read", "").replacen("HTTP/1.1", version, 1));
         client.0.get_ref().shutdown(Shutdown::Write).expect("half closed");
-        let (_, mut node) = take_any(&s.nodes);
+        let (_, mut node) = accept_any(&s.nodes);
         node.request();
         sleep(Duration::from_millis(held));
         node.reply("200 OK", "X-Lookup: hit\r\n", "value");
@@ -545,7 +548,7 @@
     let mut s = site(no_cancel, "");
     let mut client = s.proxy.client();
     Way::ClosesOld.ask(&mut client, "read");
-    let (_, mut node) = take_any(&s.nodes);
+    let (_, mut node) = accept_any(&s.nodes);
     node.request();
     s.proxy.signal("-TERM");
     s.proxy.logged("draining");
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -67,7 +67,7 @@
 }
 
 fn list_at(door: SocketAddr) -> Value {
-    version_at(door)["list"].clone()
+    get_version(door)["list"].clone()
 }
 
 #[test]
@@ -75,7 +75,7 @@
     let site = Site::new();
     site.keep_one();
     let mut proxy = site.start("here", false);
-    let held = list_at(proxy.door());
+    let held = list_at(proxy.admin_addr());
     assert_eq!((&held["from"], &held["version"]), (&json!("disk"), &json!(51)));
     assert!(held["age_s"].as_f64().is_some_and(|age| age < 60.0), "{held}");
     // The service takes the call and says nothing; the node of the kept list is asked, and the one that was gone is not.
@@ -87,7 +87,7 @@
     node.request();
     node.reply("200 OK", "", "here");
     assert_eq!(client.answer().body, b"here");
-    assert!(site.cache.none_came());
+    assert!(site.cache.no_new_connection());
 }
 
 #[test]
@@ -95,16 +95,18 @@
     let site = Site::new();
     site.keep_one();
     let mut elsewhere = site.start("there", true);
-    assert!(elsewhere.began_with("aniseyoke-list: the kept list is not used: it is of another site (here"));
-    assert_eq!(list_at(elsewhere.door())["from"], "platform");
+    assert!(
+        elsewhere.logged_at_startup("aniseyoke-list: the kept list is not used: it is of another site (here")
+    );
+    assert_eq!(list_at(elsewhere.admin_addr())["from"], "platform");
     drop(elsewhere);
     let mut bytes = std::fs::read(site.kept()).expect("kept");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(site.kept(), bytes).expect("written");
     let mut proxy = site.start("here", false);
-    assert!(proxy.began_with("aniseyoke-list: the kept list is damaged, not used and put aside"));
-    let door = proxy.door();
+    assert!(proxy.logged_at_startup("aniseyoke-list: the kept list is damaged, not used and put aside"));
+    let door = proxy.admin_addr();
     assert_eq!(list_at(door)["from"], "nothing");
     assert!(!site.kept().exists());
     // Without a list there is nobody to ask: a clear refusal, and nothing sent anywhere.
@@ -112,14 +114,16 @@
     client.ask("read", "X-Time-Left: 20\r\n");
     let answer = client.answer();
     assert!(matches!(answer.status(), 429 | 503), "{answer:?}");
-    assert!(site.cache.none_came() && site.other.none_came() && site.origin.none_came());
+    assert!(
+        site.cache.no_new_connection() && site.other.no_new_connection() && site.origin.no_new_connection()
+    );
 }
 
 #[test]
 fn a_service_that_refuses_is_asked_again_when_it_says() {
     let site = Site::new();
     let mut proxy = site.start("here", true);
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     let mut call = site.discovery.take();
     call.request();
     call.reply("503 Service Unavailable", "Retry-After: 1.5\r\n", "");
@@ -151,6 +155,6 @@
     let site = Site::new();
     std::fs::write(site.folder.path().join("state"), "a file").expect("written");
     let mut proxy = site.start("here", true);
-    assert!(proxy.began_with("the list is not kept: state: "), "{:?}", proxy.early);
-    assert_eq!(list_at(proxy.door())["from"], "platform");
+    assert!(proxy.logged_at_startup("the list is not kept: state: "), "{:?}", proxy.startup_log);
+    assert_eq!(list_at(proxy.admin_addr())["from"], "platform");
 }
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -27,7 +27,7 @@
     // Nodes are warm from the first, so that which one gets a read is the hash's matter alone.
     config["settings"]["rules"]["cold_ns"] = json!(0);
     let mut proxy = Proxy::new(&config);
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     Site { proxy, door, nodes, discovery, _origin: origin }
 }
 
@@ -35,7 +35,7 @@
     /// Has one read served by the node that it goes to, on a new connection there; which node that is.
     fn read(&self, client: &mut Peer) -> usize {
         client.ask("read", "");
-        let (at, mut node) = take_any(&self.nodes);
+        let (at, mut node) = accept_any(&self.nodes);
         node.request();
         node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "value");
         assert_eq!(client.answer().status(), 200);
@@ -87,7 +87,7 @@
     let mut config = config(discovery.addr, &[]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut proxy = Proxy::new(&config);
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     assert_eq!(call(door, "GET", "/api/ready", ""), 503);
 }
 
@@ -97,7 +97,7 @@
     let (mut idle, mut used) = (s.proxy.client(), s.proxy.client());
     s.read(&mut idle);
     used.ask("read", "");
-    let (_, mut node) = take_any(&s.nodes);
+    let (_, mut node) = accept_any(&s.nodes);
     node.request();
     assert_eq!(call(s.door, "POST", "/api/evacuate", ""), 200);
     assert_eq!(s.proxy.health(), 503);
@@ -126,7 +126,7 @@
     let mut client = s.proxy.client();
     let home = s.read(&mut client);
     let id = format!("c{home}");
-    assert_eq!(about(s.door, "/api/exclude", &id), 200);
+    assert_eq!(call_for_node(s.door, "/api/exclude", &id), 200);
     assert_eq!(s.read(&mut client), 1 - home);
     let news = [("gone", 42), ("ready", 43)];
     for (state, version) in news {
@@ -136,6 +136,6 @@
         watch.request();
         assert_eq!(s.read(&mut client), 1 - home, "{state}");
     }
-    assert_eq!(about(s.door, "/api/include", &id), 200);
+    assert_eq!(call_for_node(s.door, "/api/include", &id), 200);
     assert_eq!(s.read(&mut client), home);
 }
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -26,7 +26,7 @@
     node.request();
     node.reply("200 OK", "X-Lookup: hit\r\n", "");
     assert_eq!(client.answer().status(), 200);
-    assert!(r.origin.none_came());
+    assert!(r.origin.no_new_connection());
 }
 
 #[test]
@@ -136,7 +136,7 @@
         node.request();
         drop(client);
         assert_eq!(node.read(), None);
-        assert!(r.origin.none_came());
+        assert!(r.origin.no_new_connection());
     }
 }
 
--- a/crates/proxy/tests/reached.rs
+++ b/crates/proxy/tests/reached.rs
@@ -50,7 +50,7 @@
     let mut client = r.proxy.client();
     client.ask("read", "");
     assert_eq!(client.answer().status(), 503);
-    assert!(r.cache.none_came());
+    assert!(r.cache.no_new_connection());
     told
 }
 
@@ -106,7 +106,7 @@
 #[test]
 fn lists_that_are_pushed_are_watched_without_a_gap_whatever_the_operator_sets() {
     let (r, _folder) = rig_by("[list]\nevery = \"3s\"\n", true);
-    assert!(r.proxy.began_with("list: the platform pushes its lists, so that polls are not limited"));
+    assert!(r.proxy.logged_at_startup("list: the platform pushes its lists, so that polls are not limited"));
     let mut watch = r.discovery.take();
     watch.request();
     for version in 42..46 {
@@ -144,9 +144,9 @@
 fn what_the_operator_sets_beyond_that_is_named() {
     let text = "[list]\nevery = \"2s\"\nback_off_most = \"10s\"\n";
     let (r, _folder) = rig_by(text, false);
-    assert!(r.proxy.began_with("list.every: 2s counts as 2.4s"), "{:?}", r.proxy.early);
-    assert!(r.proxy.began_with("list.back_off_most: 10s counts as 3.6s"), "{:?}", r.proxy.early);
-    assert!(!r.proxy.began_with("list.answer_most"), "{:?}", r.proxy.early);
+    assert!(r.proxy.logged_at_startup("list.every: 2s counts as 2.4s"), "{:?}", r.proxy.startup_log);
+    assert!(r.proxy.logged_at_startup("list.back_off_most: 10s counts as 3.6s"), "{:?}", r.proxy.startup_log);
+    assert!(!r.proxy.logged_at_startup("list.answer_most"), "{:?}", r.proxy.startup_log);
 }
 
 /// Danger: a first call that is given up before its turn, again and again, never has one.
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -59,7 +59,7 @@
         assert_eq!((answer.header("connection"), client.read()), (Some("close"), None));
     }
     assert_eq!(r.proxy.health(), 200);
-    assert!(r.cache.none_came() && r.origin.none_came());
+    assert!(r.cache.no_new_connection() && r.origin.no_new_connection());
 }
 
 #[test]
@@ -100,7 +100,7 @@
         assert_eq!(client.answer().status(), 400, "{lengths}");
         assert_eq!(client.read(), None);
     }
-    assert!(r.cache.none_came() && r.origin.none_came());
+    assert!(r.cache.no_new_connection() && r.origin.no_new_connection());
 }
 
 #[test]
--- a/crates/proxy/tests/rig/mod.rs
+++ b/crates/proxy/tests/rig/mod.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a step may take before the test is given up: far longer than any takes.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long what follows at once may take on a busy machine.
 const SOON: Duration = Duration::from_secs(2);
@@ -43,8 +43,8 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(LONG)).expect("time-out");
-        stream.set_write_timeout(Some(LONG)).expect("time-out");
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("time-out");
+        stream.set_write_timeout(Some(STEP_TIMEOUT)).expect("time-out");
         Peer(BufReader::new(stream))
     }
 
@@ -99,7 +99,7 @@
     pub fn stays_open(&mut self, time: Duration) -> bool {
         self.0.get_ref().set_read_timeout(Some(time)).expect("time-out");
         let read = self.0.fill_buf().map(<[u8]>::len);
-        self.0.get_ref().set_read_timeout(Some(LONG)).expect("time-out");
+        self.0.get_ref().set_read_timeout(Some(STEP_TIMEOUT)).expect("time-out");
         read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
@@ -155,14 +155,14 @@
 /// A server whose connections the test takes one by one.
 pub struct Server {
     pub addr: SocketAddr,
-    pub taken: mpsc::Receiver<TcpStream>,
+    pub accepted: mpsc::Receiver<TcpStream>,
 }
 
 impl Server {
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let addr = listener.local_addr().expect("an address");
-        let (give, taken) = mpsc::channel();
+        let (give, accepted) = mpsc::channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 if give.send(stream).is_err() {
@@ -170,24 +170,24 @@
                 }
             }
         });
-        Server { addr, taken }
+        Server { addr, accepted }
     }
 
     pub fn take(&self) -> Peer {
-        Peer::new(self.taken.recv_timeout(LONG).expect("a connection"))
+        Peer::new(self.accepted.recv_timeout(STEP_TIMEOUT).expect("a connection"))
     }
 
-    pub fn none_came(&self) -> bool {
-        self.taken.try_recv().is_err()
+    pub fn no_new_connection(&self) -> bool {
+        self.accepted.try_recv().is_err()
     }
 }
 
 /// The next connection that any of some servers gets, and whose it is.
-pub fn take_any(servers: &[Server]) -> (usize, Peer) {
-    let until = Instant::now() + LONG;
+pub fn accept_any(servers: &[Server]) -> (usize, Peer) {
+    let until = Instant::now() + STEP_TIMEOUT;
     while Instant::now() < until {
         for (at, server) in servers.iter().enumerate() {
-            if let Ok(stream) = server.taken.recv_timeout(Duration::from_millis(1)) {
+            if let Ok(stream) = server.accepted.recv_timeout(Duration::from_millis(1)) {
                 return (at, Peer::new(stream));
             }
         }
@@ -237,7 +237,7 @@
     pub addr: SocketAddr,
     pub log: BufReader<ChildStderr>,
     /// The lines of its log until it listened.
-    pub early: Vec<String>,
+    pub startup_log: Vec<String>,
     pub file: PathBuf,
 }
 
@@ -309,7 +309,7 @@
         }
         let addr = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
         let addr = addr.unwrap_or_else(|| panic!("no address in {line:?}"));
-        Ok(Proxy { child, addr, log, early, file })
+        Ok(Proxy { child, addr, log, startup_log: early, file })
     }
 
     pub fn client(&self) -> Peer {
@@ -338,7 +338,7 @@
     }
 
     /// Where the operators' door is, as the log tells it; before anything else is read from the log.
-    pub fn door(&mut self) -> SocketAddr {
+    pub fn admin_addr(&mut self) -> SocketAddr {
         let mut line = String::new();
         while !line.contains("operators call at") {
             line.clear();
@@ -351,8 +351,8 @@
     }
 
     /// Whether its log said this before it listened.
-    pub fn began_with(&self, part: &str) -> bool {
-        self.early.iter().any(|line| line.contains(part))
+    pub fn logged_at_startup(&self, part: &str) -> bool {
+        self.startup_log.iter().any(|line| line.contains(part))
     }
 
     /// Reads the rest of its log on a thread that ends with it.
@@ -405,7 +405,7 @@
 
 /// Waits until something holds.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + STEP_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never: {what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -423,12 +423,12 @@
 }
 
 /// A call about one cache node.
-pub fn about(door: SocketAddr, call_path: &str, id: &str) -> u16 {
+pub fn call_for_node(door: SocketAddr, call_path: &str, id: &str) -> u16 {
     call(door, "POST", call_path, &json!({ "id": id }).to_string())
 }
 
 /// What an operators' door tells of the version.
-pub fn version_at(door: SocketAddr) -> Value {
+pub fn get_version(door: SocketAddr) -> Value {
     let mut caller = Peer::to(door);
     caller.write("GET /api/version HTTP/1.1\r\nHost: a\r\n\r\n");
     serde_json::from_slice(&caller.answer().body).expect("JSON")
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -71,7 +71,7 @@
 fn the_start_logs_no_phases_by_default() {
     let discovery = Server::new();
     let mut proxy = Proxy::new(&config(discovery.addr, &[]));
-    assert!(!proxy.began_with("start: "), "{:?}", proxy.early);
+    assert!(!proxy.logged_at_startup("start: "), "{:?}", proxy.startup_log);
     // The first poll of its list comes after the last phase.
     let mut poll = discovery.take();
     poll.request();
--- a/crates/proxy/tests/stored.rs
+++ b/crates/proxy/tests/stored.rs
@@ -47,9 +47,13 @@
         // The lines up to the door are kept: they tell what the process begins with.
         let door = loop {
             let mut line = String::new();
-            assert!(proxy.log.read_line(&mut line).expect("a line") > 0, "the log ended: {:?}", proxy.early);
+            assert!(
+                proxy.log.read_line(&mut line).expect("a line") > 0,
+                "the log ended: {:?}",
+                proxy.startup_log
+            );
             let door = line.trim().split_once("operators call at ").map(|(_, addr)| addr.parse());
-            proxy.early.push(line);
+            proxy.startup_log.push(line);
             if let Some(door) = door {
                 break door.expect("an address");
             }
@@ -113,10 +117,10 @@
         for (step, call, name, often) in steps {
             let site = Site::new();
             let (proxy, door, armed) = site.start(&Plan::default(), "");
-            assert_eq!(about(door, "/api/exclude", "c0"), 200);
+            assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
             armed.change(&plan(site.failing(&[call], name, number).often(often))).expect("changed");
             calls += 1;
-            let answered = about(door, "/api/exclude", "c1");
+            let answered = call_for_node(door, "/api/exclude", "c1");
             if answered != 503 {
                 wrong.push(format!("{step}, error {number}: {answered}"));
                 continue;
@@ -126,11 +130,11 @@
             let renamed = name.is_empty();
             assert_eq!(site.out().len(), if renamed { 2 } else { 1 }, "{step}");
             armed.change(&Plan::default()).expect("changed");
-            assert_eq!(about(door, "/api/exclude", "c1"), 200, "{step}: the disk is back");
+            assert_eq!(call_for_node(door, "/api/exclude", "c1"), 200, "{step}: the disk is back");
             drop(proxy);
             assert_eq!(site.out(), ["c0", "c1"], "{step}");
             let (next, ..) = site.start(&Plan::default(), "");
-            assert!(next.began_with("out {\"c0\", \"c1\"}"), "{:?}", next.early);
+            assert!(next.logged_at_startup("out {\"c0\", \"c1\"}"), "{:?}", next.startup_log);
         }
     }
     assert!(
@@ -160,7 +164,7 @@
     for bytes in [0, 1, 13] {
         let site = Site::new();
         let (proxy, door, armed) = site.start(&Plan::default(), "");
-        assert_eq!(about(door, "/api/exclude", "c0"), 200);
+        assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
         let name = site.path("aniseyoke-operators.new");
         let stop = Rule::new("stop", &[Call::Write], Effect::StopAfter(bytes)).about(About::Files(name));
         armed.change(&plan(stop)).expect("changed");
@@ -173,7 +177,7 @@
         kill_when_stopped(proxy);
         assert_eq!(site.out(), ["c0"]);
         let (_next, door, _armed) = site.start(&Plan::default(), "");
-        assert_eq!(about(door, "/api/exclude", "c1"), 200);
+        assert_eq!(call_for_node(door, "/api/exclude", "c1"), 200);
         assert_eq!(site.out(), ["c0", "c1"]);
     }
 }
@@ -183,14 +187,14 @@
 fn orders_that_could_not_be_read_at_the_start_are_read_later_and_never_written_over() {
     let site = Site::new();
     let (proxy, door, _armed) = site.start(&Plan::default(), "");
-    assert_eq!(about(door, "/api/exclude", "c0"), 200);
+    assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
     drop(proxy);
     let unreadable = site.failing(&[Call::Open], "aniseyoke-operators.json", errno::EIO);
     let (mut next, door, armed) = site.start(&plan(unreadable), "");
-    assert_eq!((about(door, "/api/exclude", "c1"), site.out()), (503, vec!["c0".to_owned()]));
+    assert_eq!((call_for_node(door, "/api/exclude", "c1"), site.out()), (503, vec!["c0".to_owned()]));
     armed.change(&Plan::default()).expect("changed");
     next.logged("out {\"c0\"}");
-    assert_eq!(about(door, "/api/exclude", "c1"), 200);
+    assert_eq!(call_for_node(door, "/api/exclude", "c1"), 200);
     assert_eq!(site.out(), ["c0", "c1"]);
 }
 
@@ -217,7 +221,7 @@
         armed.change(&Plan::default()).expect("changed");
         until("it is kept", || list_kept(&site, 50));
         drop((watch, proxy));
-        while !site.discovery.none_came() {}
+        while !site.discovery.no_new_connection() {}
         // The next one is killed with a newer list half written.
         let half = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
             .about(About::Files(site.path("aniseyoke-list.new")));
@@ -227,7 +231,7 @@
         watch.reply("200 OK", "", &list(51, true, &site.listed()).to_string());
         kill_when_stopped(proxy);
         let (next, ..) = site.start(&Plan::default(), &settings);
-        assert!(next.began_with("begun with version 50 of the list"), "{:?}", next.early);
+        assert!(next.logged_at_startup("begun with version 50 of the list"), "{:?}", next.startup_log);
         assert!(site.discovery.take().request().line.contains("from=5"));
     }
 }
@@ -260,6 +264,10 @@
         assert_eq!(kept(), Some(stamp));
         drop(service);
         let (next, ..) = site.start(&Plan::default(), &settings);
-        assert!(next.began_with(&format!("version {stamp} from disk is in force")), "{:?}", next.early);
+        assert!(
+            next.logged_at_startup(&format!("version {stamp} from disk is in force")),
+            "{:?}",
+            next.startup_log
+        );
     }
 }
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -242,7 +242,7 @@
     assert_eq!(client.answer().status(), 503);
     drop(client);
     pouring.join().expect("poured");
-    assert!(r.origin.none_came());
+    assert!(r.origin.no_new_connection());
 }
 
 #[test]
--- a/crates/proxy/tests/thread_order.rs
+++ b/crates/proxy/tests/thread_order.rs
@@ -73,7 +73,7 @@
 
 fn wait_for_end(proxy: &mut Proxy) -> Option<ExitStatus> {
     let started = Instant::now();
-    while started.elapsed() < LONG {
+    while started.elapsed() < STEP_TIMEOUT {
         if let Some(status) = proxy.child.try_wait().expect("a status") {
             return Some(status);
         }
@@ -150,7 +150,7 @@
         let (known, version) = (format!("from={NEXT_VERSION}"), format!("\"version\":{NEXT_VERSION}"));
         let mut calls = Vec::new();
         until("the list is kept", || {
-            if let Ok(stream) = self.discovery.taken.try_recv() {
+            if let Ok(stream) = self.discovery.accepted.try_recv() {
                 let mut call = Peer::new(stream);
                 if call.read().is_some_and(|request| !request.line.contains(&known)) {
                     // The proxy may have ended this call since.
@@ -172,7 +172,7 @@
         asked.reply("200 OK", "X-Lookup: hit\r\n", "served");
         assert_eq!(client.answer().status(), 200);
         for _ in 0..ORDERS_GIVEN {
-            assert_eq!(about(door, "/api/exclude", "c0"), 200);
+            assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
         }
     }
 }
@@ -184,7 +184,7 @@
     let wrong = play_all(|seed| {
         let site = Site::new();
         let mut proxy = site.start(&order(seed, false))?;
-        let door = proxy.door();
+        let door = proxy.admin_addr();
         let log = proxy.take_log();
         let served = catch_unwind(AssertUnwindSafe(|| site.serve(&proxy, door)));
         let ended = proxy.child.try_wait().expect("a status");
--- a/crates/proxy/tests/time_left.rs
+++ b/crates/proxy/tests/time_left.rs
@@ -38,16 +38,17 @@
 
 /// Has a marked request sent by `ask`, which returns when that was.
 fn asked(site: &Site, ask: impl FnOnce(&Site, &mut Peer, &str) -> Instant) -> Late {
-    let (mut client, id) = (site.client(), marked());
-    site.earn_a_retry(&mut client);
+    let (mut client, id) = (site.client(), marked_id());
+    site.earn_retry(&mut client);
     let sent = ask(site, &mut client, &request(&id));
     let status = client.answer().status();
     let answered = sent.elapsed().as_secs_f64() - PATIENCE.as_secs_f64();
-    site.rest();
+    site.clear_faults();
     // What was written before that answer may still be on its way.
     sleep(Duration::from_millis(20));
-    let came: Vec<Came> = site.came().filter(|came| came.id == id).collect();
-    let over = |c: &Came| c.left - (PATIENCE.as_secs_f64() - (c.at - sent).as_secs_f64());
+    let came: Vec<ReceivedRequest> = site.received().filter(|came| came.id == id).collect();
+    let over =
+        |c: &ReceivedRequest| c.time_left - (PATIENCE.as_secs_f64() - (c.received_at - sent).as_secs_f64());
     let told = came.iter().map(over).fold(f64::NEG_INFINITY, f64::max);
     Late { told, attempts: came.len(), answered, status }
 }
@@ -80,14 +81,16 @@
 #[test]
 fn no_node_is_told_of_more_time_than_its_client_has_left() {
     let rows = sweep(
-        &pairs(24),
-        || site(&[Does::Hits], Does::Hits, |_| {}),
-        |site, readings| asked(site, |site, client, request| site.hold_once_read(client, request, readings)),
+        &reading_pairs(24),
+        || site(&[NodeBehavior::Hits], NodeBehavior::Hits, |_| {}),
+        |site, readings| {
+            asked(site, |site, client, request| site.delay_readings_once_read(client, request, readings))
+        },
     );
     judge(&rows, "a first attempt", 1);
     let rows = sweep(
-        &pairs(16),
-        || site(&[Does::Misses], Does::Hits, |_| {}),
+        &reading_pairs(16),
+        || site(&[NodeBehavior::Misses], NodeBehavior::Hits, |_| {}),
         |site, readings| {
             asked(site, |site, client, request| held_from_the_first(site, client, request, readings))
         },
@@ -100,12 +103,12 @@
 #[test]
 fn another_client_that_ends_meanwhile_is_not_taken_for_the_request() {
     let rows = sweep(
-        &pairs(4),
-        || site(&[Does::Hits], Does::Hits, |_| {}),
+        &reading_pairs(4),
+        || site(&[NodeBehavior::Hits], NodeBehavior::Hits, |_| {}),
         |site, readings| {
             asked(site, |site, client, request| {
                 let other = site.client();
-                site.hold_once_read_behind(client, request, readings, || close_at_once(other))
+                site.delay_readings_once_read_after(client, request, readings, || close_at_once(other))
             })
         },
     );
@@ -115,8 +118,8 @@
 #[test]
 fn no_retry_tells_of_more_time_than_its_client_has_left() {
     let rows = sweep(
-        &pairs(16),
-        || site(&[Does::BreaksFirst, Does::BreaksFirst], Does::Hits, |_| {}),
+        &reading_pairs(16),
+        || site(&[NodeBehavior::BreaksFirst, NodeBehavior::BreaksFirst], NodeBehavior::Hits, |_| {}),
         |site, readings| {
             asked(site, |site, client, request| held_from_the_first(site, client, request, readings))
         },
@@ -126,21 +129,21 @@
 
 #[test]
 fn no_hedged_request_tells_of_more_time_than_its_client_has_left() {
-    let rows = sweep_anew(&pairs(16), hedging, |site, readings| {
+    let rows = sweep_with_fresh_sites(&reading_pairs(16), hedging, |site, readings| {
         asked(site, |site, client, request| held_from_the_first(site, client, request, readings))
     });
     judge(&rows, "a hedged request", 2);
 }
 
 fn hedging() -> Site {
-    site(&[Does::HangsMarked, Does::HangsMarked], Does::Hits, |config: &mut Value| {
+    site(&[NodeBehavior::HangsMarked, NodeBehavior::HangsMarked], NodeBehavior::Hits, |config: &mut Value| {
         config["settings"]["categories"][0]["promise_ns"] = json!(400_000_000u64);
     })
 }
 
 /// The readings are counted from the first attempt's coming to its node.
 fn held_from_the_first(site: &Site, client: &mut Peer, request: &str, readings: &[u64]) -> Instant {
-    site.hold_from_there(readings);
+    site.delay_readings_from_marked_request(readings);
     send(client, request)
 }
 
@@ -162,26 +165,26 @@
     let before_write = |site: &Site, _: &u32| {
         least(|| {
             asked(site, |site, client, request| {
-                site.hold_before_writes(&site.caches.iter().collect::<Vec<_>>());
+                site.delay_before_writes(&site.caches.iter().collect::<Vec<_>>());
                 send(client, request)
             })
         })
     };
-    let rows = sweep(&times, || site(&[Does::Hits], Does::Hits, |_| {}), before_write);
+    let rows = sweep(&times, || site(&[NodeBehavior::Hits], NodeBehavior::Hits, |_| {}), before_write);
     judge(&rows, "held before the write", 1);
     let before_fetch = |site: &Site, _: &u32| {
         least(|| {
             asked(site, |site, client, request| {
-                site.hold_before_writes(&[&site.origin]);
+                site.delay_before_writes(&[&site.origin]);
                 send(client, request)
             })
         })
     };
-    let rows = sweep(&times, || site(&[Does::Misses], Does::Hits, |_| {}), before_fetch);
+    let rows = sweep(&times, || site(&[NodeBehavior::Misses], NodeBehavior::Hits, |_| {}), before_fetch);
     judge(&rows, "held before the write to the origin", 2);
-    let rows = sweep_anew(&times, hedging, |site, _| {
+    let rows = sweep_with_fresh_sites(&times, hedging, |site, _| {
         asked(site, |site, client, request| {
-            site.hold_before_writes(&[&site.origin]);
+            site.delay_before_writes(&[&site.origin]);
             send(client, request)
         })
     });
@@ -189,12 +192,12 @@
     let before_read = |site: &Site, _: &u32| {
         least(|| {
             asked(site, |site, client, request| {
-                site.hold_before_read(client);
+                site.delay_before_read(client);
                 send(client, request)
             })
         })
     };
-    let rows = sweep(&times, || site(&[Does::Hits], Does::Hits, |_| {}), before_read);
+    let rows = sweep(&times, || site(&[NodeBehavior::Hits], NodeBehavior::Hits, |_| {}), before_read);
     judge(&rows, "held before the read", 1);
 }
 
@@ -202,14 +205,14 @@
 #[test]
 fn the_final_answer_is_not_late_behind_hold_ups() {
     let rows = sweep(
-        &pairs(24),
-        || site(&[Does::Nothing], Does::Nothing, |_| {}),
+        &reading_pairs(24),
+        || site(&[NodeBehavior::Hangs], NodeBehavior::Hangs, |_| {}),
         |site, readings| {
             let mut client = site.client();
-            let sent = site.hold_once_read(&mut client, &request(&marked()), readings);
+            let sent = site.delay_readings_once_read(&mut client, &request(&marked_id()), readings);
             let status = client.answer().status();
-            site.rest();
-            site.came().for_each(drop);
+            site.clear_faults();
+            site.received().for_each(drop);
             (sent.elapsed(), status)
         },
     );
--- a/crates/proxy/tests/unread_log.rs
+++ b/crates/proxy/tests/unread_log.rs
@@ -120,7 +120,7 @@
     let mut proxy = Unread::start(true, |command| _ = command.env("ANISEYOKE_FILE", &file));
     (0..LINES).for_each(|_| _ = Peer::health(proxy.addr));
     proxy.terminate();
-    let status = end_within(&mut proxy.child, LONG);
+    let status = end_within(&mut proxy.child, STEP_TIMEOUT);
     assert_eq!(status.and_then(|status| status.code()), Some(0), "ended at all");
 }
 
@@ -132,7 +132,7 @@
     let (mut child, _) = start_with(&config.to_string(), |command| {
         command.stdout(Stdio::null()).stderr(error);
     });
-    let status = end_within(&mut child, LONG);
+    let status = end_within(&mut child, STEP_TIMEOUT);
     if status.is_none() {
         let _ = child.kill();
         let _ = child.wait();
--- a/crates/proxy/tests/versions.rs
+++ b/crates/proxy/tests/versions.rs
@@ -87,14 +87,14 @@
     let (site, control) = (Site::new(), control(1));
     let relay = Hosted::relay("site", vec![control.addr()]).expect("started");
     let mut proxy = site.start(&[relay.addr]);
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     let first = control.publish(json!({}));
     until("it came through the relay", || relay.statuses().first().is_some_and(|r| r.running == Some(first)));
     for body in [one_at_a_time(), json!({})] {
         let stamp = control.publish(body);
         control.runs(stamp);
         assert_eq!(control.row().expect("the relay").instance, "site");
-        assert_eq!(version_at(door)["version"].as_str(), Some(stamp.to_string().as_str()));
+        assert_eq!(get_version(door)["version"].as_str(), Some(stamp.to_string().as_str()));
     }
     let why = control.refusal(control.publish(json!({ "log": { "burst": 0 } })));
     assert!(why.starts_with("p0: "), "{why}");
@@ -104,14 +104,14 @@
 fn a_version_comes_into_force_while_requests_are_open_and_goes_again() {
     let (site, control) = (Site::new(), control(1));
     let mut proxy = site.start(&[control.addr()]);
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.ask("read", "");
     let mut node = site.cache.take();
     node.request();
     let stamp = control.publish(one_at_a_time());
     control.runs(stamp);
-    assert_eq!(version_at(door)["version"].as_str(), Some(stamp.to_string().as_str()));
+    assert_eq!(get_version(door)["version"].as_str(), Some(stamp.to_string().as_str()));
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
     assert_eq!(first.answer().status(), 200, "what was open when the version came has its answer");
     first.ask("read", "");
@@ -133,7 +133,7 @@
 fn versions_that_would_do_harm_are_turned_down_with_all_reasons_and_what_runs_stays() {
     let (site, control) = (Site::new(), control(1));
     let mut proxy = site.start(&[control.addr()]);
-    let door = proxy.door();
+    let door = proxy.admin_addr();
     let good = control.publish(json!({ "log": { "burst": 7 } }));
     control.runs(good);
     let bad = [
@@ -148,7 +148,7 @@
     for (body, parts) in bad {
         let why = control.refusal(control.publish(body));
         assert!(parts.iter().all(|part| why.contains(part)), "{why}");
-        assert_eq!(version_at(door)["version"].as_str(), Some(good.to_string().as_str()));
+        assert_eq!(get_version(door)["version"].as_str(), Some(good.to_string().as_str()));
     }
     let after = control.publish(json!({}));
     control.runs(after);
@@ -167,7 +167,7 @@
     let addr = service.addr();
     drop((proxy, service));
     let mut again = site.start(&[addr]);
-    assert_eq!(version_at(again.door())["version"].as_str(), Some(stamp.to_string().as_str()));
+    assert_eq!(get_version(again.admin_addr())["version"].as_str(), Some(stamp.to_string().as_str()));
     let (mut first, mut second) = (again.client(), again.client());
     first.ask("read", "");
     let mut node = site.cache.take();
@@ -188,7 +188,7 @@
     std::fs::write(site.kept(), &bytes).expect("written");
     let service = control(2);
     let mut proxy = site.start(&[service.addr()]);
-    assert_eq!(version_at(proxy.door())["version"], Value::Null);
+    assert_eq!(get_version(proxy.admin_addr())["version"], Value::Null);
     assert!(site.kept().with_file_name("aniseyoke-version.damaged").exists());
     let stamp = service.publish(json!({ "log": { "burst": 3 } }));
     service.runs(stamp);
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -47,7 +47,7 @@
         let mut server = None;
         until("a node or the origin is asked, or it is refused", || {
             let servers = self.nodes.iter().chain([&self.origin]).enumerate();
-            let came = |(n, server): (usize, &Server)| Some((n, server.taken.try_recv().ok()?));
+            let came = |(n, server): (usize, &Server)| Some((n, server.accepted.try_recv().ok()?));
             server = servers.filter_map(came).next();
             server.is_some() || has_bytes(client)
         });
@@ -127,10 +127,10 @@
 fn requests_watches_and_bans_outlast_a_step() {
     each_step(|by| {
         let mut s = Site::new();
-        let door = s.proxy.door();
+        let door = s.proxy.admin_addr();
         let mut watch = s.discovery.take();
         watch.request();
-        assert_eq!(about(door, "/api/exclude", "c2"), 200);
+        assert_eq!(call_for_node(door, "/api/exclude", "c2"), 200);
         let (mut answered, mut silent) = (s.proxy.client(), s.proxy.client());
         answered.ask("read", "X-Time-Left: 20\r\n");
         let mut node = s.nodes[0].take();
@@ -155,13 +155,13 @@
             &list(42, false, &[member("c1", s.nodes[0].addr, "std", "draining")]).to_string(),
         );
         watch.request();
-        assert!(s.discovery.none_came());
+        assert!(s.discovery.no_new_connection());
         answered.ask("read", "X-Time-Left: 5\r\n");
         assert_eq!(answered.answer().status(), 503, "{by} s");
-        assert!(s.nodes[1].none_came());
-        assert_eq!(about(door, "/api/include", "c2"), 200);
+        assert!(s.nodes[1].no_new_connection());
+        assert_eq!(call_for_node(door, "/api/include", "c2"), 200);
         // The silent request was sent on to the origin when it was late.
-        s.origin.taken.try_iter().for_each(drop);
+        s.origin.accepted.try_iter().for_each(drop);
         // A key whose home is the other node goes to the origin meanwhile; others have theirs here.
         let mut key = 0;
         until("the node is in use again", || {
@@ -193,7 +193,7 @@
 fn a_drains_grace_is_as_long_as_ever() {
     each_step(|by| {
         let mut s = Site::new();
-        let door = s.proxy.door();
+        let door = s.proxy.admin_addr();
         let (mut idle, mut busy) = (s.proxy.client(), s.proxy.client());
         for client in [&mut idle, &mut busy] {
             client.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -204,7 +204,7 @@
         s.step(by);
         assert!(idle.stays_open(Duration::from_millis(250).saturating_sub(called.elapsed())), "{by} s");
         busy.ask("read", "X-Time-Left: 5\r\n");
-        let (_, mut node) = take_any(&s.nodes);
+        let (_, mut node) = accept_any(&s.nodes);
         node.request();
         node.reply("200 OK", "X-Lookup: hit\r\n", "value");
         assert_eq!(busy.answer().body, b"value", "{by} s");
@@ -224,7 +224,7 @@
         let mut s = Site::new();
         let mut client = s.proxy.client();
         client.ask("read", "X-Time-Left: 5\r\n");
-        let (_, mut node) = take_any(&s.nodes);
+        let (_, mut node) = accept_any(&s.nodes);
         node.request();
         s.proxy.signal("-TERM");
         s.proxy.logged("draining");
@@ -252,16 +252,16 @@
     drop((proxy, call));
     let (mut proxy, clock) = start(&nodes, &origin, &old, &folder, by, true, KEEP);
     let used = by.abs() < 60;
-    assert_eq!(proxy.began_with("begun with version 51"), used, "{by} s: {:?}", proxy.early);
+    assert_eq!(proxy.logged_at_startup("begun with version 51"), used, "{by} s: {:?}", proxy.startup_log);
     let why = if by > 0 { "s old" } else { "ahead of this machine's clock" };
     assert!(
-        used || proxy.began_with("the kept list is not used") && proxy.began_with(why),
+        used || proxy.logged_at_startup("the kept list is not used") && proxy.logged_at_startup(why),
         "{:?}",
-        proxy.early
+        proxy.startup_log
     );
-    let door = proxy.door();
-    let age = || version_at(door)["list"]["age_s"].as_f64();
-    assert_eq!(version_at(door)["list"]["from"], if used { "disk" } else { "platform" });
+    let door = proxy.admin_addr();
+    let age = || get_version(door)["list"]["age_s"].as_f64();
+    assert_eq!(get_version(door)["list"]["from"], if used { "disk" } else { "platform" });
     // A step after the start makes what is held neither older nor younger.
     if used {
         clock.change(&stepped(by + 3600)).expect("written");
@@ -275,7 +275,7 @@
     let mut call = old.take();
     call.request();
     call.reply("200 OK", "", &list(52, true, &[member("c1", nodes[0].addr, "std", "ready")]).to_string());
-    until("the service has told it", || version_at(door)["list"]["from"] == "service");
+    until("the service has told it", || get_version(door)["list"]["from"] == "service");
     let mut client = proxy.client();
     client.ask("read", "X-Time-Left: 20\r\n");
     let mut node = nodes[0].take();
--- a/crates/proxy/tests/watches.rs
+++ b/crates/proxy/tests/watches.rs
@@ -39,7 +39,7 @@
     let mut client = r.proxy.client();
     client.ask("read", "");
     assert_eq!(client.answer().status(), 503);
-    assert!(r.cache.none_came());
+    assert!(r.cache.no_new_connection());
 }
 
 #[test]
