--- a/crates/proxy/src/admin/call.rs
+++ b/crates/proxy/src/admin/call.rs
@@ -1,30 +1,30 @@
-//! The calls of operators, and parsing them from HTTP.
+//! Operators' calls, and their parser for HTTP requests.
 
 use super::reply::AdminReply;
 use serde::Deserialize;
 
-/// A call is at most this long, head and body, in bytes.
+/// Maximum length of a call, head and body together.
 pub(super) const MAX_CALL_BYTES: usize = 8 << 10;
 const MAX_HEADERS: usize = 64;
 
 /// A call of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Asks whether this process can serve.
+    /// Returns whether this process can serve.
     Ready,
-    /// Excludes this cache node from all requests.
+    /// Bans the cache node with this id: it gets no requests.
     Exclude(String),
-    /// Includes this cache node again.
+    /// Lifts the ban of the cache node with this id.
     Include(String),
-    /// Begins to drain: clients are to go elsewhere.
+    /// Starts the drain: health checks fail, so that clients move to other proxies.
     Evacuate,
     /// Ends the drain.
     Rejoin,
-    /// Asks which program and which configuration this is.
+    /// Returns the versions of the program and of its configuration.
     Version,
 }
 
-/// Parses the bytes received so far, once they are a complete call or can never be one.
+/// Parses a call. Returns `None` as long as more bytes are needed to complete or reject it.
 pub(super) fn parse(received: &[u8]) -> Option<Result<Call, AdminReply>> {
     if received.len() > MAX_CALL_BYTES {
         return Some(Err(AdminReply::BadCall("the call is too long")));
@@ -60,20 +60,20 @@
     })
 }
 
-/// The body, once it is complete or can never be.
+/// Returns the body, or `None` as long as more bytes are needed to complete or reject it.
 fn body(headers: &[httparse::Header<'_>], received: &[u8]) -> Option<Result<Vec<u8>, AdminReply>> {
-    let named = |name: &'static str| {
+    let values = |name: &'static str| {
         headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
     };
-    let mut lengths = named("content-length");
-    let (length, coding) = (lengths.next(), named("transfer-encoding").next());
+    let mut lengths = values("content-length");
+    let (length, coding) = (lengths.next(), values("transfer-encoding").next());
     if lengths.next().is_some() || length.is_some() && coding.is_some() {
-        return Some(Err(AdminReply::BadCall("the length is told twice")));
+        return Some(Err(AdminReply::BadCall("the length is given more than once")));
     }
     if let Some(coding) = coding {
         return match coding.eq_ignore_ascii_case(b"chunked") {
             true => decode_chunks(received),
-            false => Some(Err(AdminReply::BadCall("the body has an unknown coding"))),
+            false => Some(Err(AdminReply::BadCall("the transfer coding is not supported"))),
         };
     }
     let digits = |v: &&[u8]| !v.is_empty() && v.iter().all(u8::is_ascii_digit);
@@ -82,21 +82,21 @@
         Some(v) => Some(v).filter(digits).and_then(|v| std::str::from_utf8(v).ok()?.parse::<usize>().ok()),
     };
     match length {
-        None => Some(Err(AdminReply::BadCall("the length is no number"))),
+        None => Some(Err(AdminReply::BadCall("Content-Length is not a number"))),
         Some(length) if length > MAX_CALL_BYTES => Some(Err(AdminReply::BadCall("the call is too long"))),
         Some(length) => received.get(..length).map(|body| Ok(body.to_vec())),
     }
 }
 
-/// The body that came in chunks, once its last one is there.
+/// Decodes a chunked body. Returns `None` as long as chunks are missing.
 fn decode_chunks(mut received: &[u8]) -> Option<Result<Vec<u8>, AdminReply>> {
-    const BROKEN: AdminReply = AdminReply::BadCall("the chunks are malformed");
+    const MALFORMED: AdminReply = AdminReply::BadCall("the chunks are malformed");
     let mut body = Vec::new();
     loop {
         let (from, size) = match httparse::parse_chunk_size(received) {
             Ok(httparse::Status::Complete(found)) => found,
             Ok(httparse::Status::Partial) => return None,
-            Err(_) => return Some(Err(BROKEN)),
+            Err(_) => return Some(Err(MALFORMED)),
         };
         if size == 0 {
             return Some(Ok(body));
@@ -106,7 +106,7 @@
         };
         body.extend_from_slice(received.get(from..to)?);
         if received.get(to..to + 2)? != b"\r\n" {
-            return Some(Err(BROKEN));
+            return Some(Err(MALFORMED));
         }
         received = &received[to + 2..];
     }
@@ -114,11 +114,12 @@
 
 fn id(body: &[u8]) -> Result<String, AdminReply> {
     #[derive(Deserialize)]
-    struct Named {
+    struct NodeId {
         id: String,
     }
-    let named: Result<Named, _> = serde_json::from_slice(body);
-    named.map(|n| n.id).map_err(|_| AdminReply::BadCall("the body is not {id: text} in JSON"))
+    let node: Result<NodeId, _> = serde_json::from_slice(body);
+    node.map(|node| node.id)
+        .map_err(|_| AdminReply::BadCall("the body is not a JSON object with a string `id`"))
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/admin/call/tests.rs
+++ b/crates/proxy/src/admin/call/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn whole_calls_are_read_however_they_are_framed() {
+fn complete_calls_are_parsed_with_any_framing() {
     let chunked = "POST /api/include HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
                    5\r\n{\"id\"\r\n5;x=1\r\n:\"a\"}\r\n0\r\n\r\n";
     let cases = [
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_told_so() {
+fn malformed_calls_are_rejected_with_the_matching_status() {
     let long = format!("GET /api/ready HTTP/1.1\r\nX: {}\r\n", "x".repeat(MAX_CALL_BYTES));
     let head = "POST /api/exclude HTTP/1.1\r\n";
     let cases = [
@@ -47,7 +47,7 @@
         ("GET /api/exclude HTTP/1.1\r\n\r\n".to_owned(), "MethodNotAllowed"),
     ];
     for (text, kind) in cases {
-        let found = parse(text.as_bytes()).expect("decided").expect_err("no call");
+        let found = parse(text.as_bytes()).expect("decided").expect_err("rejected");
         assert!(format!("{found:?}").starts_with(kind), "{found:?}: {text:.80}");
     }
 }
--- a/crates/proxy/src/admin/reply.rs
+++ b/crates/proxy/src/admin/reply.rs
@@ -1,24 +1,24 @@
-//! The replies to operators' calls, and writing them in HTTP.
+//! Replies to operators' calls, and their form as HTTP responses.
 
 /// The reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminReply {
-    /// The call was carried out.
+    /// The call was executed.
     Done,
-    /// The answer is this JSON.
+    /// The call was executed; this is its result as JSON.
     Json(String),
-    /// The call can't be read, or is too long.
+    /// The call is malformed or too long.
     BadCall(&'static str),
-    /// There is no such path, or no such cache node.
+    /// The path or the cache node does not exist.
     NotFound(&'static str),
-    /// The path takes this method alone.
+    /// The path accepts only this method.
     MethodNotAllowed(&'static str),
-    /// The call can't be carried out now.
+    /// The call can't be executed now.
     Unavailable(&'static str),
 }
 
 impl AdminReply {
-    /// The reply as an HTTP response.
+    /// Encodes the reply as an HTTP response.
     pub(super) fn to_http(&self) -> String {
         let body = self.body();
         let (status, length) = (self.status(), body.len());
@@ -46,12 +46,12 @@
         let reason = match self {
             AdminReply::Done => return "{\"ok\":true}\n".to_owned(),
             AdminReply::Json(json) => return format!("{json}\n"),
-            AdminReply::MethodNotAllowed(_) => "the path takes another method",
+            AdminReply::MethodNotAllowed(_) => "the path does not accept this method",
             AdminReply::BadCall(reason) | AdminReply::NotFound(reason) | AdminReply::Unavailable(reason) => {
                 reason
             }
         };
-        // The reasons are texts of this program, without anything that JSON would have to escape.
+        // The reasons are fixed texts without characters that JSON would have to escape.
         format!("{{\"ok\":false,\"why\":\"{reason}\"}}\n")
     }
 }
--- a/crates/proxy/src/cli/configuration.rs
+++ b/crates/proxy/src/cli/configuration.rs
@@ -1,4 +1,4 @@
-//! `aniseyoke config ...`.
+//! The `aniseyoke config` commands: check, show, explain and compare operator's files.
 
 use super::{lines, Shape};
 use crate::operator::{read, read_layer};
@@ -9,32 +9,33 @@
 
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Tell all that is wrong with operator's files; 1 is returned if anything is.
+    /// Check operator's files and print all errors; the exit status is 1 if there are any.
     Check {
-        /// The files, each by itself.
+        /// The files, each of which is checked separately.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Print what is in force with a file and this environment, and which layer says so.
+    /// Print the settings in force with a file and this environment, and the layer that sets each.
     Show {
-        /// The file.
+        /// The operator's file.
         #[arg(long, value_name = "FILE", env = crate::operator::FILE_VARIABLE)]
         file: Option<PathBuf>,
-        /// The form.
+        /// The output format.
         #[arg(long, value_enum, default_value_t = Shape::Text)]
         shape: Shape,
     },
-    /// Tell what a key means: type, unit, default, range, since when, and what a change takes.
+    /// Explain a key: its meaning, type, unit, default and range, the version that added it, and how a change
+    /// is applied.
     Explain {
-        /// A key such as `log.level`, or a part such as `limits.node`; without it all keys.
+        /// A key such as `log.level`, or a section such as `limits.node`; all keys by default.
         #[arg(default_value = "")]
         key: String,
     },
-    /// Tell which keys differ between two files, and what each change takes.
+    /// Print the keys that differ between two files, and how each change is applied.
     Diff {
-        /// The file before.
+        /// The old file.
         before: PathBuf,
-        /// The file after.
+        /// The new file.
         after: PathBuf,
     },
     /// Print the JSON Schema of the operator's file.
@@ -50,15 +51,15 @@
         }
         Command::Explain { key } => explain::explain(key).map_err(|e| vec![e.to_string()]),
         Command::Diff { before, after } => {
-            let (before, after) = (alone(before), alone(after));
-            let faults = [&before, &after].into_iter().filter_map(|r| r.as_ref().err()).flatten().cloned();
-            let faults: Vec<ConfigError> = faults.collect();
+            let (before, after) = (resolve_file(before), resolve_file(after));
+            let errors = [&before, &after].into_iter().filter_map(|r| r.as_ref().err()).flatten().cloned();
+            let errors: Vec<ConfigError> = errors.collect();
             match (before, after) {
                 (Ok(before), Ok(after)) => {
                     let changes = diff::diff(&before.operator, &after.operator);
                     Ok(changes.iter().map(|change| format!("{change}\n")).collect())
                 }
-                _ => Err(lines(faults)),
+                _ => Err(lines(errors)),
             }
         }
         Command::Schema => serde_json::to_string_pretty(schema::schema())
@@ -67,26 +68,26 @@
     }
 }
 
-/// What a file says without any environment.
-fn alone(file: &Path) -> Result<Resolved, Vec<ConfigError>> {
-    resolve([read_layer(file).map_err(|fault| vec![fault])?])
+/// Resolves a file alone, without the environment.
+fn resolve_file(file: &Path) -> Result<Resolved, Vec<ConfigError>> {
+    resolve([read_layer(file).map_err(|error| vec![error])?])
 }
 
 fn check(files: &[PathBuf]) -> Result<String, Vec<String>> {
-    let (mut sound, mut faults) = (String::new(), Vec::new());
+    let (mut report, mut errors) = (String::new(), Vec::new());
     for file in files {
-        match alone(file) {
+        match resolve_file(file) {
             Ok(resolved) => {
-                // Writing to a text can't fail.
-                let _ = writeln!(sound, "{}: sound, digest {}", file.display(), resolved.digest());
+                // Writing to a string can't fail.
+                let _ = writeln!(report, "{}: sound, digest {}", file.display(), resolved.digest());
             }
-            Err(found) => faults.extend(lines(found)),
+            Err(found) => errors.extend(lines(found)),
         }
     }
-    if faults.is_empty() {
-        Ok(sound)
+    if errors.is_empty() {
+        Ok(report)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
@@ -94,11 +95,11 @@
     if shape == Shape::Json {
         return Ok(serde_json::to_string_pretty(&resolved.operator)? + "\n");
     }
-    let nothing = aniseyoke_config::Operator::default();
+    let defaults = aniseyoke_config::Operator::default();
     let mut text = format!("digest {}\n", resolved.digest());
-    for change in diff::diff(&nothing, &resolved.operator) {
+    for change in diff::diff(&defaults, &resolved.operator) {
         let value = change.after.map_or("-".into(), |value| value.to_string());
-        // Writing to a text can't fail.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "{} = {value}  # {}", change.key, resolved.origin(&change.key));
     }
     Ok(text)
--- a/crates/proxy/src/cli/ctl.rs
+++ b/crates/proxy/src/cli/ctl.rs
@@ -1,4 +1,4 @@
-//! `aniseyoke ctl ...`: one call at a running proxy's admin endpoint.
+//! The `aniseyoke ctl` commands: one call to a running proxy's admin endpoint.
 
 use aniseyoke_sockets::{connect, ConnectError, Uninterrupted};
 use http_body_util::{BodyExt, Full, Limited};
@@ -9,15 +9,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// An answer is shorter than this, in bytes.
+/// Maximum length of an answer's body.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 #[derive(clap::Args)]
 pub struct Ctl {
-    /// The door's address.
+    /// Address of the proxy's admin endpoint.
     #[arg(long, value_name = "ADDRESS", env = "PROXY_MGMT")]
     door: SocketAddr,
-    /// How long to wait for its answer.
+    /// Time limit for the call.
     #[arg(long, value_name = "TIME", default_value = "5s", value_parser = humantime::parse_duration)]
     within: Duration,
     #[command(subcommand)]
@@ -26,28 +26,28 @@
 
 #[derive(clap::Subcommand, Clone)]
 pub enum Call {
-    /// Does it serve?
+    /// Check whether the proxy can serve.
     Ready,
-    /// Leave a cache node alone.
+    /// Ban a cache node, so that it gets no requests.
     Exclude {
-        /// The node's id in discovery.
+        /// The node's id in the discovery service.
         id: String,
     },
-    /// Give a cache node back.
+    /// Lift the ban of a cache node.
     Include {
-        /// The node's id in discovery.
+        /// The node's id in the discovery service.
         id: String,
     },
-    /// Send clients elsewhere.
+    /// Start draining: fail health checks, so that clients move to other proxies.
     Evacuate,
-    /// Let clients come again.
+    /// End draining, so that clients come back.
     Rejoin,
-    /// Which program and which configuration runs there?
+    /// Print the versions of the running program and its configuration.
     Version,
 }
 
 impl Call {
-    fn request(&self, door: SocketAddr) -> Request<Full<Bytes>> {
+    fn request(&self, addr: SocketAddr) -> Request<Full<Bytes>> {
         let (method, path, id) = match self {
             Call::Ready => (Method::GET, "/api/ready", None),
             Call::Version => (Method::GET, "/api/version", None),
@@ -60,55 +60,55 @@
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
         *request.uri_mut() = hyper::Uri::from_static(path);
-        let host = hyper::header::HeaderValue::from_str(&door.to_string());
+        let host = hyper::header::HeaderValue::from_str(&addr.to_string());
         request.headers_mut().extend(host.ok().map(|host| (hyper::header::HOST, host)));
         request
     }
 }
 
-/// Why a call was not carried out.
+/// Why a call failed.
 #[derive(Debug, Error)]
 enum CtlError {
     /// The runtime could not be built.
     #[error("{0}")]
     Runtime(#[source] std::io::Error),
-    /// No connection to the admin endpoint.
-    #[error("the door at {door}: {source}")]
+    /// The connection to the admin endpoint could not be opened.
+    #[error("admin endpoint at {addr}: {source}")]
     Connect {
-        /// The admin endpoint.
-        door: SocketAddr,
-        /// Why there is none.
+        /// Address of the admin endpoint.
+        addr: SocketAddr,
+        /// Cause.
         source: ConnectError,
     },
-    /// The exchange with the admin endpoint broke.
-    #[error("the door at {door}: {source}")]
+    /// The HTTP exchange with the admin endpoint failed.
+    #[error("admin endpoint at {addr}: {source}")]
     Exchange {
-        /// The admin endpoint.
-        door: SocketAddr,
-        /// Where it broke.
+        /// Address of the admin endpoint.
+        addr: SocketAddr,
+        /// Cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// There was no answer in time.
-    #[error("the door at {door} gave no answer within {within:?}")]
+    /// The call timed out.
+    #[error("admin endpoint at {addr}: no answer within {within:?}")]
     TimedOut {
-        /// The admin endpoint.
-        door: SocketAddr,
-        /// How long it was waited for.
+        /// Address of the admin endpoint.
+        addr: SocketAddr,
+        /// Time limit of the call.
         within: Duration,
     },
-    /// The admin endpoint did not do it.
-    #[error("the door at {door} says {}: {reason}", .status.as_u16())]
+    /// The admin endpoint rejected the call.
+    #[error("admin endpoint at {addr} says {}: {reason}", .status.as_u16())]
     Rejected {
-        /// The admin endpoint.
-        door: SocketAddr,
-        /// The status of its answer.
+        /// Address of the admin endpoint.
+        addr: SocketAddr,
+        /// Status of the answer.
         status: StatusCode,
-        /// The text of its answer.
+        /// Body of the answer.
         reason: String,
     },
 }
 
-/// Makes the call; returns the answer, or what went wrong.
+/// Makes the call and returns the answer, or the error as lines of text.
 pub fn run(ctl: &Ctl) -> Result<String, Vec<String>> {
     answer(ctl).map_err(|error| vec![error.to_string()])
 }
@@ -116,29 +116,29 @@
 fn answer(ctl: &Ctl) -> Result<String, CtlError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(CtlError::Runtime)?;
-    let (door, within) = (ctl.door, ctl.within);
+    let (addr, within) = (ctl.door, ctl.within);
     let (status, body) = runtime.block_on(async {
-        let answered = tokio::time::timeout(within, call(door, &ctl.call)).await;
-        answered.unwrap_or(Err(CtlError::TimedOut { door, within }))
+        let answered = tokio::time::timeout(within, call(addr, &ctl.call)).await;
+        answered.unwrap_or(Err(CtlError::TimedOut { addr, within }))
     })?;
     if status.is_success() {
         Ok(body)
     } else {
-        Err(CtlError::Rejected { door, status, reason: body.trim().to_owned() })
+        Err(CtlError::Rejected { addr, status, reason: body.trim().to_owned() })
     }
 }
 
-async fn call(door: SocketAddr, call: &Call) -> Result<(StatusCode, String), CtlError> {
-    let failed = |source: hyper::Error| CtlError::Exchange { door, source: source.into() };
-    let stream = connect(door, || ()).await.map_err(|source| CtlError::Connect { door, source })?;
+async fn call(addr: SocketAddr, call: &Call) -> Result<(StatusCode, String), CtlError> {
+    let failed = |source: hyper::Error| CtlError::Exchange { addr, source: source.into() };
+    let stream = connect(addr, || ()).await.map_err(|source| CtlError::Connect { addr, source })?;
     let io = TokioIo::new(Uninterrupted(stream));
     let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.map_err(failed)?;
-    // It ends by itself with the answer; what went wrong with it is reported by the exchange.
+    // The task ends by itself after the answer; its errors are reported by the exchange.
     let driver = tokio::spawn(connection);
-    let answer = sender.send_request(call.request(door)).await.map_err(failed)?;
+    let answer = sender.send_request(call.request(addr)).await.map_err(failed)?;
     let status = answer.status();
     let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await;
-    let body = body.map_err(|source| CtlError::Exchange { door, source })?;
+    let body = body.map_err(|source| CtlError::Exchange { addr, source })?;
     driver.abort();
     Ok((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
 }
--- a/crates/proxy/src/cli/tests.rs
+++ b/crates/proxy/src/cli/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_definitions_are_sound_and_every_command_and_option_is_explained() {
+fn command_definitions_are_valid_and_every_command_and_option_has_a_help_text() {
     fn check(command: &clap::Command) {
         assert!(command.get_about().is_some(), "{} is not explained", command.get_name());
         for arg in command.get_arguments().filter(|a| !["help", "version"].contains(&a.get_id().as_str())) {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_bare_start_serves() {
+fn without_a_command_the_proxy_serves() {
     assert!(Cli::try_parse_from(["aniseyoke"]).expect("bare").command.is_none());
     let cli = Cli::try_parse_from(["aniseyoke", "serve", "--file", "f"]).expect("serve");
     assert!(matches!(cli.command, Some(Command::Serve(Serve { file: Some(_) }))));
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration of a proxy: the `PROXY_*` variables and the JSON file that they name.
+//! The platform's configuration of a proxy: the `PROXY_*` environment variables and the JSON file that they
+//! name.
 
 mod endpoints;
 mod error;
@@ -11,9 +12,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The variable that names the file.
-const FILE: &str = "PROXY_CONFIG";
-/// The variables that stand in place of the file's addresses.
+/// Environment variable with the path of the file.
+const FILE_VARIABLE: &str = "PROXY_CONFIG";
+/// Environment variables that override the file's addresses.
 const LISTEN: &str = "PROXY_LISTEN";
 const DISCOVERY: &str = "PROXY_DISCOVERY";
 const MGMT: &str = "PROXY_MGMT";
@@ -21,31 +22,32 @@
 /// The configuration of one proxy.
 #[derive(Clone)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address of the listener for clients.
     pub listen: SocketAddr,
-    /// The discovery service.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The admin endpoint; none: there is none.
+    /// Address of the admin endpoint, if there is one.
     pub mgmt: Option<SocketAddr>,
-    /// Seeds the decision module's random choices.
+    /// Seed of the decision module's random choices.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Most file descriptors that the process may use.
     pub sockets: usize,
-    /// Memory that the process may hold, in bytes.
+    /// Most memory that the process may use, in bytes.
     pub memory: usize,
-    /// How long a connection to a cache node may take to come up.
+    /// Timeout for connecting to a cache node.
     pub connect_timeout: Duration,
     /// The decision module's settings.
     pub settings: Settings,
-    /// The platform pushes its lists: what its agent has counts as notified, whether or not it was polled.
+    /// Whether the platform pushes its lists: changes count as notified, whether or not they have been
+    /// polled.
     pub lists_pushed: bool,
-    /// The names of what the decision module knows by number.
+    /// Names of classes, tenants, zones and kinds, which the decision module knows by number.
     pub names: Names,
-    /// The endpoint list that the platform knows at the start.
+    /// Endpoint list that is known at the start, if any.
     pub initial_list: Option<EndpointList>,
 }
 
-/// The names that stand on the sockets for what the decision module knows by number.
+/// Names of classes, tenants, zones and kinds; the decision module uses their indices.
 #[derive(Clone, Default)]
 pub struct Names {
     /// Classes of requests.
@@ -59,24 +61,25 @@
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the environment variables and the file that they name.
     ///
     /// # Errors
-    /// What can't be read or used, with its variable or field.
+    /// If a variable, the file or a field can't be read or is invalid; the error names it.
     pub fn from_env() -> Result<Self, PlatformError> {
         Self::read(|name| std::env::var(name).ok())
     }
 
-    /// Reads the file again; what it says of discovery now counts for more than the environment.
+    /// Reads the file again. Its address of the discovery service now takes precedence over the
+    /// environment's.
     ///
     /// # Errors
-    /// What can't be read or used, with its variable or field.
+    /// If a variable, the file or a field can't be read or is invalid; the error names it.
     pub fn reload() -> Result<Self, PlatformError> {
         Self::read(|name| std::env::var(name).ok().filter(|_| name != DISCOVERY))
     }
 
     fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, PlatformError> {
-        let path = std::env::var(FILE).map_err(|_| PlatformError::NotSet)?;
+        let path = std::env::var(FILE_VARIABLE).map_err(|_| PlatformError::NotSet)?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(source) => return Err(PlatformError::Unreadable { path, source }),
--- a/crates/proxy/src/config/endpoints.rs
+++ b/crates/proxy/src/config/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the discovery service's form, and its translation to the decision module's.
+//! The endpoint list in the discovery service's format, and its conversion to the decision module's entries.
 
 use super::Names;
 use aniseyoke_decision::api::{server_id, Entry, Nanos, State};
@@ -6,21 +6,21 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The state of a cache node that has left the list.
+/// State of a cache node that has been removed from the list.
 const GONE: &str = "gone";
 
-/// A list of cache nodes, or changes of it.
+/// The list of cache nodes, or changes to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// The version of the list with this.
+    /// Version of the list that includes these changes.
     pub version: u64,
-    /// Whether this is the full list: what it does not name is gone.
+    /// Whether this is the full list: nodes that it does not contain are gone.
     pub full: bool,
-    /// The nodes.
+    /// The nodes, or those that changed.
     pub servers: Vec<Endpoint>,
 }
 
-/// A cache node.
+/// A cache node as listed by the discovery service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
     id: String,
@@ -40,19 +40,19 @@
 }
 
 impl Endpoint {
-    /// The node's id.
+    /// Returns the node's id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Whether it has left the list.
+    /// Whether the node has been removed from the list.
     pub fn gone(&self) -> bool {
         self.state == GONE
     }
 }
 
 impl Names {
-    /// A list in the decision module's form, with the addresses of its nodes.
+    /// Converts a list to the decision module's entries, with the nodes' addresses where they are valid.
     pub fn entries(&self, list: &EndpointList) -> Vec<(Entry, Option<SocketAddr>)> {
         list.servers.iter().map(|endpoint| self.entry(endpoint)).collect()
     }
@@ -66,7 +66,7 @@
             state: match endpoint.state.as_str() {
                 "ready" => State::Ready,
                 GONE => State::Gone,
-                // A state that is new here gets nothing new.
+                // A node in an unknown state gets no new requests.
                 _ => State::Draining,
             },
             weight: endpoint.weight.unwrap_or(1.0),
@@ -76,7 +76,7 @@
     }
 }
 
-/// The number of a name; one that the settings do not list is none of those that they do.
+/// Returns the index of a name in the settings. Unknown names share one number after the known ones.
 fn number(names: &[String], name: &Value) -> u32 {
     let known = name.as_str().and_then(|name| names.iter().position(|n| n == name));
     known.unwrap_or(names.len()) as u32
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,11 +1,11 @@
-//! What can be wrong with the platform's variables and file.
+//! Errors of the platform's environment variables and file.
 
 use aniseyoke_settings::SettingsError;
 use serde_json::Value;
 use std::io;
 use thiserror::Error;
 
-/// Why the platform's configuration can't be read. Each text names the variable.
+/// Errors reading the platform's configuration. Each message names the variable.
 #[derive(Debug, Error)]
 pub enum PlatformError {
     /// The variable that names the file is not set.
@@ -14,67 +14,67 @@
     /// The file can't be read.
     #[error("PROXY_CONFIG: {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Cause.
         source: io::Error,
     },
-    /// The file or a variable says something that can't be used.
+    /// The file or a variable has an invalid value.
     #[error("PROXY_CONFIG: {path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// Cause.
         source: ParseError,
     },
 }
 
-/// What is wrong in the platform's file or its variables. Each text names the field or the variable.
+/// Errors in the platform's file or variables. Each message names the field or the variable.
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A field must be a value of some kind.
+    /// A field has a value of the wrong type.
     #[error("{field} is not {expected}: {value}")]
     WrongKind {
         /// The field.
         field: String,
-        /// The kind.
+        /// Expected type.
         expected: &'static str,
-        /// What stands there.
+        /// Actual value.
         value: Value,
     },
-    /// An address is not written as one.
+    /// An address is malformed.
     #[error("{variable} ({field}) is not an address: {text:?}")]
     BadAddress {
-        /// The variable that may set it.
+        /// Variable that can set the address.
         variable: &'static str,
-        /// The field that may set it.
+        /// Field that can set the address.
         field: &'static str,
-        /// What stands there.
+        /// Actual value.
         text: String,
     },
-    /// An address is set nowhere.
+    /// Neither the variable nor the field sets an address.
     #[error("{field} is missing, and {variable} is not set")]
     NoAddress {
-        /// The variable that may set it.
+        /// Variable that can set the address.
         variable: &'static str,
-        /// The field that may set it.
+        /// Field that can set the address.
         field: &'static str,
     },
-    /// A field is missing, or as good as missing.
+    /// A field is missing, or has a value that is treated as missing.
     #[error("{field} is missing{}", .or.map_or_else(String::new, |or| format!(" or {or}")))]
     Missing {
         /// The field.
         field: String,
-        /// What counts as missing as well.
+        /// Value that is treated as missing, in words.
         or: Option<&'static str>,
     },
-    /// The decision module's settings can't be used.
+    /// The decision module's settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The list that is known at the start is no endpoint list.
+    /// The initial endpoint list is invalid.
     #[error("known: {0}")]
     Known(#[source] serde_json::Error),
     /// The seed is not hexadecimal.
--- a/crates/proxy/src/config/parse.rs
+++ b/crates/proxy/src/config/parse.rs
@@ -1,4 +1,5 @@
-//! Parses the platform's file and variables, and tells the settings in the form of the simulator's wire.
+//! Parses the platform's file and variables, and flattens its settings to the format of the simulator's
+//! protocol.
 
 use super::{Config, EndpointList, Names, ParseError, DISCOVERY, LISTEN, MGMT};
 use aniseyoke_decision::api::Settings;
@@ -7,18 +8,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sockets that a proxy may hold where nothing is said.
+/// Default limit of sockets.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Megabytes that it may hold where nothing is said.
+/// Default memory limit.
 const DEFAULT_MEMORY_MB: usize = 64;
-/// How long a connection to a node may take to come up where nothing is said.
+/// Default timeout for connecting to a node.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Config {
-    /// Parses the text of the platform's file; `variable` looks up what stands in place of its addresses.
+    /// Parses the text of the platform's file; `variable` looks up environment variables, which override its
+    /// addresses.
     ///
     /// # Errors
-    /// What can't be used, with its variable or field.
+    /// If a variable or field is invalid; the error names it.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ParseError> {
         let root: Value = serde_json::from_str(text).map_err(ParseError::NotJson)?;
         let optional = |name, field| address(&root, variable(name), name, field);
@@ -29,8 +31,8 @@
         let object = root.get("settings").filter(|settings| settings.is_object());
         let object = object.ok_or_else(|| ParseError::missing("settings"))?;
         let mut settings = settings(object)?;
-        // Lists that are pushed come unasked on the simulator's wire alone. On sockets a proxy without an open watch hears of no
-        // change, which counts as notified all the same.
+        // Only the simulator's protocol delivers pushed lists without a request. On sockets a proxy without
+        // an open watch receives no changes, although they count as notified, so it always subscribes.
         let lists_pushed = !std::mem::replace(&mut settings.subscribes, true);
         let names = names(object)?;
         check_classes(&settings, &names)?;
@@ -50,14 +52,14 @@
     }
 }
 
-/// An address, from its variable or else its field; none: neither is set.
+/// Returns the address from its variable, or else from its field; `None` if neither is set.
 fn address(
     root: &Value,
-    set: Option<String>,
+    variable_value: Option<String>,
     variable: &'static str,
     field: &'static str,
 ) -> Result<Option<SocketAddr>, ParseError> {
-    let text = match (set, &root[field]) {
+    let text = match (variable_value, &root[field]) {
         (Some(text), _) => text,
         (None, Value::Null) => return Ok(None),
         (None, Value::String(text)) => text.clone(),
@@ -95,7 +97,7 @@
     }
 }
 
-/// The endpoint list that the platform knows at the start.
+/// Parses the endpoint list that is known at the start, if any.
 fn initial_list(root: &Value) -> Result<Option<EndpointList>, ParseError> {
     let known = root.get("known").filter(|known| !known.is_null());
     known.map(|known| EndpointList::deserialize(known).map_err(ParseError::Known)).transpose()
@@ -131,13 +133,13 @@
     }
 }
 
-/// A number without a fraction, however it is written.
+/// Returns the value as an integer, also if it is written with an exponent or a zero fraction.
 fn integer(value: &Value) -> Option<u64> {
     let float = || value.as_f64().filter(|f| f.fract() == 0.0 && (0.0..9e15).contains(f)).map(|f| f as u64);
     value.as_u64().or_else(float)
 }
 
-/// The names in a list of texts or of objects that have one.
+/// Returns the names in a list of strings, or of objects with a `name`.
 fn names_in(settings: &Value, field: &str) -> Result<Vec<String>, ParseError> {
     let Some(list) = settings.get(field) else { return Ok(Vec::new()) };
     let not_a_list = || ParseError::NotAList { field: format!("settings.{field}") };
@@ -149,7 +151,8 @@
     list.iter().enumerate().map(name).collect()
 }
 
-/// Nested settings in the form of the simulator's wire, so that both programs read them alike.
+/// Flattens nested settings to the `path=value` pairs of the simulator's protocol, so that both programs
+/// parse them with the same code.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<String>) {
     let nested = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,4 +1,5 @@
-//! Carries the operators' calls out, each before its answer, and what they order at another process of this proxy.
+//! Executes operators' calls, each before its answer, and applies orders given to another process of this
+//! proxy.
 
 use super::admin::{AdminReply, Call};
 use super::discovery::ListStatus;
@@ -8,14 +9,14 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Carries out the calls at the admin endpoint.
+/// Handler of the calls to the admin endpoint.
 pub struct AdminHandler {
     engine: Rc<Engine>,
     drain: Rc<Drain>,
     store: OrderStore,
-    /// What a call for the version is answered, but for what changes.
+    /// The constant part of the answer to a call for the version, and the version in force.
     version_info: Rc<RefCell<serde_json::Value>>,
-    /// The status of the endpoint list, where the operator's file has a [list] section.
+    /// Status of the endpoint list, if the operator's file has a `[list]` section.
     list_status: Option<Rc<ListStatus>>,
     /// The orders in force.
     applied: RefCell<OperatorOrders>,
@@ -24,7 +25,7 @@
 }
 
 impl AdminHandler {
-    /// Begins with the orders that another process left.
+    /// Creates a handler, and applies the stored orders of earlier processes.
     pub fn new(
         engine: Rc<Engine>,
         drain: Rc<Drain>,
@@ -33,12 +34,12 @@
         list_status: Option<Rc<ListStatus>>,
     ) -> Rc<Self> {
         let (applied, serving) = (RefCell::default(), Cell::new(false));
-        let control = AdminHandler { engine, drain, store, version_info, list_status, applied, serving };
-        control.apply_stored_orders();
-        Rc::new(control)
+        let handler = AdminHandler { engine, drain, store, version_info, list_status, applied, serving };
+        handler.apply_stored_orders();
+        Rc::new(handler)
     }
 
-    /// Carries out what was ordered at another process.
+    /// Applies orders that were given to another process.
     pub fn apply_stored_orders(&self) {
         if self.store.refresh() {
             let orders = self.store.orders();
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Carries a call out, and returns the reply to it.
+    /// Executes a call and returns the reply.
     pub async fn handle_call(&self, call: Call) -> AdminReply {
         match call {
             Call::Ready if self.drain.is_shutting_down() => {
@@ -67,10 +68,11 @@
 
     fn version(&self) -> serde_json::Value {
         let mut version_info = self.version_info.borrow().clone();
-        if let (Some(aniseyoke_core::QueueStatus { waiting, rejected: turned }), Some(version_info)) =
+        if let (Some(aniseyoke_core::QueueStatus { waiting, rejected }), Some(version_info)) =
             (self.engine.queue_status(), version_info.as_object_mut())
         {
-            version_info.insert("limits".into(), serde_json::json!({ "waiting": waiting, "turned": turned }));
+            version_info
+                .insert("limits".into(), serde_json::json!({ "waiting": waiting, "turned": rejected }));
         }
         if let (Some(list_status), Some(version_info)) = (&self.list_status, version_info.as_object_mut()) {
             version_info.insert("list".into(), list_status.to_json());
@@ -78,14 +80,14 @@
         version_info
     }
 
-    async fn ban(&self, id: String, out: bool) -> AdminReply {
-        // What another process took out may have left the list before this one began.
+    async fn ban(&self, id: String, banned: bool) -> AdminReply {
+        // A node that another process banned may have left the list before this process started.
         self.apply_stored_orders();
         if !self.engine.was_listed(&id) {
             return AdminReply::NotFound("no such cache node was ever listed");
         }
         let change = |orders: &mut OperatorOrders| {
-            if out {
+            if banned {
                 orders.bans.insert(id);
             } else {
                 orders.bans.remove(&id);
@@ -96,10 +98,10 @@
 
     async fn order(&self, change: impl FnOnce(&mut OperatorOrders)) -> AdminReply {
         if let Err(e) = self.store.update(change).await {
-            tracing::error!("operators' order not kept: {e}");
-            // Where only the last step failed the file has it: what is in force is what the file says.
+            tracing::error!("operators' order could not be stored: {e}");
+            // If only the last step failed, the file has the new order, so it is read again and applied.
             self.apply_stored_orders();
-            return AdminReply::Unavailable("the order could not be kept: make the call again");
+            return AdminReply::Unavailable("the order could not be stored; make the call again");
         }
         self.apply_orders();
         AdminReply::Done
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,12 +1,12 @@
 //! Client of the discovery service, from which the proxy learns its endpoint list (the cache nodes).
 //!
-//! - `watcher` keeps a watch open and renews it after each answer, or polls in this proxy's own slots where the operator's
-//!   file limits polls;
-//! - `connection` is the HTTP connection on which one poll goes out after another;
-//! - `polling` holds the poll schedule and what follows each answer;
-//! - `kept` caches the list on disk over restarts;
-//! - `status` is what the admin endpoint shows of the list;
-//! - `error` tells why a poll brought no list.
+//! - `watcher` keeps a watch open and renews it after each answer, or polls in this proxy's own slots if the
+//!   operator's file limits polls;
+//! - `connection` is the HTTP connection that successive polls share;
+//! - `polling` holds the poll schedule, and updates the status and the cache after each poll;
+//! - `kept` caches the list on disk across restarts;
+//! - `status` is the state of the list that the admin endpoint shows;
+//! - `error` has the errors of a poll.
 
 mod connection;
 mod error;
--- a/crates/proxy/src/discovery/connection.rs
+++ b/crates/proxy/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! The HTTP connection to the discovery service, on which one poll goes out after another.
+//! The HTTP connection to the discovery service that successive polls share.
 
 use super::error::{ExchangeError, PollError};
 use crate::config::EndpointList;
@@ -15,27 +15,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a connection may take to come up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// One connection, and old ones that are just ending.
+/// Descriptors for the connection, and for earlier ones that are still closing.
 pub const DESCRIPTORS: usize = 4;
-/// A list is at most this long, in bytes; a thousand entries take a fifth of it.
+/// Maximum length of a list; a thousand entries take a fifth of it.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// A connection to the service.
+/// A connection to the discovery service.
 pub(super) struct Connection {
     sender: SendRequest<Body>,
     socket: Rc<Socket>,
 }
 
-/// A complete answer, and the connection, on which the next poll can go out.
+/// A complete answer, and its connection for the next poll.
 pub(super) struct Answer {
     pub(super) connection: Connection,
     pub(super) list: Result<EndpointList, PollError>,
 }
 
 impl Connection {
-    /// Opens a connection; `permit` is for its descriptor.
+    /// Opens a connection, which holds `permit` for its descriptor.
     pub(super) async fn open(addr: SocketAddr, permit: DescriptorPermit) -> Result<Self, ExchangeError> {
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(addr, || ())).await;
         let stream =
@@ -47,10 +47,11 @@
         Ok(Connection { sender, socket })
     }
 
-    /// Sends one poll and reads its answer. The connection comes back with a complete answer only.
+    /// Sends one poll and reads its answer. Returns the connection only with a complete answer.
     pub(super) async fn exchange(mut self, addr: SocketAddr, path: String) -> Result<Answer, ExchangeError> {
-        // Where a link falls silent, the kernel would go on sending a poll that was given up. Once the link is well those of
-        // all proxies would come to the service together, each beside the poll that took its place.
+        // If the network drops packets, the kernel would go on retransmitting a poll that was given up. Once
+        // the network recovers, these polls of all proxies would reach the service at once, in addition to
+        // those that replaced them.
         self.socket.reset_on_close(true);
         self.sender.ready().await.map_err(ExchangeError::ConnectionLost)?;
         let request = Request::get(path).header(HOST, addr.to_string()).body(Body::default())?;
@@ -71,7 +72,7 @@
     Ok(list)
 }
 
-/// The wait that an answer advises, in seconds with or without decimals; a date is ignored.
+/// Returns the delay of the `Retry-After` header, in seconds with or without decimals; a date is ignored.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -1,58 +1,58 @@
-//! Why a poll of the discovery service brought no endpoint list.
+//! Errors of a poll of the discovery service.
 
 use aniseyoke_sockets::ConnectError;
 use hyper::StatusCode;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A poll that brought no list, by what is to follow from it.
+/// Why a poll returned no list. The variants differ in how the watcher recovers.
 #[derive(Debug, Error)]
 pub(super) enum PollError {
-    /// The service wants no poll now, and perhaps says for how long.
+    /// The service rejected the poll, perhaps with a delay for the next one.
     #[error("answered {}{}", .status.as_u16(), advice(.retry_after))]
     Rejected {
-        /// The status of its answer.
+        /// Status of the answer.
         status: StatusCode,
-        /// The wait that the answer advises.
+        /// Delay that the answer asks for.
         retry_after: Option<Duration>,
     },
-    /// The poll was given up at its timeout.
+    /// The poll timed out.
     #[error("no answer in time")]
     TimedOut,
-    /// The connection or the answer is broken.
+    /// The connection failed, or the answer is invalid.
     #[error(transparent)]
     Failed(#[from] ExchangeError),
 }
 
-/// What can go wrong between opening a connection and reading an answer.
+/// Errors between opening a connection and reading an answer.
 #[derive(Debug, Error)]
 pub(super) enum ExchangeError {
-    /// All descriptors of discovery's own are in use.
-    #[error("no descriptor left")]
+    /// All descriptors reserved for discovery are in use.
+    #[error("no file descriptor left for a connection")]
     NoDescriptor,
-    /// The connection did not come up within its timeout.
-    #[error("no connection in time")]
+    /// Opening the connection timed out.
+    #[error("connecting timed out")]
     ConnectTimeout,
     /// The connection could not be opened.
-    #[error("no connection: {0}")]
+    #[error("connecting failed: {0}")]
     Connect(#[source] ConnectError),
-    /// HTTP could not be started on the connection.
-    #[error("no HTTP connection: {0}")]
+    /// The HTTP handshake failed.
+    #[error("HTTP handshake failed: {0}")]
     Handshake(#[source] hyper::Error),
-    /// The connection ended before the poll went out.
+    /// The connection closed before the poll was sent.
     #[error("connection lost: {0}")]
     ConnectionLost(#[source] hyper::Error),
-    /// The poll could not be put into words.
-    #[error("no request: {0}")]
+    /// The poll could not be encoded as an HTTP request.
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The connection ended before the head of an answer came.
+    /// The connection closed before the head of an answer arrived.
     #[error("no answer: {0}")]
     NoAnswer(#[source] hyper::Error),
-    /// The body of the answer is cut short or too long.
+    /// The body of the answer is truncated or too long.
     #[error("broken answer: {0}")]
     BrokenAnswer(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The body of the answer is no endpoint list.
-    #[error("not a list: {0}")]
+    /// The body of the answer is not an endpoint list.
+    #[error("not an endpoint list: {0}")]
     NotAList(#[from] serde_json::Error),
 }
 
--- a/crates/proxy/src/discovery/kept.rs
+++ b/crates/proxy/src/discovery/kept.rs
@@ -1,4 +1,5 @@
-//! The endpoint list cached on disk over restarts: found and checked at the start, and written as the service sends it.
+//! The cache of the endpoint list on disk: read and validated at the start, and written as the service sends
+//! changes.
 
 use super::status::{ListSource, ListStatus};
 use crate::background_writer::BackgroundWriter;
@@ -14,21 +15,22 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The file in the folder.
-const KEPT: &str = "aniseyoke-list";
-/// Its first words, and the version of its form.
+/// Name of the cache file.
+const FILE_NAME: &str = "aniseyoke-list";
+/// First line of the file: its type and the version of its format.
 const MAGIC: &str = "aniseyoke-list 1";
-/// While nothing changes it is written anew after this part of the time for which it counts, so that it stays fresh.
+/// An unchanged list is rewritten after this fraction of the time for which it may be used, so that it stays
+/// fresh.
 const REFRESH_DIVISOR: u32 = 8;
-/// Entries of a list; with more it is not kept.
+/// Most entries of a list that is cached.
 const MAX_ENTRIES: usize = 1 << 14;
-/// A larger file is not read, in bytes: such a list takes less, and a proxy may have 32 MB for
-/// everything.
+/// Longest file that is read. A list of the most entries is shorter, and a proxy may have only 32 MB of
+/// memory in total.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// What stands in the file.
+/// Content of the file.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct CachedList {
     site: String,
     at_ms: u64,
     list: EndpointList,
@@ -37,82 +39,83 @@
 /// Why the list can't be cached.
 #[derive(Debug, Error)]
 pub enum CacheError {
-    /// The folder can't be made.
+    /// The folder can't be created.
     #[error("{}: {source}", .folder.display())]
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// What the system says.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The writer has no thread.
-    #[error("no thread: {0}")]
+    /// The writer's thread can't be started.
+    #[error("can't start the writer thread: {0}")]
     Thread(#[source] std::io::Error),
 }
 
-/// The list as the service sends it, and the writer of its file.
+/// The current list as sent by the service, and the writer of its file.
 pub struct CachedListWriter {
     site: String,
-    /// By id; none: not told whole yet.
+    /// Entries by id; `None` until the full list is known.
     entries: Option<BTreeMap<String, Endpoint>>,
-    /// Of the list that was written last; none: none was.
+    /// Version of the list that was written last, if any.
     version: Option<u64>,
     written: Option<Instant>,
     refresh_interval: Duration,
-    keeping: BackgroundWriter<Kept>,
+    writer: BackgroundWriter<CachedList>,
 }
 
-/// What a cached list must match to be used here: the site, and the names that its entries use.
-fn site_of(rules: &List, config: &Config) -> String {
+/// Returns the identity that a cached list must match to be used: the site, and the names of zones and kinds.
+fn cache_site(rules: &List, config: &Config) -> String {
     let site = rules.site.clone().unwrap_or_else(|| config.discovery.to_string());
     let names = &config.names;
     format!("{site}, zones {}, kinds {}", names.zones.join("+"), names.kinds.join("+"))
 }
 
-/// Begins with the list on disk in place of the platform's, if it may be used. Returns the status of the list, and the
-/// writer of the cache, if there is to be one. A file that may not be used is named in the log, and prevents no start.
+/// Replaces the platform's initial list by the one on disk, if that is valid and fresh. Returns the status of
+/// the list, and the writer of the cache if caching is configured. A file that can't be used is logged and
+/// does not prevent the start.
 pub fn restore(rules: &List, config: &mut Config) -> (Rc<ListStatus>, Option<CachedListWriter>) {
-    let platform = |config: &Config| match &config.initial_list {
-        Some(known) => ListStatus::new(ListSource::Platform, Some(known.version), None),
+    let platform_status = |config: &Config| match &config.initial_list {
+        Some(list) => ListStatus::new(ListSource::Platform, Some(list.version), None),
         None => ListStatus::new(ListSource::Nothing, None, None),
     };
-    let Some(folder) = &rules.keep else { return (platform(config), None) };
-    let site = site_of(rules, config);
-    let file = folder.join(KEPT);
-    let found = find(&file, &site, rules.fresh_for, config);
-    let held = match &found {
-        Some((kept, age)) => {
-            config.initial_list = Some(kept.list.clone());
-            ListStatus::new(ListSource::Disk, Some(kept.list.version), Some(*age))
+    let Some(folder) = &rules.keep else { return (platform_status(config), None) };
+    let site = cache_site(rules, config);
+    let file = folder.join(FILE_NAME);
+    let found = load(&file, &site, rules.fresh_for, config);
+    let status = match &found {
+        Some((cached, age)) => {
+            config.initial_list = Some(cached.list.clone());
+            ListStatus::new(ListSource::Disk, Some(cached.list.version), Some(*age))
         }
-        None => platform(config),
+        None => platform_status(config),
     };
-    // What the service tells next may be changes to the list that is held, wherever that came from.
-    let list = config.initial_list.as_ref().filter(|known| known.full);
+    // The service's next answer may hold changes to the initial list, wherever that came from.
+    let list = config.initial_list.as_ref().filter(|list| list.full);
     let writer = CachedListWriter::start(folder, file, site, rules.fresh_for / REFRESH_DIVISOR, list);
-    (held, writer.map_err(|why| tracing::warn!("the list is not kept: {why}")).ok())
+    (status, writer.map_err(|error| tracing::warn!("the list is not kept: {error}")).ok())
 }
 
-/// The list in a file and its age, if it may be used.
-fn find(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<(Kept, Duration)> {
+/// Returns the list of a file and its age, if the list may be used.
+fn load(file: &Path, site: &str, fresh_for: Duration, config: &Config) -> Option<(CachedList, Duration)> {
     let name = file.display();
-    let length = std::fs::metadata(file).map_or(0, |about| about.len());
+    let length = std::fs::metadata(file).map_or(0, |metadata| metadata.len());
     if length > MAX_FILE_BYTES {
         tracing::warn!("{name}: the kept list is not used: {length} bytes are more than {MAX_FILE_BYTES}");
         return None;
     }
-    let kept: Kept = match ChecksummedFile::new(Disk, file.to_owned(), MAGIC).load() {
+    let cached: CachedList = match ChecksummedFile::new(Disk, file.to_owned(), MAGIC).load() {
         Ok(Loaded::Missing) => return None,
         Ok(Loaded::Intact(payload)) => match serde_json::from_slice(&payload) {
-            Ok(kept) => kept,
+            Ok(cached) => cached,
             Err(e) => {
                 tracing::warn!("{name}: the kept list can't be read and is not used: {e}");
                 return None;
             }
         },
-        Ok(Loaded::Damaged { reason: why, quarantined: aside }) => {
-            let aside = aside.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
-            tracing::warn!("{name}: the kept list is damaged, not used and {aside}: {why}");
+        Ok(Loaded::Damaged { reason: cause, quarantined: destination }) => {
+            let action = destination.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
+            tracing::warn!("{name}: the kept list is damaged, not used and {action}: {cause}");
             return None;
         }
         Err(e) => {
@@ -120,20 +123,23 @@
             return None;
         }
     };
-    let label =
-        ListMetadata { site: kept.site.clone(), version: kept.list.version, confirmed_unix_ms: kept.at_ms };
-    let known = config.initial_list.as_ref().map(|known| known.version);
-    match check_age(&label, site, known, unix_millis(), fresh_for) {
+    let metadata = ListMetadata {
+        site: cached.site.clone(),
+        version: cached.list.version,
+        confirmed_unix_ms: cached.at_ms,
+    };
+    let initial_version = config.initial_list.as_ref().map(|list| list.version);
+    match check_age(&metadata, site, initial_version, unix_millis(), fresh_for) {
         Ok(age) => {
-            let (entries, version) = (kept.list.servers.len(), kept.list.version);
+            let (entries, version) = (cached.list.servers.len(), cached.list.version);
             let seconds = age.as_secs();
             tracing::info!(
                 "{name}: begun with version {version} of the list, {entries} entries, {seconds} s old"
             );
-            Some((kept, age))
+            Some((cached, age))
         }
-        Err(unfit) => {
-            tracing::warn!("{name}: the kept list is not used: {unfit}");
+        Err(reason) => {
+            tracing::warn!("{name}: the kept list is not used: {reason}");
             None
         }
     }
@@ -151,63 +157,64 @@
         std::fs::create_dir_all(folder).map_err(no_folder)?;
         let mut store = ChecksummedFile::new(Disk, file, MAGIC);
         let mut failing = false;
-        let write = move |kept: &Kept| {
-            let payload = serde_json::to_vec(kept).map_err(std::io::Error::from);
-            let done = payload.and_then(|payload| store.save(&payload));
-            match (&done, failing) {
+        let write = move |cached: &CachedList| {
+            let payload = serde_json::to_vec(cached).map_err(std::io::Error::from);
+            let saved = payload.and_then(|payload| store.save(&payload));
+            match (&saved, failing) {
                 (Err(e), false) => {
-                    tracing::warn!("{}: the list could not be kept: {e}", store.path().display());
+                    tracing::warn!("{}: the list could not be stored: {e}", store.path().display());
                 }
-                (Ok(()), true) => tracing::info!("{}: the list is kept again", store.path().display()),
+                (Ok(()), true) => tracing::info!("{}: the list is stored again", store.path().display()),
                 _ => {}
             }
-            failing = done.is_err();
+            failing = saved.is_err();
             !failing
         };
-        let keeping = BackgroundWriter::start(write).map_err(CacheError::Thread)?;
+        let writer = BackgroundWriter::start(write).map_err(CacheError::Thread)?;
         Ok(CachedListWriter {
             site,
             entries: list.map(by_id),
             version: None,
             written: None,
             refresh_interval,
-            keeping,
+            writer,
         })
     }
 
-    /// The service has sent the list or changes of it, perhaps none.
-    pub fn update(&mut self, members: &EndpointList) {
-        if members.full {
-            self.entries = Some(by_id(members));
+    /// Applies the full list or changes to it, perhaps none, and writes the result if it changed or must be
+    /// refreshed.
+    pub fn update(&mut self, received: &EndpointList) {
+        if received.full {
+            self.entries = Some(by_id(received));
         }
-        // Changes to a list that is not held are no list; the next whole one is kept.
+        // Changes to an unknown list can't be applied; caching resumes with the next full list.
         let Some(entries) = &mut self.entries else { return };
-        for member in members.servers.iter().filter(|_| !members.full) {
-            if member.gone() {
-                entries.remove(member.id());
+        for endpoint in received.servers.iter().filter(|_| !received.full) {
+            if endpoint.gone() {
+                entries.remove(endpoint.id());
             } else {
-                entries.insert(member.id().to_owned(), member.clone());
+                entries.insert(endpoint.id().to_owned(), endpoint.clone());
             }
         }
         if entries.len() > MAX_ENTRIES {
             self.entries = None;
             return;
         }
-        let changed = self.version.replace(members.version) != Some(members.version);
-        if !changed && self.written.is_some_and(|at| at.elapsed() < self.refresh_interval) {
+        let changed = self.version.replace(received.version) != Some(received.version);
+        if !changed && self.written.is_some_and(|written| written.elapsed() < self.refresh_interval) {
             return;
         }
         self.written = Some(Instant::now());
         let list = EndpointList {
-            version: members.version,
+            version: received.version,
             full: true,
             servers: entries.values().cloned().collect(),
         };
-        self.keeping.write(Kept { site: self.site.clone(), at_ms: unix_millis(), list });
+        self.writer.write(CachedList { site: self.site.clone(), at_ms: unix_millis(), list });
     }
 }
 
 fn by_id(list: &EndpointList) -> BTreeMap<String, Endpoint> {
-    let listed = list.servers.iter().filter(|m| !m.gone());
-    listed.map(|m| (m.id().to_owned(), m.clone())).collect()
+    let listed = list.servers.iter().filter(|endpoint| !endpoint.gone());
+    listed.map(|endpoint| (endpoint.id().to_owned(), endpoint.clone())).collect()
 }
--- a/crates/proxy/src/discovery/polling.rs
+++ b/crates/proxy/src/discovery/polling.rs
@@ -1,5 +1,5 @@
-//! When the discovery service is polled, where the operator's file limits that, and what follows each poll: the status that
-//! the admin endpoint shows, and the cache on disk.
+//! The poll schedule, if the operator's file limits polls of the discovery service, and the updates after
+//! each poll: of the status that the admin endpoint shows, and of the cache on disk.
 
 use super::error::PollError;
 use super::kept::CachedListWriter;
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long the service may take at first, beyond the wait of the watch.
+/// Initial timeout of an answer, on top of the duration of the watch.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The poll schedule by the operator's rules and the platform's. Where a time of the operator's is out of bounds, the log
-/// names its key and what it counts as.
+/// Returns the poll schedule for the operator's and the platform's settings. Logs each operator's setting
+/// that is out of bounds, with the value that is used instead.
 pub fn poll_schedule(list: &List, poll_within: Nanos, position: FleetPosition) -> PollSchedule {
     let rules = PollRules {
         interval: list.every.map_or_else(|| PollRules::default_interval(poll_within), nanos),
@@ -35,7 +35,7 @@
         if let Some(configured) = configured.filter(|configured| *configured != bounded) {
             let [configured, bounded] = [configured, bounded].map(Duration::from_nanos);
             tracing::warn!(
-                "{key}: {configured:?} counts as {bounded:?}: a change must be here before it counts as notified"
+                "{key}: {configured:?} counts as {bounded:?}: a change must arrive before it counts as notified"
             );
         }
     }
@@ -45,59 +45,60 @@
 /// The poll schedule, if polls are limited, and what is updated after each poll.
 pub struct ListPolling {
     schedule: Option<PollSchedule>,
-    began: Instant,
+    started: Instant,
     status: Rc<ListStatus>,
     cache: Option<CachedListWriter>,
 }
 
 impl ListPolling {
-    /// Without a `schedule` polls are not limited, and only the status and the cache are updated.
+    /// Without a `schedule`, polls are not limited, and only the status and the cache are updated.
     pub fn new(
         schedule: Option<PollSchedule>,
         status: Rc<ListStatus>,
         cache: Option<CachedListWriter>,
     ) -> Self {
-        ListPolling { schedule, began: Instant::now(), status, cache }
+        ListPolling { schedule, started: Instant::now(), status, cache }
     }
 
     fn now(&self) -> Nanos {
-        nanos(self.began.elapsed())
+        nanos(self.started.elapsed())
     }
 
-    /// How long until the next poll may go out; none: polls are not limited.
+    /// Returns the time until the next poll may be sent, or `None` if polls are not limited.
     pub(super) fn next_poll_in(&self) -> Option<Duration> {
         let now = self.now();
         self.schedule.as_ref().map(|schedule| Duration::from_nanos(schedule.next_poll(now) - now))
     }
 
-    /// For how long a watch that goes out now asks the service to wait for a change, where polls are limited.
+    /// Returns how long a watch that is sent now asks the service to wait for a change, or `None` if polls
+    /// are not limited.
     pub(super) fn watch_duration(&self) -> Option<Duration> {
         self.schedule.as_ref().map(|schedule| Duration::from_nanos(schedule.watch_duration(self.now())))
     }
 
-    /// After what time a poll that goes out now is given up, where polls are limited; `full`: it asks for the full list,
-    /// without waiting for a change.
+    /// Returns the timeout of a poll that is sent now, or `None` if polls are not limited. With `full` the
+    /// poll requests the full list, and does not wait for a change.
     pub(super) fn poll_timeout(&self, full: bool) -> Option<Duration> {
         let (now, schedule) = (self.now(), self.schedule.as_ref()?);
         let watch = if full { 0 } else { schedule.watch_duration(now) };
         Some(Duration::from_nanos(schedule.call_timeout(now, watch)))
     }
 
-    /// A poll goes out.
+    /// Records that a poll is being sent.
     pub(super) fn poll_started(&mut self) {
         let now = self.now();
         self.schedule.iter_mut().for_each(|schedule| schedule.poll_started(now));
         self.status.count_poll();
     }
 
-    /// The service has sent the list, or that nothing of it changed.
+    /// Records an answer: the list, changes to it, or that nothing changed.
     pub(super) fn answered(&mut self, list: &EndpointList) {
         self.schedule.iter_mut().for_each(PollSchedule::answered);
         self.status.confirm(list.version);
         self.cache.iter_mut().for_each(|cache| cache.update(list));
     }
 
-    /// A poll brought no list.
+    /// Records a poll that returned no list.
     pub(super) fn failed(&mut self, error: &PollError) {
         let now = self.now();
         match error {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The service is at another address.
+    /// Records that the service has moved to another address.
     pub(super) fn address_changed(&mut self) {
         let now = self.now();
         self.schedule.iter_mut().for_each(|schedule| schedule.address_changed(now));
--- a/crates/proxy/src/discovery/status.rs
+++ b/crates/proxy/src/discovery/status.rs
@@ -1,14 +1,15 @@
-//! What the admin endpoint shows of the endpoint list in use: where it came from, its age, and how its polls went.
+//! The status of the endpoint list in use, for the admin endpoint: its source, its age and the counts of
+//! polls.
 
 use serde_json::json;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Where the endpoint list in use came from.
+/// Source of the endpoint list in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// There is none.
+    /// There is no list.
     Nothing,
     /// The platform's file at the start.
     Platform,
@@ -33,8 +34,8 @@
 pub struct ListStatus {
     source: Cell<ListSource>,
     version: Cell<Option<u64>>,
-    /// When it was last known to be right, and how old it was then; none: never. A wall clock that steps later does not
-    /// change its age.
+    /// When the list was last confirmed, and its age at that time; `None` if never. It does not use the wall
+    /// clock, so that a clock step does not change the age.
     confirmed: Cell<Option<(Instant, Duration)>>,
     polls: Cell<u64>,
     rejected: Cell<u64>,
@@ -42,7 +43,7 @@
 }
 
 impl ListStatus {
-    /// The status of a list of a version that was known to be right so long ago.
+    /// Creates the status of a list of `version` that was confirmed `age` ago.
     pub fn new(source: ListSource, version: Option<u64>, age: Option<Duration>) -> Rc<Self> {
         Rc::new(ListStatus {
             source: Cell::new(source),
@@ -54,9 +55,9 @@
         })
     }
 
-    /// The status in the admin endpoint's JSON.
+    /// Returns the status as JSON for the admin endpoint.
     pub fn to_json(&self) -> serde_json::Value {
-        let age = self.confirmed.get().map(|(since, age)| (since.elapsed() + age).as_secs_f64());
+        let age = self.confirmed.get().map(|(confirmed, age)| (confirmed.elapsed() + age).as_secs_f64());
         json!({
             "from": self.source.get().name(),
             "version": self.version.get(),
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Counts a poll that goes out.
+    /// Counts a poll that is sent.
     pub(super) fn count_poll(&self) {
         increment(&self.polls);
     }
@@ -82,10 +83,10 @@
         increment(&self.failed);
     }
 
-    /// The service has confirmed this version of the list just now.
+    /// Records that the service has just confirmed `version` of the list.
     pub(super) fn confirm(&self, version: u64) {
         if self.source.replace(ListSource::Service) != ListSource::Service {
-            tracing::info!("the endpoint list is now the discovery service's, version {version}");
+            tracing::info!("endpoint list version {version} received from the discovery service");
         }
         self.version.set(Some(version));
         self.confirmed.set(Some((Instant::now(), Duration::ZERO)));
--- a/crates/proxy/src/discovery/watcher.rs
+++ b/crates/proxy/src/discovery/watcher.rs
@@ -1,5 +1,5 @@
-//! Follows the endpoint list: a watch at the discovery service, renewed after each answer, or polls in this proxy's own
-//! slots where the operator's file limits them.
+//! Follows the endpoint list with a watch at the discovery service that is renewed after each answer, or with
+//! polls in this proxy's own slots if the operator's file limits polls.
 
 use super::connection::{Connection, DESCRIPTORS};
 use super::error::{ExchangeError, PollError};
@@ -16,57 +16,60 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// The backoff between the polls at a new address that has not answered yet doubles from the first to the last.
+/// Backoff between polls at a new address that has not answered yet; it doubles from this value up to the
+/// maximum.
 const NEW_ADDRESS_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_NEW_ADDRESS_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Client of the discovery service that keeps the engine's endpoint list up to date.
 pub struct EndpointWatcher {
     addr: SocketAddr,
-    /// Of the list in use; none: there is no list yet.
+    /// Version of the list in use; `None` if there is no list yet.
     version: Option<u64>,
-    /// How long watches and polls without a schedule may take, and when they are tried again.
+    /// Timeouts and retry times of watches, and of polls without a schedule.
     timeouts: WatchTimeouts,
-    began: Instant,
-    /// Not of the clients' budget, where a flood of clients would cut the proxy off from the list.
+    started: Instant,
+    /// A budget apart from that of the clients, since a flood of clients would otherwise cut the proxy off
+    /// from the discovery service.
     descriptors: Rc<DescriptorBudget>,
-    /// Reused from one poll to the next.
+    /// Reused across polls.
     connection: Option<Connection>,
     names: Rc<Names>,
-    /// At an address that has not answered yet: the wait before the next poll.
+    /// Backoff before the next poll, at a new address that has not answered yet.
     new_address_backoff: Option<Duration>,
     polling: Option<ListPolling>,
 }
 
-/// What makes the watcher act beside the service's own answers.
+/// Events other than the service's answers that the watcher acts on.
 pub struct WatchTriggers {
-    /// The engine wants a watch.
+    /// Requests of the engine for a watch.
     pub watch_requests: mpsc::UnboundedReceiver<()>,
-    /// The service is at another address.
+    /// New addresses of the service.
     pub address_changes: mpsc::UnboundedReceiver<SocketAddr>,
 }
 
 impl WatchTriggers {
-    /// Drops requests for a watch that the next poll answers as well.
+    /// Drops pending requests for a watch, which the next poll answers too.
     fn drain_watch_requests(&mut self) {
         while self.watch_requests.try_recv().is_ok() {}
     }
 }
 
-/// What the watcher does after a poll that failed.
+/// What the watcher does after a failed poll.
 enum Recovery {
-    /// Poll at once.
+    /// Poll again immediately.
     Retry,
     /// Poll in this proxy's next slot.
     WaitForSlot,
     /// Poll after this time, or once the address changes.
     BackOff(Duration),
-    /// Wait for a request from the engine.
+    /// Wait for the engine to request a watch.
     Stop,
 }
 
 impl EndpointWatcher {
-    /// A watcher of the service at `addr`, which begins with changes since `version`, or with the full list.
+    /// Creates a watcher of the service at `addr`. Its first poll is for changes since `version`, or else for
+    /// the full list.
     pub fn new(
         addr: SocketAddr,
         version: Option<u64>,
@@ -78,7 +81,7 @@
             addr,
             version,
             timeouts: WatchTimeouts::new(poll_within),
-            began: Instant::now(),
+            started: Instant::now(),
             descriptors: DescriptorBudget::new(DESCRIPTORS),
             connection: None,
             names,
@@ -87,25 +90,25 @@
         }
     }
 
-    /// Starts a watch each time that the engine requests one, and follows it until it breaks. A changed address takes the
-    /// place of the present one.
+    /// Starts a watch each time that the engine requests one, and renews it until it fails. Moves to a new
+    /// address once it is announced.
     pub async fn follow(mut self, engine: Rc<Engine>, mut triggers: WatchTriggers) {
         loop {
             let retry_at =
-                self.timeouts.retry_deadline().map(|deadline| self.began + Duration::from_nanos(deadline));
+                self.timeouts.retry_deadline().map(|deadline| self.started + Duration::from_nanos(deadline));
             tokio::select! {
                 Some(()) = triggers.watch_requests.recv() => {}
                 Some(addr) = triggers.address_changes.recv() => self.change_address(addr),
-                // The engine's backoff doubles, and may be longer than the time in which a change counts as notified
-                // once discovery can be reached.
-                () = sleep_until(retry_at.unwrap_or(self.began)), if retry_at.is_some() => {}
+                // The engine's backoff doubles, and may exceed the time after which a change counts as
+                // notified once the discovery service is reachable.
+                () = sleep_until(retry_at.unwrap_or(self.started)), if retry_at.is_some() => {}
                 else => return,
             }
             self.watch(&engine, &mut triggers).await;
         }
     }
 
-    /// Polls again and again until a failure is left to the engine's backoff.
+    /// Polls repeatedly until a failure is left to the engine's backoff.
     async fn watch(&mut self, engine: &Engine, triggers: &mut WatchTriggers) {
         loop {
             let Some(polled) = self.poll_in_slot(triggers).await else { continue };
@@ -113,7 +116,8 @@
                 Ok(list) => self.apply(engine, &list),
                 Err(error) => match self.recover(&error) {
                     Recovery::Retry => continue,
-                    // The engine's backoff comes on top of the slot's otherwise, and the next poll too late.
+                    // No return: the engine's backoff on top of the wait for the slot would delay the next
+                    // poll too long.
                     Recovery::WaitForSlot => engine.update_endpoints(ListKind::Failed, &[]),
                     Recovery::BackOff(wait) => self.back_off(wait, triggers).await,
                     Recovery::Stop => {
@@ -126,7 +130,8 @@
         }
     }
 
-    /// Waits for this proxy's slot, if polls are limited, and polls; none if the address changed meanwhile.
+    /// Waits for this proxy's slot, if polls are limited, and polls. Returns `None` if the address changed
+    /// meanwhile.
     async fn poll_in_slot(
         &mut self,
         triggers: &mut WatchTriggers,
@@ -141,7 +146,7 @@
                 () = sleep(wait) => {}
             }
         }
-        // An open watch at the old address would be silent for many seconds, and then end.
+        // Abandons an open watch at the old address: it would stay silent for many seconds, and then fail.
         tokio::select! {
             biased;
             Some(addr) = triggers.address_changes.recv() => {
@@ -152,17 +157,17 @@
         }
     }
 
-    /// Hands a list or its changes to the engine.
+    /// Passes a list, or changes to it, to the engine.
     fn apply(&mut self, engine: &Engine, list: &EndpointList) {
         self.version = Some(list.version);
         self.new_address_backoff = None;
-        self.timeouts.answered(nanos(self.began.elapsed()));
+        self.timeouts.answered(nanos(self.started.elapsed()));
         self.polling.iter_mut().for_each(|polling| polling.answered(list));
         let kind = if list.full { ListKind::Full } else { ListKind::Delta };
         engine.update_endpoints(kind, &self.names.entries(list));
     }
 
-    /// Takes note of a poll that failed, and decides what follows.
+    /// Records a failed poll and decides what to do next.
     fn recover(&mut self, error: &PollError) -> Recovery {
         tracing::warn!("discovery at {}: {error}", self.addr);
         self.connection = None;
@@ -170,8 +175,9 @@
         if self.has_slots() {
             return Recovery::WaitForSlot;
         }
-        // A silent watch is no sign that discovery is down, and a wait before the next poll would take from the time in which
-        // its news counts as notified. A slow discovery gets more time.
+        // A watch that times out does not mean that the discovery service is down, and a wait before the next
+        // poll would use up the time after which a change counts as notified. A slow service is given longer
+        // timeouts.
         if matches!(error, PollError::TimedOut) {
             if self.timeouts.timed_out() {
                 return Recovery::Retry;
@@ -179,8 +185,8 @@
         } else {
             self.timeouts.failed();
         }
-        // The engine's backoff is made for a discovery that is down, and is longer than the time in which the news of a new
-        // one must be known.
+        // The engine's backoff is meant for a discovery service that is down, and is longer than the time
+        // within which the list of a new service must be known.
         let Some(wait) = self.new_address_backoff else { return Recovery::Stop };
         self.new_address_backoff = Some((wait * 2).min(MAX_NEW_ADDRESS_BACKOFF));
         Recovery::BackOff(wait)
@@ -194,9 +200,10 @@
         }
     }
 
-    /// From here on polls at this address, for the full list first: its versions may be other ones.
+    /// Polls at this address from now on, first for the full list, since its versions may be unrelated to the
+    /// old ones.
     fn change_address(&mut self, addr: SocketAddr) {
-        tracing::info!("discovery is now at {addr}");
+        tracing::info!("the discovery service moved to {addr}");
         (self.addr, self.version, self.connection) = (addr, None, None);
         self.new_address_backoff = Some(NEW_ADDRESS_BACKOFF);
         self.timeouts.address_changed();
@@ -208,7 +215,7 @@
         self.polling.as_ref().is_some_and(|polling| polling.next_poll_in().is_some())
     }
 
-    /// For how long a watch that goes out now asks the service to wait for a change.
+    /// Returns how long a watch that is sent now asks the service to wait for a change.
     fn watch_duration(&self) -> Duration {
         let scheduled = self.polling.as_ref().and_then(ListPolling::watch_duration);
         scheduled.unwrap_or_else(|| Duration::from_nanos(self.timeouts.watch_duration()))
@@ -217,8 +224,9 @@
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
         let reused = self.connection.is_some();
         let polled = self.poll_once().await;
-        // A reused connection that has ended says nothing of discovery; a watch goes on at once. Not where polls are
-        // limited: a service that ends all connections at once would have all proxies poll at once.
+        // A reused connection may have been closed while idle, which does not mean that the service is down,
+        // so the poll is retried at once. Not if polls are limited: a service that closes all connections at
+        // once would be polled by all proxies at once.
         match polled {
             Err(PollError::Failed(_)) if reused && self.connection.is_none() && !self.has_slots() => {
                 self.poll_once().await
@@ -230,10 +238,10 @@
     async fn poll_once(&mut self) -> Result<EndpointList, PollError> {
         let full = self.version.is_none();
         let scheduled = self.polling.as_ref().and_then(|polling| polling.poll_timeout(full));
-        let limit = scheduled.unwrap_or_else(|| Duration::from_nanos(self.timeouts.call_timeout(full)));
+        let time_limit = scheduled.unwrap_or_else(|| Duration::from_nanos(self.timeouts.call_timeout(full)));
         self.polling.iter_mut().for_each(ListPolling::poll_started);
-        self.timeouts.call_started(nanos(self.began.elapsed()));
-        timeout(limit, self.exchange()).await.unwrap_or(Err(PollError::TimedOut))
+        self.timeouts.call_started(nanos(self.started.elapsed()));
+        timeout(time_limit, self.exchange()).await.unwrap_or(Err(PollError::TimedOut))
     }
 
     async fn exchange(&mut self) -> Result<EndpointList, PollError> {
@@ -251,11 +259,12 @@
         Connection::open(self.addr, permit).await
     }
 
-    /// The full list, or a watch for changes since the version in use.
+    /// Returns the path of a poll for the full list, or of a watch for changes since the version in use.
     fn path(&self) -> String {
         match self.version {
             None => "/catalog/members".to_owned(),
-            // 0 is a version like any other; without it each poll would be for the full list, and no watch.
+            // Version 0 is valid too. If it counted as none, each poll would be for the full list, and none a
+            // watch.
             Some(version) => {
                 format!("/catalog/members?from={version}&hold_ms={}", self.watch_duration().as_millis())
             }
--- a/crates/proxy/src/operator_orders.rs
+++ b/crates/proxy/src/operator_orders.rs
@@ -1,5 +1,5 @@
-//! What operators have ordered and what must outlive the process: bans and the drain, in one small file that the old and the
-//! new process share while one replaces the other.
+//! Operators' orders that must outlive the process: bans and the drain. They are stored in one small file,
+//! which the old and the new process share during a handover.
 
 use crate::signals;
 use aniseyoke_control::checksummed_file::{Disk, Files};
@@ -14,65 +14,65 @@
 use tokio::time::{sleep, Instant};
 
 const FILE: &str = "aniseyoke-operators.json";
-const NEW_FILE: &str = "aniseyoke-operators.new";
+const TEMP_FILE: &str = "aniseyoke-operators.new";
 const LOCK_FILE: &str = "aniseyoke-operators.lock";
-/// The other process holds the lock for far less than this.
+/// Timeout for the lock; another process normally holds it for far less than this.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
-const LOCK_RETRY: Duration = Duration::from_millis(5);
-/// Most nodes that may be banned at once.
+const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Most cache nodes that can be banned at once.
 pub const MAX_BANS: usize = 1024;
-/// The longest file, in bytes.
-const MAX_FILE: u64 = 1 << 20;
+/// Maximum length of the file.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// The operators' orders in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorOrders {
-    /// Clients are to go elsewhere.
+    /// Whether the proxy drains: clients are to move to other proxies.
     #[serde(default)]
     pub drain: bool,
-    /// The ids of the cache nodes that are banned.
+    /// Ids of the banned cache nodes.
     #[serde(default)]
     pub bans: BTreeSet<String>,
 }
 
-/// Why orders can't be read, locked or written.
+/// Errors reading, locking or writing the orders.
 #[derive(Debug, thiserror::Error)]
 pub enum OrdersError {
-    /// The disk failed: the file may hold orders, and has to be read again.
+    /// The disk failed. The file may hold valid orders, and has to be read again.
     #[error("{}: {source}", path.display())]
     Disk {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The file's bytes are no orders.
+    /// The file's content is invalid.
     #[error("{}: {source}", path.display())]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: serde_json::Error,
     },
-    /// Another process holds the lock for too long.
-    #[error("{}: held by another", .0.display())]
+    /// Another process held the lock until the timeout.
+    #[error("{}: locked by another process", .0.display())]
     Locked(PathBuf),
-    /// More nodes would be banned than may be.
-    #[error("more than {MAX_BANS} cache nodes are out")]
+    /// The order would exceed the limit of banned nodes.
+    #[error("more than {MAX_BANS} cache nodes would be banned")]
     TooManyBans,
-    /// The orders can't be written as JSON.
-    #[error("orders: {0}")]
+    /// The orders can't be encoded as JSON.
+    #[error("encoding the orders: {0}")]
     Encode(serde_json::Error),
-    /// The file would be too long.
+    /// The file would exceed its maximum length.
     #[error("the orders are too long for their file")]
     TooLong,
-    /// The thread that writes has ended.
-    #[error("the writer ended: {0}")]
+    /// The task that writes the file panicked or was cancelled.
+    #[error("the task that writes the orders failed: {0}")]
     Writer(#[from] tokio::task::JoinError),
 }
 
-/// Tells one version of the file from the next, by equality alone: a wall clock that steps makes none seem older. The inode
-/// differs as well, since each version is a file of its own.
+/// Identifies one version of the file. Stamps are only compared for equality, so that a step of the wall
+/// clock can't make a new version seem older. The inode differs too, since each version is a new file.
 #[derive(Clone, Copy, PartialEq)]
 struct FileStamp {
     inode: u64,
@@ -81,28 +81,28 @@
 
 /// The operators' orders, and the file that holds them.
 pub struct OrderStore {
-    /// None: there is no folder to store anything in.
+    /// Folder of the file; `None` if orders are not stored.
     dir: Option<PathBuf>,
     orders: RefCell<OperatorOrders>,
-    /// Of the version of the file that was read last.
+    /// Stamp of the file when it was last read.
     stamp: Cell<Option<FileStamp>>,
-    /// Whether the disk failed when the file was last read.
+    /// Whether the last read failed with a disk error.
     unreadable: Cell<bool>,
 }
 
 impl OrderStore {
-    /// A store without any orders yet; [`Self::refresh`] reads them.
+    /// Creates a store without orders; [`Self::refresh`] reads them.
     pub fn open(dir: Option<PathBuf>) -> Self {
         let (orders, stamp, unreadable) = (RefCell::default(), Cell::new(None), Cell::new(false));
         OrderStore { dir, orders, stamp, unreadable }
     }
 
-    /// The orders in force, as far as this process knows.
+    /// Returns the orders in force, as known to this process.
     pub fn orders(&self) -> OperatorOrders {
         self.orders.borrow().clone()
     }
 
-    /// Reads orders given at another process; returns whether there are new ones.
+    /// Reads the orders of other processes from the file. Returns whether they changed.
     pub fn refresh(&self) -> bool {
         let Some(dir) = &self.dir else { return false };
         let stamp = file_stamp(&dir.join(FILE));
@@ -110,7 +110,7 @@
             return false;
         }
         let read = read(dir);
-        // Orders that the disk did not give this time are read again at the next refresh.
+        // After a disk error the file is read again at the next refresh.
         let unreadable = matches!(read, Err(OrdersError::Disk { .. }));
         let was_unreadable = self.unreadable.replace(unreadable);
         if !unreadable {
@@ -121,19 +121,20 @@
             Ok(None) => false,
             Err(error) => {
                 if !(unreadable && was_unreadable) {
-                    tracing::warn!("operators' orders stay as they are: {error}");
+                    tracing::warn!("operators' orders are unchanged, their file can't be read: {error}");
                 }
                 false
             }
         }
     }
 
-    /// Changes the orders for all processes, and has the disk take them. After an error this process has the orders it had;
-    /// where the very last step failed the file has the new ones, and the next refresh takes them from there. The call is to be
-    /// made again: it always writes anew, since what could not be synced once counts as not on disk.
+    /// Changes the orders for all processes, and syncs them to disk. After an error this process keeps its
+    /// previous orders; if only the last step failed, the file has the new ones, and the next refresh reads
+    /// them. The caller has to repeat the update, which writes the file again even if its content is the
+    /// same, since data whose sync failed may not be on disk.
     ///
     /// # Errors
-    /// If the orders could not be read, or not be synced.
+    /// If the orders could not be read, locked, written or synced.
     pub async fn update(&self, change: impl FnOnce(&mut OperatorOrders)) -> Result<(), OrdersError> {
         let Some(dir) = &self.dir else {
             change(&mut self.orders.borrow_mut());
@@ -146,8 +147,8 @@
             return Err(OrdersError::TooManyBans);
         }
         let (dir, text) = (dir.clone(), encode(&orders)?);
-        // Written on another thread, since the disk may hang. Whoever calls may give up meanwhile, so the lock goes along; it
-        // ends only once this process has what the file says.
+        // Written on another thread, since the disk may hang. The caller may be cancelled meanwhile, so the
+        // task owns the lock. It is released only after this process has updated its own orders.
         let write_locked = move || (write(&dir, &text), lock);
         let (written, _lock) =
             signals::with_signals_blocked(|| tokio::task::spawn_blocking(write_locked)).await?;
@@ -157,14 +158,14 @@
     }
 }
 
-/// The orders on disk, for a change to them; none where there is no file, or one that is damaged.
+/// Reads the orders on disk to change them. Returns `None` if there is no file or it is damaged.
 fn read_for_update(dir: &Path) -> Result<Option<OperatorOrders>, OrdersError> {
     match read(dir) {
         Err(error @ OrdersError::Damaged { .. }) => {
-            tracing::warn!("operators' orders are written anew: {error}");
+            tracing::warn!("operators' orders are replaced, since their file is damaged: {error}");
             Ok(None)
         }
-        // Orders that could not be read are not written over: that would end bans that nobody lifted.
+        // Orders that could not be read are not overwritten, which would lift bans without an order.
         read => read,
     }
 }
@@ -177,7 +178,7 @@
     loop {
         match file.try_lock() {
             Ok(()) => return Ok(file),
-            Err(TryLockError::WouldBlock) if Instant::now() < deadline => sleep(LOCK_RETRY).await,
+            Err(TryLockError::WouldBlock) if Instant::now() < deadline => sleep(LOCK_RETRY_DELAY).await,
             Err(TryLockError::WouldBlock) => return Err(OrdersError::Locked(path)),
             Err(TryLockError::Error(error)) => return Err(failed(error)),
         }
@@ -189,13 +190,13 @@
     Some(FileStamp { inode: metadata.ino(), modified: (metadata.mtime(), metadata.mtime_nsec()) })
 }
 
-/// What the file says; none: there is no file.
+/// Reads the orders from the file. Returns `None` if there is no file.
 fn read(dir: &Path) -> Result<Option<OperatorOrders>, OrdersError> {
     let path = dir.join(FILE);
     let mut text = Vec::new();
     let read = match File::open(&path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
-        file => file.and_then(|file| file.take(MAX_FILE).read_to_end(&mut text)),
+        file => file.and_then(|file| file.take(MAX_FILE_BYTES).read_to_end(&mut text)),
     };
     if let Err(source) = read {
         return Err(OrdersError::Disk { path, source });
@@ -205,17 +206,17 @@
 
 fn encode(orders: &OperatorOrders) -> Result<Vec<u8>, OrdersError> {
     let text = serde_json::to_vec(orders).map_err(OrdersError::Encode)?;
-    if text.len() as u64 > MAX_FILE {
+    if text.len() as u64 > MAX_FILE_BYTES {
         return Err(OrdersError::TooLong);
     }
     Ok(text)
 }
 
-/// Replaces the file by a complete new one at once: a reader that finds half a file would forget every ban. File and folder
-/// are synced before this returns.
+/// Replaces the file atomically, since a reader of a partial file would lose all bans. Syncs the file and the
+/// folder before it returns.
 fn write(dir: &Path, text: &[u8]) -> Result<(), OrdersError> {
-    let (new, path) = (dir.join(NEW_FILE), dir.join(FILE));
-    let written = Disk.write(&new, text).and_then(|()| Disk.rename(&new, &path));
+    let (temp, path) = (dir.join(TEMP_FILE), dir.join(FILE));
+    let written = Disk.write(&temp, text).and_then(|()| Disk.rename(&temp, &path));
     written.map_err(|source| OrdersError::Disk { path, source })
 }
 
--- a/crates/proxy/src/operator_orders/tests.rs
+++ b/crates/proxy/src/operator_orders/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use tempfile::TempDir;
 
-fn folder() -> TempDir {
+fn temp_dir() -> TempDir {
     TempDir::new().expect("a folder")
 }
 
@@ -14,8 +14,8 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_order_given_at_one_process_is_seen_by_another_and_by_the_next() {
-    let dir = folder();
+async fn an_update_by_one_process_is_seen_by_another_and_by_a_later_one() {
+    let dir = temp_dir();
     let (one, other) = (store(&dir), store(&dir));
     one.update(ban("a")).await.expect("stored");
     assert!(other.refresh() && !other.refresh());
@@ -28,11 +28,11 @@
     }
 }
 
-/// Danger: a damaged file must neither end the process nor make it forget what it knows.
+/// Guards against a damaged file that ends the process, or makes it lose the orders in force.
 #[tokio::test(flavor = "current_thread")]
-async fn a_damaged_file_is_no_news_and_is_written_anew_by_the_next_order() {
+async fn a_damaged_file_changes_no_orders_and_is_replaced_by_the_next_update() {
     for damage in ["", "{\"bans\":", "\0\u{7f}", "{\"bans\":7}", "[]x"] {
-        let dir = folder();
+        let dir = temp_dir();
         let one = store(&dir);
         one.update(ban("a")).await.expect("stored");
         fs::write(dir.path().join(FILE), damage).expect("written");
@@ -44,19 +44,20 @@
     }
 }
 
-/// Danger: a yes for what is not stored would be forgotten by the next process.
+/// Guards against an update that reports success without being stored: the next process would not know of it.
 #[tokio::test(flavor = "current_thread")]
-async fn an_order_that_cannot_be_stored_changes_nothing() {
-    let dir = folder();
+async fn an_update_that_cannot_be_stored_fails_and_changes_nothing() {
+    let dir = temp_dir();
     let one = store(&dir);
-    let held = lock(dir.path()).await.expect("locked");
+    let lock_file = lock(dir.path()).await.expect("locked");
     assert!(one.update(|orders| orders.drain = true).await.is_err() && !one.orders().drain);
-    drop(held);
-    let many = |orders: &mut OperatorOrders| orders.bans.extend((0..=MAX_BANS).map(|n| n.to_string()));
-    assert!(one.update(many).await.is_err() && one.orders().bans.is_empty());
-    let nowhere = OrderStore::open(Some(dir.path().join("missing")));
-    assert!(nowhere.update(|orders| orders.drain = true).await.is_err() && !nowhere.orders().drain);
-    let unstored = OrderStore::open(None);
-    unstored.update(|orders| orders.drain = true).await.expect("taken");
-    assert!(unstored.orders().drain && !unstored.refresh());
+    drop(lock_file);
+    let ban_too_many =
+        |orders: &mut OperatorOrders| orders.bans.extend((0..=MAX_BANS).map(|n| n.to_string()));
+    assert!(one.update(ban_too_many).await.is_err() && one.orders().bans.is_empty());
+    let missing_dir = OrderStore::open(Some(dir.path().join("missing")));
+    assert!(missing_dir.update(|orders| orders.drain = true).await.is_err() && !missing_dir.orders().drain);
+    let without_dir = OrderStore::open(None);
+    without_dir.update(|orders| orders.drain = true).await.expect("taken");
+    assert!(without_dir.orders().drain && !without_dir.refresh());
 }
--- a/crates/proxy/src/peers/tests.rs
+++ b/crates/proxy/src/peers/tests.rs
@@ -2,7 +2,7 @@
 use tempfile::TempDir;
 
 #[test]
-fn running_processes_see_one_another_their_claims_and_their_end() {
+fn a_process_sees_the_start_claims_and_end_of_the_others() {
     let dir = TempDir::new().expect("a folder");
     let join = || Peers::join(Some(dir.path().to_owned()));
     let old = join();
@@ -15,13 +15,13 @@
     assert_eq!(new.other_claims(), [Some(3)]);
     drop(old);
     assert_eq!(new.other_claims(), []);
-    // A process that takes the slot of one that has ended does not inherit its claim.
+    // A process that takes the slot of an ended process does not inherit its claim.
     let _next = join();
     assert_eq!(new.other_claims(), [None]);
 }
 
 #[test]
-fn together_they_take_no_more_than_one() {
+fn the_parts_of_all_processes_do_not_exceed_the_total() {
     assert_eq!(remaining_descriptors(384, &[]), 384);
     assert_eq!(remaining_descriptors(384, &[None]), 192);
     assert_eq!(remaining_descriptors(384, &[Some(40)]), 344);
--- a/crates/proxy/src/plan.rs
+++ b/crates/proxy/src/plan.rs
@@ -1,4 +1,4 @@
-//! The engine's configuration: the platform's settings with the operator's file laid over them.
+//! The engine's configuration: the platform's settings, overridden by the operator's.
 
 use crate::config::{Config, Names};
 use aniseyoke_config::layers::Resolved;
@@ -10,28 +10,29 @@
 use aniseyoke_routes::{RouteRule, Routing, RoutingTable};
 use rustc_hash::FxHashMap;
 
-/// So many unknown names are reported at once: ten thousand routes to a class whose name has a mistake
-/// would be ten thousand lines.
+/// Most unknown names that are reported one by one: ten thousand routes with a misspelled class would
+/// otherwise be ten thousand lines.
 const MAX_UNKNOWN_NAMES: usize = 100;
 
-/// Looks names up, and gathers those that the platform does not know.
+/// Resolves names to numbers, and collects an error for each name that the platform does not know.
 struct Lookup<'a> {
     resolved: &'a Resolved,
     errors: Vec<ConfigError>,
+    /// Number of unknown names without an error of their own.
     omitted: usize,
 }
 
-/// The names of one kind, with their numbers.
+/// The platform's names of one sort, such as zones, with their numbers.
 struct NameIndex<'a> {
-    kind: &'static str,
+    entity: &'static str,
     names: &'a [String],
     numbers: FxHashMap<&'a str, u32>,
 }
 
 impl<'a> NameIndex<'a> {
-    fn new(kind: &'static str, names: &'a [String]) -> Self {
+    fn new(entity: &'static str, names: &'a [String]) -> Self {
         let numbers = names.iter().enumerate().map(|(n, name)| (name.as_str(), n as u32)).collect();
-        NameIndex { kind, names, numbers }
+        NameIndex { entity, names, numbers }
     }
 }
 
@@ -41,7 +42,7 @@
         if found.is_none() && self.errors.len() < MAX_UNKNOWN_NAMES {
             let key = key();
             let listed = if index.names.is_empty() { "none".into() } else { index.names.join(", ") };
-            let reason = format!("the platform names no {} {name:?}; it names {listed}", index.kind);
+            let reason = format!("the platform names no {} {name:?}; it names {listed}", index.entity);
             self.errors.push(ConfigError { location: self.resolved.origin(&key).to_string(), key, reason });
         } else if found.is_none() {
             self.omitted += 1;
@@ -88,8 +89,8 @@
     }
 }
 
-/// Turns off the features that the operator does not want; none is turned on.
-fn turn_off(settings: &mut Settings, features: &Features) {
+/// Disables the features that the operator turned off; features that the platform disables stay disabled.
+fn disable_features(settings: &mut Settings, features: &Features) {
     if !features.retries {
         settings.max_attempts = 1;
     }
@@ -97,10 +98,10 @@
     settings.cancellation &= features.cancelling;
 }
 
-/// Lays what the operator sets over what the platform says.
+/// Overrides the platform's settings by the operator's.
 ///
 /// # Errors
-/// All that names a tenant, class, zone or kind that the platform does not, with the place that says so.
+/// All names of tenants, classes, zones and kinds that the platform does not know, with their locations.
 pub fn engine_config(resolved: &Resolved, platform: &Config) -> Result<EngineConfig, Vec<ConfigError>> {
     let operator = &resolved.operator;
     let mut settings = platform.settings.clone();
@@ -120,14 +121,14 @@
         operator.pools.keys().enumerate().map(|(n, name)| (name.as_str(), n as u32)).collect();
     let mut rules = Vec::with_capacity(operator.routes.len());
     for (n, route) in operator.routes.iter().enumerate() {
-        // That it is there was checked when the layers were put together.
+        // The pool exists: that was checked when the layers were resolved.
         let pool = numbers.get(route.pool.as_str()).copied().unwrap_or_default();
         rules.push(lookup.route_rule((&classes, &tenants), n, route, pool));
     }
     let overrides = operator.overlays.iter().enumerate();
     let overrides: Vec<NodeOverride> =
         overrides.map(|(n, rule)| lookup.node_override((&zones, &kinds), n, rule)).collect();
-    turn_off(&mut settings, &operator.features);
+    disable_features(&mut settings, &operator.features);
     let Lookup { mut errors, omitted, .. } = lookup;
     if omitted > 0 {
         let reason = format!("{omitted} more names that the platform does not know");
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -1,8 +1,8 @@
-//! The thread that follows control services: it reads each version, checks it against the configuration in force, has it
-//! put in force and keeps it on disk.
+//! The thread that follows control services: parses each version, checks it against the configuration in
+//! force, has it applied, and stores it on disk.
 
 use super::updater::{CheckedVersion, UpdateRequest};
-use super::{max_frame_bytes, BaseLayers, ConfigInForce, KEPT};
+use super::{max_frame_bytes, BaseLayers, ConfigInForce, LAST_GOOD_FILE};
 use crate::background_writer::BackgroundWriter;
 use crate::config::Names;
 use crate::operator::log_levels;
@@ -25,57 +25,59 @@
 pub struct Subscription {
     base: Arc<BaseLayers>,
     requests: mpsc::Sender<UpdateRequest>,
-    tally: Arc<RequestCounters>,
-    /// The one writer of the last good version, where there is a folder for it.
-    keeping: Option<BackgroundWriter<StoredVersion>>,
+    counters: Arc<RequestCounters>,
+    /// Writer of the last good version, if there is a folder for it.
+    writer: Option<BackgroundWriter<StoredVersion>>,
 }
 
 impl Subscription {
-    /// Versions are laid over `base` and put in force by who receives `requests`; `tally` counts clients' requests.
+    /// Creates a subscription whose versions override `base` and are applied by the receiver of `requests`.
+    /// `counters` counts clients' requests.
     ///
     /// # Errors
-    /// If there is no thread to be had.
+    /// If the thread can't be started.
     pub fn new(
         control: &Control,
         base: Arc<BaseLayers>,
         requests: mpsc::Sender<UpdateRequest>,
-        tally: Arc<RequestCounters>,
+        counters: Arc<RequestCounters>,
     ) -> std::io::Result<Self> {
-        let keeping = control.dir.as_ref().map(|dir| {
-            let mut store = Store::new(Disk, dir.join(KEPT));
+        let writer = control.dir.as_ref().map(|dir| {
+            let mut store = Store::new(Disk, dir.join(LAST_GOOD_FILE));
             let mut failing = false;
-            BackgroundWriter::start(move |kept: &StoredVersion| {
-                let stamp = kept.version.stamp;
-                // Another process of this proxy may have kept a later one.
-                if matches!(store.load(), Ok(Loaded::Valid(before)) if before.version.stamp > stamp) {
+            BackgroundWriter::start(move |stored: &StoredVersion| {
+                let stamp = stored.version.stamp;
+                // Another process of this proxy may have stored a later version.
+                if matches!(store.load(), Ok(Loaded::Valid(on_disk)) if on_disk.version.stamp > stamp) {
                     return true;
                 }
-                let done = store.save(kept);
-                match (&done, failing) {
-                    (Err(e), false) => tracing::error!("version {stamp} could not be kept on disk: {e}"),
-                    (Ok(()), true) => tracing::info!("version {stamp} is kept on disk"),
+                let saved = store.save(stored);
+                match (&saved, failing) {
+                    (Err(e), false) => tracing::error!("version {stamp} could not be stored on disk: {e}"),
+                    (Ok(()), true) => tracing::info!("version {stamp} is stored on disk"),
                     _ => {}
                 }
-                failing = done.is_err();
+                failing = saved.is_err();
                 !failing
             })
         });
-        Ok(Subscription { base, requests, tally, keeping: keeping.transpose()? })
+        Ok(Subscription { base, requests, counters, writer: writer.transpose()? })
     }
 
-    /// Follows the services on a thread of its own, as long as the process lives. `running` is in force already.
+    /// Follows the services on a thread of its own until the process ends. `running` is the version already
+    /// in force.
     ///
     /// # Errors
-    /// If there is no thread to be had.
+    /// If the thread can't be started.
     pub fn start(
         self,
         control: Control,
-        at: SocketAddr,
+        addr: SocketAddr,
         running: Option<Arc<Version>>,
     ) -> std::io::Result<()> {
         let max_frame_bytes = max_frame_bytes(self.base.platform.memory);
         let boot = u64::try_from(unix_time().as_nanos()).unwrap_or(u64::MAX);
-        let instance = control.instance.unwrap_or_else(|| at.to_string());
+        let instance = control.instance.unwrap_or_else(|| addr.to_string());
         let identity = Identity { instance, boot, labels: control.labels, max_frame_bytes };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
@@ -93,27 +95,27 @@
         &self,
         update: impl FnOnce(oneshot::Sender<T>) -> UpdateRequest,
     ) -> Result<T, Vec<String>> {
-        let ends = || vec!["the proxy ends".to_owned()];
+        let shutting_down = || vec!["the proxy is shutting down".to_owned()];
         let (reply, answer) = oneshot::channel();
-        self.requests.send(update(reply)).await.map_err(|_| ends())?;
-        answer.await.map_err(|_| ends())
+        self.requests.send(update(reply)).await.map_err(|_| shutting_down())?;
+        answer.await.map_err(|_| shutting_down())
     }
 }
 
-/// Reads a version and checks it against the configuration in force, `now`, and its nodes.
-fn read(
+/// Parses a version and checks it against the configuration in force, `current`, and its nodes.
+fn check_version(
     base: &BaseLayers,
-    now: &EngineConfig,
+    current: &EngineConfig,
     nodes: &[Entry],
     version: Version,
 ) -> Result<CheckedVersion, Vec<String>> {
     let lines = |errors: Vec<ConfigError>| errors.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let (resolved, plan) = base.with(Some(&version)).map_err(lines)?;
-    let side = |plan| -> Configuration<'_> {
-        let EngineConfig { settings, routing, .. }: &EngineConfig = plan;
+    let (resolved, engine_config) = base.with(Some(&version)).map_err(lines)?;
+    let reviewed = |config| -> Configuration<'_> {
+        let EngineConfig { settings, routing, .. }: &EngineConfig = config;
         Configuration { settings, routing }
     };
-    let breakages = review(side(now), side(&plan), nodes);
+    let breakages = review(reviewed(current), reviewed(&engine_config), nodes);
     if !breakages.is_empty() {
         let pools: Vec<&str> = resolved.operator.pools.keys().map(String::as_str).collect();
         return Err(breakages
@@ -124,19 +126,21 @@
     let levels = log_levels(&resolved.operator.log);
     let (digest, stamp) = (resolved.digest(), version.stamp.to_string());
     let in_force = ConfigInForce { operator: resolved.operator, version: Some(Arc::new(version)) };
-    Ok(CheckedVersion { plan: Arc::new(plan), levels, in_force, digest, stamp })
+    Ok(CheckedVersion { engine_config: Arc::new(engine_config), levels, in_force, digest, stamp })
 }
 
-/// A breakage in words, for the control service and the log.
+/// Describes a breakage for the control service and the log.
 fn describe(breakage: &Breakage, names: &Names, pools: &[&str]) -> String {
     match breakage {
-        Breakage::NoNode { class, pool, nodes_before: had } => {
+        Breakage::NoNode { class, pool, nodes_before } => {
             let routed = pool.and_then(|p| pools.get(p)).map(|name| format!(" routed to pool {name}"));
             let (class, routed) = (&names.classes[*class], routed.unwrap_or_default());
-            format!("no node that takes work would be left for class {class}{routed}, which has {had}")
+            format!(
+                "no node that takes work would be left for class {class}{routed}, which has {nodes_before}"
+            )
         }
-        Breakage::NoQuota { tenant, quota_before: was } => {
-            format!("the share of tenant {} would be nothing, and is {was}", names.tenants[*tenant])
+        Breakage::NoQuota { tenant, quota_before } => {
+            format!("the share of tenant {} would be nothing, and is {quota_before}", names.tenants[*tenant])
         }
     }
 }
@@ -144,30 +148,30 @@
 impl Host for Subscription {
     async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
-        let (now, nodes) = self.request(UpdateRequest::Read).await?;
+        let (current, nodes) = self.request(UpdateRequest::Read).await?;
         let base = self.base.clone();
-        // Frames are read meanwhile, so that of a flood only the newest counts.
-        let read = tokio::task::spawn_blocking(move || read(&base, &now, &nodes, version));
-        let checked = read.await.map_err(|e| vec![format!("it could not be read: {e}")])??;
+        // Frames are received meanwhile, so that of many versions in a row only the newest is checked next.
+        let check = tokio::task::spawn_blocking(move || check_version(&base, &current, &nodes, version));
+        let checked = check.await.map_err(|e| vec![format!("the check of the version failed: {e}")])??;
         let replaced = self
             .request(|reply| UpdateRequest::Apply(Box::new(checked), reply))
             .await?
-            .map_err(|why| vec![why])?;
+            .map_err(|error| vec![error])?;
         tracing::info!("version {stamp} is in force, swapped in {:?}", replaced.took);
         Ok(())
     }
 
     fn persist(&self, version: Version) {
         let at_ms = unix_millis();
-        self.keeping.iter().for_each(|k| k.write(StoredVersion { version: version.clone(), at_ms }));
+        self.writer.iter().for_each(|writer| writer.write(StoredVersion { version: version.clone(), at_ms }));
     }
 
-    fn warn(&self, what: &str) {
-        tracing::warn!("{what}");
+    fn warn(&self, message: &str) {
+        tracing::warn!("{message}");
     }
 
     fn take_request_counts(&self) -> RequestCounts {
-        let counts = self.tally.take();
+        let counts = self.counters.take();
         RequestCounts { served: counts.served, rejected: counts.rejected, failed: counts.failed }
     }
 }
--- a/crates/proxy/src/versions/layers.rs
+++ b/crates/proxy/src/versions/layers.rs
@@ -1,6 +1,6 @@
-//! The layers of the configuration under a control service's version, and the last good version from disk.
+//! The configuration layers that a control service's version overrides, and the last good version from disk.
 
-use super::KEPT;
+use super::LAST_GOOD_FILE;
 use crate::config::Config;
 use crate::operator;
 use crate::plan::engine_config;
@@ -13,19 +13,21 @@
 use aniseyoke_core::EngineConfig;
 use std::sync::Arc;
 
-/// The layers under a control service's version: the file, the environment, and the platform's settings under them.
+/// The layers that a control service's version overrides: the operator's file, the environment, and the
+/// platform's settings.
 pub struct BaseLayers {
-    /// The platform's settings without anything laid over them.
+    /// The platform's configuration alone.
     pub platform: Config,
-    /// The operator's file, as it was read at the start.
+    /// The operator's file as read at the start.
     pub file: Option<Layer>,
 }
 
 impl BaseLayers {
-    /// The configuration from all layers with a version on top: the operator's part, and the engine's.
+    /// Merges all layers with a version on top, and returns the operator's settings and the engine's
+    /// configuration.
     ///
     /// # Errors
-    /// All that is wrong in the layers.
+    /// All errors of all layers.
     pub fn with(&self, version: Option<&Version>) -> Result<(Resolved, EngineConfig), Vec<ConfigError>> {
         let mut layers: Vec<Layer> = self.file.clone().into_iter().collect();
         layers.extend(environment(operator::env_variables()));
@@ -38,14 +40,14 @@
     }
 }
 
-/// The last good version, if the folder has one that can still be put in force.
+/// Returns the last good version, if the folder has one that is still valid.
 pub fn last_good(control: &Control, base: &BaseLayers) -> Option<Version> {
-    let mut store = Store::new(Disk, control.dir.as_ref()?.join(KEPT));
+    let mut store = Store::new(Disk, control.dir.as_ref()?.join(LAST_GOOD_FILE));
     match store.load() {
         Ok(Loaded::Missing) => None,
-        Ok(Loaded::Damaged { reason: why, quarantined: aside }) => {
-            let aside = aside.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
-            tracing::warn!("the last good version is damaged and {aside}: {why}");
+        Ok(Loaded::Damaged { reason: cause, quarantined: destination }) => {
+            let action = destination.map_or("left".to_owned(), |to| format!("put aside as {}", to.display()));
+            tracing::warn!("the last good version is damaged and {action}: {cause}");
             None
         }
         Ok(Loaded::Valid(StoredVersion { version, at_ms })) => match base.with(Some(&version)) {
@@ -53,15 +55,15 @@
                 let age = std::time::Duration::from_secs(unix_millis().saturating_sub(at_ms) / 1000);
                 let age = humantime::format_duration(age);
                 tracing::info!(
-                    "version {} from disk is in force, {age} old and stale until a service says so",
+                    "version {} from disk is in force, {age} old, until a control service sends one",
                     version.stamp
                 );
                 Some(version)
             }
-            Err(faults) => {
-                faults
+            Err(errors) => {
+                errors
                     .iter()
-                    .for_each(|f| tracing::warn!("the last good version does not fit here any more: {f}"));
+                    .for_each(|error| tracing::warn!("the last good version is no longer valid: {error}"));
                 None
             }
         },
@@ -74,8 +76,8 @@
 
 /// The configuration in force, and the version on top of its layers.
 pub struct ConfigInForce {
-    /// The operator's part from all layers.
+    /// The operator's settings from all layers.
     pub operator: Operator,
-    /// The version on top, if there is one.
+    /// The control service's version, if there is one.
     pub version: Option<Arc<Version>>,
 }
--- a/crates/proxy/src/versions/updater.rs
+++ b/crates/proxy/src/versions/updater.rs
@@ -1,4 +1,5 @@
-//! The serving thread's side: shows the configuration in force, and replaces it by a version that has been checked.
+//! The part of the subscription that runs on the serving thread: returns the configuration in force, and
+//! replaces it by a checked version.
 
 use super::ConfigInForce;
 use crate::Engine;
@@ -11,54 +12,54 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// A version that has been read and checked.
+/// A version that has been parsed and checked.
 pub struct CheckedVersion {
     /// The engine's configuration.
-    pub plan: Arc<EngineConfig>,
-    /// The log's levels.
+    pub engine_config: Arc<EngineConfig>,
+    /// The log levels.
     pub levels: Levels,
-    /// The configuration in force with it.
+    /// The operator's settings and the version.
     pub in_force: ConfigInForce,
-    /// The digest of the configuration, which the admin endpoint shows.
+    /// Digest of the configuration, for the admin endpoint.
     pub digest: String,
-    /// The version's stamp, which it shows too.
+    /// Stamp of the version, for the admin endpoint.
     pub stamp: String,
 }
 
-/// The configuration that was replaced. Who gets it drops it, off the serving thread.
+/// The configuration that was replaced, which the receiver drops outside of the serving thread.
 pub struct Replaced {
-    /// How long the serving thread was held up.
+    /// How long the replacement blocked the serving thread.
     pub took: Duration,
-    /// What is no longer in force.
-    #[allow(dead_code, reason = "held for its end alone")]
+    /// The previous configuration.
+    #[allow(dead_code, reason = "held only to be dropped by the receiver")]
     pub old: (Arc<EngineConfig>, ConfigInForce),
 }
 
-/// What the thread that follows control services requests of the serving one.
+/// Requests of the thread that follows control services to the serving thread.
 pub enum UpdateRequest {
-    /// The engine's configuration in force, and the nodes that operators have not excluded.
+    /// Return the engine's configuration in force, and the nodes that operators have not banned.
     Read(oneshot::Sender<(Arc<EngineConfig>, Vec<Entry>)>),
-    /// Replace the configuration in force by this.
+    /// Replace the configuration in force by this version.
     Apply(Box<CheckedVersion>, oneshot::Sender<Result<Replaced, String>>),
 }
 
-/// Puts versions in force.
+/// Applies versions on the serving thread.
 pub struct ConfigUpdater {
     /// The engine.
     pub engine: Rc<Engine>,
     /// The configuration in force.
     pub in_force: Rc<RefCell<ConfigInForce>>,
-    /// The log.
+    /// The log, whose levels are part of a version.
     pub log: Rc<LogHandle>,
-    /// What the admin endpoint answers to a call for the version.
+    /// The admin endpoint's answer to a call for the version.
     pub version_info: Rc<RefCell<serde_json::Value>>,
 }
 
 impl ConfigUpdater {
-    /// Carries out requests until nobody can send any.
+    /// Handles requests until all senders are dropped.
     pub async fn run(self, mut requests: mpsc::Receiver<UpdateRequest>) {
         while let Some(request) = requests.recv().await {
-            // Who sent the request may be gone, with the proxy.
+            // The sender may be gone if the proxy is shutting down.
             match request {
                 UpdateRequest::Read(reply) => {
                     drop(reply.send((self.engine.config(), self.engine.active_endpoints())));
@@ -70,13 +71,13 @@
 
     fn apply(&self, checked: CheckedVersion) -> Result<Replaced, String> {
         let start = Instant::now();
-        let plan = self.engine.reconfigure(checked.plan).map_err(|error| error.to_string())?;
+        let old_config = self.engine.reconfigure(checked.engine_config).map_err(|error| error.to_string())?;
         self.log.set_levels(&checked.levels);
         if let Some(version_info) = self.version_info.borrow_mut().as_object_mut() {
             version_info.insert("configuration".into(), checked.digest.into());
             version_info.insert("version".into(), checked.stamp.into());
         }
-        let before = self.in_force.replace(checked.in_force);
-        Ok(Replaced { took: start.elapsed(), old: (plan, before) })
+        let old_in_force = self.in_force.replace(checked.in_force);
+        Ok(Replaced { took: start.elapsed(), old: (old_config, old_in_force) })
     }
 }
