--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -107,7 +107,7 @@
         }
         let mut chunk = [0; READ_CHUNK_BYTES];
         match stream.read(&mut chunk).await? {
-            0 => break Err(AdminReply::BadCall("the call is incomplete")),
+            0 => break Err(AdminReply::BadCall("the call is not whole")),
             n => received.extend_from_slice(&chunk[..n]),
         }
         if received.starts_with(b"\r\n") {
--- a/crates/proxy/src/admin/call.rs
+++ b/crates/proxy/src/admin/call.rs
@@ -68,12 +68,12 @@
     let mut lengths = values("content-length");
     let (length, coding) = (lengths.next(), values("transfer-encoding").next());
     if lengths.next().is_some() || length.is_some() && coding.is_some() {
-        return Some(Err(AdminReply::BadCall("the length is given more than once")));
+        return Some(Err(AdminReply::BadCall("the length is told twice")));
     }
     if let Some(coding) = coding {
         return match coding.eq_ignore_ascii_case(b"chunked") {
             true => decode_chunks(received),
-            false => Some(Err(AdminReply::BadCall("the transfer coding is not supported"))),
+            false => Some(Err(AdminReply::BadCall("the body has an unknown coding"))),
         };
     }
     let digits = |v: &&[u8]| !v.is_empty() && v.iter().all(u8::is_ascii_digit);
@@ -82,7 +82,7 @@
         Some(v) => Some(v).filter(digits).and_then(|v| std::str::from_utf8(v).ok()?.parse::<usize>().ok()),
     };
     match length {
-        None => Some(Err(AdminReply::BadCall("Content-Length is not a number"))),
+        None => Some(Err(AdminReply::BadCall("the length is no number"))),
         Some(length) if length > MAX_CALL_BYTES => Some(Err(AdminReply::BadCall("the call is too long"))),
         Some(length) => received.get(..length).map(|body| Ok(body.to_vec())),
     }
@@ -118,8 +118,7 @@
         id: String,
     }
     let node: Result<NodeId, _> = serde_json::from_slice(body);
-    node.map(|node| node.id)
-        .map_err(|_| AdminReply::BadCall("the body is not a JSON object with a string `id`"))
+    node.map(|node| node.id).map_err(|_| AdminReply::BadCall("the body is not {id: text} in JSON"))
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/admin/reply.rs
+++ b/crates/proxy/src/admin/reply.rs
@@ -46,7 +46,7 @@
         let reason = match self {
             AdminReply::Done => return "{\"ok\":true}\n".to_owned(),
             AdminReply::Json(json) => return format!("{json}\n"),
-            AdminReply::MethodNotAllowed(_) => "the path does not accept this method",
+            AdminReply::MethodNotAllowed(_) => "the path takes another method",
             AdminReply::BadCall(reason) | AdminReply::NotFound(reason) | AdminReply::Unavailable(reason) => {
                 reason
             }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -101,7 +101,7 @@
             tracing::error!("operators' order could not be stored: {e}");
             // If only the last step failed, the file has the new order, so it is read again and applied.
             self.apply_stored_orders();
-            return AdminReply::Unavailable("the order could not be stored; make the call again");
+            return AdminReply::Unavailable("the order could not be kept: make the call again");
         }
         self.apply_orders();
         AdminReply::Done
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -95,7 +95,7 @@
         &self,
         update: impl FnOnce(oneshot::Sender<T>) -> UpdateRequest,
     ) -> Result<T, Vec<String>> {
-        let shutting_down = || vec!["the proxy is shutting down".to_owned()];
+        let shutting_down = || vec!["the proxy ends".to_owned()];
         let (reply, answer) = oneshot::channel();
         self.requests.send(update(reply)).await.map_err(|_| shutting_down())?;
         answer.await.map_err(|_| shutting_down())
@@ -152,7 +152,7 @@
         let base = self.base.clone();
         // Frames are received meanwhile, so that of many versions in a row only the newest is checked next.
         let check = tokio::task::spawn_blocking(move || check_version(&base, &current, &nodes, version));
-        let checked = check.await.map_err(|e| vec![format!("the check of the version failed: {e}")])??;
+        let checked = check.await.map_err(|e| vec![format!("it could not be read: {e}")])??;
         let replaced = self
             .request(|reply| UpdateRequest::Apply(Box::new(checked), reply))
             .await?
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -32,7 +32,7 @@
     #[error("it has no condition")]
     NoCondition,
     /// An earlier rule matches every request that it would match.
-    #[error("route {by} matches all requests that it would match")]
+    #[error("route {by} takes all that would fit it")]
     Shadowed {
         /// The index of the earlier rule.
         by: usize,
