--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hand-driven proxy for the module's tests: it keeps the clock, the list and what the module did.
+//! A test harness around one decision module, with a clock that the test advances.
 #![allow(dead_code)]
 
 use aniseyoke_decision::api::*;
@@ -37,7 +37,7 @@
     Entry {
         server,
         zone: (n % 3) as u32,
-        // The last of eight is of a kind of its own: the origin, where a test says so.
+        // Every eighth server has kind 1, which some tests configure as the origin.
         kind: u32::from(n % 8 == 7),
         cell: (n % 6) as u32,
         state: State::Ready,
@@ -61,7 +61,7 @@
         Proxy { balancer: Balancer::new(settings, seed), now: 1000 * SECOND, next: 1 }
     }
 
-    pub fn with(settings: Settings, list: Vec<Entry>) -> Self {
+    pub fn with_list(settings: Settings, list: Vec<Entry>) -> Self {
         let mut p = Self::new(settings, 7);
         p.list(ListKind::Cached, list);
         p
@@ -77,12 +77,12 @@
         self.event(Event::EndpointList { kind, entries })
     }
 
-    /// A request of class 0; returns its id and what was done.
-    pub fn ask(&mut self, key: u64) -> (RequestId, Vec<Action>) {
-        self.ask_as(Request { key: Some(key), remaining: 800 * MS, ..Request::default() })
+    /// Submits a request of class 0 with 800 ms left; returns its id and the resulting actions.
+    pub fn request(&mut self, key: u64) -> (RequestId, Vec<Action>) {
+        self.submit(Request { key: Some(key), remaining: 800 * MS, ..Request::default() })
     }
 
-    pub fn ask_as(&mut self, mut request: Request) -> (RequestId, Vec<Action>) {
+    pub fn submit(&mut self, mut request: Request) -> (RequestId, Vec<Action>) {
         request.id = self.next;
         self.next += 1;
         (request.id, self.event(Event::Arrival(request)))
@@ -112,21 +112,20 @@
         self.event(Event::Outcome(Outcome { id, attempt, server, status, elapsed, last, hit }))
     }
 
-    /// Asks, answers and returns the server that was asked first.
-    pub fn served(&mut self, key: u64, hit: bool) -> ServerId {
-        let (id, actions) = self.ask(key);
+    /// Submits a request, answers its first attempt and returns the server of that attempt.
+    pub fn serve(&mut self, key: u64, hit: bool) -> ServerId {
+        let (id, actions) = self.request(key);
         let server = sent(&actions).expect("sent");
         self.now += 20 * MS;
         self.end(id, 0, server, Status::Ok, Some(hit));
-        // Requests far enough apart that no bucket counts as hot.
         server
     }
 
-    /// Fills the traffic count with other keys, so that the key under test is one of many.
-    pub fn crowd(&mut self, keys: std::ops::Range<u64>) {
+    /// Serves requests for other keys, so that the key under test is only a small part of the traffic.
+    pub fn background_traffic(&mut self, keys: std::ops::Range<u64>) {
         for k in keys {
             self.now += MS;
-            self.served(0x9999_0000 + k * 7919, true);
+            self.serve(0x9999_0000 + k * 7919, true);
         }
     }
 }
@@ -135,6 +134,6 @@
     actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+pub fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
--- a/crates/decision/tests/deadlines.rs
+++ b/crates/decision/tests/deadlines.rs
@@ -1,5 +1,5 @@
-//! Clients that give their requests less time than others, and the rest of a longer wait: told apart by how many share a
-//! time left, and by what part of all requests is answered so soon.
+//! Requests with little time left: those of impatient clients are distinguished from late retries by how many
+//! requests share a time left, and by the fraction of requests that is answered within it.
 
 mod common;
 
@@ -8,9 +8,9 @@
 
 const USUAL: Nanos = 450 * MS;
 
-/// A proxy of many at which `impatient` requests of a given time left come for each usual one, for some seconds; what is sent
-/// takes `answer`, or is given up after the time left. Returns how many usual and how many impatient requests were sent, and how many
-/// of each there were.
+/// Simulates one proxy of many that gets `impatient` requests with `left` as the time left for each usual
+/// request. An attempt is answered after `answer`, or times out after the time left. Returns the numbers of
+/// sent and of all requests, for usual and for impatient ones.
 fn among_impatient(seed: u64, impatient: u64, left: Nanos, answer: Nanos) -> [(u64, u64); 2] {
     let mut p = Proxy::new(Settings { proxies: 300, max_retry_after: SECOND, ..settings() }, seed);
     p.list(ListKind::Cached, entries(0..10));
@@ -26,11 +26,11 @@
                 p.end_after(id, 0, server, Status::Ok, Some(true), elapsed);
             }
         }
-        // The first seconds have usual requests alone.
+        // The first 3 s have only usual requests.
         let is_impatient = n >= 150 && n % (impatient + 1) != 0;
         let remaining = if is_impatient { left } else { USUAL };
         let key = Some((seed * 1_000_003 + n) * 7919);
-        let (id, actions) = p.ask_as(Request { key, remaining, ..Request::default() });
+        let (id, actions) = p.submit(Request { key, remaining, ..Request::default() });
         let counted = &mut counts[usize::from(is_impatient)];
         if n >= 300 {
             counted.1 += 1;
@@ -46,6 +46,7 @@
     counts
 }
 
+/// The fractions of usual and of impatient requests that are sent, over 60 proxies.
 fn over_a_fleet(impatient: u64, left: Nanos, answer: Nanos) -> [f64; 2] {
     let mut sums = [(0, 0); 2];
     for seed in 0..60 {
@@ -53,20 +54,22 @@
             *sum = (sum.0 + one.0, sum.1 + one.1);
         }
     }
-    sums.map(|(sent, came)| sent as f64 / came as f64)
+    sums.map(|(sent, total)| sent as f64 / total as f64)
 }
 
 #[test]
 fn usual_requests_are_sent_while_impatient_ones_outnumber_them() {
-    // Danger: where the time left of most requests passed for the one that clients give, five impatient requests for each usual one
-    // made these look like the rest of a wait, long past its latency objective; the whole fleet rejected six in ten of them unsent.
+    // Guards against taking the time left of most requests for the usual one: with five impatient requests
+    // for each usual one, the usual ones looked like late retries past their latency objective, and the fleet
+    // rejected six in ten unsent.
     let [usual, _] = over_a_fleet(5, 60 * MS, 100 * MS);
     assert!(usual > 0.97, "{usual} of the usual requests are sent");
 }
 
 #[test]
-fn impatient_requests_are_sent_while_answers_come_so_soon_and_rejected_while_they_do_not() {
-    // Danger: each that is cut costs a server's work and a connection, and its client is back at once.
+fn impatient_requests_are_sent_only_while_answers_arrive_within_their_time_left() {
+    // Guards against wasted work: each attempt that is cut off costs work at a server and a connection, and
+    // its client retries at once.
     let [_, quick] = over_a_fleet(5, 60 * MS, 30 * MS);
     assert!(quick > 0.9, "{quick} are sent while answers take half of their time");
     let [_, slow] = over_a_fleet(5, 60 * MS, 100 * MS);
@@ -74,20 +77,22 @@
 }
 
 #[test]
-fn impatient_requests_that_end_without_an_answer_say_nothing_of_the_servers() {
-    // Danger: taken for late answers, they had admission reject a third of all that came, usual requests among them.
+fn impatient_requests_without_an_answer_do_not_count_against_servers() {
+    // Guards against counting them as late answers: admission then rejected a third of all requests,
+    // including usual ones.
     let [usual, _] = over_a_fleet(2, 60 * MS, 70 * MS);
     assert!(usual > 0.97, "{usual} of the usual requests are sent");
 }
 
 #[test]
-fn a_time_left_beyond_what_clients_usually_give_dates_the_request() {
-    // Danger: the last attempt of a wait looks like one with much time, and is past its latency objective.
-    let mut p = Proxy::with(settings(), entries(0..10));
-    let ask = |p: &mut Proxy, remaining| {
+fn a_time_left_above_the_usual_one_sets_the_age_of_the_request() {
+    // Guards against taking a client's last attempt, which is past its latency objective, for a request with
+    // much time.
+    let mut p = Proxy::with_list(settings(), entries(0..10));
+    let submit = |p: &mut Proxy, remaining| {
         p.now += 20 * MS;
         let request = Request { key: Some(p.now * 31), remaining, ..Request::default() };
-        let (id, actions) = p.ask_as(request);
+        let (id, actions) = p.submit(request);
         let server = sent(&actions);
         if let Some(server) = server {
             p.end(id, 0, server, Status::Ok, Some(true));
@@ -99,34 +104,35 @@
         (server.is_some(), timeout)
     };
     for _ in 0..100 {
-        assert!(ask(&mut p, USUAL).0);
+        assert!(submit(&mut p, USUAL).0);
     }
     // 700 ms are left of 800: 100 ms have passed of the latency objective of 300.
-    assert_eq!(ask(&mut p, 700 * MS), (true, Some(200 * MS)));
-    // 490 ms: 310 have passed, and nothing is worth anything any more.
-    assert!(!ask(&mut p, 490 * MS).0);
+    assert_eq!(submit(&mut p, 700 * MS), (true, Some(200 * MS)));
+    // 490 ms left: 310 ms have passed, more than the latency objective, so that an answer has no value.
+    assert!(!submit(&mut p, 490 * MS).0);
 }
 
 #[test]
-fn less_time_than_clients_usually_give_is_a_hurry_and_no_late_retry_unless_it_is_marked() {
-    // Danger: who waits for little in all was rejected as hopeless, whatever answers took.
+fn a_time_left_below_the_usual_one_makes_a_request_a_late_retry_only_if_it_is_marked() {
+    // Guards against rejecting every request of a client with a short deadline, however fast answers are.
     for (clients_mark_retries, retry, served) in
         [(true, false, true), (false, false, true), (true, true, false)]
     {
-        let mut p = Proxy::with(Settings { clients_mark_retries, ..settings() }, entries(0..10));
-        p.crowd(0..100);
+        let mut p = Proxy::with_list(Settings { clients_mark_retries, ..settings() }, entries(0..10));
+        p.background_traffic(0..100);
         let short = Request { key: Some(4711), remaining: 250 * MS, retry, ..Request::default() };
         assert_eq!(
-            sent(&p.ask_as(short).1).is_some(),
+            sent(&p.submit(short).1).is_some(),
             served,
-            "marks {clients_mark_retries}, marked {retry}"
+            "clients_mark_retries: {clients_mark_retries}, retry: {retry}"
         );
     }
 }
 
 #[test]
-fn clients_that_leave_before_their_objective_say_nothing_of_the_servers() {
-    // Danger: taken for late answers, they had a tenth of all that came rejected unsent, with all servers idle.
+fn clients_that_leave_before_their_latency_objective_do_not_count_against_servers() {
+    // Guards against counting them as late answers: a tenth of all requests was then rejected unsent with all
+    // servers idle.
     let mut unsent = 0;
     for seed in 0..60 {
         let mut p = Proxy::new(settings(), seed);
@@ -134,7 +140,7 @@
         for n in 0..200u64 {
             p.now += 20 * MS;
             let key = (seed * 1_000_003 + n) * 7919;
-            let (id, actions) = p.ask(key);
+            let (id, actions) = p.request(key);
             let Some(server) = sent(&actions) else {
                 unsent += 1;
                 continue;
@@ -147,5 +153,5 @@
             }
         }
     }
-    assert_eq!(unsent, 0, "of 12,000");
+    assert_eq!(unsent, 0, "of 12,000 requests rejected unsent");
 }
--- a/crates/decision/tests/robustness.rs
+++ b/crates/decision/tests/robustness.rs
@@ -1,27 +1,27 @@
-//! Odd settings and figures, and the subscription to the endpoint list.
+//! Invalid settings and values, and renewal of the subscription to the endpoint list.
 
 mod common;
 use aniseyoke_decision::api::*;
 use common::*;
 
 #[test]
-fn no_servers_no_time_and_odd_settings_are_answered() {
-    let mut p = Proxy::with(Settings::default(), Vec::new());
-    let (_, actions) = p.ask(1);
-    assert_eq!(finals(&actions), 1);
-    let mut p = Proxy::with(settings(), entries(0..3));
-    let (_, actions) = p.ask_as(Request { class: 9, key: None, remaining: 0, ..Request::default() });
-    assert_eq!(finals(&actions), 1);
+fn requests_without_servers_time_or_valid_settings_are_answered() {
+    let mut p = Proxy::with_list(Settings::default(), Vec::new());
+    let (_, actions) = p.request(1);
+    assert_eq!(final_answers(&actions), 1);
+    let mut p = Proxy::with_list(settings(), entries(0..3));
+    let (_, actions) = p.submit(Request { class: 9, key: None, remaining: 0, ..Request::default() });
+    assert_eq!(final_answers(&actions), 1);
     let mut odd = entry(1);
     odd.weight = f64::NAN;
     p.list(ListKind::Full, vec![odd]);
-    assert!(sent(&p.ask(5).1).is_some());
+    assert!(sent(&p.request(5).1).is_some());
     assert!(p.end(999, 7, 1, Status::Ok, None).is_empty());
     assert!(p.event(Event::Timer(u64::MAX)).is_empty());
 }
 
 #[test]
-fn the_list_is_subscribed_to_again_in_time_after_failures() {
+fn the_subscription_to_the_list_is_renewed_in_time_after_failures() {
     let mut s = settings();
     s.subscribes = true;
     let mut p = Proxy::new(s.clone(), 3);
@@ -37,18 +37,18 @@
         assert!(p.event(Event::Timer(token)).contains(&Action::Subscribe));
         actions = p.list(ListKind::Failed, Vec::new());
     }
-    assert!(sent(&p.ask(1).1).is_some(), "the old list stays in use");
+    assert!(sent(&p.request(1).1).is_some(), "the old list stays in use");
 }
 
-/// Requests that take and have such times, with outcomes and timers of every kind.
-fn use_with_odd_figures(p: &mut Proxy, long: Nanos) {
+/// Submits requests with `long` as time left and attempt duration, with various outcomes and timers.
+fn submit_with_extreme_times(p: &mut Proxy, long: Nanos) {
     for i in 0..200u64 {
         p.now = if i == 150 { u64::MAX - 1 } else { p.now.saturating_add(MS) };
         let (class, tenant) = ((i % 3) as u32, Some((i % 2) as u32));
         let key = (i % 7 > 0).then_some(i % 7);
         let request =
             Request { class, tenant, key, remaining: long, write: i % 5 == 0, ..Request::default() };
-        let (id, mut actions) = p.ask_as(request);
+        let (id, mut actions) = p.submit(request);
         for attempt in 0..3 {
             let Some(server) = sent(&actions) else { break };
             let status = [Status::Ok, Status::Miss, Status::Timeout, Status::ConnectFailed][i as usize % 4];
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn settings_and_figures_that_make_no_sense_never_panic() {
+fn invalid_settings_and_values_never_panic() {
     for odd in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 0.0, 1e300] {
         for (long, aside) in [(0, true), (1, false), (u64::MAX, true), (u64::MAX, false)] {
             let class = Class {
@@ -102,7 +102,7 @@
             let mut p = Proxy::new(s, long);
             let list = (0..8).map(|n| Entry { weight: odd, started: long * (n % 2), ..entry(n) }).collect();
             p.list(ListKind::Cached, list);
-            use_with_odd_figures(&mut p, long);
+            submit_with_extreme_times(&mut p, long);
             p.list(ListKind::Failed, Vec::new());
         }
     }
