--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Which connections of clients the real program closes when they are silent, or when descriptors run out.
+//! Which client connections the proxy closes when they are idle or when descriptors run out.
 
 mod rig;
 
@@ -18,52 +18,52 @@
     assert_eq!(bad[2].answer().status(), 200);
     bad[3].write("PUT /order/1 HTTP/1.1\r\nX-Correlation-Id: 1\r\nContent-Length: 9\r\n\r\nhalf");
     assert_eq!(bad[3].answer().status(), 408);
-    // What was read of a request is refused; where nothing was, nothing is owed.
+    // A partly read request gets an error answer; a connection on which nothing was read gets none.
     assert_eq!((bad[1].answer().status(), bad[2].answer().status()), (503, 503));
     bad.iter_mut().for_each(|client| assert_eq!(client.read(), None));
     good.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(good.answer().status(), 200);
 }
 
-/// Who has had one request may be closed in a crowd once it has been idle for this time (`REUSE_WITHIN` of the proxy).
-const KEPT_AFTER_ONE_REQUEST: Duration = Duration::from_millis(40);
+/// When descriptors are short, a connection with one request is closed only after this idle time (`REUSE_WITHIN` of the proxy).
+const MIN_IDLE_AFTER_REQUEST: Duration = Duration::from_millis(40);
 
-/// Guards against silent connections that push out clients with requests. Who has asked twice keeps its connection; who has
-/// asked once keeps it for a while.
+/// Guards against silent connections that displace clients with requests: a connection with two requests stays open, one
+/// with a single request stays open for a minimum idle time.
 #[test]
-fn a_flood_of_silent_connections_leaves_those_with_requests_alone() {
+fn a_flood_of_silent_connections_does_not_displace_those_with_requests() {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut small = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    small["limits"]["sockets"] = json!(40);
-    let proxy = Proxy::new(&small);
-    let mut asked_twice = proxy.client();
+    let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    settings["limits"]["sockets"] = json!(40);
+    let proxy = Proxy::new(&settings);
+    let mut two_requests = proxy.client();
     for _ in 0..2 {
-        asked_twice.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-        assert_eq!(asked_twice.answer().status(), 200);
+        two_requests.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+        assert_eq!(two_requests.answer().status(), 200);
     }
-    let mut asked_once = proxy.client();
-    let asked_at = Instant::now();
-    asked_once.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(asked_once.answer().status(), 200);
+    let mut one_request = proxy.client();
+    let sent = Instant::now();
+    one_request.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(one_request.answer().status(), 200);
     let mut silent: Vec<Peer> = (0..40).map(|_| proxy.client()).collect();
     for client in &mut silent[..30] {
         assert_eq!(client.read(), None);
     }
-    asked_once.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-    match asked_once.read() {
+    one_request.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+    match one_request.read() {
         Some(answer) => assert_eq!(answer.status(), 200),
-        None => assert!(asked_at.elapsed() > KEPT_AFTER_ONE_REQUEST, "closed after {:?}", asked_at.elapsed()),
+        None => assert!(sent.elapsed() > MIN_IDLE_AFTER_REQUEST, "closed after {:?}", sent.elapsed()),
     }
-    asked_twice.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(asked_twice.answer().status(), 200);
+    two_requests.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(two_requests.answer().status(), 200);
 }
 
 #[test]
-fn idle_connections_are_closed_for_descriptors_and_waiting_ones_are_not() {
+fn descriptor_shortage_closes_idle_connections_but_not_waiting_ones() {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut small = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    small["limits"]["sockets"] = json!(40);
-    let proxy = Proxy::new(&small);
+    let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    settings["limits"]["sockets"] = json!(40);
+    let proxy = Proxy::new(&settings);
     let mut waiting = proxy.client();
     waiting.ask("read", "");
     let mut node = cache.take();
@@ -80,10 +80,10 @@
 #[test]
 fn idle_connections_are_closed_before_all_descriptors_are_taken() {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut small = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    // Eight places for clients: from the fifth on the longest idle one goes.
-    small["limits"]["sockets"] = json!(40);
-    let proxy = Proxy::new(&small);
+    let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    // Room for eight clients: from the fifth on, the connection that was idle longest is closed.
+    settings["limits"]["sockets"] = json!(40);
+    let proxy = Proxy::new(&settings);
     let health = |client: &mut Peer| {
         client.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
         assert_eq!(client.answer().status(), 200);
@@ -92,18 +92,18 @@
     kept.iter_mut().for_each(health);
     let mut newest = proxy.client();
     health(&mut newest);
-    // It goes once it is plain that it is not about to ask, which on a busy machine comes a little later.
+    // It is closed once it has been idle for the minimum time, which takes a little longer on a busy machine.
     assert_eq!(kept[0].read(), None);
     health(&mut newest);
 }
 
 #[test]
-fn many_attempts_do_not_keep_clients_out() {
+fn many_attempts_do_not_prevent_new_client_connections() {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut small = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    // 32 for sockets: of these 16 for clients, but 11 waiting ones take 11 more for their attempts.
-    small["limits"]["sockets"] = json!(56);
-    let proxy = Proxy::new(&small);
+    let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    // 32 descriptors are for sockets: 16 of these for clients, but 11 waiting clients take 11 more for their attempts.
+    settings["limits"]["sockets"] = json!(56);
+    let proxy = Proxy::new(&settings);
     let mut clients: Vec<Peer> = (0..11).map(|_| proxy.client()).collect();
     let mut nodes: Vec<Peer> = Vec::new();
     for client in &mut clients {
@@ -123,59 +123,59 @@
 }
 
 #[test]
-fn a_client_that_stalls_in_its_head_yields_its_descriptor() {
+fn a_client_that_stalls_in_its_request_head_loses_its_descriptor_to_others() {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut small = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    small["limits"]["sockets"] = json!(40);
-    let proxy = Proxy::new(&small);
+    let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    settings["limits"]["sockets"] = json!(40);
+    let proxy = Proxy::new(&settings);
     let mut stalled: Vec<Peer> = (0..12).map(|_| proxy.client()).collect();
     stalled.iter_mut().for_each(|client| client.write("GET /_hea"));
     assert_eq!(proxy.health(), 200);
 }
 
-/// A proxy with eight places for clients.
-fn narrow() -> (Proxy, Server, Server) {
+/// A proxy with room for eight client connections.
+fn proxy_with_eight_clients() -> (Proxy, Server, Server) {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut small = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    small["limits"]["sockets"] = json!(40);
-    (Proxy::new(&small), cache, discovery)
+    let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    settings["limits"]["sockets"] = json!(40);
+    (Proxy::new(&settings), cache, discovery)
 }
 
-/// Danger: an honest client may take long for its head, and must not go for being older than those that stopped.
+/// Guards against closing a slow client that still sends its head because its connection is older than those of stalled ones.
 #[test]
-fn in_a_crowd_a_head_that_still_comes_outlives_those_that_stopped() {
-    let (proxy, _cache, _discovery) = narrow();
+fn when_descriptors_are_short_a_slow_head_is_kept_and_stalled_ones_are_closed() {
+    let (proxy, _cache, _discovery) = proxy_with_eight_clients();
     let mut slow = proxy.client();
     slow.write("GET /_health HTTP/1.1\r\nHost: a\r\nX-Slow: ");
-    let mut stopped = Vec::new();
+    let mut stalled = Vec::new();
     for _ in 0..30 {
-        let mut half = proxy.client();
-        half.write("GET /_health HT");
-        stopped.push(half);
-        // Those that came before have been taken in, and have made room, once this one is answered.
+        let mut half_sent = proxy.client();
+        half_sent.write("GET /_health HT");
+        stalled.push(half_sent);
+        // Once this request is answered, earlier connections have been accepted and have displaced others.
         assert_eq!(proxy.health(), 200);
         slow.write("x");
     }
-    assert_eq!((stopped[0].answer().status(), stopped[0].read()), (503, None));
+    assert_eq!((stalled[0].answer().status(), stalled[0].read()), (503, None));
     slow.write("\r\n\r\n");
     assert_eq!(slow.answer().status(), 200);
 }
 
-/// Danger: clients that ask once and keep their connection have none left to ask on.
+/// Guards against clients that send one request and keep their connection until no descriptor is left.
 #[test]
-fn in_a_crowd_the_first_answer_on_a_connection_ends_it() {
-    let (proxy, _cache, _discovery) = narrow();
-    // Most of the places are taken by connections that may still ask.
+fn when_descriptors_are_short_the_first_answer_closes_its_connection() {
+    let (proxy, _cache, _discovery) = proxy_with_eight_clients();
+    // Most of the descriptors are taken by connections that may still send a request.
     let _halves: Vec<Peer> = (0..6)
         .map(|_| {
-            let mut half = proxy.client();
-            half.write("GET /_health HT");
-            half
+            let mut half_sent = proxy.client();
+            half_sent.write("GET /_health HT");
+            half_sent
         })
         .collect();
-    let mut once = proxy.client();
-    once.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-    let answer = once.answer();
+    let mut one_request = proxy.client();
+    one_request.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+    let answer = one_request.answer();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert_eq!(once.read(), None);
+    assert_eq!(one_request.read(), None);
 }
--- a/crates/proxy/tests/command.rs
+++ b/crates/proxy/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line, the operator's file and the log of the real program.
+//! The command line, the operator's file and the log of the proxy binary.
 
 mod rig;
 
@@ -16,7 +16,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// An operator's file in a folder that goes with it.
+/// An operator's file in a temporary folder that is removed with it.
 struct File {
     path: PathBuf,
     _folder: tempfile::TempDir,
@@ -36,50 +36,53 @@
 }
 
 #[test]
-fn a_file_with_faults_starts_nothing_and_all_of_them_are_told() {
-    let bad = file("[log]\nlevle = \"info\"\n[limits.node]\nfloor = 0.5\n");
-    let (mut child, platform) = start_with("{}", |c| _ = c.env("ANISEYOKE_FILE", &bad.path));
+fn a_file_with_faults_prevents_the_start_and_all_faults_are_reported() {
+    let faulty_file = file("[log]\nlevle = \"info\"\n[limits.node]\nfloor = 0.5\n");
+    let (mut child, platform) = start_with("{}", |c| _ = c.env("ANISEYOKE_FILE", &faulty_file.path));
     assert_eq!(child.wait().expect("ended").code(), Some(1));
-    let mut told = String::new();
-    child.stderr.take().expect("a log").read_to_string(&mut told).expect("text");
+    let mut output = String::new();
+    child.stderr.take().expect("a log").read_to_string(&mut output).expect("text");
     let _ = std::fs::remove_file(platform);
     assert!(
-        told.contains("operator.toml:2:1: log.levle: there is no such key; did you mean \"level\"?"),
-        "{told}"
+        output.contains("operator.toml:2:1: log.levle: there is no such key; did you mean \"level\"?"),
+        "{output}"
     );
-    assert!(told.contains("operator.toml:4:9: limits.node.floor: 0.5 lies outside of 1 to 100000"), "{told}");
-    assert_eq!(told.lines().count(), 2, "{told}");
+    assert!(
+        output.contains("operator.toml:4:9: limits.node.floor: 0.5 lies outside of 1 to 100000"),
+        "{output}"
+    );
+    assert_eq!(output.lines().count(), 2, "{output}");
 }
 
 #[test]
-fn names_that_the_platform_does_not_know_are_refused_at_the_start() {
-    let bad = file("[tenants.nobody]\nshare = 1.0\n");
+fn names_unknown_to_the_platform_are_rejected_at_startup() {
+    let faulty_file = file("[tenants.nobody]\nshare = 1.0\n");
     let discovery = Server::new();
     let config = config(discovery.addr, &[]).to_string();
-    let (mut child, platform) = start_with(&config, |c| _ = c.env("ANISEYOKE_FILE", &bad.path));
+    let (mut child, platform) = start_with(&config, |c| _ = c.env("ANISEYOKE_FILE", &faulty_file.path));
     assert_eq!(child.wait().expect("ended").code(), Some(1));
-    let mut told = String::new();
-    child.stderr.take().expect("a log").read_to_string(&mut told).expect("text");
+    let mut output = String::new();
+    child.stderr.take().expect("a log").read_to_string(&mut output).expect("text");
     let _ = std::fs::remove_file(platform);
     assert!(
-        told.contains("tenants.nobody: the platform names no tenant \"nobody\"; it names acme"),
-        "{told}"
+        output.contains("tenants.nobody: the platform names no tenant \"nobody\"; it names acme"),
+        "{output}"
     );
 }
 
-/// Proxies of tests that had been killed went on asking for lists at ports that were other tests' servers by then: 5 of 200 runs
-/// of `handover.rs` failed, with `GET /catalog/members` of a strange proxy at a node.
+/// Guards against orphaned proxies of killed tests, which keep polling ports that belong to other tests' servers by then: 5 of
+/// 200 runs of `handover.rs` failed with a foreign proxy's `GET /catalog/members` at a node.
 #[test]
 fn a_proxy_does_not_outlive_the_thread_of_the_test_that_started_it() {
     let discovery = Server::new();
     let config = config(discovery.addr, &[]).to_string();
-    // Nothing ends the child, as where the test is killed.
+    // No destructor kills the child, as when the test is killed.
     let started = std::thread::spawn(move || start_with(&config, |_| {}));
     let (child, file) = started.join().expect("started");
     let id = child.id();
     let stat = format!("/proc/{id}/stat");
     until("it has ended", || {
-        // It stays a zombie, since nobody waits for it.
+        // It stays a zombie, because no process waits for it.
         let stat = std::fs::read_to_string(&stat).expect("a state");
         stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('Z'))
     });
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn the_commands_about_files_answer_without_a_platform() {
+fn config_commands_work_without_a_platform() {
     let (before, after) = (file(""), file("[log]\nlevel = \"debug\"\n"));
     let check = program(&["config", "check", before.name(), after.name()]);
     assert!(check.status.success() && text(&check.stdout).lines().count() == 2);
@@ -99,75 +102,79 @@
     assert_eq!(schema["properties"]["log"]["description"], "What is written to the log, and how.");
     assert!(text(&program(&["completions", "bash"]).stdout).contains("aniseyoke"));
     assert!(text(&program(&["man"]).stdout).contains(".TH aniseyoke"));
-    let slip = program(&["confg"]);
-    assert_eq!(slip.status.code(), Some(2));
-    assert!(text(&slip.stderr).contains("config"), "{}", text(&slip.stderr));
+    let misspelled = program(&["confg"]);
+    assert_eq!(misspelled.status.code(), Some(2));
+    assert!(text(&misspelled.stderr).contains("config"), "{}", text(&misspelled.stderr));
 }
 
 #[test]
-fn calls_at_the_door_are_made_from_the_command_line() {
+fn the_ctl_command_calls_the_admin_endpoint() {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
     let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
     let mut config = config(discovery.addr, &servers);
     config["mgmt"] = json!("127.0.0.1:0");
-    let on = file("[limits]\n");
-    let mut proxy = Proxy::with(&config, |c| _ = c.env("ANISEYOKE_FILE", &on.path));
-    let door = proxy.admin_addr().to_string();
-    let ctl = |args: &[&str]| program(&[&["ctl", "--door", &door], args].concat());
+    let operator_file = file("[limits]\n");
+    let mut proxy = Proxy::with(&config, |c| _ = c.env("ANISEYOKE_FILE", &operator_file.path));
+    let admin_addr = proxy.admin_addr().to_string();
+    let ctl = |args: &[&str]| program(&[&["ctl", "--door", &admin_addr], args].concat());
     until("it serves", || ctl(&["ready"]).status.success());
     assert!(ctl(&["exclude", "c1"]).status.success() && ctl(&["include", "c1"]).status.success());
-    let none = ctl(&["exclude", "never"]);
-    assert_eq!(none.status.code(), Some(1));
-    assert!(text(&none.stderr).contains("says 404") && text(&none.stderr).contains("no such cache node"));
+    let unknown_node = ctl(&["exclude", "never"]);
+    assert_eq!(unknown_node.status.code(), Some(1));
+    assert!(
+        text(&unknown_node.stderr).contains("says 404")
+            && text(&unknown_node.stderr).contains("no such cache node")
+    );
     assert!(ctl(&["evacuate"]).status.success());
     assert_eq!(proxy.health(), 503);
     assert!(ctl(&["rejoin"]).status.success());
     let version: Value = serde_json::from_slice(&ctl(&["version"]).stdout).expect("JSON");
     assert_eq!(version["limits"], json!({"waiting": 0, "turned": 0}));
     assert_eq!(version["configuration"].as_str().map(str::len), Some(64));
-    assert_eq!(version["file"].as_str(), Some(on.name()));
+    assert_eq!(version["file"].as_str(), Some(operator_file.name()));
     drop(proxy);
-    let gone = ctl(&["--within", "2s", "ready"]);
-    assert!(!gone.status.success() && text(&gone.stderr).contains(&door));
+    let unreachable = ctl(&["--within", "2s", "ready"]);
+    assert!(!unreachable.status.success() && text(&unreachable.stderr).contains(&admin_addr));
 }
 
 #[test]
-fn a_node_without_room_refuses_at_once_with_advice() {
+fn requests_to_a_node_at_capacity_are_rejected_at_once_with_retry_after() {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
     let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
-    let one = file("[limits.node]\nfloor = 1.0\nstart = 1.0\nceiling = 1.0\n[limits.queue]\nmost = 0\n");
+    let operator_file =
+        file("[limits.node]\nfloor = 1.0\nstart = 1.0\nceiling = 1.0\n[limits.queue]\nmost = 0\n");
     let config = config(discovery.addr, &servers);
-    let proxy = Proxy::with(&config, |c| _ = c.env("ANISEYOKE_FILE", &one.path));
+    let proxy = Proxy::with(&config, |c| _ = c.env("ANISEYOKE_FILE", &operator_file.path));
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.ask("read", "");
     let mut node = cache.take();
     node.request();
     second.ask("read", "");
-    let refused = second.answer();
-    assert_eq!(refused.status(), 503);
-    assert!(refused.header("retry-after").is_some());
+    let rejected = second.answer();
+    assert_eq!(rejected.status(), 503);
+    assert!(rejected.header("retry-after").is_some());
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
     assert_eq!(first.answer().status(), 200);
     second.ask("read", "");
     node.request();
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
-    assert_eq!(second.answer().status(), 200, "there is room again");
+    assert_eq!(second.answer().status(), 200, "capacity is available again");
 }
 
 #[test]
-fn the_log_is_json_where_it_is_asked_for_and_levels_change_on_a_hangup() {
-    let set = file("[log]\nformat = \"json\"\n");
+fn the_log_is_json_if_configured_and_sighup_reloads_its_settings() {
+    let operator_file = file("[log]\nformat = \"json\"\n");
     let (cache, discovery) = (Server::new(), Server::new());
     let servers = [member("c1", cache.addr, "std", "ready")];
     let config = config(discovery.addr, &servers).to_string();
-    let (mut child, platform) = start_with(&config, |c| _ = c.env("ANISEYOKE_FILE", &set.path));
+    let (mut child, platform) = start_with(&config, |c| _ = c.env("ANISEYOKE_FILE", &operator_file.path));
     let mut log = std::io::BufReader::new(child.stderr.take().expect("a log"));
-    let mut next = |part: &str| loop {
+    let mut next = |pattern: &str| loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).expect("a line") > 0, "the log ended before {part:?}");
-        let read: Value = serde_json::from_str(&line).expect("JSON");
-        if read["message"].as_str().is_some_and(|m| m.contains(part)) {
-            return read;
+        assert!(log.read_line(&mut line).expect("a line") > 0, "the log ended before {pattern:?}");
+        let entry: Value = serde_json::from_str(&line).expect("JSON");
+        if entry["message"].as_str().is_some_and(|m| m.contains(pattern)) {
+            return entry;
         }
     };
     let started = next("listening on");
@@ -175,15 +182,15 @@
         (started["level"].as_str(), started["target"].as_str()),
         (Some("info"), Some("aniseyoke::front"))
     );
-    let hangup = |id: u32| {
+    let send_sighup = |id: u32| {
         let done = Command::new("kill").args(["-HUP", &id.to_string()]).status();
         assert!(done.expect("kill").success());
     };
-    std::fs::write(&set.path, "[log]\nformat = \"json\"\nlevel = \"eror\"\n").expect("written");
-    hangup(child.id());
+    std::fs::write(&operator_file.path, "[log]\nformat = \"json\"\nlevel = \"eror\"\n").expect("written");
+    send_sighup(child.id());
     assert!(next("stays as it was")["message"].as_str().is_some_and(|m| m.contains("log.level")));
-    std::fs::write(&set.path, "[log]\nformat = \"plain\"\n").expect("written");
-    hangup(child.id());
+    std::fs::write(&operator_file.path, "[log]\nformat = \"plain\"\n").expect("written");
+    send_sighup(child.id());
     assert!(next("wait for a restart")["message"].as_str().is_some_and(|m| m.contains("log.format")));
     child.kill().expect("ended");
     child.wait().expect("ended");
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -1,4 +1,4 @@
-//! System calls of the real program fail, as Linux documents that they may, while hundreds of clients ask: each request gets
+//! System calls of the proxy fail in ways that Linux documents, while hundreds of clients send requests: each request gets
 //! exactly one final answer.
 
 mod rig;
@@ -13,73 +13,75 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Clients, each on connections of its own; so many ask at the same time.
+/// Number of clients, each with its own connections.
 const CLIENTS: usize = 400;
-const AT_ONCE: usize = 16;
-/// Requests that a client sends on one connection, where it keeps it.
-const ON_ONE: usize = 4;
-/// An answer that has not come within this time is none.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(20);
-
-/// What became of one request.
+/// Number of clients that send requests at the same time.
+const CONCURRENT_CLIENTS: usize = 16;
+/// Number of requests that a client sends on its persistent connection.
+const REQUESTS_PER_CONNECTION: usize = 4;
+/// A request without an answer within this time counts as unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The outcome of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Outcome {
     Answered(u16),
-    /// The connection ended, or nothing came.
+    /// The connection ended, or no answer arrived in time.
     Unanswered,
-    /// Something stood behind the answer.
+    /// Further data followed the answer.
     MoreThanOne,
 }
 
-/// What nodes do behind an answer.
+/// What nodes do with the connection after an answer.
 #[derive(Clone, Copy, PartialEq)]
-enum Then {
+enum AfterAnswer {
     Keep,
     Close,
 }
 
-/// A node that answers each request at once, on any number of connections.
-fn node(then: Then) -> SocketAddr {
+/// Starts a node that answers each request at once, on any number of connections.
+fn node(after_answer: AfterAnswer) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            std::thread::spawn(move || answer_all(stream, then));
+            std::thread::spawn(move || answer_all(stream, after_answer));
         }
     });
     addr
 }
 
-fn answer_all(mut stream: TcpStream, then: Then) {
-    let (mut came, mut part) = (Vec::new(), [0; 4096]);
+fn answer_all(mut stream: TcpStream, after_answer: AfterAnswer) {
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        while let Some(end) = came.windows(4).position(|four| four == b"\r\n\r\n") {
-            came.drain(..end + 4);
-            let more = if then == Then::Close { "Connection: close\r\n" } else { "" };
+        while let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") {
+            received.drain(..end + 4);
+            let more = if after_answer == AfterAnswer::Close { "Connection: close\r\n" } else { "" };
             let answer = format!("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\n{more}Content-Length: 5\r\n\r\nvalue");
-            if stream.write_all(answer.as_bytes()).is_err() || then == Then::Close {
+            if stream.write_all(answer.as_bytes()).is_err() || after_answer == AfterAnswer::Close {
                 return;
             }
         }
-        match stream.read(&mut part) {
-            Ok(n) if n > 0 => came.extend_from_slice(&part[..n]),
+        match stream.read(&mut chunk) {
+            Ok(n) if n > 0 => received.extend_from_slice(&chunk[..n]),
             _ => return,
         }
     }
 }
 
-/// The proxy under a plan, in front of two nodes and an origin that answer.
-struct Played {
+/// A proxy with a fault plan, in front of two cache nodes and an origin that answer.
+struct FaultySite {
     proxy: Proxy,
     armed: Armed,
     _discovery: Server,
     _folder: TempDir,
 }
 
-impl Played {
-    /// `plan` is told the ports of the nodes.
-    fn new(then: Then, plan: impl FnOnce([u16; 3]) -> Plan) -> Self {
-        let (discovery, nodes) = (Server::new(), [node(then), node(then), node(then)]);
+impl FaultySite {
+    /// Starts the proxy; `plan` gets the ports of the nodes.
+    fn new(after_answer: AfterAnswer, plan: impl FnOnce([u16; 3]) -> Plan) -> Self {
+        let (discovery, nodes) =
+            (Server::new(), [node(after_answer), node(after_answer), node(after_answer)]);
         let servers = [
             member("c1", nodes[0], "std", "ready"),
             member("c2", nodes[1], "std", "ready"),
@@ -90,32 +92,32 @@
         let folder = tempfile::tempdir().expect("a folder");
         let mut armed = None;
         let proxy = Proxy::with(&config, |command| {
-            // Nothing fails before the proxy listens.
+            // No call failing before the proxy listens.
             armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
         });
         let armed = armed.expect("armed");
         armed.change(&plan(nodes.map(|node| node.port()))).expect("a plan");
-        Played { proxy, armed, _discovery: discovery, _folder: folder }
+        FaultySite { proxy, armed, _discovery: discovery, _folder: folder }
     }
 
-    /// What became of the requests of all clients: of each client one on a connection of its own, and some on another that it
-    /// keeps.
+    /// Runs all clients and counts the outcomes: each client sends one request on its own connection, and
+    /// [`REQUESTS_PER_CONNECTION`] on a persistent one.
     fn outcomes(&self) -> BTreeMap<Outcome, usize> {
         let addr = self.proxy.addr;
-        let lanes: Vec<_> = (0..AT_ONCE)
+        let threads: Vec<_> = (0..CONCURRENT_CLIENTS)
             .map(|_| {
                 std::thread::spawn(move || {
-                    let asks = (0..CLIENTS / AT_ONCE).map(|_| {
-                        let mut outcomes = vec![ask_once(addr)];
-                        outcomes.extend(ask_on_one(addr));
+                    let clients = (0..CLIENTS / CONCURRENT_CLIENTS).map(|_| {
+                        let mut outcomes = vec![send_one(addr)];
+                        outcomes.extend(send_several(addr));
                         outcomes
                     });
-                    asks.flatten().collect::<Vec<Outcome>>()
+                    clients.flatten().collect::<Vec<Outcome>>()
                 })
             })
             .collect();
         let mut counts = BTreeMap::new();
-        for outcome in lanes.into_iter().flat_map(|lane| lane.join().expect("a lane")) {
+        for outcome in threads.into_iter().flat_map(|thread| thread.join().expect("a lane")) {
             *counts.entry(outcome).or_insert(0) += 1;
         }
         counts
@@ -124,221 +126,229 @@
 
 fn connected(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).expect("connected");
-    stream.set_read_timeout(Some(ANSWERED_WITHIN)).expect("time-out");
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("time-out");
     stream
 }
 
-/// One answer off a connection; what stands behind it stays in `came`.
-fn answer(stream: &mut TcpStream, came: &mut Vec<u8>) -> Outcome {
-    let mut part = [0; 4096];
+/// Reads one answer from a connection; data after it stays in `received`.
+fn read_answer(stream: &mut TcpStream, received: &mut Vec<u8>) -> Outcome {
+    let mut chunk = [0; 4096];
     loop {
-        if let Some((status, length)) = whole(came) {
-            came.drain(..length);
+        if let Some((status, length)) = parse_complete_answer(received) {
+            received.drain(..length);
             if status >= 200 {
                 return Outcome::Answered(status);
             }
             continue;
         }
-        match stream.read(&mut part) {
-            Ok(n) if n > 0 => came.extend_from_slice(&part[..n]),
+        match stream.read(&mut chunk) {
+            Ok(n) if n > 0 => received.extend_from_slice(&chunk[..n]),
             _ => return Outcome::Unanswered,
         }
     }
 }
 
-/// The status and the length of the answer that these bytes begin with, once it is whole.
-fn whole(came: &[u8]) -> Option<(u16, usize)> {
-    let head = came.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
-    let text = String::from_utf8_lossy(&came[..head]).to_lowercase();
+/// Returns the status and the length of the answer at the start of these bytes, once it is complete.
+fn parse_complete_answer(received: &[u8]) -> Option<(u16, usize)> {
+    let head = received.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
+    let text = String::from_utf8_lossy(&received[..head]).to_lowercase();
     let status = text.split(' ').nth(1)?.parse().ok()?;
     let length = text.lines().find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
     let end = head + length.unwrap_or(0);
-    (came.len() >= end).then_some((status, end))
+    (received.len() >= end).then_some((status, end))
 }
 
-/// A request on a connection of its own, read to the end of it.
-fn ask_once(addr: SocketAddr) -> Outcome {
-    let (mut stream, mut came) = (connected(addr), Vec::new());
+/// Sends a request on a new connection, which is read to its end.
+fn send_one(addr: SocketAddr) -> Outcome {
+    let (mut stream, mut received) = (connected(addr), Vec::new());
     if stream.write_all(get("read", "Connection: close\r\n").as_bytes()).is_err() {
         return Outcome::Unanswered;
     }
-    let outcome = answer(&mut stream, &mut came);
-    // A reset behind the answer is an end as well.
-    let _ = stream.read_to_end(&mut came);
-    if came.is_empty() {
+    let outcome = read_answer(&mut stream, &mut received);
+    // A reset after the answer also counts as the end.
+    let _ = stream.read_to_end(&mut received);
+    if received.is_empty() {
         outcome
     } else {
         Outcome::MoreThanOne
     }
 }
 
-/// Several on one connection. One that the proxy closes between two requests is opened anew, once, as clients do: its
-/// request was not read.
-fn ask_on_one(addr: SocketAddr) -> Vec<Outcome> {
-    let (mut stream, mut came) = (connected(addr), Vec::new());
-    let mut asked = 0;
-    let ask = |_| {
+/// Sends several requests on one connection. If the proxy closes it between two requests, it is reopened once, as clients do:
+/// the request was not read.
+fn send_several(addr: SocketAddr) -> Vec<Outcome> {
+    let (mut stream, mut received) = (connected(addr), Vec::new());
+    let mut requests_sent = 0;
+    let send = |_| {
         let request = get("read", "");
         let mut outcome = Outcome::Unanswered;
         if stream.write_all(request.as_bytes()).is_ok() {
-            outcome = answer(&mut stream, &mut came);
+            outcome = read_answer(&mut stream, &mut received);
         }
-        if outcome == Outcome::Unanswered && asked > 0 && came.is_empty() {
-            (stream, asked) = (connected(addr), 0);
+        if outcome == Outcome::Unanswered && requests_sent > 0 && received.is_empty() {
+            (stream, requests_sent) = (connected(addr), 0);
             if stream.write_all(request.as_bytes()).is_ok() {
-                outcome = answer(&mut stream, &mut came);
+                outcome = read_answer(&mut stream, &mut received);
             }
         }
-        asked += 1;
-        if came.is_empty() {
+        requests_sent += 1;
+        if received.is_empty() {
             outcome
         } else {
             Outcome::MoreThanOne
         }
     };
-    (0..ON_ONE).map(ask).collect()
+    (0..REQUESTS_PER_CONNECTION).map(send).collect()
 }
 
-fn fails(name: &str, calls: &[Call], number: i32, one_in: u64) -> Rule {
+/// Returns a rule that failing one in `one_in` of these calls on sockets.
+fn failing(name: &str, calls: &[Call], number: i32, one_in: u64) -> Rule {
     Rule::new(name, calls, Effect::Fail(number)).about(About::Sockets).often(Often::OneIn(one_in))
 }
 
-/// All requests have their one answer, and it is the node's.
-fn all_are_served(then: Then, plan: impl FnOnce([u16; 3]) -> Plan) {
-    let played = Played::new(then, plan);
-    let outcomes = played.outcomes();
-    let forced = forced(&played.armed);
-    println!("{outcomes:?}, forced: {forced:?}");
-    assert_eq!(outcomes, BTreeMap::from([(Outcome::Answered(200), CLIENTS * (1 + ON_ONE))]), "{forced:?}");
+/// Asserts that each request gets exactly one answer, the node's.
+fn assert_all_served(after_answer: AfterAnswer, plan: impl FnOnce([u16; 3]) -> Plan) {
+    let site = FaultySite::new(after_answer, plan);
+    let outcomes = site.outcomes();
+    let faults = injected_faults(&site.armed);
+    println!("{outcomes:?}, injected faults: {faults:?}");
+    assert_eq!(
+        outcomes,
+        BTreeMap::from([(Outcome::Answered(200), CLIENTS * (1 + REQUESTS_PER_CONNECTION))]),
+        "{faults:?}"
+    );
 }
 
-/// All requests have their one answer, be it a failure.
-fn all_are_answered(then: Then, plan: impl FnOnce([u16; 3]) -> Plan) {
-    let played = Played::new(then, plan);
-    let outcomes = played.outcomes();
-    let forced = forced(&played.armed);
-    println!("{outcomes:?}, forced: {forced:?}");
+/// Asserts that each request gets exactly one answer, which may be an error.
+fn assert_all_answered(after_answer: AfterAnswer, plan: impl FnOnce([u16; 3]) -> Plan) {
+    let site = FaultySite::new(after_answer, plan);
+    let outcomes = site.outcomes();
+    let faults = injected_faults(&site.armed);
+    println!("{outcomes:?}, injected faults: {faults:?}");
     let answered = |outcome: &Outcome| matches!(outcome, Outcome::Answered(_));
-    assert!(outcomes.keys().all(answered), "{outcomes:?}, forced: {forced:?}");
-    assert_eq!(outcomes.values().sum::<usize>(), CLIENTS * (1 + ON_ONE));
+    assert!(outcomes.keys().all(answered), "{outcomes:?}, injected faults: {faults:?}");
+    assert_eq!(outcomes.values().sum::<usize>(), CLIENTS * (1 + REQUESTS_PER_CONNECTION));
 }
 
-/// What was forced, by rule; each rule has forced something.
-fn forced(armed: &Armed) -> BTreeMap<String, usize> {
+/// Returns the number of injected faults by rule; panics if there is none.
+fn injected_faults(armed: &Armed) -> BTreeMap<String, usize> {
     let text = std::fs::read_to_string(armed.log()).expect("a log");
     let mut counts = BTreeMap::new();
     for line in text.lines() {
         *counts.entry(line.split(' ').next().expect("a rule").to_owned()).or_insert(0) += 1;
     }
-    assert!(!counts.is_empty(), "nothing was forced");
+    assert!(!counts.is_empty(), "no fault was injected");
     counts
 }
 
-/// Calls that take, give and wait.
+/// Returns rules that interrupt one in `one_in` of the receiving, sending, waiting, accepting and connecting calls.
 fn interrupted(one_in: u64) -> Vec<Rule> {
     vec![
-        fails("recv-interrupted", &Call::RECEIVING, errno::EINTR, one_in),
-        fails("send-interrupted", &Call::SENDING, errno::EINTR, one_in),
+        failing("recv-interrupted", &Call::RECEIVING, errno::EINTR, one_in),
+        failing("send-interrupted", &Call::SENDING, errno::EINTR, one_in),
         Rule::new("wait-interrupted", &[Call::EpollWait], Effect::Fail(errno::EINTR))
             .often(Often::OneIn(one_in)),
-        fails("accept-interrupted", &[Call::Accept], errno::EINTR, one_in),
-        fails("connect-interrupted", &[Call::Connect], errno::EINTR, one_in),
+        failing("accept-interrupted", &[Call::Accept], errno::EINTR, one_in),
+        failing("connect-interrupted", &[Call::Connect], errno::EINTR, one_in),
     ]
 }
 
 #[test]
-fn calls_that_signals_interrupt_are_made_again() {
-    all_are_served(Then::Keep, |_| Plan::new(1, &interrupted(50)));
+fn calls_interrupted_by_signals_are_retried() {
+    assert_all_served(AfterAnswer::Keep, |_| Plan::new(1, &interrupted(50)));
 }
 
 #[test]
-fn most_calls_may_be_interrupted() {
-    all_are_served(Then::Keep, |_| Plan::new(2, &interrupted(3)));
+fn a_third_of_all_calls_may_be_interrupted() {
+    assert_all_served(AfterAnswer::Keep, |_| Plan::new(2, &interrupted(3)));
 }
 
 #[test]
-fn few_bytes_go_at_a_time() {
+fn short_reads_and_writes_are_continued() {
     let short = |name, calls: &[Call]| Rule::new(name, calls, Effect::Short(7)).about(About::Sockets);
-    all_are_served(Then::Keep, |_| {
+    assert_all_served(AfterAnswer::Keep, |_| {
         let rules = [short("short-recv", &Call::RECEIVING), short("short-send", &Call::SENDING)];
         Plan::new(3, &rules.map(|rule| rule.often(Often::OneIn(3))))
     });
 }
 
 #[test]
-fn a_kernel_short_of_memory_for_a_moment_ends_no_connection() {
-    all_are_served(Then::Keep, |_| {
+fn a_short_lack_of_kernel_memory_ends_no_connection() {
+    assert_all_served(AfterAnswer::Keep, |_| {
         let rules = [("recv", &Call::RECEIVING), ("send", &Call::SENDING)].map(|(name, calls)| {
-            [errno::ENOBUFS, errno::ENOMEM].map(|n| fails(&format!("{name}-{n}"), calls, n, 40))
+            [errno::ENOBUFS, errno::ENOMEM].map(|n| failing(&format!("{name}-{n}"), calls, n, 40))
         });
         Plan::new(10, &rules.concat())
     });
 }
 
 #[test]
-fn accepting_goes_on_over_errors_of_single_connections() {
-    all_are_served(Then::Keep, |_| {
+fn accepting_continues_after_errors_of_single_connections() {
+    assert_all_served(AfterAnswer::Keep, |_| {
         let numbers =
             [errno::ECONNABORTED, errno::EPROTO, errno::EINTR, errno::ETIMEDOUT, errno::EHOSTUNREACH];
-        Plan::new(4, &numbers.map(|number| fails(&format!("accept-{number}"), &[Call::Accept], number, 12)))
+        Plan::new(4, &numbers.map(|number| failing(&format!("accept-{number}"), &[Call::Accept], number, 12)))
     });
 }
 
 #[test]
-fn accepting_goes_on_over_shortages() {
-    all_are_served(Then::Keep, |_| {
+fn accepting_continues_after_resource_shortages() {
+    assert_all_served(AfterAnswer::Keep, |_| {
         let numbers = [errno::EMFILE, errno::ENFILE, errno::ENOBUFS, errno::ENOMEM];
-        Plan::new(5, &numbers.map(|number| fails(&format!("accept-{number}"), &[Call::Accept], number, 25)))
+        Plan::new(5, &numbers.map(|number| failing(&format!("accept-{number}"), &[Call::Accept], number, 25)))
     });
 }
 
-/// A connection that is aborted before it is taken costs itself, and none behind it.
+/// Guards against a connection aborted before it is accepted that takes others with it.
 #[test]
-fn an_aborted_connection_costs_no_other_its_answer() {
-    let played = Played::new(Then::Keep, |_| {
+fn an_aborted_connection_does_not_affect_others() {
+    let site = FaultySite::new(AfterAnswer::Keep, |_| {
         let aborted = Rule::new("aborted", &[Call::Accept], Effect::FailAfter(errno::ECONNABORTED));
         Plan::new(11, &[aborted.about(About::Sockets).often(Often::OneIn(50))])
     });
-    let outcomes = played.outcomes();
-    let aborted = played.armed.forced("aborted");
+    let outcomes = site.outcomes();
+    let aborted = site.armed.forced("aborted");
     println!("{outcomes:?}, aborted: {aborted}");
     let ended = outcomes.get(&Outcome::Unanswered).copied().unwrap_or(0);
-    // The first request on a kept connection is the only one that ends with it: it is asked anew after that.
+    // Only the first request on a persistent connection is lost with it: later ones are sent again.
     assert!(aborted > 0 && ended == aborted, "{outcomes:?}, aborted: {aborted}");
-    assert_eq!(outcomes.get(&Outcome::Answered(200)), Some(&(CLIENTS * (1 + ON_ONE) - ended)));
+    assert_eq!(
+        outcomes.get(&Outcome::Answered(200)),
+        Some(&(CLIENTS * (1 + REQUESTS_PER_CONNECTION) - ended))
+    );
 }
 
-/// Danger: a wait for each connection that broke before it was taken holds up all behind it.
+/// Guards against a pause after each connection that broke before it was accepted, which delays all connections after it.
 #[test]
-fn nothing_is_waited_for_behind_broken_connections() {
+fn broken_connections_in_the_backlog_cause_no_delay() {
     const BROKEN: u64 = 300;
     let numbers = [errno::ECONNABORTED, errno::EPROTO, errno::EINTR];
-    let played = Played::new(Then::Keep, |_| {
+    let site = FaultySite::new(AfterAnswer::Keep, |_| {
         let broken = |n| Rule::new("broken", &[Call::Accept], Effect::Fail(n)).often(Often::First(BROKEN));
         Plan::new(12, &numbers.map(broken))
     });
-    let asked = Instant::now();
-    assert_eq!(ask_once(played.proxy.addr), Outcome::Answered(200));
-    let took = asked.elapsed();
-    println!("answered after {took:?} behind {}", played.armed.forced("broken"));
-    assert_eq!(played.armed.forced("broken"), numbers.len() * BROKEN as usize);
+    let started = Instant::now();
+    assert_eq!(send_one(site.proxy.addr), Outcome::Answered(200));
+    let took = started.elapsed();
+    println!("answered after {took:?} and {} broken connections", site.armed.forced("broken"));
+    assert_eq!(site.armed.forced("broken"), numbers.len() * BROKEN as usize);
     assert!(took < Duration::from_secs(2), "{took:?}");
 }
 
-/// A process out of descriptors ends idle connections of clients for the one that waits.
+/// A process without free descriptors closes idle client connections in favor of the one that waits.
 #[test]
-fn a_lack_of_descriptors_ends_idle_clients() {
+fn a_lack_of_descriptors_closes_idle_client_connections() {
     const IDLE: usize = 20;
-    let played = Played::new(Then::Keep, |_| Plan::default());
-    let mut idle: Vec<TcpStream> = (0..IDLE).map(|_| connected(played.proxy.addr)).collect();
+    let site = FaultySite::new(AfterAnswer::Keep, |_| Plan::default());
+    let mut idle: Vec<TcpStream> = (0..IDLE).map(|_| connected(site.proxy.addr)).collect();
     for stream in &mut idle {
         stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").expect("written");
-        assert_eq!(answer(stream, &mut Vec::new()), Outcome::Answered(200));
+        assert_eq!(read_answer(stream, &mut Vec::new()), Outcome::Answered(200));
     }
     let short = Rule::new("short", &[Call::Accept], Effect::Fail(errno::EMFILE)).often(Often::First(5));
-    played.armed.change(&Plan::new(13, &[short])).expect("a plan");
-    assert_eq!(ask_once(played.proxy.addr), Outcome::Answered(200));
-    assert_eq!(played.armed.forced("short"), 5);
+    site.armed.change(&Plan::new(13, &[short])).expect("a plan");
+    assert_eq!(send_one(site.proxy.addr), Outcome::Answered(200));
+    assert_eq!(site.armed.forced("short"), 5);
     let ended = idle.iter().filter(|stream| {
         stream.set_nonblocking(true).expect("not blocking");
         stream.peek(&mut [0]).is_ok_and(|n| n == 0)
@@ -347,13 +357,14 @@
     assert!((1..=5).contains(&ended), "{ended} ended");
 }
 
-/// A process whose operators' door and control service are read and written with a third of the calls interrupted.
+/// Guards against unanswered admin calls and lost connections to the control service when a third of the calls is interrupted.
 #[test]
-fn operators_and_control_services_are_heard_over_interruptions() {
+fn admin_endpoint_and_control_service_work_despite_interrupted_calls() {
     const CALLS: usize = 60;
     const VERSIONS: usize = 5;
     let service = Hosted::start(1).expect("started");
-    let (node, discovery, folder) = (node(Then::Keep), Server::new(), tempfile::tempdir().expect("a folder"));
+    let (node, discovery, folder) =
+        (node(AfterAnswer::Keep), Server::new(), tempfile::tempdir().expect("a folder"));
     let file = folder.path().join("operator.toml");
     let text = format!("[control]\nservices = [\"{}\"]\ninstance = \"p0\"\n", service.addr);
     std::fs::write(&file, text).expect("written");
@@ -364,9 +375,9 @@
         command.env("ANISEYOKE_FILE", &file);
         armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
     });
-    let (door, armed) = (proxy.admin_addr(), armed.expect("armed"));
+    let (admin_addr, armed) = (proxy.admin_addr(), armed.expect("armed"));
     let row = || service.statuses().into_iter().next();
-    until("it follows", || row().is_some());
+    until("the proxy follows the service", || row().is_some());
     let mut rules = interrupted(3);
     rules.push(
         Rule::new("opened", &[Call::Connect], Effect::DelayBefore(0))
@@ -376,12 +387,12 @@
     for number in 0..VERSIONS {
         let body = json!({ "log": { "burst": 10 + number } });
         let stamp = service.publish(body, Default::default()).expect("published").0;
-        until("it runs", || row().is_some_and(|row| row.running == Some(stamp)));
+        until("the version runs", || row().is_some_and(|row| row.running == Some(stamp)));
     }
     let answered = (0..CALLS).filter(|_| {
-        let (mut stream, mut came) = (connected(door), Vec::new());
+        let (mut stream, mut received) = (connected(admin_addr), Vec::new());
         let sent = stream.write_all(b"GET /api/version HTTP/1.1\r\nHost: a\r\n\r\n").is_ok();
-        sent && answer(&mut stream, &mut came) == Outcome::Answered(200)
+        sent && read_answer(&mut stream, &mut received) == Outcome::Answered(200)
     });
     let answered = answered.count();
     let opened = armed.forced("opened");
@@ -389,36 +400,36 @@
     assert_eq!((answered, opened), (CALLS, 0));
 }
 
-/// A shortage of this machine's own says nothing of a node, and passes.
+/// Guards against blaming a node for a temporary shortage on the proxy's own machine.
 #[test]
-fn connections_to_nodes_are_made_over_local_shortages() {
-    all_are_served(Then::Close, |_| {
+fn connections_to_nodes_are_retried_after_local_shortages() {
+    assert_all_served(AfterAnswer::Close, |_| {
         let sockets = [errno::ENFILE, errno::EMFILE, errno::ENOBUFS, errno::ENOMEM];
         let connects = [errno::EADDRNOTAVAIL, errno::ENOBUFS];
-        let mut rules = sockets.map(|n| fails(&format!("socket-{n}"), &[Call::Socket], n, 40)).to_vec();
-        rules.extend(connects.map(|n| fails(&format!("connect-{n}"), &[Call::Connect], n, 20)));
+        let mut rules = sockets.map(|n| failing(&format!("socket-{n}"), &[Call::Socket], n, 40)).to_vec();
+        rules.extend(connects.map(|n| failing(&format!("connect-{n}"), &[Call::Connect], n, 20)));
         Plan::new(6, &rules)
     });
 }
 
 #[test]
-fn nodes_that_can_not_be_reached_cost_no_request_its_answer() {
-    all_are_answered(Then::Close, |_| {
+fn requests_are_answered_although_nodes_are_unreachable() {
+    assert_all_answered(AfterAnswer::Close, |_| {
         let mut rules = vec![
-            fails("connect-no-net", &[Call::Connect], errno::ENETUNREACH, 8),
-            fails("connect-no-host", &[Call::Connect], errno::EHOSTUNREACH, 8),
+            failing("connect-no-net", &[Call::Connect], errno::ENETUNREACH, 8),
+            failing("connect-no-host", &[Call::Connect], errno::EHOSTUNREACH, 8),
         ];
         rules.extend(
             [errno::ETIMEDOUT, errno::EHOSTUNREACH]
-                .map(|n| fails(&format!("came-up-{n}"), &[Call::SocketError], n, 8)),
+                .map(|n| failing(&format!("came-up-{n}"), &[Call::SocketError], n, 8)),
         );
         Plan::new(7, &rules)
     });
 }
 
 #[test]
-fn connections_to_nodes_that_break_cost_no_request_its_answer() {
-    all_are_answered(Then::Keep, |nodes| {
+fn requests_are_answered_although_connections_to_nodes_break() {
+    assert_all_answered(AfterAnswer::Keep, |nodes| {
         let broken = |name: &str, calls: &[Call], number, port| {
             let rule = Rule::new(&format!("{name}-{number}"), calls, Effect::Fail(number));
             rule.about(About::PeerPort(port)).often(Often::OneIn(30))
@@ -433,21 +444,21 @@
     });
 }
 
-/// As the users tried it: one call in 50 of all kinds. Connections of clients stay whole but for what a signal does.
+/// Injects faults into one in 50 calls of all kinds, as users have tried. On client connections calls are only interrupted.
 #[test]
-fn one_call_in_fifty_may_fail_in_any_way_that_leaves_the_client_there() {
-    all_are_answered(Then::Keep, |nodes| {
+fn one_in_fifty_calls_of_all_kinds_may_fail_except_on_client_connections() {
+    assert_all_answered(AfterAnswer::Keep, |nodes| {
         let mut rules = interrupted(50);
         rules.extend(
             [errno::ECONNABORTED, errno::EPROTO, errno::EMFILE, errno::ENFILE, errno::ENOBUFS, errno::ENOMEM]
-                .map(|n| fails(&format!("accept-{n}"), &[Call::Accept], n, 50)),
+                .map(|n| failing(&format!("accept-{n}"), &[Call::Accept], n, 50)),
         );
         rules.extend(
-            [errno::ENFILE, errno::ENOBUFS].map(|n| fails(&format!("socket-{n}"), &[Call::Socket], n, 50)),
+            [errno::ENFILE, errno::ENOBUFS].map(|n| failing(&format!("socket-{n}"), &[Call::Socket], n, 50)),
         );
         rules.extend(
             [errno::EADDRNOTAVAIL, errno::ENETUNREACH, errno::EHOSTUNREACH, errno::ETIMEDOUT]
-                .map(|n| fails(&format!("connect-{n}"), &[Call::Connect], n, 50)),
+                .map(|n| failing(&format!("connect-{n}"), &[Call::Connect], n, 50)),
         );
         for port in nodes {
             rules.extend([errno::ETIMEDOUT, errno::EHOSTUNREACH].map(|n| {
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The replacement of the process: the inherited socket, and what outlives the old process.
+//! Replacement of the process: the inherited socket, and the state that survives the old process.
 
 mod rig;
 
@@ -12,13 +12,13 @@
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The platform: it holds the clients' socket and the folder that old and new process share.
+/// The platform, which owns the listening socket and the folder that the old and the new process share.
 struct Platform {
     listener: TcpListener,
     folder: PathBuf,
     nodes: [Server; 2],
     discovery: Server,
-    /// Watches of processes started before the newest, kept open.
+    /// Watches of processes other than the newest one, kept open.
     earlier_watches: RefCell<Vec<Peer>>,
 }
 
@@ -49,13 +49,14 @@
         vec![node(0), node(1)]
     }
 
-    /// Starts a process that inherits the socket as its standard input; discovery tells it the list.
+    /// Starts a process that inherits the socket as its standard input, and sends it the endpoint list. Returns it and its admin
+    /// address.
     fn start(&self) -> (Proxy, SocketAddr) {
         self.start_with(|_| {})
     }
 
-    /// The same, with more in its command.
-    fn start_with(&self, more: impl FnOnce(&mut Command)) -> (Proxy, SocketAddr) {
+    /// Like [`Platform::start`], with a change to the command.
+    fn start_with(&self, change: impl FnOnce(&mut Command)) -> (Proxy, SocketAddr) {
         let mut config = config(self.discovery.addr, &self.listed());
         config["mgmt"] = json!("127.0.0.1:0");
         config["listen"] = json!(self.addr().to_string());
@@ -63,18 +64,18 @@
         let socket = OwnedFd::from(self.listener.try_clone().expect("a copy"));
         let mut proxy = Proxy::with(&config, |command| {
             command.env("TMPDIR", &self.folder).env("PROXY_FD", "0").stdin(Stdio::from(socket));
-            more(command);
+            change(command);
         });
         assert_eq!(proxy.addr, self.addr());
-        let door = proxy.admin_addr();
+        let admin = proxy.admin_addr();
         let mut poll = self.first_poll();
         poll.reply("200 OK", "", &list(42, true, &self.listed()).to_string());
-        until("ready", || call(door, "GET", "/api/ready", "") == 200);
-        (proxy, door)
+        until("ready", || call(admin, "GET", "/api/ready", "") == 200);
+        (proxy, admin)
     }
 
-    /// The first poll of the process started last: it asks for the whole list. Watches of an earlier process, which may
-    /// have ended since, wait in the same queue and are left as they are.
+    /// Returns the first poll of the process started last, which requests the complete list. Watches of an earlier process,
+    /// which may have ended since, arrive in the same queue and are left open.
     fn first_poll(&self) -> Peer {
         loop {
             let mut poll = self.discovery.take();
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Has one read served; by which node.
+    /// Has one read answered; returns the index of the node that got it.
     fn read(&self) -> usize {
         self.read_key(0)
     }
@@ -93,41 +94,41 @@
     fn read_key(&self, key: u64) -> usize {
         let mut client = Peer::to(self.addr());
         client.write(&get("read", "").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
-        let (at, mut node) = accept_any(&self.nodes);
+        let (index, mut node) = accept_any(&self.nodes);
         node.request();
         node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "value");
         assert_eq!(client.answer().status(), 200);
-        at
+        index
     }
 }
 
-/// Danger: a node that operators work on must get nothing from the new process either.
+/// Guards against a new process that sends requests to a node that operators have banned at the old one.
 #[test]
-fn a_ban_outlives_the_process_and_a_call_at_either_door_binds_both() {
+fn a_ban_survives_the_process_and_an_admin_call_to_either_process_applies_to_both() {
     let p = Platform::new();
-    let (mut old, old_door) = p.start();
+    let (mut old, old_admin) = p.start();
     let home = p.read();
     let id = format!("c{home}");
-    assert_eq!(call_for_node(old_door, "/api/exclude", &id), 200);
+    assert_eq!(call_for_node(old_admin, "/api/exclude", &id), 200);
     assert_eq!(p.read(), 1 - home);
-    let (mut new, new_door) = p.start();
+    let (mut new, new_admin) = p.start();
     (0..8).for_each(|_| assert_eq!(p.read(), 1 - home));
-    // The call back at the new door reaches the old process, and the drain as well.
-    assert_eq!(call_for_node(new_door, "/api/include", &id), 200);
+    // The revocation at the new admin endpoint reaches the old process, and so does the drain.
+    assert_eq!(call_for_node(new_admin, "/api/include", &id), 200);
     old.logged("out {}");
-    assert_eq!(call(new_door, "POST", "/api/evacuate", ""), 200);
+    assert_eq!(call(new_admin, "POST", "/api/evacuate", ""), 200);
     old.logged("drain: called");
     new.logged("drain: called");
-    assert_eq!(call(old_door, "POST", "/api/rejoin", ""), 200);
-    assert_eq!(call_for_node(old_door, "/api/exclude", &id), 200);
+    assert_eq!(call(old_admin, "POST", "/api/rejoin", ""), 200);
+    assert_eq!(call_for_node(old_admin, "/api/exclude", &id), 200);
     old.signal("-TERM");
     assert_eq!(old.child.wait().expect("ended").code(), Some(0));
-    // Its ban comes behind the drain's end, in an order of its own, and the new process looks for both now and then.
+    // The ban is stored separately after the end of the drain, and the new process checks for both periodically.
     new.logged(&format!("drain false, out {{\"{id}\"}}"));
     assert_eq!(Peer::health(p.addr()), 200);
     assert_eq!(p.read(), 1 - home);
-    assert_eq!(call_for_node(new_door, "/api/include", &id), 200);
-    // The new process has pinned this key elsewhere by now, but others have their home there.
+    assert_eq!(call_for_node(new_admin, "/api/include", &id), 200);
+    // The new process has pinned this key to the other node by now, but other keys map to the node.
     let mut key = 0;
     until("the node is in use again", || {
         key += 1;
@@ -135,13 +136,13 @@
     });
 }
 
-/// Danger: a connection that the old process takes after its end was ordered, or ends, is lost to its successor.
+/// Guards against an old process that accepts or closes a connection after the stop signal, so that its successor never gets it.
 #[test]
 fn what_waits_when_the_process_is_told_to_stop_is_left_to_its_successor() {
     let p = Platform::new();
     let (mut old, _) = p.start();
     p.read();
-    // While it is stopped it takes no connection.
+    // A paused process accepts no connection.
     old.pause();
     let mut waiting = Peer::to(p.addr());
     waiting.ask("read", "");
@@ -155,16 +156,16 @@
     assert_eq!(waiting.answer().status(), 200);
 }
 
-/// The same with the handler of the signal held up, whichever thread runs it. Before the mend the kernel gave the signal to
-/// any thread that ran first: in a trace of a failed run the log's thread had it, and while that thread's handler went to
-/// tell the runtime (`sendto`), the serving thread's `epoll_wait` returned the listener alone, and `accept4` took the
-/// connection 0.14 ms after the signal. Its request was then out at a node for as long as its class allows.
+/// Guards against the same fault when another thread than the serving one gets the signal; the handler is delayed. Without the
+/// fix the kernel delivered the signal to any thread: in a trace of a failed run it was the log's thread, and while its handler
+/// notified the runtime (`sendto`), `epoll_wait` of the serving thread returned only the listener, and `accept4` accepted the
+/// connection 0.14 ms after the signal. Its request was then in flight at a node for as long as its class allows.
 #[test]
-fn what_waits_is_left_to_the_successor_whichever_thread_the_signal_comes_to() {
-    // Without the mend a round fails where the kernel picks another thread than the serving one, about every second time.
+fn a_waiting_connection_is_left_to_the_successor_whichever_thread_gets_the_signal() {
+    // Without the fix a round fails if the kernel picks a thread other than the serving one, in about half of all cases.
     const ROUNDS: usize = 10;
     let slow_handler = Rule::new("handler", &[Call::Send], Effect::DelayBefore(30_000));
-    let (mut held_up, mut taken) = (0, 0);
+    let (mut delayed, mut accepted) = (0, 0);
     for _ in 0..2 * ROUNDS {
         let p = Platform::new();
         let mut armed: Option<Armed> = None;
@@ -178,24 +179,25 @@
         armed.change(&Plan::new(1, std::slice::from_ref(&slow_handler))).expect("a plan");
         old.signal("-TERM");
         old.signal("-CONT");
-        until("it has ended, or has sent a request on", || {
-            let sent_on = p.nodes.iter().any(|node| node.accepted.try_recv().is_ok());
-            taken += usize::from(sent_on);
-            sent_on || old.child.try_wait().expect("a state").is_some()
+        until("it has ended, or has forwarded a request", || {
+            let forwarded = p.nodes.iter().any(|node| node.accepted.try_recv().is_ok());
+            accepted += usize::from(forwarded);
+            forwarded || old.child.try_wait().expect("a state").is_some()
         });
-        // A process that was paused within a call that is made to fail has its handler not held up.
-        held_up += armed.forced("handler").min(1);
-        if held_up == ROUNDS {
+        // The handler is not delayed if the process was paused within an intercepted call.
+        delayed += armed.forced("handler").min(1);
+        if delayed == ROUNDS {
             break;
         }
     }
-    assert_eq!(held_up, ROUNDS, "handlers were held up");
-    assert_eq!(taken, 0, "of {ROUNDS} connections were taken after the signal");
+    assert_eq!(delayed, ROUNDS, "handlers were delayed");
+    assert_eq!(accepted, 0, "of {ROUNDS} connections were accepted after the signal");
 }
 
-/// Danger: a process that takes connections before it can serve refuses what the old one would have served.
+/// Guards against a new process that accepts connections before it can serve, and rejects requests that the old process would
+/// have served.
 #[test]
-fn a_successor_that_knows_no_node_takes_no_connection() {
+fn a_successor_without_an_endpoint_list_accepts_no_connection() {
     let p = Platform::new();
     let mut config = config(p.discovery.addr, &[]);
     config["mgmt"] = json!("127.0.0.1:0");
@@ -204,10 +206,10 @@
     let mut proxy = Proxy::with(&config, |command| {
         command.env("TMPDIR", &p.folder).env("PROXY_FD", "0").stdin(Stdio::from(socket));
     });
-    let door = proxy.admin_addr();
+    let admin = proxy.admin_addr();
     let mut waiting = Peer::to(p.addr());
     waiting.ask("read", "");
-    assert_eq!(call(door, "GET", "/api/ready", ""), 503);
+    assert_eq!(call(admin, "GET", "/api/ready", ""), 503);
     let mut watch = p.discovery.take();
     watch.request();
     watch.reply("200 OK", "", &list(42, true, &p.listed()).to_string());
@@ -215,21 +217,21 @@
     node.request();
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
     assert_eq!(waiting.answer().status(), 200);
-    assert_eq!(call(door, "GET", "/api/ready", ""), 200);
+    assert_eq!(call(admin, "GET", "/api/ready", ""), 200);
 }
 
 #[test]
 fn a_damaged_state_file_is_logged_and_the_process_serves() {
     let p = Platform::new();
     std::fs::write(p.folder.join("aniseyoke-operators.json"), "{\"bans\":[\"c0\"").expect("written");
-    let (_proxy, door) = p.start();
+    let (_proxy, admin) = p.start();
     let home = p.read();
-    assert_eq!(call_for_node(door, "/api/exclude", &format!("c{home}")), 200);
+    assert_eq!(call_for_node(admin, "/api/exclude", &format!("c{home}")), 200);
     assert_eq!(p.read(), 1 - home);
 }
 
 #[test]
-fn a_wrong_descriptor_ends_the_start_with_one_clear_line() {
+fn a_wrong_descriptor_fails_the_start_with_one_log_line() {
     let p = Platform::new();
     let mut config = config(p.discovery.addr, &p.listed());
     config["listen"] = json!(p.addr().to_string());
--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies under a plan of hold-ups, and the nodes behind them.
+//! Proxies whose system calls are delayed by a fault plan, and the nodes behind them.
 #![allow(dead_code)]
 
 use super::rig::*;
@@ -11,48 +11,49 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// So long a process is held up.
+/// Duration of an injected delay.
 pub const DELAY: Duration = Duration::from_millis(150);
-/// The reading of a request is held up for so long, until the plan has been changed.
+/// Delay of the read of a request, within which the test changes the fault plan.
 pub const READ_DELAY: Duration = Duration::from_millis(30);
-/// Proxies that are tried side by side.
-const SIDE_BY_SIDE: usize = 5;
-/// So many requests pay for one retry, or one hedged request.
-const EARN_ONE: usize = 4;
+/// Number of proxies that are tested in parallel.
+const PARALLEL_SITES: usize = 5;
+/// Number of requests that earn the budget of one retry or one hedged request.
+const REQUESTS_PER_RETRY: usize = 4;
 
-/// What a node does with a request.
+/// What a node behavior with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeBehavior {
+    /// Never answers.
     Hangs,
     Hits,
     Misses,
-    /// It ends the connection so long after the request.
+    /// Closes the connection this long after the request.
     Breaks(Duration),
-    /// It ends the connection of the first attempt of a request whose id begins with [`MARKED`], and hits otherwise.
+    /// Closes the connection of the first attempt of each request whose ID begins with [`MARKED`], and answers all else with a hit.
     BreaksFirst,
-    /// It does nothing with a request whose id begins with [`MARKED`], and hits otherwise.
+    /// Never answers a request whose ID begins with [`MARKED`], and answers all else with a hit.
     HangsMarked,
 }
 
 const MARKED: &str = "marked-";
 
-/// The id of a marked request.
+/// Returns a new ID for a marked request.
 pub fn marked_id() -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     format!("{MARKED}{}", NUMBER.fetch_add(1, Ordering::Relaxed))
 }
 
-/// A request as it came to a node.
+/// A request that a node received.
 pub struct ReceivedRequest {
     pub received_at: Instant,
     pub id: String,
     pub time_left: f64,
 }
 
-/// What happens at a node before it does anything with a marked request.
+/// A hook that a node runs once, before it handles the next marked request.
 type RequestHook = Arc<Mutex<Option<Box<dyn FnOnce() + Send>>>>;
 
-/// A node whose connections are each served on a thread.
+/// A node that serves each connection on its own thread.
 pub struct Node {
     pub port: u16,
     pub received: Receiver<ReceivedRequest>,
@@ -60,47 +61,48 @@
     server: std::net::SocketAddr,
 }
 
-/// What the connections of one site's nodes share.
+/// State that all connections of a node share; `seen` is common to all nodes of a site.
 #[derive(Clone)]
 struct Shared {
-    tell: Sender<ReceivedRequest>,
+    received: Sender<ReceivedRequest>,
     on_marked_request: RequestHook,
     seen: Arc<Mutex<HashSet<String>>>,
 }
 
-fn node(does: NodeBehavior, seen: &Arc<Mutex<HashSet<String>>>) -> Node {
+fn node(behavior: NodeBehavior, seen: &Arc<Mutex<HashSet<String>>>) -> Node {
     let server = Server::new();
-    let (addr, (tell, received)) = (server.addr, channel());
+    let (addr, (sender, received)) = (server.addr, channel());
     let on_marked_request = RequestHook::default();
-    let shared = Shared { tell, on_marked_request: on_marked_request.clone(), seen: seen.clone() };
+    let shared =
+        Shared { received: sender, on_marked_request: on_marked_request.clone(), seen: seen.clone() };
     std::thread::spawn(move || {
         while let Ok(stream) = server.accepted.recv() {
             let shared = shared.clone();
-            std::thread::spawn(move || serve(Peer::new(stream), does, &shared));
+            std::thread::spawn(move || serve(Peer::new(stream), behavior, &shared));
         }
     });
     Node { port: addr.port(), server: addr, received, on_marked_request }
 }
 
-fn serve(mut peer: Peer, does: NodeBehavior, shared: &Shared) {
+fn serve(mut peer: Peer, behavior: NodeBehavior, shared: &Shared) {
     while let Some(request) = peer.read() {
-        let told = |name| request.header(name).unwrap_or_default().to_owned();
-        let id = told("x-correlation-id");
-        let time_left = told("x-time-left")
-            .parse()
-            .unwrap_or_else(|_| panic!("no time at {:?} in {request:?}", peer.0.get_ref().local_addr()));
+        let header = |name| request.header(name).unwrap_or_default().to_owned();
+        let id = header("x-correlation-id");
+        let time_left = header("x-time-left").parse().unwrap_or_else(|_| {
+            panic!("no time left given at {:?} in {request:?}", peer.0.get_ref().local_addr())
+        });
         if shared
-            .tell
+            .received
             .send(ReceivedRequest { received_at: Instant::now(), id: id.clone(), time_left })
             .is_err()
         {
             return;
         }
         let marked = id.starts_with(MARKED);
-        // What a test does at a marked request isn't done at those that go ahead of it.
-        let called = if marked { shared.on_marked_request.lock().expect("whole").take() } else { None };
-        called.into_iter().for_each(|before| before());
-        match does {
+        // Requests before the marked one don't run the hook.
+        let hook = if marked { shared.on_marked_request.lock().expect("whole").take() } else { None };
+        hook.into_iter().for_each(|hook| hook());
+        match behavior {
             NodeBehavior::Hangs => {}
             NodeBehavior::HangsMarked if marked => {}
             NodeBehavior::BreaksFirst if marked && shared.seen.lock().expect("whole").insert(id) => return,
@@ -125,11 +127,11 @@
     _folder: tempfile::TempDir,
 }
 
-/// A proxy before some cache nodes and an origin.
+/// Starts a proxy in front of cache nodes and an origin with the given behaviors; `change` edits its settings.
 pub fn site(caches: &[NodeBehavior], origin: NodeBehavior, change: impl FnOnce(&mut Value)) -> Site {
     let seen = Arc::default();
     let (origin, discovery) = (node(origin, &seen), Server::new());
-    let caches: Vec<Node> = caches.iter().map(|does| node(*does, &seen)).collect();
+    let caches: Vec<Node> = caches.iter().map(|behavior| node(*behavior, &seen)).collect();
     let mut servers = vec![member("o1", origin.server, "origin", "ready")];
     let listed = caches.iter().enumerate();
     servers.extend(listed.map(|(n, node)| member(&format!("c{n}"), node.server, "std", "ready")));
@@ -145,13 +147,14 @@
     Site { proxy, caches, origin, faults, _discovery: discovery, _folder: folder }
 }
 
-/// Holds the process up behind each of these readings of its clock, counted from now on.
+/// Returns a plan that delays the process after the given clock readings, counted from when the plan takes effect.
 pub fn delays_after_readings(readings: &[u64]) -> Plan {
-    let rule = |n: &u64| Rule::new("held", &[Call::ClockGettime], held_after()).often(Often::Only(*n));
+    let rule = |n: &u64| Rule::new("held", &[Call::ClockGettime], delay_after()).often(Often::Only(*n));
     Plan::new(0, &readings.iter().map(rule).collect::<Vec<_>>())
 }
 
-/// Reads of what has come from a client. Those of other connections, such as one whose client has just left, are not held.
+/// Selects reads from one client's connection, so that other connections, such as one whose client has just disconnected, are
+/// not delayed.
 fn arrived_from(client: &Peer) -> About {
     About::ArrivedFrom(client.0.get_ref().local_addr().expect("an address").port())
 }
@@ -160,12 +163,12 @@
     u64::try_from(time.as_micros()).expect("short")
 }
 
-fn held_after() -> Effect {
+fn delay_after() -> Effect {
     Effect::DelayAfter(micros(DELAY))
 }
 
 impl Site {
-    /// A client whose connection the proxy has taken.
+    /// Connects a client and returns once the proxy has accepted it.
     pub fn client(&self) -> Peer {
         let mut client = self.proxy.client();
         client.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -173,15 +176,16 @@
         client
     }
 
+    /// Delays the process after the given clock readings, counted from now on.
     pub fn delay_readings(&self, readings: &[u64]) {
-        self.put(&delays_after_readings(readings));
+        self.set_plan(&delays_after_readings(readings));
     }
 
-    fn put(&self, plan: &Plan) {
+    fn set_plan(&self, plan: &Plan) {
         self.faults.change(plan).expect("written");
     }
 
-    /// From the next marked request at a cache node on, before it does anything with it.
+    /// Delays the process after the given clock readings, counted from when the next marked request reaches a cache node.
     pub fn delay_readings_from_marked_request(&self, readings: &[u64]) {
         let once = Arc::new(Mutex::new(Some(delays_after_readings(readings))));
         for cache in &self.caches {
@@ -194,118 +198,120 @@
         }
     }
 
-    /// From the moment on in which it has read a request, and not before: its first read that finds bytes is told.
+    /// Sends a request and delays the process after the given clock readings, counted from its first read of that request's
+    /// bytes. Returns the effective time of sending.
     pub fn delay_readings_once_read(&self, client: &mut Peer, request: &str, readings: &[u64]) -> Instant {
         self.delay_readings_once_read_after(client, request, readings, || {})
     }
 
-    /// The same where something else happens right before the request is sent.
+    /// Like [`Site::delay_readings_once_read`], with an action right before the request is sent.
     pub fn delay_readings_once_read_after(
         &self,
         client: &mut Peer,
         request: &str,
         readings: &[u64],
-        before_it: impl FnOnce(),
+        before_send: impl FnOnce(),
     ) -> Instant {
         let rule = Rule::new("read", &Call::RECEIVING, Effect::DelayAfter(micros(READ_DELAY)));
         let rule = rule.about(arrived_from(client)).often(Often::Only(1));
         let before = self.faults.forced("read");
-        self.put(&Plan::new(0, &[rule]));
-        // Danger: a read that is under way behind the last answer, and finds the request, was looked at before that came.
-        until("it waits", || self.waits());
-        before_it();
+        self.set_plan(&Plan::new(0, &[rule]));
+        // A read that began before the request arrived doesn't match the rule, and could still return the request undelayed.
+        until("the process sleeps", || self.is_asleep());
+        before_send();
         let sent = Instant::now();
         client.write(request);
-        until("it has been read", || self.faults.forced("read") > before);
+        until("the request has been read", || self.faults.forced("read") > before);
         self.delay_readings(readings);
-        // What the test itself held up is not counted.
+        // The test's own delay of the read does not count as elapsed time of the client.
         sent + READ_DELAY
     }
 
-    /// Whether the proxy's one thread that serves sleeps.
-    fn waits(&self) -> bool {
+    /// Whether the proxy's serving thread sleeps.
+    fn is_asleep(&self) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.proxy.child.id())).expect("a state");
         stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('S'))
     }
 
-    /// Before the read that takes the client's next request.
+    /// Delays the process before the read of the client's next request.
     pub fn delay_before_read(&self, client: &Peer) {
         let rule = Rule::new("held", &Call::RECEIVING, Effect::DelayBefore(micros(DELAY)));
         let rule = rule.about(arrived_from(client)).often(Often::Only(1));
-        self.put(&Plan::new(0, &[rule]));
+        self.set_plan(&Plan::new(0, &[rule]));
     }
 
-    /// Before the next write to each node.
+    /// Delays the process before its next write to each of the nodes.
     pub fn delay_before_writes(&self, nodes: &[&Node]) {
         let rule = |node: &&Node| {
             Rule::new("held", &Call::SENDING, Effect::DelayBefore(micros(DELAY)))
                 .about(About::PeerPort(node.port))
                 .often(Often::Only(1))
         };
-        self.put(&Plan::new(0, &nodes.iter().map(rule).collect::<Vec<_>>()));
+        self.set_plan(&Plan::new(0, &nodes.iter().map(rule).collect::<Vec<_>>()));
     }
 
+    /// Removes the hooks of all nodes and the fault plan.
     pub fn clear_faults(&self) {
         for node in self.caches.iter().chain([&self.origin]) {
             node.on_marked_request.lock().expect("whole").take();
         }
-        self.put(&Plan::default());
+        self.set_plan(&Plan::default());
     }
 
-    /// Has requests answered that pay for a retry, and forgets them.
+    /// Sends enough answered requests to earn one retry, and discards their records.
     pub fn earn_retry(&self, client: &mut Peer) {
-        for _ in 0..EARN_ONE {
+        for _ in 0..REQUESTS_PER_RETRY {
             client.ask("read", "");
             client.answer();
         }
         self.received().for_each(drop);
     }
 
-    /// What has come to nodes since that was asked last.
+    /// Returns the requests that nodes received since the last call.
     pub fn received(&self) -> impl Iterator<Item = ReceivedRequest> + '_ {
         self.caches.iter().chain([&self.origin]).flat_map(|node| node.received.try_iter())
     }
 }
 
-/// What each of the cases came to, some side by side, each on a site of its own thread.
+/// Runs all cases, in parallel on several sites that each serve one thread; returns each case with its result.
 pub fn sweep<C: Clone + Send + 'static, R: Send + 'static>(
     cases: &[C],
     site: fn() -> Site,
-    look: fn(&Site, &C) -> R,
+    check: fn(&Site, &C) -> R,
 ) -> Vec<(C, R)> {
-    let parts: Vec<_> = cases.chunks(cases.len().div_ceil(SIDE_BY_SIDE)).map(<[C]>::to_vec).collect();
-    // Programs that start have the machine busy, which isn't to be measured.
-    let started = Arc::new(Barrier::new(parts.len()));
-    let threads = parts.into_iter().map(|part| {
+    let groups: Vec<_> = cases.chunks(cases.len().div_ceil(PARALLEL_SITES)).map(<[C]>::to_vec).collect();
+    // All programs have started before any case runs: their startup load would distort the measurement.
+    let started = Arc::new(Barrier::new(groups.len()));
+    let threads = groups.into_iter().map(|group| {
         let started = started.clone();
         std::thread::spawn(move || {
             let site = site();
             site.client();
             started.wait();
-            part.into_iter().map(|case| (case.clone(), look(&site, &case))).collect::<Vec<_>>()
+            group.into_iter().map(|case| (case.clone(), check(&site, &case))).collect::<Vec<_>>()
         })
     });
     let threads: Vec<_> = threads.collect();
-    threads.into_iter().flat_map(|thread| thread.join().expect("looked at")).collect()
+    threads.into_iter().flat_map(|thread| thread.join().expect("no panic")).collect()
 }
 
-/// The same on a site of its own for each case: nodes that fail are avoided later on.
+/// Like [`sweep`], with a new site for each case, because a proxy avoids nodes that have failed before.
 pub fn sweep_with_fresh_sites<C: Clone + Send + 'static, R: Send + 'static>(
     cases: &[C],
     site: fn() -> Site,
-    look: fn(&Site, &C) -> R,
+    check: fn(&Site, &C) -> R,
 ) -> Vec<(C, R)> {
-    let parts = cases.chunks(cases.len().div_ceil(SIDE_BY_SIDE)).map(<[C]>::to_vec);
-    let threads = parts.map(|part| {
+    let groups = cases.chunks(cases.len().div_ceil(PARALLEL_SITES)).map(<[C]>::to_vec);
+    let threads = groups.map(|group| {
         std::thread::spawn(move || {
-            part.into_iter().map(|case| (case.clone(), look(&site(), &case))).collect::<Vec<_>>()
+            group.into_iter().map(|case| (case.clone(), check(&site(), &case))).collect::<Vec<_>>()
         })
     });
     let threads: Vec<_> = threads.collect();
-    threads.into_iter().flat_map(|thread| thread.join().expect("looked at")).collect()
+    threads.into_iter().flat_map(|thread| thread.join().expect("no panic")).collect()
 }
 
-/// Pairs of readings of which the second is soon after the first.
-pub fn reading_pairs(most: u64) -> Vec<[u64; 2]> {
-    (1..=most).flat_map(|n| (1..=4).map(move |more| [n, n + more])).collect()
+/// Returns pairs of clock readings, the second 1 to 4 readings after the first.
+pub fn reading_pairs(max: u64) -> Vec<[u64; 2]> {
+    (1..=max).flat_map(|n| (1..=4).map(move |more| [n, n + more])).collect()
 }
--- a/crates/proxy/tests/rig/mod.rs
+++ b/crates/proxy/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! The real program between clients, nodes and discovery that a test plays by hand on loopback sockets.
+//! Runs the proxy binary against clients, cache nodes and a discovery service that a test scripts on loopback sockets.
 #![allow(dead_code)]
 
 use nix::sys::signal::{kill, Signal};
@@ -14,13 +14,13 @@
 use std::sync::{mpsc, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-/// How long a step may take before the test is given up: far longer than any takes.
+/// Timeout of a single step of a test, far above what any step takes.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long what follows at once may take on a busy machine.
-const SOON: Duration = Duration::from_secs(2);
+/// Timeout of an effect that follows immediately, with allowance for a busy machine.
+const IMMEDIATE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A message as it came: its first line, headers in lower case, and body.
+/// A received HTTP message: its start line, its headers with lowercase names, and its body.
 #[derive(Debug, PartialEq)]
 pub struct Message {
     pub line: String,
@@ -38,7 +38,7 @@
     }
 }
 
-/// One end of a connection.
+/// The test's end of a connection.
 pub struct Peer(pub BufReader<TcpStream>);
 
 impl Peer {
@@ -52,7 +52,7 @@
         Self::new(TcpStream::connect(addr).expect("connected"))
     }
 
-    /// What a proxy says of itself on a connection of its own.
+    /// Returns the status of the proxy's health endpoint, asked on a new connection.
     pub fn health(addr: SocketAddr) -> u16 {
         let mut peer = Self::to(addr);
         peer.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -63,7 +63,7 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    /// The next message; `None` when the connection has ended.
+    /// Reads the next message; `None` if the connection has ended.
     pub fn read(&mut self) -> Option<Message> {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -85,7 +85,7 @@
         Some(message)
     }
 
-    /// The next final answer: interim ones are passed over.
+    /// Reads the next final answer and skips interim (1xx) ones.
     pub fn answer(&mut self) -> Message {
         loop {
             let message = self.read().expect("an answer");
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether the peer neither sends anything nor ends the connection for so long.
+    /// Whether the peer neither sends anything nor closes the connection for the given time.
     pub fn stays_open(&mut self, time: Duration) -> bool {
         self.0.get_ref().set_read_timeout(Some(time)).expect("time-out");
         let read = self.0.fill_buf().map(<[u8]>::len);
@@ -103,11 +103,11 @@
         read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Waits until the connection ends, and then for a reset, which drops what is still on its way.
+    /// Waits until the connection ends; whether it is reset, which discards data in transit, at once or after an orderly close.
     pub fn ends_with_a_reset(&mut self) -> bool {
         match self.0.read(&mut [0; 1]) {
             Err(e) => return e.kind() == std::io::ErrorKind::ConnectionReset,
-            Ok(n) => assert_eq!(n, 0, "more came"),
+            Ok(n) => assert_eq!(n, 0, "unexpected data"),
         }
         reset_follows(self.0.get_ref())
     }
@@ -126,10 +126,10 @@
     }
 }
 
-/// Whether a reset follows upon the orderly end of a connection, which is told as an error of the socket. The kernel sends
-/// one when bytes have reached a socket that was closed without having read them.
+/// Whether a reset follows the orderly close of a connection, seen as a pending socket error. The kernel sends a reset when
+/// bytes reach a socket that was closed without having read them.
 pub fn reset_follows(stream: &TcpStream) -> bool {
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + IMMEDIATE_TIMEOUT;
     while Instant::now() < until {
         if stream.take_error().expect("an answer").is_some() {
             return true;
@@ -139,7 +139,7 @@
     false
 }
 
-/// A request under an id of its own.
+/// Returns a GET request of a class with a unique correlation ID and additional header lines.
 pub fn get(class: &str, more: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     get_as(&format!("own-{}", NUMBER.fetch_add(1, Ordering::Relaxed)), class, more)
@@ -152,7 +152,7 @@
     )
 }
 
-/// A server whose connections the test takes one by one.
+/// A listening server that hands its connections to the test one by one.
 pub struct Server {
     pub addr: SocketAddr,
     pub accepted: mpsc::Receiver<TcpStream>,
@@ -182,17 +182,17 @@
     }
 }
 
-/// The next connection that any of some servers gets, and whose it is.
+/// Returns the next connection that one of the servers accepts, with the index of that server.
 pub fn accept_any(servers: &[Server]) -> (usize, Peer) {
     let until = Instant::now() + STEP_TIMEOUT;
     while Instant::now() < until {
-        for (at, server) in servers.iter().enumerate() {
+        for (index, server) in servers.iter().enumerate() {
             if let Ok(stream) = server.accepted.recv_timeout(Duration::from_millis(1)) {
-                return (at, Peer::new(stream));
+                return (index, Peer::new(stream));
             }
         }
     }
-    panic!("no connection came")
+    panic!("no server got a connection")
 }
 
 pub fn member(id: &str, addr: SocketAddr, kind: &str, state: &str) -> Value {
@@ -231,12 +231,12 @@
     })
 }
 
-/// The program, ended when the test is over.
+/// A running proxy process, killed on drop.
 pub struct Proxy {
     pub child: Child,
     pub addr: SocketAddr,
     pub log: BufReader<ChildStderr>,
-    /// The lines of its log until it listened.
+    /// The log lines before the one that reports the listening address.
     pub startup_log: Vec<String>,
     pub file: PathBuf,
 }
@@ -257,24 +257,24 @@
     (spawn(&mut command), file)
 }
 
-/// Held by who starts a process, and shared by who closes a connection whose end is to go out at once: until a new process
-/// executes its program it holds a copy of each connection of this one open.
+/// Taken for writing to start a process, and for reading to close a connection whose end must be sent at once: between fork
+/// and exec the child holds a duplicate of each connection, which delays its close.
 static PROCESS_START: RwLock<()> = RwLock::new(());
 
-/// Starts a process; it executes its program when this returns.
+/// Starts a process and returns after its `exec`.
 fn spawn(command: &mut Command) -> Child {
-    let _starting = PROCESS_START.write().unwrap_or_else(PoisonError::into_inner);
+    let _guard = PROCESS_START.write().unwrap_or_else(PoisonError::into_inner);
     command.spawn().expect("started")
 }
 
-/// Closes a connection whose end, in order or as a reset, goes out at once.
+/// Closes a connection such that its FIN or RST is sent at once.
 pub fn close_at_once(peer: Peer) {
-    let _none_starts = PROCESS_START.read().unwrap_or_else(PoisonError::into_inner);
+    let _guard = PROCESS_START.read().unwrap_or_else(PoisonError::into_inner);
     drop(peer);
 }
 
-/// Has the child be killed when the thread that starts it ends, also where the test itself is killed. A proxy that is left
-/// behind goes on asking for lists at ports that are other tests' servers by then.
+/// Makes the kernel kill the child when the thread that starts it ends, even if the test process is killed. An orphaned proxy
+/// would keep polling ports that belong to servers of other tests by then.
 #[allow(unsafe_code)]
 fn kill_with_thread(command: &mut Command) {
     let set_signal = || nix::sys::prctl::set_pdeathsig(Signal::SIGKILL).map_err(std::io::Error::from);
@@ -295,7 +295,7 @@
             .unwrap_or_else(|early| panic!("the log ended before the start: {early:?}"))
     }
 
-    /// Starts the program and waits until it listens; what it said if it ended before.
+    /// Starts the program and waits until it listens; returns its exit status and log if it ends before.
     pub fn try_with(config: &Value, more: impl FnOnce(&mut Command)) -> Result<Self, String> {
         let (mut child, file) = start_with(&config.to_string(), more);
         let mut log = BufReader::new(child.stderr.take().expect("a log"));
@@ -323,7 +323,7 @@
         kill(process, signal).expect("sent");
     }
 
-    /// Stops the process until it is told to continue; it does nothing more once this returns.
+    /// Sends `SIGSTOP` and returns once the process has stopped; `SIGCONT` resumes it.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -337,25 +337,25 @@
         Peer::health(self.addr)
     }
 
-    /// Where the operators' door is, as the log tells it; before anything else is read from the log.
+    /// Returns the address of the admin endpoint from the log; must be called before anything else is read from the log.
     pub fn admin_addr(&mut self) -> SocketAddr {
         let mut line = String::new();
         while !line.contains("operators call at") {
             line.clear();
             assert!(
                 self.log.read_line(&mut line).expect("a line") > 0,
-                "the log ended before the door opened"
+                "the log ended before the admin endpoint opened"
             );
         }
         line.trim().rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address")
     }
 
-    /// Whether its log said this before it listened.
-    pub fn logged_at_startup(&self, part: &str) -> bool {
-        self.startup_log.iter().any(|line| line.contains(part))
+    /// Whether a log line before the one that reports the listening address contains `pattern`.
+    pub fn logged_at_startup(&self, pattern: &str) -> bool {
+        self.startup_log.iter().any(|line| line.contains(pattern))
     }
 
-    /// Reads the rest of its log on a thread that ends with it.
+    /// Reads the rest of the log on a thread that ends at its end.
     pub fn take_log(&mut self) -> std::thread::JoinHandle<String> {
         let copy = self.log.get_ref().as_fd().try_clone_to_owned().expect("a copy");
         let empty = BufReader::new(ChildStderr::from(copy));
@@ -367,12 +367,12 @@
         })
     }
 
-    /// Waits for a line of the log; returns how many came before it.
-    pub fn logged(&mut self, part: &str) -> usize {
+    /// Waits for a log line that contains `pattern`; returns the number of lines before it.
+    pub fn logged(&mut self, pattern: &str) -> usize {
         for before in 0.. {
             let mut line = String::new();
-            assert!(self.log.read_line(&mut line).expect("a line") > 0, "the log ended before {part:?}");
-            if line.contains(part) {
+            assert!(self.log.read_line(&mut line).expect("a line") > 0, "the log ended before {pattern:?}");
+            if line.contains(pattern) {
                 return before;
             }
         }
@@ -388,7 +388,7 @@
     }
 }
 
-/// A proxy with one cache node, an origin and discovery.
+/// A proxy with one cache node, an origin and a discovery service.
 pub struct Rig {
     pub proxy: Proxy,
     pub cache: Server,
@@ -403,18 +403,18 @@
     Rig { proxy, cache, origin, discovery }
 }
 
-/// Waits until something holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition is true; `what` names it in the failure message.
+pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + STEP_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// One call at an operators' door; the status of its answer.
-pub fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> u16 {
-    let mut caller = Peer::to(door);
+/// Makes one call to an admin endpoint; returns the status of its answer.
+pub fn call(admin_addr: SocketAddr, method: &str, path: &str, body: &str) -> u16 {
+    let mut caller = Peer::to(admin_addr);
     let length = body.len();
     caller.write(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"));
     let answer = caller.answer();
@@ -422,14 +422,14 @@
     answer.status()
 }
 
-/// A call about one cache node.
-pub fn call_for_node(door: SocketAddr, call_path: &str, id: &str) -> u16 {
-    call(door, "POST", call_path, &json!({ "id": id }).to_string())
+/// Makes an admin call that names one cache node.
+pub fn call_for_node(admin_addr: SocketAddr, call_path: &str, id: &str) -> u16 {
+    call(admin_addr, "POST", call_path, &json!({ "id": id }).to_string())
 }
 
-/// What an operators' door tells of the version.
-pub fn get_version(door: SocketAddr) -> Value {
-    let mut caller = Peer::to(door);
+/// Returns the answer of an admin endpoint to a query of its version.
+pub fn get_version(admin_addr: SocketAddr) -> Value {
+    let mut caller = Peer::to(admin_addr);
     caller.write("GET /api/version HTTP/1.1\r\nHost: a\r\n\r\n");
     serde_json::from_slice(&caller.answer().body).expect("JSON")
 }
