--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -25,11 +25,12 @@
     assert_eq!(good.answer().status(), 200);
 }
 
-/// When descriptors are short, a connection with one request is closed only after this idle time (`REUSE_WITHIN` of the proxy).
+/// When descriptors are short, a connection with one request is closed only after this idle time
+/// (`REUSE_WITHIN` of the proxy).
 const MIN_IDLE_AFTER_REQUEST: Duration = Duration::from_millis(40);
 
-/// Guards against silent connections that displace clients with requests: a connection with two requests stays open, one
-/// with a single request stays open for a minimum idle time.
+/// Guards against silent connections that displace clients with requests: a connection with two requests
+/// stays open, one with a single request stays open for a minimum idle time.
 #[test]
 fn a_flood_of_silent_connections_does_not_displace_those_with_requests() {
     let (cache, discovery) = (Server::new(), Server::new());
@@ -101,7 +102,8 @@
 fn many_attempts_do_not_prevent_new_client_connections() {
     let (cache, discovery) = (Server::new(), Server::new());
     let mut settings = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    // 32 descriptors are for sockets: 16 of these for clients, but 11 waiting clients take 11 more for their attempts.
+    // 32 descriptors are for sockets: 16 of these for clients, but 11 waiting clients take 11 more for their
+    // attempts.
     settings["limits"]["sockets"] = json!(56);
     let proxy = Proxy::new(&settings);
     let mut clients: Vec<Peer> = (0..11).map(|_| proxy.client()).collect();
@@ -141,7 +143,8 @@
     (Proxy::new(&settings), cache, discovery)
 }
 
-/// Guards against closing a slow client that still sends its head because its connection is older than those of stalled ones.
+/// Guards against closing a slow client that still sends its head because its connection is older than those
+/// of stalled ones.
 #[test]
 fn when_descriptors_are_short_a_slow_head_is_kept_and_stalled_ones_are_closed() {
     let (proxy, _cache, _discovery) = proxy_with_eight_clients();
--- a/crates/proxy/tests/closes.rs
+++ b/crates/proxy/tests/closes.rs
@@ -1,6 +1,6 @@
-//! Requests that arrive just as the proxy closes their connection: each request that was read gets its final answer. On Linux
-//! a connection closed with unread bytes is reset, while one whose bytes were all read is closed in order: that distinguishes
-//! a lost request from one that its client may send again.
+//! Requests that arrive just as the proxy closes their connection: each request that was read gets its final
+//! answer. On Linux a connection closed with unread bytes is reset, while one whose bytes were all read is
+//! closed in order: that distinguishes a lost request from one that its client may send again.
 
 mod rig;
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// Returns the outcome of a request that was sent completely. A connection that is closed in order and then reset was closed
-/// while the request was in transit, so the request is unread.
+/// Returns the outcome of a request that was sent completely. A connection that is closed in order and then
+/// reset was closed while the request was in transit, so the request is unread.
 fn fate_of_sent(stream: &mut TcpStream) -> Fate {
     match fate(stream) {
         Fate::Lost if reset_follows(stream) => Fate::Unread,
@@ -98,8 +98,8 @@
     FaultyRig { rig: Rig { proxy, cache, origin, discovery }, armed: armed.expect("armed"), _folder: folder }
 }
 
-/// Guards against losing requests that arrive while hundreds of overdue connections are being closed. Each `epoll_wait` is
-/// delayed, so that closing them all takes many rounds of the event loop.
+/// Guards against losing requests that arrive while hundreds of overdue connections are being closed. Each
+/// `epoll_wait` is delayed, so that closing them all takes many rounds of the event loop.
 #[test]
 fn a_request_that_arrives_while_silent_connections_are_closed_is_not_read_and_lost() {
     const SILENT: usize = 400;
@@ -165,7 +165,8 @@
     assert!(fates.contains(&Fate::Answered(503)));
 }
 
-/// Guards against a shutdown that closes the connection after the current answer although pipelined requests were read.
+/// Guards against a shutdown that closes the connection after the current answer although pipelined requests
+/// were read.
 #[test]
 fn pipelined_requests_that_were_read_are_answered_during_shutdown() {
     let mut r = rig();
@@ -187,7 +188,8 @@
     }
 }
 
-/// Guards against a shutdown that ends the accept loop and with it an accepted connection that waits for capacity.
+/// Guards against a shutdown that ends the accept loop and with it an accepted connection that waits for
+/// capacity.
 #[test]
 fn an_accepted_connection_that_waits_for_capacity_is_not_closed_at_shutdown() {
     const SOCKETS: usize = 64;
@@ -292,7 +294,8 @@
     })
 }
 
-/// Guards against failing nodes or misbehaving clients that leave a well-behaved client's request without its final answer.
+/// Guards against failing nodes or misbehaving clients that leave a well-behaved client's request without its
+/// final answer.
 #[test]
 fn requests_are_answered_despite_failing_nodes_and_malformed_requests_of_others() {
     const CLIENTS: usize = 60;
@@ -359,14 +362,15 @@
     ended: usize,
     /// The ports of connections that were closed in order after a request and not reset afterwards.
     lost: Vec<u16>,
-    /// The ports of connections that were reset after the close: the request was in transit when the proxy closed them.
+    /// The ports of connections that were reset after the close: the request was in transit when the proxy
+    /// closed them.
     crossed: Vec<u16>,
     /// The port and the number of answers of each connection.
     answers: Vec<(u16, u64)>,
 }
 
-/// Sends three requests on one connection, with idle times between them in which the proxy may close it in favor of another
-/// client. A request that was left unread is sent again on a new connection, as clients do.
+/// Sends three requests on one connection, with idle times between them in which the proxy may close it in
+/// favor of another client. A request that was left unread is sent again on a new connection, as clients do.
 fn send_with_pauses(addr: std::net::SocketAddr, index: usize) -> ClientOutcomes {
     let mut outcomes = ClientOutcomes::default();
     let mut stream = TcpStream::connect(addr).expect("connected");
@@ -410,8 +414,8 @@
     partial: u64,
 }
 
-/// Parses the end of a connection from a log line, if it reports one: `127.0.0.1:PORT closed (WHY): N requests read, N
-/// answered, N bytes of another[ refused], N bytes unread`.
+/// Parses the end of a connection from a log line, if it reports one: `127.0.0.1:PORT closed (WHY): N
+/// requests read, N answered, N bytes of another[ refused], N bytes unread`.
 fn parse_logged_end(line: &str) -> Option<LoggedEnd> {
     let (peer, rest) = line.rsplit_once(" closed (")?;
     let port = peer.rsplit(':').next()?.parse().ok()?;
@@ -429,8 +433,9 @@
     })
 }
 
-/// Guards against a request that is read but not answered, on a connection that is closed in favor of another client. The close
-/// alone doesn't distinguish it from a request that was in transit; a reset after it does, and the proxy's log has to agree.
+/// Guards against a request that is read but not answered, on a connection that is closed in favor of another
+/// client. The close alone doesn't distinguish it from a request that was in transit; a reset after it does,
+/// and the proxy's log has to agree.
 #[test]
 fn requests_that_arrive_while_descriptors_run_out_are_answered_or_left_unread() {
     const CLIENTS: usize = 120;
--- a/crates/proxy/tests/command.rs
+++ b/crates/proxy/tests/command.rs
@@ -70,8 +70,9 @@
     );
 }
 
-/// Guards against orphaned proxies of killed tests, which keep polling ports that belong to other tests' servers by then: 5 of
-/// 200 runs of `handover.rs` failed with a foreign proxy's `GET /catalog/members` at a node.
+/// Guards against orphaned proxies of killed tests, which keep polling ports that belong to other tests'
+/// servers by then: 5 of 200 runs of `handover.rs` failed with a foreign proxy's `GET /catalog/members` at a
+/// node.
 #[test]
 fn a_proxy_does_not_outlive_the_thread_of_the_test_that_started_it() {
     let discovery = Server::new();
--- a/crates/proxy/tests/crowds.rs
+++ b/crates/proxy/tests/crowds.rs
@@ -1,5 +1,5 @@
-//! Clients hold as many descriptors as they can while discovery is down. Once it is back, the watch has to get a descriptor,
-//! the change has to be in force in time, and requests have to be answered.
+//! Clients hold as many descriptors as they can while discovery is down. Once it is back, the watch has to
+//! get a descriptor, the change has to be in force in time, and requests have to be answered.
 
 mod rig;
 
@@ -21,7 +21,8 @@
 /// A proxy must know of a change within this time after discovery became reachable.
 const MAX_NOTICE_DELAY: Duration = Duration::from_secs(6);
 
-/// Clients that each hold a connection and reconnect once it is closed. Every second client sends one request.
+/// Clients that each hold a connection and reconnect once it is closed. Every second client sends one
+/// request.
 struct ClientFlood {
     stop: Arc<AtomicBool>,
     clients: Option<JoinHandle<()>>,
@@ -72,7 +73,8 @@
     std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).expect("its descriptors").count()
 }
 
-/// Sends a request again as long as its connection is closed without an answer; returns the status of the answer.
+/// Sends a request again as long as its connection is closed without an answer; returns the status of the
+/// answer.
 fn request_until_answered(proxy: &Proxy) -> u16 {
     let mut status = None;
     until("a request is answered", || {
@@ -106,7 +108,8 @@
     command.env_clear().envs(settings).stderr(std::process::Stdio::piped());
 }
 
-/// Returns how long after discovery became reachable its change is in force, while clients hold all descriptors.
+/// Returns how long after discovery became reachable its change is in force, while clients hold all
+/// descriptors.
 fn time_until_in_force(fault: DiscoveryFault) -> Duration {
     let (cache, origin) = (Server::new(), Server::new());
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
@@ -154,7 +157,8 @@
         }
     });
     let (_watch, notice_delay) = notified.join().expect("told");
-    // The next call has arrived, so the list is in force: no node but the draining one could serve the request.
+    // The next call has arrived, so the list is in force: no node but the draining one could serve the
+    // request.
     assert_eq!(request_until_answered(&proxy), 503, "{fault:?}");
     assert!(cache.no_new_connection(), "{fault:?}");
     println!(
@@ -165,8 +169,8 @@
     notice_delay
 }
 
-/// Guards against a watch that finds no free descriptor and backs off as if discovery were down, while changes that it
-/// misses count as delivered.
+/// Guards against a watch that finds no free descriptor and backs off as if discovery were down, while
+/// changes that it misses count as delivered.
 #[test]
 fn the_watch_gets_a_descriptor_although_idle_clients_hold_all_others() {
     for fault in [DiscoveryFault::Refused, DiscoveryFault::Silent, DiscoveryFault::Mute] {
--- a/crates/proxy/tests/endings.rs
+++ b/crates/proxy/tests/endings.rs
@@ -12,8 +12,8 @@
 /// Time from the stop signal until a process may be killed, where the longest deadline is 3 s or more.
 const KILL_DELAY: Duration = Duration::from_millis(3700);
 
-/// Guards against a request that arrives on an open connection long after the stop signal and whose deadline lies beyond the
-/// time at which the process may be killed: its answer would be lost.
+/// Guards against a request that arrives on an open connection long after the stop signal and whose deadline
+/// lies beyond the time at which the process may be killed: its answer would be lost.
 #[test]
 fn a_late_request_to_a_stopping_process_is_answered_before_the_process_may_be_killed() {
     const LENGTH: usize = 1 << 20;
@@ -84,7 +84,8 @@
     }
 }
 
-/// Guards against a retry that waits for its connection until after the deduplication window, and so runs twice.
+/// Guards against a retry that waits for its connection until after the deduplication window, and so runs
+/// twice.
 #[test]
 fn a_retry_is_not_written_after_the_deduplication_window() {
     // The backlog holds a single connection; while one waits to be accepted, the next can't be established.
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls of the proxy fail in ways that Linux documents, while hundreds of clients send requests: each request gets
-//! exactly one final answer.
+//! System calls of the proxy fail in ways that Linux documents, while hundreds of clients send requests: each
+//! request gets exactly one final answer.
 
 mod rig;
 
@@ -174,8 +174,8 @@
     }
 }
 
-/// Sends several requests on one connection. If the proxy closes it between two requests, it is reopened once, as clients do:
-/// the request was not read.
+/// Sends several requests on one connection. If the proxy closes it between two requests, it is reopened
+/// once, as clients do: the request was not read.
 fn send_several(addr: SocketAddr) -> Vec<Outcome> {
     let (mut stream, mut received) = (connected(addr), Vec::new());
     let mut requests_sent = 0;
@@ -241,7 +241,8 @@
     counts
 }
 
-/// Returns rules that interrupt one in `one_in` of the receiving, sending, waiting, accepting and connecting calls.
+/// Returns rules that interrupt one in `one_in` of the receiving, sending, waiting, accepting and connecting
+/// calls.
 fn interrupted(one_in: u64) -> Vec<Rule> {
     vec![
         failing("recv-interrupted", &Call::RECEIVING, errno::EINTR, one_in),
@@ -318,7 +319,8 @@
     );
 }
 
-/// Guards against a pause after each connection that broke before it was accepted, which delays all connections after it.
+/// Guards against a pause after each connection that broke before it was accepted, which delays all
+/// connections after it.
 #[test]
 fn broken_connections_in_the_backlog_cause_no_delay() {
     const BROKEN: u64 = 300;
@@ -357,7 +359,8 @@
     assert!((1..=5).contains(&ended), "{ended} ended");
 }
 
-/// Guards against unanswered admin calls and lost connections to the control service when a third of the calls is interrupted.
+/// Guards against unanswered admin calls and lost connections to the control service when a third of the
+/// calls is interrupted.
 #[test]
 fn admin_endpoint_and_control_service_work_despite_interrupted_calls() {
     const CALLS: usize = 60;
@@ -444,7 +447,8 @@
     });
 }
 
-/// Injects faults into one in 50 calls of all kinds, as users have tried. On client connections calls are only interrupted.
+/// Injects faults into one in 50 calls of all kinds, as users have tried. On client connections calls are
+/// only interrupted.
 #[test]
 fn one_in_fifty_calls_of_all_kinds_may_fail_except_on_client_connections() {
     assert_all_answered(AfterAnswer::Keep, |nodes| {
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -49,8 +49,8 @@
         vec![node(0), node(1)]
     }
 
-    /// Starts a process that inherits the socket as its standard input, and sends it the endpoint list. Returns it and its admin
-    /// address.
+    /// Starts a process that inherits the socket as its standard input, and sends it the endpoint list.
+    /// Returns it and its admin address.
     fn start(&self) -> (Proxy, SocketAddr) {
         self.start_with(|_| {})
     }
@@ -74,8 +74,8 @@
         (proxy, admin)
     }
 
-    /// Returns the first poll of the process started last, which requests the complete list. Watches of an earlier process,
-    /// which may have ended since, arrive in the same queue and are left open.
+    /// Returns the first poll of the process started last, which requests the complete list. Watches of an
+    /// earlier process, which may have ended since, arrive in the same queue and are left open.
     fn first_poll(&self) -> Peer {
         loop {
             let mut poll = self.discovery.take();
@@ -123,7 +123,8 @@
     assert_eq!(call_for_node(old_admin, "/api/exclude", &id), 200);
     old.signal("-TERM");
     assert_eq!(old.child.wait().expect("ended").code(), Some(0));
-    // The ban is stored separately after the end of the drain, and the new process checks for both periodically.
+    // The ban is stored separately after the end of the drain, and the new process checks for both
+    // periodically.
     new.logged(&format!("drain false, out {{\"{id}\"}}"));
     assert_eq!(Peer::health(p.addr()), 200);
     assert_eq!(p.read(), 1 - home);
@@ -136,7 +137,8 @@
     });
 }
 
-/// Guards against an old process that accepts or closes a connection after the stop signal, so that its successor never gets it.
+/// Guards against an old process that accepts or closes a connection after the stop signal, so that its
+/// successor never gets it.
 #[test]
 fn what_waits_when_the_process_is_told_to_stop_is_left_to_its_successor() {
     let p = Platform::new();
@@ -156,13 +158,15 @@
     assert_eq!(waiting.answer().status(), 200);
 }
 
-/// Guards against the same fault when another thread than the serving one gets the signal; the handler is delayed. Without the
-/// fix the kernel delivered the signal to any thread: in a trace of a failed run it was the log's thread, and while its handler
-/// notified the runtime (`sendto`), `epoll_wait` of the serving thread returned only the listener, and `accept4` accepted the
-/// connection 0.14 ms after the signal. Its request was then in flight at a node for as long as its class allows.
+/// Guards against the same fault when another thread than the serving one gets the signal; the handler is
+/// delayed. Without the fix the kernel delivered the signal to any thread: in a trace of a failed run it was
+/// the log's thread, and while its handler notified the runtime (`sendto`), `epoll_wait` of the serving
+/// thread returned only the listener, and `accept4` accepted the connection 0.14 ms after the signal. Its
+/// request was then in flight at a node for as long as its class allows.
 #[test]
 fn a_waiting_connection_is_left_to_the_successor_whichever_thread_gets_the_signal() {
-    // Without the fix a round fails if the kernel picks a thread other than the serving one, in about half of all cases.
+    // Without the fix a round fails if the kernel picks a thread other than the serving one, in about half of
+    // all cases.
     const ROUNDS: usize = 10;
     let slow_handler = Rule::new("handler", &[Call::Send], Effect::DelayBefore(30_000));
     let (mut delayed, mut accepted) = (0, 0);
@@ -194,8 +198,8 @@
     assert_eq!(accepted, 0, "of {ROUNDS} connections were accepted after the signal");
 }
 
-/// Guards against a new process that accepts connections before it can serve, and rejects requests that the old process would
-/// have served.
+/// Guards against a new process that accepts connections before it can serve, and rejects requests that the
+/// old process would have served.
 #[test]
 fn a_successor_without_an_endpoint_list_accepts_no_connection() {
     let p = Platform::new();
--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -29,7 +29,8 @@
     Misses,
     /// Closes the connection this long after the request.
     Breaks(Duration),
-    /// Closes the connection of the first attempt of each request whose ID begins with [`MARKED`], and answers all else with a hit.
+    /// Closes the connection of the first attempt of each request whose ID begins with [`MARKED`], and
+    /// answers all else with a hit.
     BreaksFirst,
     /// Never answers a request whose ID begins with [`MARKED`], and answers all else with a hit.
     HangsMarked,
@@ -127,7 +128,8 @@
     _folder: tempfile::TempDir,
 }
 
-/// Starts a proxy in front of cache nodes and an origin with the given behaviors; `change` edits its settings.
+/// Starts a proxy in front of cache nodes and an origin with the given behaviors; `change` edits its
+/// settings.
 pub fn site(caches: &[NodeBehavior], origin: NodeBehavior, change: impl FnOnce(&mut Value)) -> Site {
     let seen = Arc::default();
     let (origin, discovery) = (node(origin, &seen), Server::new());
@@ -147,14 +149,15 @@
     Site { proxy, caches, origin, faults, _discovery: discovery, _folder: folder }
 }
 
-/// Returns a plan that delays the process after the given clock readings, counted from when the plan takes effect.
+/// Returns a plan that delays the process after the given clock readings, counted from when the plan takes
+/// effect.
 pub fn delays_after_readings(readings: &[u64]) -> Plan {
     let rule = |n: &u64| Rule::new("held", &[Call::ClockGettime], delay_after()).often(Often::Only(*n));
     Plan::new(0, &readings.iter().map(rule).collect::<Vec<_>>())
 }
 
-/// Selects reads from one client's connection, so that other connections, such as one whose client has just disconnected, are
-/// not delayed.
+/// Selects reads from one client's connection, so that other connections, such as one whose client has just
+/// disconnected, are not delayed.
 fn arrived_from(client: &Peer) -> About {
     About::ArrivedFrom(client.0.get_ref().local_addr().expect("an address").port())
 }
@@ -185,7 +188,8 @@
         self.faults.change(plan).expect("written");
     }
 
-    /// Delays the process after the given clock readings, counted from when the next marked request reaches a cache node.
+    /// Delays the process after the given clock readings, counted from when the next marked request reaches a
+    /// cache node.
     pub fn delay_readings_from_marked_request(&self, readings: &[u64]) {
         let once = Arc::new(Mutex::new(Some(delays_after_readings(readings))));
         for cache in &self.caches {
@@ -198,8 +202,8 @@
         }
     }
 
-    /// Sends a request and delays the process after the given clock readings, counted from its first read of that request's
-    /// bytes. Returns the effective time of sending.
+    /// Sends a request and delays the process after the given clock readings, counted from its first read of
+    /// that request's bytes. Returns the effective time of sending.
     pub fn delay_readings_once_read(&self, client: &mut Peer, request: &str, readings: &[u64]) -> Instant {
         self.delay_readings_once_read_after(client, request, readings, || {})
     }
@@ -216,7 +220,8 @@
         let rule = rule.about(arrived_from(client)).often(Often::Only(1));
         let before = self.faults.forced("read");
         self.set_plan(&Plan::new(0, &[rule]));
-        // A read that began before the request arrived doesn't match the rule, and could still return the request undelayed.
+        // A read that began before the request arrived doesn't match the rule, and could still return the
+        // request undelayed.
         until("the process sleeps", || self.is_asleep());
         before_send();
         let sent = Instant::now();
@@ -273,7 +278,8 @@
     }
 }
 
-/// Runs all cases, in parallel on several sites that each serve one thread; returns each case with its result.
+/// Runs all cases, in parallel on several sites that each serve one thread; returns each case with its
+/// result.
 pub fn sweep<C: Clone + Send + 'static, R: Send + 'static>(
     cases: &[C],
     site: fn() -> Site,
--- a/crates/proxy/tests/idle.rs
+++ b/crates/proxy/tests/idle.rs
@@ -5,7 +5,8 @@
 use rig::*;
 use serde_json::Value;
 
-/// Starts a proxy with the given idle timeout of connections, or none, in front of one cache node and an origin.
+/// Starts a proxy with the given idle timeout of connections, or none, in front of one cache node and an
+/// origin.
 fn rig_with_idle_timeout(idle: Option<u64>) -> Rig {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
     let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
@@ -14,8 +15,8 @@
     Rig { proxy: Proxy::new(&config), cache, origin, discovery }
 }
 
-/// Has a request answered on a new connection to the cache node, which stays open on the node's side, and sends the same
-/// request again at once. Returns the client's and the node's connection.
+/// Has a request answered on a new connection to the cache node, which stays open on the node's side, and
+/// sends the same request again at once. Returns the client's and the node's connection.
 fn answer_once_and_repeat(r: &Rig) -> (Peer, Peer) {
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -27,8 +28,8 @@
     (client, node)
 }
 
-/// Guards against reusing a connection to a node that closes idle connections right after its answer: a request written to it
-/// ends with a reset and may have run.
+/// Guards against reusing a connection to a node that closes idle connections right after its answer: a
+/// request written to it ends with a reset and may have run.
 #[test]
 fn with_an_idle_timeout_of_zero_no_connection_is_reused() {
     let r = rig_with_idle_timeout(Some(0));
--- a/crates/proxy/tests/leavers.rs
+++ b/crates/proxy/tests/leavers.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while their request waits: nothing is sent on for them from 0.1 s after that, whatever it waited for
-//! and however they left, also by a process that was busy meanwhile.
+//! Clients that disconnect while their request waits: from 0.1 s after that nothing is forwarded for them,
+//! whatever the request waited for and however they disconnected, even if the process was busy meanwhile.
 
 mod rig;
 
@@ -10,45 +10,45 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// From so long after a client has left nothing is sent on for it.
-const TERM: Duration = Duration::from_millis(100);
-/// More than a client's window and its peer's buffers hold, in whole requests that wait behind the first.
-const MANY: usize = 16 << 20;
+/// Time after a client's disconnect from which no request is forwarded for it.
+const MAX_FORWARD_DELAY: Duration = Duration::from_millis(100);
+/// Bytes of complete requests behind the first one, more than a client's window and its peer's buffers hold.
+const PIPELINED_BYTES: usize = 16 << 20;
 
-/// So long a client may seem to wait that has ended its sending.
-const LONG_WAIT: Duration = Duration::from_millis(830);
+/// Time that a half-closed client pretends to wait for.
+const HALF_CLOSED_WAIT: Duration = Duration::from_millis(830);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Disconnect {
     Closes,
     Resets,
-    /// It has more requests behind the one that waits.
+    /// Closes with more requests behind the one that waits.
     ClosesBehindMore,
-    /// So many that its end does not get through.
+    /// Closes with so many requests behind it that its FIN does not get through.
     ClosesBehindMany,
-    /// It speaks HTTP/1.0.
+    /// Closes after an HTTP/1.0 request.
     ClosesOld,
-    /// It ends its sending, seems to wait, and goes without a further sign.
+    /// Shuts down its sending side, seems to wait, and then closes without a further packet.
     EndsThenCloses,
-    /// The same on HTTP/1.0, and it seems to wait for long.
+    /// Like `EndsThenCloses`, on HTTP/1.0 and after a longer wait.
     EndsThenClosesOld,
 }
 
-const WAYS: [Way; 7] = [
-    Way::Closes,
-    Way::Resets,
-    Way::ClosesBehindMore,
-    Way::ClosesBehindMany,
-    Way::ClosesOld,
-    Way::EndsThenCloses,
-    Way::EndsThenClosesOld,
+const ALL_DISCONNECTS: [Disconnect; 7] = [
+    Disconnect::Closes,
+    Disconnect::Resets,
+    Disconnect::ClosesBehindMore,
+    Disconnect::ClosesBehindMany,
+    Disconnect::ClosesOld,
+    Disconnect::EndsThenCloses,
+    Disconnect::EndsThenClosesOld,
 ];
 
-impl Way {
-    /// What it asks as a read of a class.
-    fn ask(self, client: &mut Peer, class: &str) {
+impl Disconnect {
+    /// Sends a GET request of a class, in the protocol version of this kind of disconnect.
+    fn send_request(self, client: &mut Peer, class: &str) {
         let mut text = get(class, "");
-        if matches!(self, Way::ClosesOld | Way::EndsThenClosesOld) {
+        if matches!(self, Disconnect::ClosesOld | Disconnect::EndsThenClosesOld) {
             text = text.replacen("HTTP/1.1", "HTTP/1.0", 1);
         }
         client.write(&text);
@@ -56,25 +56,25 @@
 
     fn leave(self, mut client: Peer) {
         match self {
-            Way::Closes | Way::ClosesOld => {}
-            Way::Resets => {
+            Disconnect::Closes | Disconnect::ClosesOld => {}
+            Disconnect::Resets => {
                 SockRef::from(client.0.get_ref()).set_linger(Some(Duration::ZERO)).expect("lingering");
             }
-            Way::ClosesBehindMore => client.write(&get("read", "").repeat(3)),
-            Way::ClosesBehindMany => {
-                let behind = get("read", "").repeat(MANY / 100).into_bytes();
+            Disconnect::ClosesBehindMore => client.write(&get("read", "").repeat(3)),
+            Disconnect::ClosesBehindMany => {
+                let behind = get("read", "").repeat(PIPELINED_BYTES / 100).into_bytes();
                 client.0.get_ref().set_nonblocking(true).expect("not blocking");
                 let mut sent = 0;
                 while let Ok(n) = std::io::Write::write(client.0.get_mut(), &behind[sent..]) {
                     sent += n;
-                    assert!(sent < behind.len(), "all of it was taken");
+                    assert!(sent < behind.len(), "the proxy accepted all of it");
                 }
             }
-            Way::EndsThenCloses => {
-                client.end_and_read_for(TERM);
+            Disconnect::EndsThenCloses => {
+                client.end_and_read_for(MAX_FORWARD_DELAY);
             }
-            Way::EndsThenClosesOld => {
-                client.end_and_read_for(LONG_WAIT);
+            Disconnect::EndsThenClosesOld => {
+                client.end_and_read_for(HALF_CLOSED_WAIT);
             }
         }
         close_at_once(client);
@@ -82,7 +82,8 @@
 }
 
 impl Peer {
-    /// Ends its sending, and reads what comes for so long. Danger: a close over unread bytes is a reset, which tells.
+    /// Shuts down the sending side and then reads everything received within the given time, because a close
+    /// with unread bytes would send a reset, which reveals the disconnect.
     fn end_and_read_for(&mut self, time: Duration) {
         let stream = self.0.get_mut();
         stream.shutdown(Shutdown::Write).expect("half closed");
@@ -92,12 +93,13 @@
     }
 }
 
-/// A proxy with two cache nodes and an origin, started with settings that a test changes.
+/// A proxy with two cache nodes and an origin, whose settings a test can change.
 struct Site {
     proxy: Proxy,
     nodes: [Server; 2],
     origin: Server,
-    /// Danger: were it let go, a node of another test could get its port, and the calls that this proxy makes there.
+    /// Kept open, because otherwise a node of another test could get its port, and with it the calls of this
+    /// proxy.
     _discovery: Server,
     _folder: tempfile::TempDir,
 }
@@ -120,13 +122,13 @@
     Site { proxy, nodes, origin, _discovery: discovery, _folder: folder }
 }
 
-fn no_cancel(config: &mut Value) {
+fn disable_cancelling(config: &mut Value) {
     config["settings"]["caps"]["cancelling"] = json!(false);
 }
 
 impl Site {
-    /// Whether nothing but this request comes to any node, this one's included.
-    fn only(&self, fence: &str, way: Way) {
+    /// Sends a request with the ID `fence` and asserts that no node gets any other request.
+    fn assert_only_request(&self, fence: &str, disconnect: Disconnect) {
         let mut client = self.proxy.client();
         client.write(&format!(
             "PUT /order/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {fence}\r\nContent-Length: 1\r\n\r\nx"
@@ -137,12 +139,12 @@
         assert_eq!(client.answer().status(), 200);
         assert!(
             self.origin.no_new_connection() && self.nodes.iter().all(Server::no_new_connection),
-            "{way:?}"
+            "{disconnect:?}"
         );
     }
 
-    /// Whether any node gets a request before this one, which is asked a little later.
-    fn sent_on(&self) -> bool {
+    /// Whether any node gets a request before a fence request that is sent after 80 ms.
+    fn forwards_a_request(&self) -> bool {
         sleep(Duration::from_millis(80));
         let mut client = self.proxy.client();
         client.write(
@@ -157,30 +159,30 @@
             };
             match Peer::new(stream).read() {
                 Some(m) if m.header("x-correlation-id") == Some("fence") => return sent,
-                // A connection that brings nothing is no attempt.
+                // A connection without a request is no attempt.
                 came => sent |= came.is_some(),
             }
         }
     }
 }
 
-/// How an attempt ends whose client has left.
-const ENDS: [&str; 3] = ["404 Not Found", "503 Service Unavailable", ""];
-/// So long after the close, in milliseconds.
-const DELAYS: [u64; 8] = [0, 15, 40, 70, 95, 115, 200, 320];
+/// Ways in which an attempt ends after its client's disconnect; empty for a closed connection.
+const ATTEMPT_ENDS: [&str; 3] = ["404 Not Found", "503 Service Unavailable", ""];
+/// Delays of the attempt's end after the client's disconnect, in milliseconds.
+const END_DELAYS_MS: [u64; 8] = [0, 15, 40, 70, 95, 115, 200, 320];
 
-/// Whether what a node answers `delay` after the close is sent on; in a `busy` process, which has done nothing since
-/// before the close.
-fn sent_on_after(way: Way, answer: &str, delay: Duration, busy: bool) -> bool {
-    let s = site(no_cancel, "");
+/// Whether a request is forwarded after a node's answer that arrives `delay` after the disconnect. A `busy`
+/// process has been paused since before the disconnect.
+fn forwards_after(disconnect: Disconnect, answer: &str, delay: Duration, busy: bool) -> bool {
+    let s = site(disable_cancelling, "");
     let mut client = s.proxy.client();
-    way.ask(&mut client, "read");
+    disconnect.send_request(&mut client, "read");
     let (_, mut node) = accept_any(&s.nodes);
     node.request();
     if busy {
         s.proxy.pause();
     }
-    way.leave(client);
+    disconnect.leave(client);
     sleep(delay);
     match answer {
         "" => drop(node),
@@ -190,118 +192,127 @@
     if busy {
         s.proxy.signal("-CONT");
     }
-    s.sent_on()
+    s.forwards_a_request()
 }
 
-/// Prints how late after the close the last attempt began.
+/// Prints the longest delay after the disconnect that still led to an attempt.
 #[test]
-fn the_last_attempt_begins_at_most_a_tenth_of_a_second_after_the_close() {
-    let measure = |way: Way| {
+fn the_last_attempt_begins_at_most_100_ms_after_the_disconnect() {
+    let measure = |disconnect: Disconnect| {
         let mut rows = Vec::new();
-        for answer in ENDS {
+        for answer in ATTEMPT_ENDS {
             for busy in [false, true] {
-                let sent = |delay: &&u64| sent_on_after(way, answer, Duration::from_millis(**delay), busy);
-                rows.push((way, answer, busy, DELAYS.iter().filter(sent).max()));
+                let sent =
+                    |delay: &&u64| forwards_after(disconnect, answer, Duration::from_millis(**delay), busy);
+                rows.push((disconnect, answer, busy, END_DELAYS_MS.iter().filter(sent).max()));
             }
         }
         rows
     };
-    let threads = WAYS.map(|way| std::thread::spawn(move || measure(way)));
+    let threads = ALL_DISCONNECTS.map(|disconnect| std::thread::spawn(move || measure(disconnect)));
     let rows: Vec<_> = threads.into_iter().flat_map(|t| t.join().expect("measured")).collect();
-    for (way, answer, busy, last) in &rows {
-        println!("{way:?}, {answer:?}, busy {busy}: {last:?} ms");
+    for (disconnect, answer, busy, last) in &rows {
+        println!("{disconnect:?}, {answer:?}, busy {busy}: {last:?} ms");
     }
     assert!(rows.iter().all(|(.., last)| last.is_none_or(|last| *last <= 100)), "{rows:?}");
 }
 
-/// Danger: a miss or an error would send a request on, to the origin or to another node, for nobody.
+/// Guards against a miss or an error that leads to a request to the origin or another node although the
+/// client is gone.
 #[test]
-fn what_a_node_answers_after_its_client_has_left_sends_nothing_on() {
-    for way in WAYS {
-        for answer in ENDS {
-            let s = site(no_cancel, "");
+fn an_answer_after_the_disconnect_causes_no_further_attempt() {
+    for disconnect in ALL_DISCONNECTS {
+        for answer in ATTEMPT_ENDS {
+            let s = site(disable_cancelling, "");
             let mut client = s.proxy.client();
-            way.ask(&mut client, "read");
+            disconnect.send_request(&mut client, "read");
             let (_, mut node) = accept_any(&s.nodes);
             node.request();
-            way.leave(client);
-            sleep(TERM);
+            disconnect.leave(client);
+            sleep(MAX_FORWARD_DELAY);
             match answer {
                 "" => drop(node),
                 "503 Service Unavailable" => node.reply(answer, "X-Unprocessed: 1\r\n", ""),
                 _ => node.reply(answer, "X-Lookup: miss\r\n", ""),
             }
-            s.only("fence", way);
+            s.assert_only_request("fence", disconnect);
         }
     }
 }
 
-/// Danger: where attempts may be called off, one that nobody waits for takes room at its node until it ends by itself.
+/// Guards against an attempt without a client that occupies its node until it ends by itself, where attempts
+/// may be cancelled.
 #[test]
-fn an_attempt_whose_client_has_left_is_called_off() {
-    for way in WAYS {
+fn an_attempt_whose_client_disconnected_is_cancelled() {
+    for disconnect in ALL_DISCONNECTS {
         let s = site(|_| {}, "");
         let mut client = s.proxy.client();
-        way.ask(&mut client, "read");
+        disconnect.send_request(&mut client, "read");
         let (_, mut node) = accept_any(&s.nodes);
         node.request();
-        way.leave(client);
-        assert_eq!(node.read(), None, "{way:?}");
-        s.only("fence", way);
+        disconnect.leave(client);
+        assert_eq!(node.read(), None, "{disconnect:?}");
+        s.assert_only_request("fence", disconnect);
     }
 }
 
-/// Danger: a second copy's timer runs on.
+/// Guards against the timer of a hedged request that keeps running after the client's disconnect.
 #[test]
-fn no_second_copy_goes_out_for_a_client_that_has_left() {
-    for way in [Way::Closes, Way::ClosesBehindMany, Way::ClosesOld] {
+fn no_hedged_request_is_sent_for_a_client_that_disconnected() {
+    for disconnect in [Disconnect::Closes, Disconnect::ClosesBehindMany, Disconnect::ClosesOld] {
         let s = site(
             |config| {
-                no_cancel(config);
+                disable_cancelling(config);
                 config["settings"]["categories"][0]["promise_ns"] = json!(2_000_000_000u64);
             },
             "",
         );
         let mut client = s.proxy.client();
-        way.ask(&mut client, "read");
+        disconnect.send_request(&mut client, "read");
         let (_, mut node) = accept_any(&s.nodes);
         node.request();
-        way.leave(client);
-        // Half of the time that is left is over by then.
+        disconnect.leave(client);
+        // Half of the time left, after which a hedged request would be sent, is over by then.
         sleep(Duration::from_millis(1300));
         for server in s.nodes.iter().chain([&s.origin]) {
             if let Ok(stream) = server.accepted.try_recv() {
-                panic!("{way:?}: {:?}", Peer::new(stream).read());
+                panic!("{disconnect:?}: {:?}", Peer::new(stream).read());
             }
         }
     }
 }
 
-/// Danger: the timer of a process that was busy is over at once, before it has looked at its clients.
+/// Guards against a busy process whose hedging timer fires before it checks its clients' connections.
 #[test]
-fn no_second_copy_goes_out_late_for_a_client_that_left_a_busy_process() {
-    for way in [Way::Closes, Way::Resets, Way::ClosesBehindMany, Way::ClosesOld, Way::EndsThenCloses] {
+fn no_hedged_request_is_sent_for_a_client_that_disconnected_from_a_busy_process() {
+    for disconnect in [
+        Disconnect::Closes,
+        Disconnect::Resets,
+        Disconnect::ClosesBehindMany,
+        Disconnect::ClosesOld,
+        Disconnect::EndsThenCloses,
+    ] {
         let s = site(
             |config| {
-                no_cancel(config);
+                disable_cancelling(config);
                 config["settings"]["categories"][0]["promise_ns"] = json!(600_000_000u64);
             },
             "",
         );
         let mut client = s.proxy.client();
-        way.ask(&mut client, "read");
+        disconnect.send_request(&mut client, "read");
         let (_, mut node) = accept_any(&s.nodes);
         node.request();
         s.proxy.pause();
-        way.leave(client);
+        disconnect.leave(client);
         sleep(Duration::from_millis(700));
         s.proxy.signal("-CONT");
-        assert!(!s.sent_on(), "{way:?}");
+        assert!(!s.forwards_a_request(), "{disconnect:?}");
     }
 }
 
-/// A node whose backlog is full: connections to it come up once it is taken from.
-fn late_node() -> (TcpListener, TcpStream) {
+/// Returns a node with a full backlog: connections to it are established once it accepts one.
+fn node_with_full_backlog() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
     socket.listen(0).expect("listening");
@@ -311,77 +322,79 @@
 }
 
 #[test]
-fn nothing_is_written_to_a_connection_that_comes_up_after_its_client_has_left() {
-    for (way, cancel, busy) in [
-        (Way::Closes, false, false),
-        (Way::Closes, true, false),
-        (Way::ClosesOld, false, false),
-        (Way::EndsThenClosesOld, false, false),
-        (Way::Closes, false, true),
-        (Way::Resets, false, true),
-        (Way::ClosesBehindMore, false, true),
-        (Way::EndsThenCloses, false, true),
+fn no_request_is_written_to_a_connection_established_after_the_disconnect() {
+    for (disconnect, cancel, busy) in [
+        (Disconnect::Closes, false, false),
+        (Disconnect::Closes, true, false),
+        (Disconnect::ClosesOld, false, false),
+        (Disconnect::EndsThenClosesOld, false, false),
+        (Disconnect::Closes, false, true),
+        (Disconnect::Resets, false, true),
+        (Disconnect::ClosesBehindMore, false, true),
+        (Disconnect::EndsThenCloses, false, true),
     ] {
-        let (listener, filler) = late_node();
+        let (listener, filler) = node_with_full_backlog();
         let addr = listener.local_addr().expect("an address");
         let discovery = Server::new();
         let mut settings = config(discovery.addr, &[member("c1", addr, "std", "ready")]);
         settings["settings"]["caps"]["cancelling"] = json!(cancel);
         let proxy = Proxy::new(&settings);
         let mut client = proxy.client();
-        way.ask(&mut client, "read");
-        // The next health answer comes after the attempt has begun.
+        disconnect.send_request(&mut client, "read");
+        // The next health check is answered after the attempt has begun.
         assert_eq!(proxy.health(), 200);
         if busy {
             proxy.pause();
         }
-        way.leave(client);
-        sleep(TERM);
+        disconnect.leave(client);
+        sleep(MAX_FORWARD_DELAY);
         drop((listener.accept().expect("the filler"), filler));
         if busy {
-            // The kernel tries again one second after the first time.
+            // The kernel retries the handshake one second after the first SYN.
             sleep(Duration::from_millis(1100));
             proxy.signal("-CONT");
         }
         listener.set_nonblocking(true).expect("not blocking");
-        // The connection may come up still, but brings nothing; a fence through the same node is the first that does.
+        // The connection may still be established, but without a request; a fence through the same node is
+        // the first request.
         let mut client = proxy.client();
         client.write(&get_as("fence", "read", ""));
         let mut first = None;
-        until("the fence came", || {
+        until("the fence arrived", || {
             let Ok((stream, _)) = listener.accept() else { return false };
             stream.set_nonblocking(false).expect("blocking");
             first = Peer::new(stream).read();
             first.is_some()
         });
         let first = first.expect("a request");
-        assert_eq!(first.header("x-correlation-id"), Some("fence"), "{way:?}, busy {busy}");
+        assert_eq!(first.header("x-correlation-id"), Some("fence"), "{disconnect:?}, busy {busy}");
     }
 }
 
-/// Danger: what waits for room at a node, or for leave to open a connection to it, is sent once there is.
+/// Guards against sending a request that waited for a node's capacity, or for a permit to open a connection
+/// to it, although its client has disconnected.
 #[test]
 fn who_leaves_while_waiting_for_room_or_leave_is_never_sent() {
     let one = "[limits.node]\nfloor = 1.0\nstart = 1.0\nceiling = 1.0\n[limits.queue]\ninterval = \"10s\"\n";
     let slow = "[opening]\nper_node = 1.0\norigin = 400.0\n";
-    for (way, operator, busy) in [
-        (Way::Closes, one, false),
-        (Way::ClosesOld, one, false),
-        (Way::EndsThenClosesOld, one, false),
-        (Way::Closes, slow, false),
-        (Way::Resets, slow, false),
-        (Way::EndsThenClosesOld, slow, false),
-        (Way::Closes, one, true),
-        (Way::Resets, one, true),
-        (Way::ClosesBehindMore, one, true),
-        (Way::EndsThenCloses, one, true),
-        (Way::Closes, slow, true),
-        (Way::Resets, slow, true),
-        (Way::ClosesBehindMore, slow, true),
-        (Way::EndsThenCloses, slow, true),
+    for (disconnect, operator, busy) in [
+        (Disconnect::Closes, one, false),
+        (Disconnect::ClosesOld, one, false),
+        (Disconnect::EndsThenClosesOld, one, false),
+        (Disconnect::Closes, slow, false),
+        (Disconnect::Resets, slow, false),
+        (Disconnect::EndsThenClosesOld, slow, false),
+        (Disconnect::Closes, one, true),
+        (Disconnect::Resets, one, true),
+        (Disconnect::ClosesBehindMore, one, true),
+        (Disconnect::EndsThenCloses, one, true),
+        (Disconnect::Closes, slow, true),
+        (Disconnect::Resets, slow, true),
+        (Disconnect::ClosesBehindMore, slow, true),
+        (Disconnect::EndsThenCloses, slow, true),
     ] {
         let alone = |config: &mut Value| {
-            no_cancel(config);
+            disable_cancelling(config);
             config["known"]["servers"].as_array_mut().expect("a list").remove(1);
         };
         let s = site(alone, operator);
@@ -390,14 +403,14 @@
         let mut node = s.nodes[0].take();
         assert_eq!(node.request().header("x-correlation-id"), Some("first"));
         let mut client = s.proxy.client();
-        way.ask(&mut client, "read");
+        disconnect.send_request(&mut client, "read");
         assert_eq!(s.proxy.health(), 200);
         assert!(s.nodes[0].no_new_connection());
         if busy {
             s.proxy.pause();
         }
-        way.leave(client);
-        sleep(TERM);
+        disconnect.leave(client);
+        sleep(MAX_FORWARD_DELAY);
         node.reply("200 OK", "X-Lookup: hit\r\n", "");
         if busy {
             s.proxy.signal("-CONT");
@@ -405,76 +418,82 @@
         assert_eq!(first.answer().status(), 200);
         first.write(&get_as("fence", "read", ""));
         let next = node.request();
-        assert_eq!(next.header("x-correlation-id"), Some("fence"), "{way:?}, busy {busy}");
+        assert_eq!(next.header("x-correlation-id"), Some("fence"), "{disconnect:?}, busy {busy}");
     }
 }
 
-/// Danger: a process that was busy finds the request and its client's end at once, and sends first.
+/// Guards against a busy process that finds the request and the disconnect at once, and forwards the request
+/// first.
 #[test]
-fn a_client_that_left_before_its_request_was_read_is_not_sent_on() {
-    for way in WAYS {
+fn a_request_read_after_its_clients_disconnect_is_not_forwarded() {
+    for disconnect in ALL_DISCONNECTS {
         let s = site(|_| {}, "");
-        // Connections must be up before the process stops.
+        // The connection must be accepted before the process is paused.
         let mut client = s.proxy.client();
         assert_eq!(s.proxy.health(), 200);
         s.proxy.pause();
-        way.ask(&mut client, "read");
-        way.leave(client);
-        sleep(TERM);
+        disconnect.send_request(&mut client, "read");
+        disconnect.leave(client);
+        sleep(MAX_FORWARD_DELAY);
         s.proxy.signal("-CONT");
         assert_eq!(s.proxy.health(), 200);
-        s.only("fence", way);
+        s.assert_only_request("fence", disconnect);
     }
 }
 
-/// Danger: what the kernel had no room for goes to the node once it has, although nobody waits any more.
+/// Guards against writing the rest of a body, for which the send buffer had no space, although the client is
+/// gone.
 #[test]
-fn the_rest_of_a_body_does_not_go_on_after_its_client_has_left() {
+fn the_rest_of_a_body_is_not_forwarded_after_the_disconnect() {
     const LENGTH: usize = 24 << 20;
-    for (way, all) in [(Way::Closes, false), (Way::Resets, false), (Way::Closes, true)] {
-        let s = site(no_cancel, "");
+    for (disconnect, all) in
+        [(Disconnect::Closes, false), (Disconnect::Resets, false), (Disconnect::Closes, true)]
+    {
+        let s = site(disable_cancelling, "");
         let mut client = s.proxy.client();
         client.write(&format!(
             "PUT /order/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: large\r\nContent-Length: {LENGTH}\r\n\r\n"
         ));
-        // The node takes nothing: the body fills all that lies between, and then its client leaves.
+        // The node reads nothing: the body fills all buffers in between, and then its client disconnects.
         client.0.get_ref().set_nonblocking(true).expect("not blocking");
-        let part = vec![b'x'; if all { LENGTH } else { 200_000 }];
+        let chunk = vec![b'x'; if all { LENGTH } else { 200_000 }];
         let mut sent = 0;
-        while let Ok(n) = std::io::Write::write(client.0.get_mut(), &part[sent..]) {
+        while let Ok(n) = std::io::Write::write(client.0.get_mut(), &chunk[sent..]) {
             sent += n;
-            if sent == part.len() {
+            if sent == chunk.len() {
                 break;
             }
         }
-        assert!(!all || sent < LENGTH, "all of it was taken");
+        assert!(!all || sent < LENGTH, "the proxy accepted all of it");
         let mut node = s.origin.take();
-        way.leave(client);
-        sleep(TERM);
+        disconnect.leave(client);
+        sleep(MAX_FORWARD_DELAY);
         let mut got = Vec::new();
         let ended = std::io::Read::read_to_end(&mut node.0, &mut got);
         assert!(ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
         assert!(got.len() < LENGTH);
-        s.only("fence", way);
+        s.assert_only_request("fence", disconnect);
     }
 }
 
-/// So many requests fill the budget that retries are taken from.
-const EARN_RETRIES: usize = 40;
+/// Number of requests that fill the retry budget.
+const REQUESTS_FOR_FULL_RETRY_BUDGET: usize = 40;
 
-/// Danger: on HTTP/1.0 a client can be asked nine times at the most; after that an attempt would go out for nobody.
+/// Guards against an attempt for a client that is gone: a half-closed HTTP/1.0 client can be probed with at
+/// most nine bytes.
 #[test]
-fn where_a_client_can_be_asked_no_more_no_attempt_is_begun() {
+fn no_attempt_begins_once_the_client_cannot_be_probed_any_more() {
     let (nodes, discovery) = ([(); 9].map(|()| Server::new()), Server::new());
     let members =
         nodes.iter().enumerate().map(|(n, node)| member(&format!("c{n}"), node.addr, "std", "ready"));
     let mut settings = config(discovery.addr, &members.collect::<Vec<_>>());
-    no_cancel(&mut settings);
+    disable_cancelling(&mut settings);
     settings["settings"]["caps"]["attempts_cap"] = json!(9);
     let proxy = Proxy::new(&settings);
-    // Retries are paid for by requests: without these the first one is refused, and no byte after the fifth is spent.
+    // Requests earn the retry budget: without these the first retry is rejected, and no byte after the fifth
+    // is sent.
     let mut earlier = proxy.client();
-    for _ in 0..EARN_RETRIES {
+    for _ in 0..REQUESTS_FOR_FULL_RETRY_BUDGET {
         earlier.ask("read", "");
         let (_, mut node) = accept_any(&nodes);
         node.request();
@@ -485,29 +504,34 @@
     let peer = client.as_mut().expect("it is there");
     peer.write(&get("read", "").replacen("HTTP/1.1", "HTTP/1.0", 1));
     peer.0.get_ref().shutdown(Shutdown::Write).expect("half closed");
-    // The first node takes long, so that five of the nine are spent.
-    let (mut at, mut held, mut got, mut left) = (accept_any(&nodes), 1600, 0, None::<std::time::Instant>);
+    // The first node is slow, so that five of the nine bytes are sent.
+    let (mut current, mut answer_delay, mut got, mut disconnected_at) =
+        (accept_any(&nodes), 1600, 0, None::<std::time::Instant>);
     loop {
-        at.1.request();
-        let late = left.map(|left| left.elapsed());
-        assert!(late.is_none_or(|late| late <= TERM), "begun {late:?} after the client had left");
-        sleep(Duration::from_millis(held));
-        held = 150;
+        current.1.request();
+        let late = disconnected_at.map(|disconnected_at| disconnected_at.elapsed());
+        assert!(
+            late.is_none_or(|late| late <= MAX_FORWARD_DELAY),
+            "begun {late:?} after the client's disconnect"
+        );
+        sleep(Duration::from_millis(answer_delay));
+        answer_delay = 150;
         if let Some(peer) = &mut client {
             let stream = peer.0.get_mut();
             stream.set_nonblocking(true).expect("not blocking");
-            let mut part = [0; 64];
-            while let Ok(n) = std::io::Read::read(stream, &mut part) {
+            let mut chunk = [0; 64];
+            while let Ok(n) = std::io::Read::read(stream, &mut chunk) {
                 assert!(n > 0, "it was closed after {got} bytes");
                 got += n;
             }
             if got >= "HTTP/1.0 ".len() {
-                (client, left) = (None, Some(std::time::Instant::now()));
-                sleep(TERM);
+                (client, disconnected_at) = (None, Some(std::time::Instant::now()));
+                sleep(MAX_FORWARD_DELAY);
             }
         }
-        // A node's 503 is passed on in this deployment; a connection that ends is worth another node.
-        drop(at.1);
+        // A node's 503 is forwarded in this deployment; a closed connection leads to an attempt at another
+        // node.
+        drop(current.1);
         let more = std::time::Instant::now() + Duration::from_millis(800);
         let next = loop {
             let came = nodes.iter().enumerate().find_map(|(n, s)| Some((n, s.accepted.try_recv().ok()?)));
@@ -517,24 +541,25 @@
             sleep(Duration::from_millis(1));
         };
         match next {
-            Some((n, stream)) => at = (n, Peer::new(stream)),
+            Some((n, stream)) => current = (n, Peer::new(stream)),
             None => break,
         }
     }
-    assert!(left.is_some(), "only {got} of its bytes were spent");
+    assert!(disconnected_at.is_some(), "only {got} bytes were sent as probes");
 }
 
-/// Danger: a client that only ended its sending would be taken for one that has gone.
+/// Guards against taking a client that only shut down its sending side for one that disconnected.
 #[test]
-fn who_ended_its_sending_and_waits_gets_its_answer_however_long_that_takes() {
-    for (version, held) in [("HTTP/1.1", 50), ("HTTP/1.1", 900), ("HTTP/1.0", 50), ("HTTP/1.0", 900)] {
+fn a_half_closed_client_that_waits_gets_its_answer_even_after_a_long_time() {
+    for (version, answer_delay) in [("HTTP/1.1", 50), ("HTTP/1.1", 900), ("HTTP/1.0", 50), ("HTTP/1.0", 900)]
+    {
         let s = site(|_| {}, "");
         let mut client = s.proxy.client();
         client.write(&get("read", "").replacen("HTTP/1.1", version, 1));
         client.0.get_ref().shutdown(Shutdown::Write).expect("half closed");
         let (_, mut node) = accept_any(&s.nodes);
         node.request();
-        sleep(Duration::from_millis(held));
+        sleep(Duration::from_millis(answer_delay));
         node.reply("200 OK", "X-Lookup: hit\r\n", "value");
         let answer = client.answer();
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"value".as_slice()), "{}", answer.line);
@@ -542,17 +567,17 @@
     }
 }
 
-/// Danger: a process that is told to end would wait for answers that nobody reads, up to its last moment.
+/// Guards against a shutdown that waits up to its deadline for answers whose clients are gone.
 #[test]
-fn a_process_that_stops_does_not_wait_for_clients_that_have_left() {
-    let mut s = site(no_cancel, "");
+fn a_stopping_process_does_not_wait_for_disconnected_clients() {
+    let mut s = site(disable_cancelling, "");
     let mut client = s.proxy.client();
-    Way::ClosesOld.ask(&mut client, "read");
+    Disconnect::ClosesOld.send_request(&mut client, "read");
     let (_, mut node) = accept_any(&s.nodes);
     node.request();
     s.proxy.signal("-TERM");
     s.proxy.logged("draining");
-    Way::ClosesOld.leave(client);
+    Disconnect::ClosesOld.leave(client);
     until("it has ended", || s.proxy.child.try_wait().expect("a state").is_some());
     assert_eq!(node.read(), None);
 }
--- a/crates/proxy/tests/rig/mod.rs
+++ b/crates/proxy/tests/rig/mod.rs
@@ -1,4 +1,5 @@
-//! Runs the proxy binary against clients, cache nodes and a discovery service that a test scripts on loopback sockets.
+//! Runs the proxy binary against clients, cache nodes and a discovery service that a test scripts on loopback
+//! sockets.
 #![allow(dead_code)]
 
 use nix::sys::signal::{kill, Signal};
@@ -103,7 +104,8 @@
         read.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Waits until the connection ends; whether it is reset, which discards data in transit, at once or after an orderly close.
+    /// Waits until the connection ends; whether it is reset, which discards data in transit, at once or after
+    /// an orderly close.
     pub fn ends_with_a_reset(&mut self) -> bool {
         match self.0.read(&mut [0; 1]) {
             Err(e) => return e.kind() == std::io::ErrorKind::ConnectionReset,
@@ -126,8 +128,8 @@
     }
 }
 
-/// Whether a reset follows the orderly close of a connection, seen as a pending socket error. The kernel sends a reset when
-/// bytes reach a socket that was closed without having read them.
+/// Whether a reset follows the orderly close of a connection, seen as a pending socket error. The kernel
+/// sends a reset when bytes reach a socket that was closed without having read them.
 pub fn reset_follows(stream: &TcpStream) -> bool {
     let until = Instant::now() + IMMEDIATE_TIMEOUT;
     while Instant::now() < until {
@@ -257,8 +259,8 @@
     (spawn(&mut command), file)
 }
 
-/// Taken for writing to start a process, and for reading to close a connection whose end must be sent at once: between fork
-/// and exec the child holds a duplicate of each connection, which delays its close.
+/// Taken for writing to start a process, and for reading to close a connection whose end must be sent at
+/// once: between fork and exec the child holds a duplicate of each connection, which delays its close.
 static PROCESS_START: RwLock<()> = RwLock::new(());
 
 /// Starts a process and returns after its `exec`.
@@ -273,13 +275,13 @@
     drop(peer);
 }
 
-/// Makes the kernel kill the child when the thread that starts it ends, even if the test process is killed. An orphaned proxy
-/// would keep polling ports that belong to servers of other tests by then.
+/// Makes the kernel kill the child when the thread that starts it ends, even if the test process is killed.
+/// An orphaned proxy would keep polling ports that belong to servers of other tests by then.
 #[allow(unsafe_code)]
 fn kill_with_thread(command: &mut Command) {
     let set_signal = || nix::sys::prctl::set_pdeathsig(Signal::SIGKILL).map_err(std::io::Error::from);
-    // SAFETY: audited. The closure runs in the child between fork and exec and makes one system call, prctl, which is
-    // async-signal-safe; it allocates nothing and touches no lock or memory of the parent.
+    // SAFETY: audited. The closure runs in the child between fork and exec and makes one system call, prctl,
+    // which is async-signal-safe; it allocates nothing and touches no lock or memory of the parent.
     unsafe {
         command.pre_exec(set_signal);
     }
@@ -337,7 +339,8 @@
         Peer::health(self.addr)
     }
 
-    /// Returns the address of the admin endpoint from the log; must be called before anything else is read from the log.
+    /// Returns the address of the admin endpoint from the log; must be called before anything else is read
+    /// from the log.
     pub fn admin_addr(&mut self) -> SocketAddr {
         let mut line = String::new();
         while !line.contains("operators call at") {
