--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -89,12 +89,12 @@
         client.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
         assert_eq!(client.answer().status(), 200);
     };
-    let mut kept: Vec<Peer> = (0..6).map(|_| proxy.client()).collect();
-    kept.iter_mut().for_each(health);
+    let mut idle: Vec<Peer> = (0..6).map(|_| proxy.client()).collect();
+    idle.iter_mut().for_each(health);
     let mut newest = proxy.client();
     health(&mut newest);
     // It is closed once it has been idle for the minimum time, which takes a little longer on a busy machine.
-    assert_eq!(kept[0].read(), None);
+    assert_eq!(idle[0].read(), None);
     health(&mut newest);
 }
 
--- a/crates/proxy/tests/closes.rs
+++ b/crates/proxy/tests/closes.rs
@@ -279,16 +279,16 @@
             b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\nGET /nothing HTTP/1.1\r\n",
             b"",
         ];
-        let mut held = std::collections::VecDeque::new();
+        let mut open_streams = std::collections::VecDeque::new();
         for index in 0.. {
             if Instant::now() > until {
                 return;
             }
             let Ok(mut stream) = TcpStream::connect(addr) else { continue };
             let _ = stream.write_all(malformed[index % malformed.len()]);
-            held.push_back(stream);
-            if held.len() > 40 {
-                held.pop_front();
+            open_streams.push_back(stream);
+            if open_streams.len() > 40 {
+                open_streams.pop_front();
             }
         }
     })
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -56,8 +56,9 @@
     loop {
         while let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") {
             received.drain(..end + 4);
-            let more = if after_answer == AfterAnswer::Close { "Connection: close\r\n" } else { "" };
-            let answer = format!("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\n{more}Content-Length: 5\r\n\r\nvalue");
+            let close_header = if after_answer == AfterAnswer::Close { "Connection: close\r\n" } else { "" };
+            let answer =
+                format!("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\n{close_header}Content-Length: 5\r\n\r\nvalue");
             if stream.write_all(answer.as_bytes()).is_err() || after_answer == AfterAnswer::Close {
                 return;
             }
@@ -331,10 +332,10 @@
     });
     let started = Instant::now();
     assert_eq!(send_one(site.proxy.addr), Outcome::Answered(200));
-    let took = started.elapsed();
-    println!("answered after {took:?} and {} broken connections", site.armed.forced("broken"));
+    let elapsed = started.elapsed();
+    println!("answered after {elapsed:?} and {} broken connections", site.armed.forced("broken"));
     assert_eq!(site.armed.forced("broken"), numbers.len() * BROKEN as usize);
-    assert!(took < Duration::from_secs(2), "{took:?}");
+    assert!(elapsed < Duration::from_secs(2), "{elapsed:?}");
 }
 
 /// A process without free descriptors closes idle client connections in favor of the one that waits.
--- a/crates/proxy/tests/leavers.rs
+++ b/crates/proxy/tests/leavers.rs
@@ -152,15 +152,15 @@
         );
         let mut sent = false;
         loop {
-            let came = self.nodes.iter().chain([&self.origin]).find_map(|s| s.accepted.try_recv().ok());
-            let Some(stream) = came else {
+            let accepted = self.nodes.iter().chain([&self.origin]).find_map(|s| s.accepted.try_recv().ok());
+            let Some(stream) = accepted else {
                 sleep(Duration::from_millis(1));
                 continue;
             };
             match Peer::new(stream).read() {
                 Some(m) if m.header("x-correlation-id") == Some("fence") => return sent,
                 // A connection without a request is no attempt.
-                came => sent |= came.is_some(),
+                message => sent |= message.is_some(),
             }
         }
     }
@@ -375,23 +375,24 @@
 /// to it, although its client has disconnected.
 #[test]
 fn who_leaves_while_waiting_for_room_or_leave_is_never_sent() {
-    let one = "[limits.node]\nfloor = 1.0\nstart = 1.0\nceiling = 1.0\n[limits.queue]\ninterval = \"10s\"\n";
-    let slow = "[opening]\nper_node = 1.0\norigin = 400.0\n";
+    let one_attempt =
+        "[limits.node]\nfloor = 1.0\nstart = 1.0\nceiling = 1.0\n[limits.queue]\ninterval = \"10s\"\n";
+    let slow_opening = "[opening]\nper_node = 1.0\norigin = 400.0\n";
     for (disconnect, operator, busy) in [
-        (Disconnect::Closes, one, false),
-        (Disconnect::ClosesOld, one, false),
-        (Disconnect::EndsThenClosesOld, one, false),
-        (Disconnect::Closes, slow, false),
-        (Disconnect::Resets, slow, false),
-        (Disconnect::EndsThenClosesOld, slow, false),
-        (Disconnect::Closes, one, true),
-        (Disconnect::Resets, one, true),
-        (Disconnect::ClosesBehindMore, one, true),
-        (Disconnect::EndsThenCloses, one, true),
-        (Disconnect::Closes, slow, true),
-        (Disconnect::Resets, slow, true),
-        (Disconnect::ClosesBehindMore, slow, true),
-        (Disconnect::EndsThenCloses, slow, true),
+        (Disconnect::Closes, one_attempt, false),
+        (Disconnect::ClosesOld, one_attempt, false),
+        (Disconnect::EndsThenClosesOld, one_attempt, false),
+        (Disconnect::Closes, slow_opening, false),
+        (Disconnect::Resets, slow_opening, false),
+        (Disconnect::EndsThenClosesOld, slow_opening, false),
+        (Disconnect::Closes, one_attempt, true),
+        (Disconnect::Resets, one_attempt, true),
+        (Disconnect::ClosesBehindMore, one_attempt, true),
+        (Disconnect::EndsThenCloses, one_attempt, true),
+        (Disconnect::Closes, slow_opening, true),
+        (Disconnect::Resets, slow_opening, true),
+        (Disconnect::ClosesBehindMore, slow_opening, true),
+        (Disconnect::EndsThenCloses, slow_opening, true),
     ] {
         let alone = |config: &mut Value| {
             disable_cancelling(config);
@@ -532,11 +533,11 @@
         // A node's 503 is forwarded in this deployment; a closed connection leads to an attempt at another
         // node.
         drop(current.1);
-        let more = std::time::Instant::now() + Duration::from_millis(800);
+        let deadline = std::time::Instant::now() + Duration::from_millis(800);
         let next = loop {
-            let came = nodes.iter().enumerate().find_map(|(n, s)| Some((n, s.accepted.try_recv().ok()?)));
-            if came.is_some() || std::time::Instant::now() > more {
-                break came;
+            let accepted = nodes.iter().enumerate().find_map(|(n, s)| Some((n, s.accepted.try_recv().ok()?)));
+            if accepted.is_some() || std::time::Instant::now() > deadline {
+                break accepted;
             }
             sleep(Duration::from_millis(1));
         };
--- a/crates/proxy/tests/rig/mod.rs
+++ b/crates/proxy/tests/rig/mod.rs
@@ -123,8 +123,8 @@
         self.write(&format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}"));
     }
 
-    pub fn ask(&mut self, class: &str, more: &str) {
-        self.write(&get(class, more));
+    pub fn ask(&mut self, class: &str, extra_headers: &str) {
+        self.write(&get(class, extra_headers));
     }
 }
 
@@ -142,15 +142,15 @@
 }
 
 /// Returns a GET request of a class with a unique correlation ID and additional header lines.
-pub fn get(class: &str, more: &str) -> String {
+pub fn get(class: &str, extra_headers: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
-    get_as(&format!("own-{}", NUMBER.fetch_add(1, Ordering::Relaxed)), class, more)
+    get_as(&format!("own-{}", NUMBER.fetch_add(1, Ordering::Relaxed)), class, extra_headers)
 }
 
-pub fn get_as(id: &str, class: &str, more: &str) -> String {
+pub fn get_as(id: &str, class: &str, extra_headers: &str) -> String {
     format!(
         "GET /{class}/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {id}\r\n\
-         X-Account: acme\r\n{more}\r\n"
+         X-Account: acme\r\n{extra_headers}\r\n"
     )
 }
 
@@ -164,10 +164,10 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let addr = listener.local_addr().expect("an address");
-        let (give, accepted) = mpsc::channel();
+        let (sender, accepted) = mpsc::channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if give.send(stream).is_err() {
+                if sender.send(stream).is_err() {
                     return;
                 }
             }
@@ -247,14 +247,14 @@
     start_with(text, |_| {})
 }
 
-pub fn start_with(text: &str, more: impl FnOnce(&mut Command)) -> (Child, PathBuf) {
+pub fn start_with(text: &str, change: impl FnOnce(&mut Command)) -> (Child, PathBuf) {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let name = format!("aniseyoke-{}-{}.json", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
     let file = std::env::temp_dir().join(name);
     std::fs::write(&file, text).expect("a configuration file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_aniseyoke"));
     command.env_clear().env("PROXY_CONFIG", &file).stderr(Stdio::piped());
-    more(&mut command);
+    change(&mut command);
     kill_with_thread(&mut command);
     (spawn(&mut command), file)
 }
@@ -292,14 +292,14 @@
         Self::with(config, |_| {})
     }
 
-    pub fn with(config: &Value, more: impl FnOnce(&mut Command)) -> Self {
-        Self::try_with(config, more)
+    pub fn with(config: &Value, change: impl FnOnce(&mut Command)) -> Self {
+        Self::try_with(config, change)
             .unwrap_or_else(|early| panic!("the log ended before the start: {early:?}"))
     }
 
     /// Starts the program and waits until it listens; returns its exit status and log if it ends before.
-    pub fn try_with(config: &Value, more: impl FnOnce(&mut Command)) -> Result<Self, String> {
-        let (mut child, file) = start_with(&config.to_string(), more);
+    pub fn try_with(config: &Value, change: impl FnOnce(&mut Command)) -> Result<Self, String> {
+        let (mut child, file) = start_with(&config.to_string(), change);
         let mut log = BufReader::new(child.stderr.take().expect("a log"));
         let (mut line, mut early) = (String::new(), Vec::new());
         while !line.contains("listening on") {
