--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -93,7 +93,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let mut armed = None;
         let proxy = Proxy::with(&config, |command| {
-            // No call failing before the proxy listens.
+            // No call fails before the proxy listens.
             armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
         });
         let armed = armed.expect("armed");
@@ -202,7 +202,7 @@
     (0..REQUESTS_PER_CONNECTION).map(send).collect()
 }
 
-/// Returns a rule that failing one in `one_in` of these calls on sockets.
+/// Returns a rule that fails one in `one_in` of these calls on sockets.
 fn failing(name: &str, calls: &[Call], number: i32, one_in: u64) -> Rule {
     Rule::new(name, calls, Effect::Fail(number)).about(About::Sockets).often(Often::OneIn(one_in))
 }
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -158,11 +158,12 @@
     assert_eq!(waiting.answer().status(), 200);
 }
 
-/// Guards against the same fault when another thread than the serving one gets the signal; the handler is
-/// delayed. Without the fix the kernel delivered the signal to any thread: in a trace of a failed run it was
-/// the log's thread, and while its handler notified the runtime (`sendto`), `epoll_wait` of the serving
-/// thread returned only the listener, and `accept4` accepted the connection 0.14 ms after the signal. Its
-/// request was then in flight at a node for as long as its class allows.
+/// Guards against an old process that accepts a connection after the stop signal because a thread other than
+/// the serving one got the signal; the handler is delayed. Without the fix the kernel delivered the signal to
+/// any thread: in a trace of a failed run it was the log's thread, and while its handler notified the runtime
+/// (`sendto`), `epoll_wait` of the serving thread returned only the listener, and `accept4` accepted the
+/// connection 0.14 ms after the signal. Its request was then in flight at a node for as long as its class
+/// allows.
 #[test]
 fn a_waiting_connection_is_left_to_the_successor_whichever_thread_gets_the_signal() {
     // Without the fix a round fails if the kernel picks a thread other than the serving one, in about half of
--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -20,7 +20,7 @@
 /// Number of requests that earn the budget of one retry or one hedged request.
 const REQUESTS_PER_RETRY: usize = 4;
 
-/// What a node behavior with a request.
+/// What a node does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeBehavior {
     /// Never answers.
