--- a/crates/memcached/benches/codec.rs
+++ b/crates/memcached/benches/codec.rs
@@ -1,11 +1,11 @@
-//! How fast packets are taken apart and put together.
+//! Throughput of decoding and encoding packets.
 
 use aniseyoke_memcached::{encode, Decoder, Direction, Extras, Header, Limits, Opcode, Part};
 use bytes::{Bytes, BytesMut};
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 use std::hint::black_box;
 
-/// Packets in one go, as a pipeline brings them.
+/// Number of packets in the buffer, as sent by a client that pipelines requests.
 const PACKETS: u64 = 64;
 
 fn request(opcode: Opcode, extras: Extras) -> Header {
--- a/crates/memcached/fuzz/fuzz_targets/codec.rs
+++ b/crates/memcached/fuzz/fuzz_targets/codec.rs
@@ -1,7 +1,7 @@
-//! Any bytes: `cargo fuzz run codec` in `crates/memcached`.
+//! Fuzz target for the codec: `cargo fuzz run codec` in `crates/memcached`.
 #![no_main]
 
 #[path = "../../tests/noise/mod.rs"]
 mod noise;
 
-libfuzzer_sys::fuzz_target!(|bytes: &[u8]| noise::holds(bytes));
+libfuzzer_sys::fuzz_target!(|bytes: &[u8]| noise::check_codec(bytes));
--- a/crates/memcached/src/decode.rs
+++ b/crates/memcached/src/decode.rs
@@ -1,85 +1,87 @@
-//! Splits bytes into packets as they arrive. No memory is allocated by the lengths that a header announces: keys and parts
-//! of values are slices of the buffer that was read, and a value is handed out in the parts in which it arrives. A slice
-//! keeps the whole block alive that it was read into; a key that outlives its packet is better copied.
+//! Incremental decoder. It allocates nothing based on lengths announced in a header: keys and parts of values
+//! are slices of the read buffer, and a value is returned in the parts in which it arrives. A slice keeps the
+//! whole block alive that it was read into, so a key that outlives its packet should be copied.
 
 use crate::extras::MAX_EXTRAS_BYTES;
 use crate::{Direction, Extras, Header, Opcode, HEADER_BYTES, MAX_KEY_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// What is accepted.
+/// Limits of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest key, in bytes.
+    /// Maximum length of a key, in bytes.
     pub max_key_bytes: usize,
-    /// The longest value, in bytes.
+    /// Maximum length of a value, in bytes.
     pub max_value_bytes: usize,
 }
 
 impl Default for Limits {
-    /// A key as servers accept it, and 1 MiB of value, their usual item size.
+    /// Keys as long as servers accept them, and values up to 1 MiB, the usual item size limit of servers.
     fn default() -> Self {
         Limits { max_key_bytes: MAX_KEY_BYTES, max_value_bytes: 1 << 20 }
     }
 }
 
-/// The next part of what has arrived.
+/// A decoded part of the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// A packet has begun. Its value follows in parts, then its end.
+    /// The header of a packet. Its value follows in parts, then [`Part::End`].
     Header(Header),
-    /// A part of the value, never empty.
+    /// A non-empty part of the value.
     Value(Bytes),
     /// The packet is complete.
     End,
-    /// A request that can't be carried out, without its key; the rest of it is skipped. Its end follows.
+    /// The header of an invalid request, without its key. The rest of the request is skipped; [`Part::End`]
+    /// follows.
     Invalid(Header, InvalidRequest),
 }
 
-/// Why a request can't be carried out, though the one after it can be read.
+/// Why a request is invalid, although the requests after it can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// There is no such operation.
-    #[error("there is no such operation")]
+    /// The operation is unknown.
+    #[error("unknown operation")]
     UnknownOpcode,
-    /// Extras, key or value are not those of the operation; which of them.
+    /// Data type, extras, key or value do not fit the operation; the text says which.
     #[error("{0}")]
     Malformed(&'static str),
-    /// The key is longer than is accepted.
+    /// The key exceeds [`Limits::max_key_bytes`].
     #[error("the key is too long")]
     KeyTooLong,
 }
 
-/// Why nothing more can be read from a connection.
+/// Why no more packets can be read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The peer speaks the text protocol.
+    /// The peer uses the text protocol.
     #[error("this is the text protocol; only the binary one is spoken here")]
     TextProtocol,
-    /// A packet begins with another byte than packets do.
-    #[error("a packet begins with {0:#04x}")]
+    /// The first byte of a packet is not the magic byte of the direction.
+    #[error("unexpected magic byte {0:#04x} at the beginning of a packet")]
     UnknownMagic(u8),
-    /// Key and extras together are longer than the whole body.
-    #[error("a body of {body} bytes can't hold a key of {key} and extras of {extras}")]
+    /// Key and extras together are longer than the body.
+    #[error("a body of {body} bytes can't hold a key of {key} bytes and extras of {extras} bytes")]
     InconsistentLengths {
-        /// Of the key, in bytes.
+        /// Length of the key, in bytes.
         key: usize,
-        /// Of the extras, in bytes.
+        /// Length of the extras, in bytes.
         extras: usize,
-        /// Of the body, in bytes.
+        /// Length of the body, in bytes.
         body: usize,
     },
-    /// A value is longer than is accepted. It would have to be read to its end before anything else can be.
+    /// The value exceeds [`Limits::max_value_bytes`]. The next packet could only be read after the whole
+    /// value.
     #[error("a value of {value} bytes is too large")]
     ValueTooLarge {
-        /// Its length, in bytes.
+        /// Length of the value, in bytes.
         value: usize,
-        /// The client's identifier of the request, for a response.
+        /// The client's identifier of the request, for the error response.
         opaque: u32,
-        /// The operation, for a response.
+        /// The opcode, for the error response.
         opcode: u8,
     },
-    /// A response that no server gives: extras or key are longer than those of any.
-    #[error("an answer that no server gives")]
+    /// The extras or the key of a response are longer than those of any valid response.
+    #[error("invalid response: its key or extras are too long")]
     InvalidResponse,
 }
 
@@ -87,14 +89,15 @@
 enum State {
     /// Between packets, or within a header.
     Header,
-    /// So much of a value is still to arrive.
+    /// Within a value, of which this many bytes are missing.
     Value(usize),
-    /// So much is still to be skipped.
+    /// Within an invalid request, of which this many bytes are still to be skipped.
     Skip(usize),
+    /// Nothing more can be read.
     Failed(ProtocolError),
 }
 
-/// Splits one direction of a connection into packets.
+/// Decodes the packets of one direction of a connection.
 #[derive(Clone, Debug)]
 pub struct Decoder {
     direction: Direction,
@@ -102,7 +105,7 @@
     state: State,
 }
 
-/// The fixed part of a packet.
+/// The fixed part of a packet; `key`, `extras` and `body` are lengths in bytes.
 struct FixedHeader {
     opcode: u8,
     key: usize,
@@ -115,7 +118,7 @@
 }
 
 impl FixedHeader {
-    /// `bytes` are at least [`HEADER_BYTES`].
+    /// Parses the fixed part; `bytes` must have at least [`HEADER_BYTES`].
     fn read(mut bytes: &[u8]) -> Self {
         bytes.advance(1);
         FixedHeader {
@@ -130,12 +133,12 @@
         }
     }
 
-    /// The length of extras and key.
+    /// Returns the length of extras and key, in bytes.
     fn prefix(&self) -> usize {
         self.key + self.extras
     }
 
-    /// The length of the value.
+    /// Returns the length of the value, in bytes.
     fn value(&self) -> Result<usize, ProtocolError> {
         self.body.checked_sub(self.prefix()).ok_or(ProtocolError::InconsistentLengths {
             key: self.key,
@@ -149,15 +152,15 @@
         Header { opcode, vbucket_or_status, opaque, cas, extras, key, value_len }
     }
 
-    /// Whether a request can be carried out.
+    /// Checks a request with a value of this length.
     fn check_request(&self, limits: Limits, value: usize) -> Result<(), InvalidRequest> {
         let opcode = Opcode::from_repr(self.opcode).ok_or(InvalidRequest::UnknownOpcode)?;
         if self.data_type != 0 {
             Err(InvalidRequest::Malformed("the data type is not 0"))
         } else if !opcode.extras().contains(&self.extras) {
-            Err(InvalidRequest::Malformed("extras of this length are not of the operation"))
+            Err(InvalidRequest::Malformed("the operation has no extras of this length"))
         } else if !opcode.key().allows(self.key) {
-            let why = if self.key == 0 { "there is no key" } else { "the operation has no key" };
+            let why = if self.key == 0 { "the key is missing" } else { "the operation has no key" };
             Err(InvalidRequest::Malformed(why))
         } else if !opcode.value().allows(value) {
             Err(InvalidRequest::Malformed("the operation has no value"))
@@ -170,21 +173,21 @@
 }
 
 impl Decoder {
-    /// A decoder of packets that go in one direction.
+    /// Creates a decoder of packets in one direction.
     pub fn new(direction: Direction, limits: Limits) -> Self {
         Decoder { direction, limits, state: State::Header }
     }
 
-    /// Whether a packet has begun and not ended.
+    /// Whether the decoder is within a packet: its header was returned, its end was not.
     pub fn in_packet(&self) -> bool {
         matches!(self.state, State::Value(_) | State::Skip(_))
     }
 
-    /// The next part, taken from the front of what has arrived; none: more has to arrive first. A buffer with room for
-    /// [`HEADER_BYTES`], 255 bytes of extras and the longest key is never too small.
+    /// Removes the next part from the front of `buffer`, or returns `None` if more input is needed. A buffer
+    /// with a capacity of [`HEADER_BYTES`], 255 bytes of extras and the longest key is always large enough.
     ///
     /// # Errors
-    /// If nothing more can be read from the connection; it is the same error from then on.
+    /// If nothing more can be read from the connection; all later calls return the same error.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Part>, ProtocolError> {
         match self.state {
             State::Failed(error) => Err(error),
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Reads the front of a packet, up to its value.
+    /// Decodes the beginning of a packet, up to its value.
     fn begin(&mut self, buffer: &mut BytesMut) -> Result<Option<Part>, ProtocolError> {
         let Some(first) = buffer.first() else { return Ok(None) };
         self.check_magic(*first)?;
@@ -244,12 +247,14 @@
         if first == self.direction.magic() {
             return Ok(());
         }
-        // Danger: to wait for a whole header would leave a client of the text protocol without an answer.
+        // Checked on the first byte: a client of the text protocol may send less than a header and would
+        // never get a response.
         let text = self.direction == Direction::Request && (first.is_ascii_alphabetic() || first == b'\r');
         Err(if text { ProtocolError::TextProtocol } else { ProtocolError::UnknownMagic(first) })
     }
 
-    /// Whether a packet can be used; only a request may be refused by itself.
+    /// Checks a packet with a value of this length. An invalid request can be skipped; an invalid response
+    /// ends the connection.
     fn check(&self, fixed: &FixedHeader, value: usize) -> Result<Result<(), InvalidRequest>, ProtocolError> {
         match self.direction {
             Direction::Request => Ok(fixed.check_request(self.limits, value)),
--- a/crates/memcached/src/encode.rs
+++ b/crates/memcached/src/encode.rs
@@ -1,18 +1,18 @@
-//! Builds packets.
+//! Encodes packets.
 
 use crate::{Direction, Header, HEADER_BYTES};
 use bytes::BufMut;
 
-/// A packet can't be written in this format.
+/// The key or the body is too long for the length fields of the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key over 65,535 bytes, or a body over 4 GiB")]
 pub struct PacketTooLong;
 
-/// Writes all of a packet but its value, which has to follow with the length in the header. Takes at most
-/// [`HEADER_BYTES`], the extras and the key.
+/// Writes a packet without its value: at most [`HEADER_BYTES`], the extras and the key. The caller writes the
+/// value, with the length given in the header.
 ///
 /// # Errors
-/// If the format has no room for it; nothing is written then.
+/// If a length exceeds the format; nothing is written then.
 pub fn header(direction: Direction, header: &Header, out: &mut impl BufMut) -> Result<(), PacketTooLong> {
     let key = u16::try_from(header.key.len()).map_err(|_| PacketTooLong)?;
     let body = u32::try_from(header.body_len()).map_err(|_| PacketTooLong)?;
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// Writes a whole packet. The length of the value is that of `value`, not the one in the header.
+/// Writes a complete packet. The length of the value is taken from `value`, not from the header.
 ///
 /// # Errors
 /// As [`header`].
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// The length of a packet, in bytes.
+/// Returns the length of a packet, in bytes.
 pub fn length(of: &Header) -> usize {
     HEADER_BYTES + of.body_len()
 }
--- a/crates/memcached/src/extras.rs
+++ b/crates/memcached/src/extras.rs
@@ -1,43 +1,43 @@
-//! Extras, which stand between header and key: at most 20 bytes, whose meaning depends on the operation.
+//! Extras: parameters between header and key, at most 20 bytes, whose format depends on the operation.
 
 use crate::Opcode;
 use bytes::{Buf, BufMut};
 
-/// The longest extras that any operation has, in bytes.
+/// The length of the longest extras of any operation, in bytes.
 pub const MAX_EXTRAS_BYTES: usize = 20;
 
-/// The extras of a packet. Their kind follows from the operation, the direction and the length.
+/// The extras of a packet. The variant follows from the operation, the direction and the length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Extras {
-    /// There are none.
+    /// No extras.
     #[default]
     None,
-    /// Of a value in a response: flags that its writer chose.
+    /// In a response with a value: the flags that the value was stored with.
     Flags(u32),
-    /// Of a value to be stored.
+    /// In a request to store a value.
     Store {
-        /// Flags that its writer chose.
+        /// Flags to store with the value; their meaning is up to the client.
         flags: u32,
-        /// When it expires, in seconds: up to 30 days from now, more as Unix time; 0 never.
+        /// Expiration in seconds: up to 30 days it is relative, above that it is a Unix time; 0 means never.
         expires: u32,
     },
-    /// Of a counter.
+    /// In a request to increment or decrement a counter.
     Counter {
-        /// By how much it changes.
+        /// The amount to add or subtract.
         delta: u64,
-        /// Its first value where there is none.
+        /// The initial value of a counter that does not exist.
         initial: u64,
-        /// As for a value; all ones: a counter that does not exist is an error.
+        /// Expiration as in `Store`; with all bits set, a counter that does not exist is an error.
         expires: u32,
     },
-    /// Of a touch, a get-and-touch, a flush: when the value expires.
+    /// In a touch, get-and-touch or flush request: the expiration.
     Expiration(u32),
-    /// Of a request for more or less logging.
+    /// In a verbosity request: the log level.
     Verbosity(u32),
 }
 
 impl Extras {
-    /// Their length, in bytes.
+    /// Returns the encoded length, in bytes.
     pub fn len(&self) -> usize {
         match self {
             Extras::None => 0,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Whether there are none.
+    /// Whether there are no extras.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Writes them.
+    /// Writes the extras in wire format.
     pub fn write(&self, out: &mut impl BufMut) {
         match *self {
             Extras::None => {}
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Those of a request, whose length was checked against the operation.
+    /// Parses the extras of a request, whose length was checked against the operation.
     pub(crate) fn parse_request(opcode: Opcode, mut bytes: &[u8]) -> Self {
         match (opcode.without_quiet(), bytes.len()) {
             (Opcode::Verbosity, 4) => Extras::Verbosity(bytes.get_u32()),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Those of a response: flags, or none that mean anything.
+    /// Parses the extras of a response: 4 bytes are flags, other lengths are ignored.
     pub(crate) fn parse_response(mut bytes: &[u8]) -> Self {
         if bytes.len() == 4 {
             Extras::Flags(bytes.get_u32())
--- a/crates/memcached/src/lib.rs
+++ b/crates/memcached/src/lib.rs
@@ -1,15 +1,17 @@
 //! The memcached binary protocol, without I/O or clock.
 //!
-//! - [`decode`] splits bytes as they arrive into packets, and [`encode`] builds packets; both handle requests and responses.
+//! - [`decode`] splits bytes as they arrive into packets, and [`encode`] builds packets; both handle requests
+//!   and responses.
 //! - [`session`] is the server's side of a whole connection.
-//! - [`response_queue`] keeps the responses of one connection in the order of their requests, and leaves out those of quiet
-//!   requests where the protocol says so.
-//! - [`semantics`] tells what a second execution of an operation would do, and what a node's status says of whether an
-//!   operation was executed.
-//! - [`mapping`] finds the class and the tenant of a request by the operators' rules.
+//! - [`response_queue`] keeps the responses of one connection in the order of their requests, and omits those
+//!   that the protocol suppresses for quiet requests.
+//! - [`semantics`] defines the effect of executing an operation twice, and whether a status means that a node
+//!   executed an operation.
+//! - [`mapping`] determines the class and the tenant of a request from the operators' rules.
 //!
-//! The format is that of the memcached project's page "Binary Protocol Revamped" and of its `protocol_binary.h`. Every
-//! number is big-endian. A packet is a header of 24 bytes, then extras, key and value, whose lengths are in the header.
+//! The format is specified in the memcached project's page "Binary Protocol Revamped" and in its
+//! `protocol_binary.h`. All numbers are big-endian. A packet consists of a header of 24 bytes, extras, key
+//! and value; the header has their lengths.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/memcached/src/mapping.rs
+++ b/crates/memcached/src/mapping.rs
@@ -1,9 +1,10 @@
-//! Finds by the operators' rules what a memcached request is to the core: its class, its tenant, whether it writes, and
-//! whether its client marks it as a retry. The first rule that matches applies; a request that matches none is not
-//! carried out.
+//! Maps memcached requests to what the core has to know of them, by the operators' rules: the class, the
+//! tenant, whether the request is a write, and whether its client marked it as a retry. The first rule that
+//! matches applies; a request that matches none is not executed.
 //!
-//! A class says whether its requests are idempotent, and an operation may contradict that. Rules that put an operation into a
-//! class that must not have it are refused as a whole, with every such pair, before any request is mapped.
+//! A class specifies whether its requests are idempotent, and an operation may contradict that. If any rule
+//! puts an operation into a class that does not allow it, the rules are rejected as a whole with all such
+//! pairs, before any request is mapped.
 
 use crate::semantics::{class_allows, repeat_effect, RepeatEffect};
 use crate::{Header, Opcode};
@@ -11,43 +12,45 @@
 use std::collections::HashMap;
 use strum::VariantArray;
 
-/// The highest bit of the vbucket, by which rules may let clients mark retries: the protocol has no mark of its own, and
-/// servers without vbuckets ignore this field.
+/// The highest bit of the vbucket, with which clients may mark retries if the rules allow it: the protocol
+/// itself has no such mark, and servers without vbuckets ignore this field.
 pub const RETRY_BIT: u16 = 1 << 15;
 
-/// Which operations are in a class.
+/// Assigns operations to a class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassRule {
-    /// Operations that are not quiet; a quiet one is treated like its counterpart. None named: all that have a key.
+    /// Non-quiet operations; a quiet one is treated like its counterpart. If empty, all operations that nodes
+    /// execute.
     pub operations: Vec<Opcode>,
-    /// What the key begins with.
+    /// A prefix of the key.
     pub prefix: Vec<u8>,
     /// The class, by its index in the settings.
     pub class: usize,
 }
 
-/// Which tenant a request belongs to.
+/// Assigns requests to tenants.
 #[derive(Clone, Debug, Default)]
 pub struct TenantRules {
-    /// Tenants by the user that a client has authenticated as.
+    /// Indexes of tenants by the user name of an authenticated client.
     pub users: HashMap<String, usize>,
-    /// Tenants by what a key begins with, for clients that did not authenticate; the longest match applies.
+    /// Key prefixes with the indexes of their tenants, for clients that did not authenticate; the longest
+    /// match applies.
     pub prefixes: Vec<(Vec<u8>, usize)>,
 }
 
-/// A rule that puts an operation into a class that must not have it.
+/// An error in a class rule.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MappingError {
-    /// The settings do not have the class.
-    #[error("rule {rule}: there is no class {class}")]
+    /// The class is not in the settings.
+    #[error("rule {rule}: unknown class {class}")]
     UnknownClass {
         /// The rule, from 0.
         rule: usize,
         /// The class.
         class: usize,
     },
-    /// An operation that the connection itself responds to, or that is never carried out.
-    #[error("rule {rule}: {operation:?} is not asked of nodes")]
+    /// The operation is quiet, answered by the connection itself, or not supported.
+    #[error("rule {rule}: {operation:?} is not an operation that nodes execute")]
     NotForNodes {
         /// The rule, from 0.
         rule: usize,
@@ -55,60 +58,58 @@
         operation: Opcode,
     },
     /// The class is idempotent, the operation is not.
-    #[error("rule {rule}: {operation:?} {}, and its class may be repeated at will", harm(.effect))]
+    #[error("rule {rule}: the class is idempotent, but executing {operation:?} twice {}", describe(.effect))]
     NotIdempotent {
         /// The rule, from 0.
         rule: usize,
         /// The operation.
         operation: Opcode,
-        /// What a second execution would do.
+        /// The effect of a second execution.
         effect: RepeatEffect,
     },
 }
 
-fn harm(effect: &RepeatEffect) -> &'static str {
+fn describe(effect: &RepeatEffect) -> &'static str {
     match effect {
-        RepeatEffect::AppliedTwice => "would be done twice",
-        RepeatEffect::Harmless | RepeatEffect::MisleadingResponse => {
-            "would be answered wrongly when it runs twice"
-        }
+        RepeatEffect::AppliedTwice => "applies the change twice",
+        RepeatEffect::Harmless | RepeatEffect::MisleadingResponse => "gives a misleading response",
     }
 }
 
-/// What a request is to the core.
+/// The properties of a request that the core has to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MappedRequest {
     /// The class, by its index in the settings.
     pub class: usize,
     /// The tenant, by its index in the settings.
     pub tenant: Option<usize>,
-    /// It changes a value.
+    /// Whether the request changes a value.
     pub write: bool,
-    /// Its client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
 }
 
-/// Why a request is not carried out.
+/// Why a request is not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unmapped {
-    /// No rule matches.
-    #[error("no rule matches")]
+    /// No class rule matches the request.
+    #[error("no class rule matches the request")]
     NoClass,
-    /// It is bound to a version of the value, so that it is not idempotent, and its class is.
-    #[error("it is bound to a version, and its class may be repeated at will")]
+    /// The request is bound to a version of the value and thus not idempotent, but its class is.
+    #[error("the request is bound to a version of the value, but its class is idempotent")]
     BoundToVersion,
 }
 
-/// All rules, checked.
+/// The validated rules.
 #[derive(Clone, Debug)]
 pub struct RequestMapping {
     rules: Vec<ClassRule>,
     tenants: TenantRules,
-    effects: Vec<Idempotency>,
+    class_idempotency: Vec<Idempotency>,
     retry_bit: bool,
 }
 
-/// Whether an operation is carried out by nodes.
+/// Whether nodes execute an operation.
 fn is_for_nodes(operation: Opcode) -> bool {
     use Opcode::*;
     matches!(
@@ -128,21 +129,21 @@
     )
 }
 
-/// Whether an operation changes a value. A touch changes the time at which it expires, which all replicas have to hear of.
+/// Whether an operation changes a value. A touch is a write because all replicas need the new expiration.
 pub fn is_write(operation: Opcode) -> bool {
     let operation = operation.without_quiet();
     is_for_nodes(operation) && !matches!(operation, Opcode::Get | Opcode::GetK)
 }
 
 impl ClassRule {
-    /// Whether the rule is about an operation, whatever its key.
+    /// Whether the rule covers an operation, regardless of the key.
     fn includes(&self, operation: Opcode) -> bool {
         self.operations.is_empty() || self.operations.contains(&operation)
     }
 
-    /// Adds what is wrong with the rule, which has this index.
-    fn check(&self, rule: usize, effects: &[Idempotency], errors: &mut Vec<MappingError>) {
-        let Some(class_effect) = effects.get(self.class) else {
+    /// Adds the errors of this rule to `errors`; `rule` is its index.
+    fn check(&self, rule: usize, class_idempotency: &[Idempotency], errors: &mut Vec<MappingError>) {
+        let Some(idempotency) = class_idempotency.get(self.class) else {
             errors.push(MappingError::UnknownClass { rule, class: self.class });
             return;
         };
@@ -151,10 +152,10 @@
                 errors.push(MappingError::NotForNodes { rule, operation });
             }
         }
-        let all = Opcode::VARIANTS.iter().copied().filter(|operation| is_for_nodes(*operation));
-        for operation in all.filter(|operation| self.includes(*operation)) {
+        let node_operations = Opcode::VARIANTS.iter().copied().filter(|operation| is_for_nodes(*operation));
+        for operation in node_operations.filter(|operation| self.includes(*operation)) {
             let effect = repeat_effect(operation, 0);
-            if !class_allows(*class_effect, effect) {
+            if !class_allows(*idempotency, effect) {
                 errors.push(MappingError::NotIdempotent { rule, operation, effect });
             }
         }
@@ -162,40 +163,41 @@
 }
 
 impl RequestMapping {
-    /// Rules over classes with these effects. `retry_bit`: [`RETRY_BIT`] marks retries.
+    /// Validates the rules against the idempotency of each class. `retry_bit` says whether [`RETRY_BIT`]
+    /// marks retries.
     ///
     /// # Errors
-    /// Every rule and operation that is wrong.
+    /// All errors of all rules.
     pub fn new(
         rules: Vec<ClassRule>,
         tenants: TenantRules,
-        effects: &[Idempotency],
+        class_idempotency: &[Idempotency],
         retry_bit: bool,
     ) -> Result<Self, Vec<MappingError>> {
         let mut errors = Vec::new();
         for (index, rule) in rules.iter().enumerate() {
-            rule.check(index, effects, &mut errors);
+            rule.check(index, class_idempotency, &mut errors);
         }
         if errors.is_empty() {
-            Ok(RequestMapping { rules, tenants, effects: effects.to_vec(), retry_bit })
+            Ok(RequestMapping { rules, tenants, class_idempotency: class_idempotency.to_vec(), retry_bit })
         } else {
             Err(errors)
         }
     }
 
-    /// What a request is to the core; `user`: whom the client has authenticated as.
+    /// Maps a request; `user` is the user name of an authenticated client.
     ///
     /// # Errors
-    /// Why it is not carried out: it was not executed, and nothing was sent for it.
+    /// If the request must not be executed; nothing has been sent for it.
     pub fn map(&self, header: &Header, user: Option<&str>) -> Result<MappedRequest, Unmapped> {
         let operation = header.operation().map(Opcode::without_quiet);
         let operation = operation.filter(|operation| is_for_nodes(*operation)).ok_or(Unmapped::NoClass)?;
         let matches = |rule: &&ClassRule| rule.includes(operation) && header.key.starts_with(&rule.prefix);
         let class = self.rules.iter().find(matches).ok_or(Unmapped::NoClass)?.class;
-        // Danger: an idempotent class would execute a request that is bound to a version a second time, and tell its client
-        // that its own first attempt was somebody else's change.
-        let class_effect = self.effects.get(class).copied().unwrap_or(Idempotency::NonIdempotent);
-        if !class_allows(class_effect, repeat_effect(operation, header.cas)) {
+        // In an idempotent class, a retry of a request that is bound to a version would fail because of the
+        // first attempt, and its client would take its own change for another client's.
+        let idempotency = self.class_idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent);
+        if !class_allows(idempotency, repeat_effect(operation, header.cas)) {
             return Err(Unmapped::BoundToVersion);
         }
         Ok(MappedRequest {
@@ -208,7 +210,7 @@
 }
 
 impl TenantRules {
-    /// The tenant of a request. A client that has authenticated does not become another tenant by its keys.
+    /// Returns the tenant of a request. The keys of an authenticated client do not change its tenant.
     fn tenant(&self, key: &[u8], user: Option<&str>) -> Option<usize> {
         if let Some(user) = user {
             return self.users.get(user).copied();
--- a/crates/memcached/src/mapping/tests.rs
+++ b/crates/memcached/src/mapping/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 use bytes::Bytes;
 
-const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::WithKey];
+const CLASS_IDEMPOTENCY: [Idempotency; 3] =
+    [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::WithKey];
 
 fn rule(operations: &[Opcode], prefix: &str, class: usize) -> ClassRule {
     ClassRule { operations: operations.to_vec(), prefix: prefix.into(), class }
 }
 
-/// Lookups are idempotent, settlements are never executed twice, and counters have idempotency keys.
+/// Class 0 is idempotent, class 1 is not, and the requests of class 2 have idempotency keys.
 fn mapping(retry_bit: bool) -> RequestMapping {
     let rules = vec![
         rule(&[Opcode::Set, Opcode::Add, Opcode::Delete], "cod/", 1),
@@ -18,7 +19,7 @@
         users: HashMap::from([("acme".to_owned(), 0)]),
         prefixes: vec![(b"cod/".to_vec(), 1), (b"cod/seo/".to_vec(), 2)],
     };
-    RequestMapping::new(rules, tenants, &EFFECTS, retry_bit).expect("sound")
+    RequestMapping::new(rules, tenants, &CLASS_IDEMPOTENCY, retry_bit).expect("sound")
 }
 
 fn header(operation: Opcode, key: &'static str) -> Header {
@@ -66,14 +67,16 @@
     assert!(!mapping(true).map(&header(Opcode::Get, "way/7"), None).expect("a class").retry);
 }
 
-/// Danger: a counter in an idempotent class counts twice after one lost response.
+/// Guards against a counter in an idempotent class, which counts twice after one lost response.
 #[test]
-fn rules_that_put_operations_into_wrong_classes_are_refused_with_every_pair() {
+fn rules_that_put_operations_into_wrong_classes_are_rejected_with_every_pair() {
     let rules =
         vec![rule(&[], "", 0), rule(&[Opcode::GetQ, Opcode::Noop], "", 1), rule(&[Opcode::Get], "", 9)];
-    let errors = RequestMapping::new(rules, TenantRules::default(), &EFFECTS, false).expect_err("unsound");
-    let repeats = errors.iter().filter(|f| matches!(f, MappingError::NotIdempotent { rule: 0, .. })).count();
-    assert_eq!(repeats, 6, "add, delete, both counters, append, prepend: {errors:?}");
+    let errors =
+        RequestMapping::new(rules, TenantRules::default(), &CLASS_IDEMPOTENCY, false).expect_err("unsound");
+    let not_idempotent =
+        errors.iter().filter(|e| matches!(e, MappingError::NotIdempotent { rule: 0, .. })).count();
+    assert_eq!(not_idempotent, 6, "add, delete, both counters, append, prepend: {errors:?}");
     for error in [
         MappingError::NotForNodes { rule: 1, operation: Opcode::GetQ },
         MappingError::NotForNodes { rule: 1, operation: Opcode::Noop },
@@ -81,10 +84,11 @@
     ] {
         assert!(errors.contains(&error), "{error}");
     }
-    assert!(errors.iter().all(|f| f.to_string().starts_with("rule ")));
+    assert!(errors.iter().all(|e| e.to_string().starts_with("rule ")));
 }
 
-/// Danger: a store that is bound to a version and was executed once responds `exists` the second time.
+/// Guards against a misleading response: a store that is bound to a version responds `exists` when it is
+/// executed twice.
 #[test]
 fn a_request_bound_to_a_version_is_not_mapped_to_an_idempotent_class() {
     let m = mapping(false);
@@ -93,9 +97,9 @@
     assert_eq!(bound("cod/7"), Ok(1));
 }
 
-/// Whatever the rules, no operation gets into a class that must not have it.
+/// For any rules, no operation is mapped to a class that does not allow it.
 #[test]
-fn no_request_is_mapped_to_a_class_that_must_not_have_it() {
+fn no_request_is_mapped_to_a_class_that_does_not_allow_it() {
     use proptest::prelude::*;
     let any = (proptest::collection::vec((any::<u16>(), 0usize..4), 0..6), 0u8..0x26, 0u64..3);
     proptest!(|((rules, opcode, cas) in any)| {
@@ -104,11 +108,11 @@
             let operations = all.filter(|(n, _)| bits >> n & 1 == 1).map(|(_, o)| o).collect();
             ClassRule { operations, prefix: Vec::new(), class: *class }
         }).collect();
-        if let Ok(m) = RequestMapping::new(rules, TenantRules::default(), &EFFECTS, true) {
+        if let Ok(m) = RequestMapping::new(rules, TenantRules::default(), &CLASS_IDEMPOTENCY, true) {
             let header = Header { opcode, cas, ..header(Opcode::Get, "k") };
             if let Ok(mapped) = m.map(&header, None) {
                 let operation = header.operation().expect("mapped");
-                prop_assert!(class_allows(EFFECTS[mapped.class], repeat_effect(operation, cas)));
+                prop_assert!(class_allows(CLASS_IDEMPOTENCY[mapped.class], repeat_effect(operation, cas)));
             }
         }
     });
--- a/crates/memcached/src/opcode.rs
+++ b/crates/memcached/src/opcode.rs
@@ -1,8 +1,8 @@
-//! Operations, and what their requests consist of.
+//! Operations of the protocol, and the parts that their requests have.
 
 use strum::{FromRepr, VariantArray};
 
-/// An operation, by its number on the wire.
+/// An operation; the discriminant is its opcode on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, FromRepr, VariantArray)]
 #[repr(u8)]
 #[allow(missing_docs, reason = "the names are the protocol's own")]
@@ -45,19 +45,19 @@
     GatKQ = 0x24,
 }
 
-/// Whether a part of a packet has to be there.
+/// Whether a packet must have a part, such as the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It has to be there.
+    /// The part must be present.
     Required,
-    /// It may be there.
+    /// The part may be present.
     Optional,
-    /// It must not be there.
+    /// The part must be absent.
     Forbidden,
 }
 
 impl Presence {
-    /// Whether the part may have this length.
+    /// Whether the part may have this length, in bytes.
     pub fn allows(self, length: usize) -> bool {
         match self {
             Presence::Required => length > 0,
@@ -68,7 +68,8 @@
 }
 
 impl Opcode {
-    /// The counterpart of a quiet operation, which is always answered; any other operation itself.
+    /// Returns the counterpart of a quiet operation that always gets a response, or the operation itself if
+    /// it is not quiet.
     pub fn without_quiet(self) -> Self {
         match self {
             Opcode::GetQ => Opcode::Get,
@@ -89,17 +90,18 @@
         }
     }
 
-    /// Whether only an unexpected outcome gets a response.
+    /// Whether the operation is quiet: only an unexpected outcome gets a response.
     pub fn is_quiet(self) -> bool {
         self.without_quiet() != self
     }
 
-    /// Whether it reads a value: its quiet form gets no response to a miss, other quiet forms get none to a success.
+    /// Whether the operation reads a value. The quiet form of a retrieval gets no response on a miss, other
+    /// quiet operations get none on success.
     pub fn is_retrieval(self) -> bool {
         matches!(self.without_quiet(), Opcode::Get | Opcode::GetK | Opcode::Gat | Opcode::GatK)
     }
 
-    /// Whether the response has the key.
+    /// Whether a successful response includes the key.
     pub fn returns_key(self) -> bool {
         matches!(self.without_quiet(), Opcode::GetK | Opcode::GatK)
     }
--- a/crates/memcached/src/response_queue.rs
+++ b/crates/memcached/src/response_queue.rs
@@ -1,69 +1,70 @@
 //! The responses of one connection, in the order of their requests.
 //!
-//! Servers of this protocol respond in order, and a client that uses quiet requests depends on it: the response to its NOOP
-//! says that all requests before it are done. Requests are carried out concurrently, so that one slow key delays the
-//! responses behind it and not the work. What waits is bounded, and no more is read from a connection without capacity.
+//! Servers of this protocol respond in order, and clients that use quiet requests rely on it: the response to
+//! a NOOP means that all earlier requests are done. Requests are executed concurrently, so a slow request
+//! delays the responses after it but not their execution. The queue is bounded; while it is full, the
+//! connection is not read.
 
 use std::collections::VecDeque;
 
-/// Identifies a request of a connection, by its place in the order. It is never used twice.
+/// Identifies a request of a connection by its position in the order of requests. Numbers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(u64);
 
-/// How much one connection may have in flight.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Requests without a response, or whose response waits for one before it.
+    /// Maximum number of requests whose response is pending, or waits for an earlier one.
     pub requests: usize,
-    /// Bytes of responses that wait for one before them. One response may exceed it.
+    /// Maximum size of responses that wait for an earlier one, in bytes. A single response may exceed it.
     pub bytes: usize,
 }
 
 enum Slot<R> {
-    /// The response is still to come.
+    /// There is no response yet.
     Pending,
-    /// A response, and how many bytes it takes.
+    /// A response, and its size in bytes.
     Ready(R, usize),
-    /// There will be no response, since the request was quiet.
+    /// The request ended without a response, because it was quiet or cancelled.
     Suppressed,
 }
 
-/// The responses of one connection.
+/// The responses of one connection, returned in the order of the requests.
 pub struct ResponseQueue<R> {
     limits: QueueLimits,
     slots: VecDeque<Slot<R>>,
-    /// The number of the first slot's request.
+    /// The number of the request in the first slot.
     first: u64,
     waiting_bytes: usize,
 }
 
 impl<R> ResponseQueue<R> {
-    /// A queue without requests.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         ResponseQueue { limits, slots: VecDeque::new(), first: 0, waiting_bytes: 0 }
     }
 
-    /// Whether another request may be read.
+    /// Whether the limits allow another request to be read.
     pub fn has_capacity(&self) -> bool {
         self.slots.len() < self.limits.requests && self.waiting_bytes <= self.limits.bytes
     }
 
-    /// Requests without a response, or whose response waits.
+    /// Number of requests whose response is pending, or waits for an earlier one.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there are none.
+    /// Whether the queue has no requests.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Bytes of responses that wait.
+    /// Size of the responses that have not been returned yet, in bytes.
     pub fn waiting_bytes(&self) -> usize {
         self.waiting_bytes
     }
 
-    /// Adds a request that has been read.
+    /// Adds a request, and returns its number.
     pub fn push_request(&mut self) -> RequestNumber {
         self.slots.push_back(Slot::Pending);
         RequestNumber(self.first + self.slots.len() as u64 - 1)
@@ -74,8 +75,8 @@
         self.slots.get_mut(index).filter(|slot| matches!(slot, Slot::Pending))
     }
 
-    /// Adds the response to a request, which takes so many bytes until it is written. Returns false, and drops the response,
-    /// if there was one before.
+    /// Adds the response to a request; `bytes` count against the limit until the response is returned.
+    /// Returns false, and drops the response, if the request has already ended.
     pub fn respond(&mut self, request: RequestNumber, response: R, bytes: usize) -> bool {
         let Some(slot) = self.pending_slot(request) else { return false };
         *slot = Slot::Ready(response, bytes);
@@ -83,14 +84,14 @@
         true
     }
 
-    /// Ends a request without a response. Returns false if there was one.
+    /// Ends a request without a response. Returns false if the request has already ended.
     pub fn suppress(&mut self, request: RequestNumber) -> bool {
         let Some(slot) = self.pending_slot(request) else { return false };
         *slot = Slot::Suppressed;
         true
     }
 
-    /// The next response that may be written now.
+    /// Removes and returns the next response, unless an earlier one is still pending.
     pub fn pop_ready(&mut self) -> Option<R> {
         loop {
             if matches!(self.slots.front()?, Slot::Pending) {
--- a/crates/memcached/src/response_queue/tests.rs
+++ b/crates/memcached/src/response_queue/tests.rs
@@ -5,7 +5,8 @@
     ResponseQueue::new(QueueLimits { requests: 1000, bytes: 100 })
 }
 
-/// Danger: one slow key of a thousand would delay the work behind it, or an unbounded number of responses would be buffered.
+/// Guards against a slow request that delays the execution of the requests after it, or makes the queue grow
+/// without bound.
 #[test]
 fn a_slow_request_delays_responses_but_not_work_and_what_waits_is_bounded() {
     let mut queue = queue();
@@ -15,7 +16,7 @@
     assert!(others.iter().enumerate().all(|(n, request)| queue.respond(*request, n as u32, 0)));
     assert_eq!((queue.pop_ready(), queue.len()), (None, 999));
     let last = queue.push_request();
-    assert!(!queue.has_capacity(), "a thousand are open");
+    assert!(!queue.has_capacity(), "a thousand requests are in flight");
     assert!(queue.respond(last, 9999, 101));
     assert!(queue.respond(slow, 7, 0));
     assert_eq!(queue.pop_ready(), Some(7));
@@ -40,7 +41,7 @@
     assert!(queue.suppress(quiet) && !queue.respond(quiet, 1, 5) && !queue.suppress(quiet));
     assert!(queue.respond(normal, 2, 5) && !queue.respond(normal, 3, 5));
     assert_eq!((queue.pop_ready(), queue.pop_ready(), queue.waiting_bytes()), (Some(2), None, 0));
-    assert!(!queue.respond(normal, 4, 5), "it has been written");
+    assert!(!queue.respond(normal, 4, 5), "its response has already been returned");
 }
 
 proptest! {
--- a/crates/memcached/src/sasl/tests.rs
+++ b/crates/memcached/src/sasl/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn user_and_password_are_parsed_and_malformed_credentials_refused() {
+fn user_and_password_are_parsed_and_malformed_credentials_rejected() {
     assert_eq!(parse_plain(b"\0acme\0secret"), Some(PlainCredentials { user: "acme", password: "secret" }));
     assert_eq!(parse_plain(b"acme\0acme\0"), Some(PlainCredentials { user: "acme", password: "" }));
     let long = [b"\0".to_vec(), vec![b'a'; 256], b"\0p".to_vec()].concat();
--- a/crates/memcached/src/semantics.rs
+++ b/crates/memcached/src/semantics.rs
@@ -1,25 +1,27 @@
-//! What a second execution of an operation would do, and what a node's status says of whether an operation was executed.
+//! The effect of executing an operation twice, and whether a node's status means that the operation was
+//! executed.
 //!
-//! The core knows requests by their class, and a class says whether a request is idempotent. An operation may contradict
-//! that: a counter must not be in a class of idempotent requests. Whoever maps operations to classes asks here.
+//! The core takes from the class of a request whether it is idempotent. An operation may contradict its
+//! class: a counter must not be in a class of idempotent requests. [`class_allows`] checks a mapping of
+//! operations to classes.
 
 use crate::{Opcode, Status};
 use aniseyoke_decision::api::{self, Idempotency};
 
-/// What it would mean to execute an operation a second time.
+/// The effect of executing an operation a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RepeatEffect {
-    /// Nothing: the operation is idempotent.
+    /// None: the operation is idempotent.
     Harmless,
-    /// The value is as it should be, but the second response contradicts the first: a value that was stored `exists`, a value
-    /// that was deleted is `not found`.
+    /// The stored value is correct, but the second response contradicts the first: a value that was stored
+    /// `exists`, a value that was deleted is `not found`.
     MisleadingResponse,
-    /// The change is applied twice: a counter counts twice, bytes are appended twice.
+    /// The change is applied twice: a counter changes twice, bytes are appended twice.
     AppliedTwice,
 }
 
-/// What it would mean to execute an operation a second time. With `cas` it is bound to a version of the value, which the
-/// first execution has changed.
+/// Returns the effect of executing an operation a second time. A `cas` other than 0 binds the operation to a
+/// version of the value, which the first execution changes.
 pub fn repeat_effect(opcode: Opcode, cas: u64) -> RepeatEffect {
     match opcode.without_quiet() {
         Opcode::Append | Opcode::Prepend if cas != 0 => RepeatEffect::MisleadingResponse,
@@ -32,24 +34,24 @@
     }
 }
 
-/// Whether an operation may be in a class of this effect. Nodes that deduplicate requests with idempotency keys repeat the
-/// first response, so that a second attempt does no harm there.
-pub fn class_allows(effect: Idempotency, repeat: RepeatEffect) -> bool {
-    effect != Idempotency::Idempotent || repeat == RepeatEffect::Harmless
+/// Whether an operation may be in a class with this idempotency. Nodes that deduplicate requests with
+/// idempotency keys repeat the first response, so any operation is allowed there.
+pub fn class_allows(idempotency: Idempotency, effect: RepeatEffect) -> bool {
+    idempotency != Idempotency::Idempotent || effect == RepeatEffect::Harmless
 }
 
-/// What a response of a node means.
+/// The meaning of a response of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is the final response: the client gets it as it is.
+    /// The response is final and goes to the client unchanged.
     Final,
     /// The node does not have the value.
     Miss,
-    /// The attempt failed; another may be made.
+    /// The attempt failed; it may be retried.
     Failed(api::Status),
 }
 
-/// What a status of a node means for an operation.
+/// Returns the meaning of a node's status for an operation; `None` is an unknown status.
 pub fn outcome(opcode: Opcode, status: Option<Status>) -> Outcome {
     match status {
         Some(Status::NotFound) if opcode.is_retrieval() => Outcome::Miss,
@@ -64,37 +66,38 @@
             | Status::NotSupported
             | Status::Unknown,
         ) => Outcome::Final,
-        // Rejected before it was looked at: it was not executed.
+        // The node rejected the request before executing it.
         Some(Status::Busy | Status::Temporary | Status::NoMemory | Status::WrongBucket) => {
             Outcome::Failed(api::Status::Rejected)
         }
-        // A mistake of the operators; it was not executed, and the node can't be used.
+        // Wrong credentials in the configuration: the request was not executed, and the node can't be used.
         Some(Status::AuthError | Status::AuthContinue) => Outcome::Failed(api::Status::ConnectFailed),
-        // It may have been executed.
+        // The request may have been executed.
         Some(Status::Internal) | None => Outcome::Failed(api::Status::Error),
     }
 }
 
-/// Whether a request gets a response at all: a quiet one gets only those that its client does not expect.
+/// Whether a request gets a response with this status: a quiet request gets none with the status that its
+/// client expects.
 pub fn has_response(opcode: Opcode, status: Status) -> bool {
     let expected = if opcode.is_retrieval() { Status::NotFound } else { Status::Ok };
     !opcode.is_quiet() || status != expected
 }
 
-/// How a request ended for which there is no response of a node.
+/// The outcome of a request that has no response of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was not executed; a retry is harmless.
+    /// The request was not executed; it is safe to retry.
     Rejected,
-    /// It failed, and may have been executed.
+    /// The request failed and may have been executed.
     Failed,
-    /// There was no response in time; it may have been executed.
+    /// There was no response in time; the request may have been executed.
     TimedOut,
     /// Neither a node nor the origin has the value.
     NotFound,
 }
 
-/// The status that the client gets.
+/// Returns the status for the response to the client.
 pub fn status_of(verdict: Verdict) -> Status {
     match verdict {
         Verdict::Rejected => Status::Temporary,
--- a/crates/memcached/src/semantics/tests.rs
+++ b/crates/memcached/src/semantics/tests.rs
@@ -2,7 +2,7 @@
 use crate::opcode;
 use strum::VariantArray;
 
-/// Danger: a counter in an idempotent class counts twice after one lost response.
+/// Guards against a counter in an idempotent class, which counts twice after one lost response.
 #[test]
 fn operations_that_are_not_idempotent_are_allowed_in_no_idempotent_class() {
     let allowed: Vec<Opcode> = Opcode::VARIANTS
@@ -27,13 +27,13 @@
         .all(|o| repeat_effect(o, 0) == repeat_effect(o.without_quiet(), 0)));
 }
 
-/// Danger: a status that wrongly counts as "not executed" lets a request be executed twice.
+/// Guards against a status that wrongly counts as "not executed": a retry would execute the request twice.
 #[test]
 fn only_statuses_of_rejections_count_as_not_executed() {
     for status in Status::VARIANTS.iter().copied().map(Some).chain([None]) {
         let not_executed = match outcome(Opcode::Increment, status) {
             Outcome::Final => false,
-            Outcome::Miss => panic!("a counter is no retrieval"),
+            Outcome::Miss => panic!("a counter operation is not a retrieval"),
             Outcome::Failed(status) => status.never_ran(),
         };
         use Status::*;
--- a/crates/memcached/src/session.rs
+++ b/crates/memcached/src/session.rs
@@ -1,8 +1,9 @@
-//! The server's side of one connection, without I/O or clock: bytes and times go in, requests and responses come out.
+//! The server's side of one connection, without I/O or clock: it takes bytes and times, and returns requests
+//! and responses.
 //!
-//! The driver reads while [`Session::wants_input`] says so, carries out each [`Event`], passes the responses back under the
-//! number of their request, and writes what [`Session::next_output`] returns. Responses are written in the order of the
-//! requests, whatever order they come in.
+//! The driver reads while [`Session::wants_input`] is true, handles each [`Event`], passes each response back
+//! with the number of its request, and writes what [`Session::next_output`] returns. Responses are written in
+//! the order of the requests, in whatever order the driver passes them.
 
 mod types;
 
@@ -13,18 +14,18 @@
 use crate::{encode, sasl, semantics, Decoder, Direction, Header, Opcode, Part, ProtocolError, Status};
 use bytes::{Bytes, BytesMut};
 
-/// The longest value of an authentication request that is collected, in bytes.
+/// Maximum length of credentials, in bytes; more of an authentication request is ignored.
 const MAX_CREDENTIALS_BYTES: usize = 1024;
 
-/// What the packet that arrives is for.
+/// How the packet that is being received is handled.
 enum Incoming {
-    /// There is none.
+    /// No packet is being received.
     Nothing,
-    /// The driver's request.
+    /// A request for the driver.
     Request(RequestNumber),
-    /// An authentication, and its value so far.
+    /// An authentication request, and the part of its value that has arrived.
     Authentication(RequestNumber, Header, BytesMut),
-    /// It has its response; the rest of it is ignored.
+    /// A request that already has its response; the rest of it is ignored.
     Answered,
 }
 
@@ -35,15 +36,18 @@
     responses: ResponseQueue<Output<B>>,
     incoming: Incoming,
     authenticated: bool,
-    /// No more requests are read: the client has finished, or sent what can't be read, or the server shuts down.
+    /// No more requests are read: the client quit or ended its input, a protocol error occurred, or the
+    /// server shuts down.
     closing: bool,
-    /// When something last arrived of a packet that is not complete, if there is one.
+    /// Start of the timeout for the incomplete packet, if there is one: when its first byte, its header or the
+    /// last part of its value arrived.
     incomplete_since: Option<Nanos>,
+    /// When a part of a packet was last decoded, or output last returned.
     last_active: Nanos,
 }
 
 impl<B> Session<B> {
-    /// A connection that has just been accepted.
+    /// Creates the session of a connection that has just been accepted.
     pub fn new(now: Nanos, config: SessionConfig) -> Self {
         Session {
             decoder: Decoder::new(Direction::Request, config.limits),
@@ -57,28 +61,30 @@
         }
     }
 
-    /// Whether more is to be read. Danger: to read on without capacity buffers what a client sends faster than it is answered.
+    /// Whether the driver should read from the connection. Reading without capacity would buffer without
+    /// bound what a client sends faster than it gets responses.
     pub fn wants_input(&self) -> bool {
         self.decoder.in_packet() || !self.closing && self.responses.has_capacity()
     }
 
-    /// Requests without a response, or whose response waits.
+    /// Number of requests whose response is pending, or waits for an earlier one.
     pub fn in_flight(&self) -> usize {
         self.responses.len()
     }
 
-    /// Whether all is done and the connection is to be closed, once all output is written.
+    /// Whether the connection can be closed, once all output has been written.
     pub fn is_finished(&self) -> bool {
         self.closing && self.responses.is_empty() && matches!(self.incoming, Incoming::Nothing)
     }
 
-    /// Starts a graceful shutdown: no more requests are read. What has begun to arrive is read to its end and answered.
+    /// Starts a graceful shutdown: no more requests are read, except that one of which the header has arrived
+    /// is read to its end and gets its response.
     pub fn drain(&mut self) {
         self.closing = true;
     }
 
-    /// The client has ended its sending. Requests that are complete are answered; one that is not is returned, and was not
-    /// executed.
+    /// Handles the end of the client's input. Complete requests still get their responses; an incomplete one
+    /// is returned, and must not be executed.
     pub fn input_ended(&mut self) -> Option<RequestNumber> {
         self.closing = true;
         self.incomplete_since = None;
@@ -95,7 +101,7 @@
         }
     }
 
-    /// Whether the connection is to be closed because its client is too slow or idle.
+    /// Returns why the connection has to be closed, if a timeout has expired.
     pub fn timed_out(&self, now: Nanos) -> Option<Timeout> {
         let limit =
             if self.decoder.in_packet() { self.config.value_timeout } else { self.config.header_timeout };
@@ -106,18 +112,21 @@
         (self.responses.is_empty() && idle).then_some(Timeout::Idle)
     }
 
-    /// What is to be done next with the bytes that have arrived; none: more has to arrive, or responses have to be written first.
+    /// Decodes the next event from the front of `buffer`. Returns `None` if more input is needed, if responses
+    /// have to be written first, or if no more requests are read.
     pub fn next_event(&mut self, now: Nanos, buffer: &mut BytesMut) -> Option<Event> {
         loop {
             if !self.decoder.in_packet() && (self.closing || !self.responses.has_capacity()) {
-                // The client is not late: the server is.
+                // The server's lack of capacity delays the packet, not the client, so its timeout does not
+                // run.
                 self.incomplete_since = None;
                 return None;
             }
             match self.decoder.next(buffer) {
                 Ok(Some(part)) => {
                     self.last_active = now;
-                    // Danger: a timeout that began anew with each byte would let a header take forever.
+                    // Restarts only when a part is complete: if each byte restarted the timeout, a header
+                    // could take forever.
                     self.incomplete_since = self.decoder.in_packet().then_some(now);
                     if let Some(event) = self.handle_part(part) {
                         return Some(event);
@@ -149,8 +158,8 @@
             Part::Value(value) => match &mut self.incoming {
                 Incoming::Request(request) => Some(Event::Value(*request, value)),
                 Incoming::Authentication(_, _, collected) => {
-                    let room = MAX_CREDENTIALS_BYTES.saturating_sub(collected.len()).min(value.len());
-                    collected.extend_from_slice(&value[..room]);
+                    let accepted = MAX_CREDENTIALS_BYTES.saturating_sub(collected.len()).min(value.len());
+                    collected.extend_from_slice(&value[..accepted]);
                     None
                 }
                 Incoming::Nothing | Incoming::Answered => None,
@@ -166,7 +175,7 @@
     }
 
     fn handle_header(&mut self, header: Header) -> Option<Event> {
-        // The decoder lets no other through.
+        // The decoder returns unknown operations as invalid requests.
         let opcode = header.operation()?;
         match opcode.without_quiet() {
             Opcode::Noop => self.respond_now(&header, Status::Ok),
@@ -182,14 +191,14 @@
             }
             Opcode::SaslAuth | Opcode::SaslStep => self.respond_now(&header, Status::AuthError),
             _ if !self.authenticated => self.respond_now(&header, Status::AuthError),
-            // A list of statistics, of which there are none, ends with a packet without a key.
+            // The list of statistics is empty; a packet without a key ends it.
             Opcode::Stat => self.respond_with_text(&header, b""),
-            // One client must not be able to empty what all share.
+            // A single client must not be able to flush the shared cache.
             Opcode::Flush | Opcode::Verbosity => self.respond_now(&header, Status::NotSupported),
             _ => {
                 let request = self.responses.push_request();
                 self.incoming = Incoming::Request(request);
-                // Danger: a slice would keep the whole block alive that it was read into, for as long as the request is in flight.
+                // A slice would keep the whole read block alive for as long as the request is in flight.
                 let key = Bytes::copy_from_slice(&header.key);
                 return Some(Event::Request { request, header: Header { key, ..header } });
             }
@@ -197,14 +206,14 @@
         None
     }
 
-    /// Responds without the driver; what still arrives of the request is ignored.
+    /// Responds without the driver; the rest of the request is ignored.
     fn respond_now(&mut self, header: &Header, status: Status) {
         let request = self.responses.push_request();
         self.respond(request, header, Response::of_status(status));
         self.incoming = Incoming::Answered;
     }
 
-    /// Responds without the driver, with a text.
+    /// Responds with a text without the driver; the rest of the request is ignored.
     fn respond_with_text(&mut self, header: &Header, text: &[u8]) {
         let request = self.responses.push_request();
         let bytes = packet(&Header::response_to(header, Status::Ok), text);
@@ -212,14 +221,15 @@
         self.incoming = Incoming::Answered;
     }
 
-    /// The driver has checked credentials. `header` is that of the event.
+    /// Takes the result of the driver's check of credentials. `header` is that of the event.
     pub fn credentials_checked(&mut self, request: RequestNumber, header: &Header, valid: bool) {
         self.authenticated |= valid;
         let status = if valid { Status::Ok } else { Status::AuthError };
         self.respond(request, header, Response::of_status(status));
     }
 
-    /// Takes the response to a request. `header` is that of the event. Returns false if there was a response before.
+    /// Takes the response to a request. `header` is that of the event. Returns false if the request has
+    /// already ended.
     pub fn respond(&mut self, request: RequestNumber, header: &Header, response: Response<B>) -> bool {
         let opcode = header.operation().unwrap_or(Opcode::Noop);
         if !semantics::has_response(opcode, response.status) {
@@ -243,7 +253,7 @@
         self.responses.respond(request, output, buffered)
     }
 
-    /// What is to be written next.
+    /// Returns the next output to write, if the next response in order is available.
     pub fn next_output(&mut self, now: Nanos) -> Option<Output<B>> {
         let output = self.responses.pop_ready();
         if output.is_some() {
@@ -252,7 +262,8 @@
         output
     }
 
-    /// The last response on a connection from which nothing more can be read, behind the responses to what came before.
+    /// Ends the connection after a protocol error: adds a last response, after those to the earlier requests,
+    /// if the protocol has one for this error.
     fn end_with(&mut self, error: ProtocolError) {
         if std::mem::replace(&mut self.closing, true) {
             return;
@@ -275,10 +286,10 @@
     }
 }
 
-/// A complete response.
+/// Encodes a complete response.
 fn packet(header: &Header, value: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
-    // Keys come from packets and texts are short, so that the format has room for them.
+    // This can't fail: keys come from decoded packets and the texts are short.
     let _ = encode::packet(Direction::Response, header, value, &mut bytes);
     bytes.freeze()
 }
--- a/crates/memcached/src/session/types.rs
+++ b/crates/memcached/src/session/types.rs
@@ -1,28 +1,28 @@
-//! What a session and its driver pass to each other.
+//! Types that a session and its driver exchange.
 
 use crate::response_queue::{QueueLimits, RequestNumber};
 use crate::{Extras, Header, Limits, Status};
 use bytes::Bytes;
 
-/// Nanoseconds from any fixed point.
+/// A point in time, or a duration, in nanoseconds; the origin is arbitrary.
 pub type Nanos = u64;
 
 pub(super) const SECOND: Nanos = 1_000_000_000;
 
-/// What a connection may do.
+/// Limits and timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionConfig {
-    /// The longest key and value.
+    /// Maximum length of keys and values.
     pub limits: Limits,
-    /// What may be in flight and what may wait.
+    /// Limits of requests in flight and of responses that wait to be written.
     pub queue: QueueLimits,
-    /// A client has to authenticate before anything else.
+    /// Whether clients must authenticate before operations other than NOOP, VERSION, QUIT and SASL.
     pub require_authentication: bool,
-    /// A packet that has begun has to arrive within this time, except for its value.
+    /// Maximum time from the first byte of a packet until header, extras and key have arrived.
     pub header_timeout: Nanos,
-    /// The next part of a value has to arrive within this time.
+    /// Maximum time until the next part of a value arrives.
     pub value_timeout: Nanos,
-    /// A connection with nothing in flight is closed after this time.
+    /// A connection without requests in flight is closed after this time.
     pub idle_timeout: Nanos,
 }
 
@@ -39,68 +39,68 @@
     }
 }
 
-/// What the driver is to do next.
+/// What the driver has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request for the core. Its value, if it has one, follows in parts, and then its end.
+    /// A request for the core. Its value, if any, follows in parts, then [`Event::RequestComplete`].
     Request {
-        /// Identifies it.
+        /// Identifies the request.
         request: RequestNumber,
-        /// What is requested. The key is a copy.
+        /// The header of the request; its key is a copy, not a slice of the read buffer.
         header: Header,
     },
     /// A part of the value of a request.
     Value(RequestNumber, Bytes),
     /// A request has arrived completely.
     RequestComplete(RequestNumber),
-    /// A client authenticates: check its credentials, then call
+    /// A client authenticates. The driver checks the credentials, then calls
     /// [`Session::credentials_checked`](super::Session::credentials_checked).
     Authenticate {
         /// Identifies the request.
         request: RequestNumber,
-        /// The request.
+        /// The header of the request.
         header: Header,
-        /// The credentials; [`parse_plain`](crate::sasl::parse_plain) reads them.
+        /// The credentials, to be parsed by [`parse_plain`](crate::sasl::parse_plain).
         value: Bytes,
     },
 }
 
-/// A response of the core.
+/// The core's response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response<B> {
-    /// What became of the request.
+    /// The status of the request.
     pub status: Status,
-    /// The flags of the value.
+    /// Extras of the response: the flags of the value, if there is one.
     pub extras: Extras,
     /// The version of the value.
     pub cas: u64,
-    /// The value: its length in bytes, and where it comes from. None: the text of the status.
+    /// The value: its length in bytes, and its source. With `None` the value is the text of the status.
     pub value: Option<(usize, B)>,
-    /// Bytes of it that are kept in memory while it waits.
+    /// Number of bytes of the value that are held in memory until the response is written.
     pub buffered: usize,
 }
 
 impl<B> Response<B> {
-    /// A response without a value.
+    /// Creates a response without a value.
     pub fn of_status(status: Status) -> Self {
         Response { status, extras: Extras::None, cas: 0, value: None, buffered: 0 }
     }
 }
 
-/// Bytes to be written, and a value to be written behind them.
+/// Bytes to write, followed by a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output<B> {
-    /// A header, or a whole packet.
+    /// A header with extras and key, or a complete packet.
     pub bytes: Bytes,
-    /// The value that follows.
+    /// The value to write after `bytes`.
     pub value: Option<B>,
 }
 
-/// Why a connection is to be closed.
+/// Why a connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timeout {
-    /// A header or a value did not arrive completely.
+    /// A header or a part of a value did not arrive in time.
     Incomplete,
-    /// There was no request for a long time.
+    /// The connection was idle for too long.
     Idle,
 }
--- a/crates/memcached/src/status.rs
+++ b/crates/memcached/src/status.rs
@@ -1,20 +1,20 @@
-//! The status of a response: what became of its request.
+//! The status of a response.
 
 use strum::{FromRepr, VariantArray};
 
-/// A status, by its number on the wire.
+/// A status; the discriminant is its number on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, FromRepr, VariantArray)]
 #[repr(u16)]
 pub enum Status {
-    /// Done.
+    /// The request succeeded.
     Ok = 0x0000,
-    /// There is no such key.
+    /// The key does not exist.
     NotFound = 0x0001,
-    /// The key exists, or its version is another than the one given.
+    /// The key already exists, or the version of its value differs from the given one.
     Exists = 0x0002,
     /// The value is too large.
     TooLarge = 0x0003,
-    /// The request contradicts itself.
+    /// The arguments of the request are invalid.
     Invalid = 0x0004,
     /// A condition for storing the value is not met.
     NotStored = 0x0005,
@@ -26,22 +26,22 @@
     AuthError = 0x0020,
     /// The authentication needs more steps.
     AuthContinue = 0x0021,
-    /// There is no such operation.
+    /// The operation is unknown.
     Unknown = 0x0081,
     /// The server is out of memory.
     NoMemory = 0x0082,
     /// The operation is not supported here.
     NotSupported = 0x0083,
-    /// The server failed.
+    /// An internal error of the server.
     Internal = 0x0084,
     /// The server is busy.
     Busy = 0x0085,
-    /// It failed for the moment.
+    /// A temporary failure.
     Temporary = 0x0086,
 }
 
 impl Status {
-    /// The text that servers put into the value of a response with this status.
+    /// Returns the text that servers send as the value of a response with this status.
     pub fn text(self) -> &'static str {
         match self {
             Status::Ok => "",
--- a/crates/memcached/tests/codec.rs
+++ b/crates/memcached/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec against packets written down by hand, against itself, and against noise.
+//! Tests of the codec with packets from the specification, with generated packets, and with random bytes.
 
 mod noise;
 
@@ -18,31 +18,32 @@
         .collect()
 }
 
-/// All parts of what buffer, with values put together again; and what the rest is.
-fn parts(decoder: &mut Decoder, bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, ProtocolError> {
+/// Decodes all packets, each with its complete value.
+fn decode_all(decoder: &mut Decoder, bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, ProtocolError> {
     let mut buffer = BytesMut::from(bytes);
-    let mut whole: Vec<(Part, Vec<u8>)> = Vec::new();
+    let mut packets: Vec<(Part, Vec<u8>)> = Vec::new();
     while let Some(part) = decoder.next(&mut buffer)? {
         match part {
-            Part::Value(value) => whole.last_mut().expect("behind a header").1.extend_from_slice(&value),
+            Part::Value(value) => packets.last_mut().expect("after a header").1.extend_from_slice(&value),
             Part::End => {}
-            begin => whole.push((begin, Vec::new())),
+            header => packets.push((header, Vec::new())),
         }
     }
-    Ok(whole)
+    Ok(packets)
 }
 
-fn requests(bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, ProtocolError> {
-    parts(&mut Decoder::new(Direction::Request, Limits::default()), bytes)
+fn decode_requests(bytes: &[u8]) -> Result<Vec<(Part, Vec<u8>)>, ProtocolError> {
+    decode_all(&mut Decoder::new(Direction::Request, Limits::default()), bytes)
 }
 
-/// A request by hand: an addition of the value "World" under the key "Hello", with flags 0xdeadbeef, gone in an hour.
+/// The specification's example of a request: adds the value "World" under the key "Hello", with flags
+/// 0xdeadbeef and an expiration of one hour.
 const ADD: &str =
     "80 02 0005 08 00 0000 00000012 00000000 0000000000000000 deadbeef 00000e10 48656c6c6f 576f726c64";
 
 #[test]
 fn a_request_is_decoded_and_encoded_as_in_the_specification() {
-    let read = requests(&hex(ADD)).expect("sound");
+    let read = decode_requests(&hex(ADD)).expect("sound");
     let [(Part::Header(header), value)] = &read[..] else { panic!("{read:?}") };
     let extras = Extras::Store { flags: 0xdead_beef, expires: 3600 };
     let key = Bytes::from_static(b"Hello");
@@ -55,13 +56,13 @@
 
 #[test]
 fn a_response_is_decoded_and_encoded_as_in_the_specification() {
-    // Found, with key: flags 0xdeadbeef, version 1.
+    // A hit with key, flags 0xdeadbeef and version 1.
     let found =
         hex("81 00 0005 04 00 0000 0000000e 00000000 0000000000000001 deadbeef 48656c6c6f 576f726c64");
-    // Not found, with the words.
+    // A miss with the text of its status.
     let missing = hex("81 00 0000 00 00 0001 00000009 0badcafe 0000000000000000 4e6f7420666f756e64");
     let mut decoder = Decoder::new(Direction::Response, Limits::default());
-    let read = parts(&mut decoder, &[found.clone(), missing.clone()].concat()).expect("sound");
+    let read = decode_all(&mut decoder, &[found.clone(), missing.clone()].concat()).expect("sound");
     let [(Part::Header(first), value), (Part::Header(second), words)] = &read[..] else { panic!("{read:?}") };
     assert_eq!((first.status(), first.cas, first.extras), (Some(Status::Ok), 1, Extras::Flags(0xdead_beef)));
     assert_eq!((&first.key[..], &value[..]), (&b"Hello"[..], &b"World"[..]));
@@ -73,7 +74,7 @@
     assert_eq!(written, [found, missing].concat());
 }
 
-fn fixed(opcode: u8, key: u16, extras: u8, body: u32) -> Vec<u8> {
+fn fixed_header(opcode: u8, key: u16, extras: u8, body: u32) -> Vec<u8> {
     let mut bytes = vec![0x80, opcode];
     bytes.extend(key.to_be_bytes());
     bytes.extend([extras, 0, 0, 0]);
@@ -83,26 +84,31 @@
     bytes
 }
 
-/// Danger: a length that is believed before it is checked is four gigabytes of memory, or a slice past the end.
+/// Guards against an allocation of up to 4 GiB, or a slice past the end, because of an unchecked length in a
+/// header.
 #[test]
 fn inconsistent_or_excessive_lengths_end_the_connection_at_the_header() {
     let lengths = ProtocolError::InconsistentLengths { key: 5, extras: 8, body: 12 };
-    assert_eq!(requests(&fixed(1, 5, 8, 12)), Err(lengths));
+    assert_eq!(decode_requests(&fixed_header(1, 5, 8, 12)), Err(lengths));
     assert_eq!(
-        requests(&fixed(1, 5, 8, u32::MAX)),
+        decode_requests(&fixed_header(1, 5, 8, u32::MAX)),
         Err(ProtocolError::ValueTooLarge { value: u32::MAX as usize - 13, opaque: 7, opcode: 1 })
     );
     let mut decoder = Decoder::new(Direction::Request, Limits::default());
-    assert_eq!(parts(&mut decoder, &fixed(1, 5, 8, 12)), Err(lengths));
-    assert_eq!(parts(&mut decoder, &hex(ADD)), Err(lengths), "and it stays so");
+    assert_eq!(decode_all(&mut decoder, &fixed_header(1, 5, 8, 12)), Err(lengths));
+    assert_eq!(decode_all(&mut decoder, &hex(ADD)), Err(lengths), "the error is permanent");
 }
 
 #[test]
 fn a_client_of_the_text_protocol_is_recognised_by_its_first_byte() {
     for text in ["get k\r\n", "s", "\r\n"] {
-        assert_eq!(requests(text.as_bytes()), Err(ProtocolError::TextProtocol), "{text:?}");
+        assert_eq!(decode_requests(text.as_bytes()), Err(ProtocolError::TextProtocol), "{text:?}");
     }
-    assert_eq!(requests(&[0x81]), Err(ProtocolError::UnknownMagic(0x81)), "an answer is no request");
+    assert_eq!(
+        decode_requests(&[0x81]),
+        Err(ProtocolError::UnknownMagic(0x81)),
+        "a response is not a request"
+    );
     assert!(ProtocolError::TextProtocol.to_string().contains("binary"));
 }
 
@@ -110,19 +116,19 @@
 fn an_invalid_request_is_skipped_and_the_next_is_read() {
     let body = |header: Vec<u8>, length: usize| [header, vec![b'x'; length]].concat();
     let cases = [
-        (body(fixed(0x77, 3, 1, 9), 9), InvalidRequest::UnknownOpcode),
-        (body(fixed(0x00, 0, 0, 0), 0), InvalidRequest::Malformed("there is no key")),
-        (body(fixed(0x0a, 1, 0, 1), 1), InvalidRequest::Malformed("the operation has no key")),
-        (body(fixed(0x00, 1, 0, 4), 4), InvalidRequest::Malformed("the operation has no value")),
+        (body(fixed_header(0x77, 3, 1, 9), 9), InvalidRequest::UnknownOpcode),
+        (body(fixed_header(0x00, 0, 0, 0), 0), InvalidRequest::Malformed("the key is missing")),
+        (body(fixed_header(0x0a, 1, 0, 1), 1), InvalidRequest::Malformed("the operation has no key")),
+        (body(fixed_header(0x00, 1, 0, 4), 4), InvalidRequest::Malformed("the operation has no value")),
         (
-            body(fixed(0x01, 1, 4, 9), 9),
-            InvalidRequest::Malformed("extras of this length are not of the operation"),
+            body(fixed_header(0x01, 1, 4, 9), 9),
+            InvalidRequest::Malformed("the operation has no extras of this length"),
         ),
-        (body(fixed(0x00, 251, 0, 251), 251), InvalidRequest::KeyTooLong),
-        (body(fixed(0x00, u16::MAX, 0, 65535), 65535), InvalidRequest::KeyTooLong),
+        (body(fixed_header(0x00, 251, 0, 251), 251), InvalidRequest::KeyTooLong),
+        (body(fixed_header(0x00, u16::MAX, 0, 65535), 65535), InvalidRequest::KeyTooLong),
     ];
     for (bytes, wanted) in cases {
-        let read = requests(&[bytes, hex(ADD)].concat()).expect("the connection can be read on");
+        let read = decode_requests(&[bytes, hex(ADD)].concat()).expect("the next request can be read");
         let [(Part::Invalid(header, invalid), _), (Part::Header(next), value)] = &read[..] else {
             panic!("{read:?}")
         };
@@ -140,7 +146,7 @@
     assert!(out.is_empty());
 }
 
-fn some_request() -> impl Strategy<Value = (Header, Vec<u8>)> {
+fn arbitrary_request() -> impl Strategy<Value = (Header, Vec<u8>)> {
     let numbers = (any::<u64>(), any::<u64>(), any::<u32>(), any::<u32>());
     let texts = (prop::collection::vec(any::<u8>(), 1..=250), prop::collection::vec(any::<u8>(), 0..600));
     (prop::sample::select(Opcode::VARIANTS.to_vec()), numbers, any::<u16>(), texts).prop_map(
@@ -172,7 +178,7 @@
 proptest! {
     #[test]
     fn encoded_packets_are_decoded_however_the_bytes_are_split(
-        packets in prop::collection::vec(some_request(), 1..6),
+        packets in prop::collection::vec(arbitrary_request(), 1..6),
         cuts in prop::collection::vec(1usize..200, 1..40),
     ) {
         let mut bytes = Vec::new();
@@ -191,13 +197,13 @@
                     Part::Header(header) => read.push((header, Vec::new())),
                     Part::Value(value) => {
                         prop_assert!(!value.is_empty());
-                        read.last_mut().expect("behind a header").1.extend_from_slice(&value);
+                        read.last_mut().expect("after a header").1.extend_from_slice(&value);
                     }
                     Part::End => ends += 1,
                     Part::Invalid(_, invalid) => prop_assert!(false, "{invalid:?}"),
                 }
             }
-            // Danger: what is kept back until more comes must not grow with what a header announces.
+            // What is buffered until more bytes arrive must not depend on the lengths in a header.
             prop_assert!(buffer.len() < 24 + 20 + 250);
         }
         prop_assert_eq!(ends, packets.len());
@@ -213,13 +219,13 @@
         if let Some(byte) = bytes.first_mut() {
             *byte = first;
         }
-        noise::holds(&bytes);
+        noise::check_codec(&bytes);
     }
 
-    /// Noise rarely has lengths that fit; packets with a few bytes changed do.
+    /// Random bytes rarely have consistent lengths; valid packets with a few changed bytes often do.
     #[test]
     fn corrupted_packets_are_decoded_or_rejected_without_a_panic(
-        packets in prop::collection::vec(some_request(), 1..4),
+        packets in prop::collection::vec(arbitrary_request(), 1..4),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -227,21 +233,21 @@
         for (header, value) in &packets {
             encode::packet(Direction::Request, header, value, &mut bytes).expect("fits");
         }
-        for (at, byte) in changes {
-            let at = at.index(bytes.len());
-            bytes[at] = byte;
+        for (index, byte) in changes {
+            let index = index.index(bytes.len());
+            bytes[index] = byte;
         }
-        noise::holds(&bytes[..cut.index(bytes.len() + 1)]);
+        noise::check_codec(&bytes[..cut.index(bytes.len() + 1)]);
     }
 }
 
-/// What the fuzz target begins with is read in CI as well.
+/// Runs the fuzz target's corpus in CI as well.
 #[test]
-fn the_corpus_holds() {
+fn the_fuzz_corpus_passes_the_codec_checks() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("fuzz/corpus/codec");
     let mut files = 0;
     for file in std::fs::read_dir(folder).expect("the corpus") {
-        noise::holds(&std::fs::read(file.expect("a file").path()).expect("its bytes"));
+        noise::check_codec(&std::fs::read(file.expect("a file").path()).expect("its bytes"));
         files += 1;
     }
     assert!(files >= 8, "{files} files");
--- a/crates/memcached/tests/noise/mod.rs
+++ b/crates/memcached/tests/noise/mod.rs
@@ -1,68 +1,71 @@
-//! What holds for any bytes whatever, shared by the property tests and the fuzz target.
+//! Properties of the codec that hold for arbitrary bytes, shared by the property tests and the fuzz target.
 
 use aniseyoke_memcached::{encode, Decoder, Direction, Header, Limits, Part, ProtocolError};
 use bytes::BytesMut;
 
-/// Values up to this length are taken, in bytes.
+/// Maximum length of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 1000;
 
-/// A packet as it was read: its header, or why it was passed over, and its value.
+/// A decoded packet: its header, its value or why it is invalid, and whether its end was reached.
 #[derive(Debug, PartialEq)]
-enum Read {
+enum Decoded {
     Packet(Header, Vec<u8>, bool),
     InvalidRequest(Header, aniseyoke_memcached::decode::InvalidRequest, bool),
 }
 
-/// Reads bytes that come `step` at a time.
-fn read(side: Direction, bytes: &[u8], step: usize) -> (Vec<Read>, Option<ProtocolError>) {
-    let mut decoder = Decoder::new(side, Limits { max_value_bytes: MAX_VALUE_BYTES, ..Limits::default() });
+/// Decodes bytes that arrive `step` at a time.
+fn decode(direction: Direction, bytes: &[u8], step: usize) -> (Vec<Decoded>, Option<ProtocolError>) {
+    let mut decoder =
+        Decoder::new(direction, Limits { max_value_bytes: MAX_VALUE_BYTES, ..Limits::default() });
     let (mut buffer, mut packets) = (BytesMut::new(), Vec::new());
     for part in bytes.chunks(step.max(1)) {
         buffer.extend_from_slice(part);
         loop {
             match decoder.next(&mut buffer) {
                 Ok(None) => break,
-                Ok(Some(Part::Header(header))) => packets.push(Read::Packet(header, Vec::new(), false)),
+                Ok(Some(Part::Header(header))) => packets.push(Decoded::Packet(header, Vec::new(), false)),
                 Ok(Some(Part::Invalid(header, invalid))) => {
-                    packets.push(Read::InvalidRequest(header, invalid, false));
+                    packets.push(Decoded::InvalidRequest(header, invalid, false));
                 }
                 Ok(Some(Part::Value(value))) => match packets.last_mut() {
-                    Some(Read::Packet(_, all, false)) => all.extend_from_slice(&value),
-                    other => panic!("a value behind {other:?}"),
+                    Some(Decoded::Packet(_, all, false)) => all.extend_from_slice(&value),
+                    other => panic!("a value after {other:?}"),
                 },
                 Ok(Some(Part::End)) => match packets.last_mut() {
-                    Some(Read::Packet(header, value, ended @ false)) => {
+                    Some(Decoded::Packet(header, value, ended @ false)) => {
                         assert_eq!(header.value_len, value.len());
                         *ended = true;
                     }
-                    Some(Read::InvalidRequest(_, _, ended @ false)) => *ended = true,
-                    other => panic!("an end behind {other:?}"),
+                    Some(Decoded::InvalidRequest(_, _, ended @ false)) => *ended = true,
+                    other => panic!("an end after {other:?}"),
                 },
-                Err(fault) => return (packets, Some(fault)),
+                Err(error) => return (packets, Some(error)),
             }
         }
-        assert!(buffer.len() < 24 + 20 + 250, "more is kept back than a header needs");
+        assert!(buffer.len() < 24 + 20 + 250, "more is buffered than a header needs");
     }
     (packets, None)
 }
 
-/// Whether bytes come at once or one by one, the same is read; and what was read is written as it stood.
-pub fn holds(bytes: &[u8]) {
-    for side in [Direction::Request, Direction::Response] {
-        let (at_once, one_by_one) = (read(side, bytes, bytes.len()), read(side, bytes, 1));
+/// Checks that bytes are decoded alike whether they arrive at once or one by one, and that encoding the
+/// decoded packets gives the same bytes.
+pub fn check_codec(bytes: &[u8]) {
+    for direction in [Direction::Request, Direction::Response] {
+        let (at_once, one_by_one) = (decode(direction, bytes, bytes.len()), decode(direction, bytes, 1));
         assert_eq!(at_once, one_by_one);
-        if side == Direction::Request {
-            written_again(bytes, &at_once.0);
+        if direction == Direction::Request {
+            check_encoding(bytes, &at_once.0);
         }
     }
 }
 
-/// Packets from the front, as long as they could be read, are the bytes that they buffer from.
-fn written_again(bytes: &[u8], packets: &[Read]) {
+/// Checks that the packets up to the first invalid or incomplete one are encoded to the bytes that they were
+/// decoded from.
+fn check_encoding(bytes: &[u8], packets: &[Decoded]) {
     let mut written = Vec::new();
     for packet in packets {
-        let Read::Packet(header, value, true) = packet else { break };
-        encode::packet(Direction::Request, header, value, &mut written).expect("it was read");
+        let Decoded::Packet(header, value, true) = packet else { break };
+        encode::packet(Direction::Request, header, value, &mut written).expect("it was decoded");
     }
     assert_eq!(&bytes[..written.len()], written);
 }
