--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,23 +1,23 @@
-//! Checks a layer of the configuration against the schema, and reports all errors at once with their locations.
+//! Validates a layer of the configuration against the schema, and reports all errors with their locations.
 
 mod value;
 
 pub use value::number_range;
 
-use crate::node::{members, Member, Node, Shape};
+use crate::node::{members, ConfigValue, Member, Shape};
 use crate::schema::{dereferenced, member_schema, schema, type_name};
 use serde_json::Value;
 use std::fmt;
 use toml::de::DeTable;
 
-/// What is wrong with a configuration, and where.
+/// An error in a configuration, with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The layer: a file with line and column, a variable, or a version of the control service.
     pub location: String,
-    /// The key that is wrong; empty where the text as a whole can't be read.
+    /// The invalid key; empty if the text as a whole can't be parsed.
     pub key: String,
-    /// What is wrong with it.
+    /// The reason, for the error message.
     pub reason: String,
 }
 
@@ -32,14 +32,15 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Of one layer at most so many errors are reported; a text that is no configuration at all has thousands.
+/// Maximum number of errors that are reported of one layer; a text that is not a configuration at all has
+/// thousands.
 const MAX_ERRORS: usize = 100;
-/// An unknown key this similar to a known one is taken for a typing error (Jaro-Winkler similarity, 0 to 1).
+/// Minimum similarity of an unknown key to a known one that is suggested (Jaro-Winkler similarity, 0 to 1).
 const MIN_SIMILARITY: f64 = 0.75;
-/// The same as a normalized Damerau-Levenshtein similarity.
+/// The minimum as a normalized Damerau-Levenshtein similarity, 0 to 1, which accounts for swapped letters.
 const MIN_SIMILARITY_SWAPPED: f64 = 0.6;
 
-/// A place in a text, both counted from 1.
+/// A position in a text; line and column are counted from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
     /// The line.
@@ -48,16 +49,16 @@
     pub column: usize,
 }
 
-/// What a check of a layer found.
+/// The result of the validation of a layer.
 pub struct Checked {
-    /// Keys and where they are. Of a list in a layer without lines the list alone.
+    /// Keys with their positions. In a layer without lines, the items of lists are omitted.
     pub positions: Vec<(String, Position)>,
-    /// All that is wrong.
+    /// All errors.
     pub errors: Vec<ConfigError>,
 }
 
-/// Checks one text. `name` names the layer, and `has_lines` says whether lines and columns mean anything in it. Returns what
-/// could be read as well.
+/// Validates a TOML text, and returns its value as well; if there are errors, the value is empty. `name` is
+/// the name of the layer, and `has_lines` says whether its errors are reported with line and column.
 pub fn check_text(text: &str, name: &str, has_lines: bool) -> (Value, Checked) {
     let line_starts = std::iter::once(0).chain(text.match_indices('\n').map(|(end, _)| end + 1)).collect();
     let mut checker = Checker { line_starts, name, has_lines, errors: Vec::new(), positions: Vec::new() };
@@ -69,31 +70,32 @@
     if checker.errors.is_empty() {
         checker.table("", schema(), members(table.get_ref()), true);
     }
-    // What has no errors can be read as plain TOML.
-    let read = checker.errors.is_empty().then(|| text.parse::<toml::Table>().ok()).flatten();
-    let value = read.and_then(|table| serde_json::to_value(table).ok());
+    // A text without errors can be parsed as plain TOML.
+    let parsed = checker.errors.is_empty().then(|| text.parse::<toml::Table>().ok()).flatten();
+    let value = parsed.and_then(|table| serde_json::to_value(table).ok());
     (value.unwrap_or_else(|| Value::Object(serde_json::Map::new())), checker.finish())
 }
 
-/// Checks a tree; `name` names the layer.
+/// Validates a JSON tree; `name` is the name of the layer.
 pub fn check_tree(tree: &Value, name: &str) -> Checked {
     let line_starts = vec![0];
     let mut checker =
         Checker { line_starts, name, has_lines: false, errors: Vec::new(), positions: Vec::new() };
-    match Node::Json(tree).shape() {
+    match ConfigValue::Json(tree).shape() {
         Shape::Table(members) => checker.table("", schema(), members, true),
         other => checker.error(0, String::new(), format!("a table is wanted, not {}", other.name())),
     }
     checker.finish()
 }
 
-/// Walks through a layer.
+/// Validates the values of a layer recursively.
 struct Checker<'n> {
-    /// Where each line begins. Danger: to count lines anew for each key takes seconds for ten thousand routes.
+    /// Offset of the start of each line. Counting lines anew for each key takes seconds with ten thousand
+    /// routes.
     line_starts: Vec<usize>,
     name: &'n str,
     has_lines: bool,
-    /// With the offset of each, so that they can be reported in that order.
+    /// Errors with their offsets, by which they are sorted.
     errors: Vec<(usize, ConfigError)>,
     positions: Vec<(String, Position)>,
 }
@@ -123,8 +125,8 @@
         self.errors.push((offset, ConfigError { location, key, reason }));
     }
 
-    /// `keep_positions`: the positions of its keys are kept. Danger: those of ten thousand routes take more memory than the
-    /// routes.
+    /// Validates a table. `keep_positions` says whether the positions of its keys are stored: those of ten
+    /// thousand routes take more memory than the routes.
     fn table(&mut self, path: &str, node: &'static Value, table: Vec<Member<'_>>, keep_positions: bool) {
         for Member { name, offset, value } in table {
             let key = if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
@@ -140,7 +142,7 @@
         }
     }
 
-    fn value(&mut self, key: String, schema: &'static Value, value: Node<'_>, keep_positions: bool) {
+    fn value(&mut self, key: String, schema: &'static Value, value: ConfigValue<'_>, keep_positions: bool) {
         let value_schema = dereferenced(schema);
         match (type_name(value_schema), value.shape()) {
             ("object", Shape::Table(table)) => self.table(&key, value_schema, table, keep_positions),
@@ -159,10 +161,11 @@
     }
 }
 
-/// The message for a key that is not in a table's schema: the key that was probably meant, or all that there are.
+/// Returns the message for a key that is not in a table's schema, with the most similar key or all valid
+/// keys.
 fn unknown_key(table: &Value, name: &str) -> String {
     let known = || table["properties"].as_object().into_iter().flatten().map(|(known, _)| known.as_str());
-    // The one measure sees typing errors in long names, the other swapped letters in short ones.
+    // Jaro-Winkler finds typing errors in long names, Damerau-Levenshtein swapped letters in short ones.
     let similarity = |known: &str| {
         let swapped = strsim::normalized_damerau_levenshtein(known, name);
         strsim::jaro_winkler(known, name).max(swapped + MIN_SIMILARITY - MIN_SIMILARITY_SWAPPED)
@@ -171,7 +174,9 @@
     let similar = similar.filter(|(similarity, _)| *similarity >= MIN_SIMILARITY);
     match similar.max_by(|a, b| a.0.total_cmp(&b.0)) {
         Some((_, nearest)) => format!("there is no such key; did you mean {nearest:?}?"),
-        None => format!("there is no such key; there is {}", known().collect::<Vec<_>>().join(", ")),
+        None => {
+            format!("there is no such key; there is {}", known().collect::<Vec<_>>().join(", "))
+        }
     }
 }
 
--- a/crates/config/src/check/tests.rs
+++ b/crates/config/src/check/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_poll_interval_that_is_too_long_is_refused_with_the_reason() {
+fn a_poll_interval_that_is_too_long_is_rejected_with_the_reason() {
     let reported = errors("[list]\nevery = \"4s\"\n");
     let why = "a change of the list counts as told 6 s after the list service could be reached";
     assert_eq!(reported, [format!("f.toml:2:9: list.every: 4s lies outside of 100ms to 3s 600ms: {why}")]);
@@ -37,20 +37,20 @@
 }
 
 #[test]
-fn a_text_that_is_no_toml_is_reported_with_every_wrong_line() {
+fn a_text_that_is_not_toml_is_reported_with_each_invalid_line() {
     let reported = errors("a = \nb = 1\nc = [1,\n");
     assert!(reported.iter().any(|t| t.starts_with("f.toml:1:")), "{reported:?}");
     assert!(reported.len() >= 2, "{reported:?}");
 }
 
 #[test]
-fn the_errors_of_a_meaningless_text_are_bounded() {
+fn the_number_of_reported_errors_is_bounded() {
     let text: String = (0..10_000).map(|n| format!("k{n} = 1\n")).collect();
     assert_eq!(check_text(&text, "f", true).1.errors.len(), MAX_ERRORS);
 }
 
 #[test]
-fn no_size_or_form_of_a_number_causes_a_panic() {
+fn no_number_causes_a_panic() {
     for number in ["99999999999999999999", "0x7fffffffffffffff", "-1", "1e400", "nan", "inf", "1_000"] {
         errors(&format!("[log]\nburst = {number}\n[tenants.a]\nshare = {number}\n"));
     }
--- a/crates/config/src/check/value.rs
+++ b/crates/config/src/check/value.rs
@@ -1,56 +1,56 @@
-//! Checks a single value against its schema.
+//! Validates a single value against its schema.
 
 use crate::node::Shape;
 use crate::schema::{allowed_values, property, type_name};
 use serde_json::Value;
 use std::time::Duration;
 
-/// What is wrong with a value.
+/// Why a value is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
-    /// It is of another type.
+    /// The value has the wrong type.
     #[error("{wanted} is wanted, not {given}")]
     WrongType {
-        /// What is wanted.
+        /// The expected type.
         wanted: &'static str,
-        /// What it is.
+        /// The type of the value.
         given: &'static str,
     },
-    /// It is none of the texts that are allowed.
+    /// The value is not one of the allowed strings.
     #[error("{value:?} is none of {allowed}")]
     NotAllowed {
         /// The value.
         value: String,
-        /// The texts, separated by commas.
+        /// The allowed strings, separated by commas.
         allowed: String,
     },
-    /// It is not a duration.
+    /// The value is not a duration.
     #[error("{value:?} is no time with a unit: {cause}")]
     NotADuration {
         /// The value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         cause: humantime::DurationError,
     },
-    /// It is an integer beyond what is supported.
+    /// The integer is out of the supported range.
     #[error("the number is too large")]
     NumberTooLarge,
-    /// It is NaN.
+    /// The value is NaN.
     #[error("it is not a number")]
     NotANumber,
-    /// It is below the minimum or above the maximum.
+    /// The value is below the minimum or above the maximum.
     #[error("{value} lies outside of {range}{reason}")]
     OutOfRange {
         /// The value.
         value: String,
-        /// The range.
+        /// The valid range.
         range: String,
-        /// Why, after a colon; empty where the schema says nothing of it.
+        /// The reason for the range, after a colon; empty if the schema gives none.
         reason: String,
     },
 }
 
-/// Checks a value that is neither a table nor a list, by its own schema and the one that this refers to.
+/// Validates a value that is neither a table nor a list, by its own schema and the one that it refers to.
 pub fn check(schema: &Value, value_schema: &Value, shape: &Shape<'_>) -> Result<(), ValueError> {
     let is_duration = property(schema, value_schema, "x-kind").is_some_and(|kind| kind == "duration");
     match (type_name(value_schema), shape) {
@@ -61,7 +61,7 @@
             check_number(*number, schema, value_schema)
         }
         (wanted, given) => {
-            let wanted = if is_duration { DURATION } else { type_in_words(wanted) };
+            let wanted = if is_duration { DURATION } else { describe_type(wanted) };
             Err(ValueError::WrongType { wanted, given: given.name() })
         }
     }
@@ -69,8 +69,8 @@
 
 const DURATION: &str = "a text with a time and its unit, such as \"100ms\"";
 
-/// A type of the schema, for messages.
-fn type_in_words(type_name: &str) -> &'static str {
+/// Returns the name of a schema type, for messages.
+fn describe_type(type_name: &str) -> &'static str {
     match type_name {
         "object" => "a table",
         "array" => "a list",
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// A range of numbers in words.
+/// Describes a range of numbers.
 pub fn number_range(min: Option<f64>, max: Option<f64>) -> String {
     match (min, max) {
         (Some(min), Some(max)) => format!("{min} to {max}"),
@@ -116,8 +116,8 @@
 fn check_duration(text: &str, schema: &Value, value_schema: &Value) -> Result<(), ValueError> {
     let given = humantime::parse_duration(text)
         .map_err(|cause| ValueError::NotADuration { value: text.to_owned(), cause })?;
-    let said = |name| property(schema, value_schema, name).and_then(Value::as_str);
-    let bound = |name| said(name).and_then(|bound| humantime::parse_duration(bound).ok());
+    let text_property = |name| property(schema, value_schema, name).and_then(Value::as_str);
+    let bound = |name| text_property(name).and_then(|bound| humantime::parse_duration(bound).ok());
     let (min, max) = (bound("x-least"), bound("x-most"));
     if min.is_none_or(|min| given >= min) && max.is_none_or(|max| given <= max) {
         return Ok(());
@@ -126,6 +126,6 @@
         bound.map_or("any".to_owned(), |bound| humantime::format_duration(bound).to_string())
     };
     let range = format!("{} to {}", show(min), show(max));
-    let reason = said("x-why").map_or(String::new(), |why| format!(": {why}"));
+    let reason = text_property("x-why").map_or(String::new(), |why| format!(": {why}"));
     Err(ValueError::OutOfRange { value: text.to_owned(), range, reason })
 }
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations, and what it takes to apply each difference.
+//! Differences between two configurations, and whether applying them requires a restart or a reload.
 
 use crate::explain::needs_restart;
 use crate::model::Operator;
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A key whose value differs.
+/// A key with different values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Its path.
+    /// The path of the key.
     pub key: String,
-    /// Its value before, if it had one.
+    /// The old value, if there is one.
     pub before: Option<Value>,
-    /// Its value after, if it has one.
+    /// The new value, if there is one.
     pub after: Option<Value>,
-    /// Whether it takes a restart.
+    /// Whether the change requires a restart.
     pub restart: bool,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// All keys whose values differ, in the order of their names.
+/// Returns all keys whose values differ, sorted by path.
 pub fn diff(before: &Operator, after: &Operator) -> Vec<Change> {
     let (mut before, mut after) = (values_by_key(before), values_by_key(after));
     let mut keys: Vec<String> = before.keys().chain(after.keys()).cloned().collect();
@@ -40,7 +40,7 @@
     keys.into_iter().filter_map(change).collect()
 }
 
-/// Every value that is neither a table nor a list of tables, by its path.
+/// Returns each value that is neither a table nor a list of tables, by its path.
 fn values_by_key(operator: &Operator) -> BTreeMap<String, Value> {
     let mut found = BTreeMap::new();
     let tree = serde_json::to_value(operator).unwrap_or_default();
--- a/crates/config/src/diff/tests.rs
+++ b/crates/config/src/diff/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn changes_are_reported_with_what_they_need() {
+fn changes_are_reported_with_whether_they_require_a_restart() {
     let before = parsed("[log]\nlevel = \"warn\"\nburst = 3");
     let after = parsed("[log]\nburst = 3\n[log.targets]\ndiscovery = \"debug\"\n[tenants.a]\nshare = 5.0");
     let reported: Vec<String> = diff(&before, &after).iter().map(ToString::to_string).collect();
@@ -19,6 +19,6 @@
 }
 
 #[test]
-fn configurations_that_say_the_same_do_not_differ() {
+fn equivalent_configurations_do_not_differ() {
     assert_eq!(diff(&parsed(""), &parsed("[log]\nformat = \"plain\"")), []);
 }
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -1,15 +1,15 @@
-//! What a key means, in a few lines.
+//! Explanations of configuration keys for `config explain`.
 
 use crate::check::number_range;
 use crate::model::Operator;
 use crate::schema::{allowed_values, keys, type_name, Key};
 use serde_json::Value;
 
-/// There is no key of this name.
+/// The error for a key that does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("there is no key {key}{}", .nearest.as_ref().map_or(String::new(), |nearest| format!("; did you mean {nearest}?")))]
 pub struct UnknownKey {
-    /// The name.
+    /// The given key.
     pub key: String,
     /// The most similar key.
     pub nearest: Option<String>,
@@ -29,25 +29,26 @@
     }
 }
 
-/// Whether a change of a key takes a restart.
+/// Whether a change of a key requires a restart, which is assumed for an unknown key.
 pub fn needs_restart(key: &str) -> bool {
     let found = keys().into_iter().find(|known| matches(&known.path, key));
     found.is_none_or(|known| known.property("x-apply").is_none_or(|apply| apply != "reload"))
 }
 
+/// Returns the default of a key, if it has one.
 fn default_value(key: &Key) -> Option<Value> {
-    // A part that is off has its defaults once it is named.
+    // Optional tables are absent by default; their keys have defaults once the table is present.
     let (limits, control) = (Some(Default::default()), Some(Default::default()));
-    let all_on = Operator { limits, control, ..Operator::default() };
-    let mut value = &serde_json::to_value(all_on).ok()?;
+    let with_optional_tables = Operator { limits, control, ..Operator::default() };
+    let mut value = &serde_json::to_value(with_optional_tables).ok()?;
     for step in key.path.split('.') {
         value = value.get(step)?;
     }
     Some(value.clone())
 }
 
-/// The type of a key's value, or the texts that are allowed.
-fn type_in_words(key: &Key) -> String {
+/// Describes the type of a key's value, or lists the allowed strings.
+fn describe_type(key: &Key) -> String {
     let kind = key.property("x-kind").and_then(Value::as_str);
     let allowed = allowed_values(key.value_schema);
     match kind {
@@ -57,8 +58,8 @@
     }
 }
 
-/// The range of a key's value, if it has one.
-fn range_in_words(key: &Key) -> Option<String> {
+/// Describes the range of a key's value, if it has one.
+fn describe_range(key: &Key) -> Option<String> {
     let number = |name| key.property(name).and_then(Value::as_f64);
     let duration = |name| key.property(name).and_then(Value::as_str);
     match (number("minimum"), number("maximum"), duration("x-least"), duration("x-most")) {
@@ -68,14 +69,15 @@
     }
 }
 
+/// Formats the explanation of one key.
 fn explanation(key: &Key) -> String {
     let text = |name| key.property(name).and_then(Value::as_str);
-    let mut lines = vec![("type", type_in_words(key))];
+    let mut lines = vec![("type", describe_type(key))];
     lines.extend(text("x-unit").map(|unit| ("unit", unit.to_owned())));
     lines.push(("default", default_value(key).map_or("none".into(), |value| value.to_string())));
-    lines.extend(range_in_words(key).map(|range| ("range", range)));
+    lines.extend(describe_range(key).map(|range| ("range", range)));
     lines.extend(text("x-since").map(|since| ("since", since.to_owned())));
-    let change = if needs_restart(&key.path) { "takes a restart" } else { "takes a reload" };
+    let change = if needs_restart(&key.path) { "requires a restart" } else { "requires a reload" };
     lines.push(("change", change.to_owned()));
     let description = text("description").map(|text| text.split_whitespace().collect::<Vec<_>>().join(" "));
     lines.extend(description.map(|description| ("meaning", description)));
@@ -83,10 +85,10 @@
     std::iter::once(format!("{}\n", key.path)).chain(lines).collect()
 }
 
-/// Explains a key, or all below a table; an empty key is all.
+/// Explains a key, or all keys of a table; an empty `key` explains all keys.
 ///
 /// # Errors
-/// If there is no such key.
+/// If the key does not exist.
 pub fn explain(key: &str) -> Result<String, UnknownKey> {
     let all = keys();
     let prefix = format!("{key}.");
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -1,5 +1,6 @@
-//! Layers of configuration on top of each other: defaults, the file, the environment, what a control service says. The later
-//! one takes precedence; tables are merged key by key, lists and values are replaced as a whole.
+//! Merges the layers of the configuration: defaults, the file, the environment and the versions of a control
+//! service. Later layers take precedence; tables are merged key by key, lists and values are replaced as a
+//! whole.
 
 use crate::check::{check_text, check_tree, Checked, ConfigError, Position};
 use crate::model::Operator;
@@ -10,32 +11,32 @@
 use std::fmt;
 use toml::Table;
 
-/// Variables that begin so set a key each: `ANISEYOKE__LOG__LEVEL` sets `log.level`.
+/// Prefix of environment variables that set a key: `ANISEYOKE__LOG__LEVEL` sets `log.level`.
 pub const PREFIX: &str = "ANISEYOKE__";
-/// The table that a control service may not set.
+/// The table that a control service must not set.
 const CONTROL: &str = "control";
 
-/// One layer as it was given.
+/// One layer, before it is checked.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Layer {
-    /// A file's name and text.
+    /// Name and text of a file.
     File(String, String),
-    /// A variable's name and value.
+    /// Name and value of an environment variable.
     Variable(String, String),
-    /// The number and the body of a control service's version.
+    /// Number and body of a version from a control service.
     Service(u64, Value),
 }
 
-/// Which layer a value comes from.
+/// The layer that a value comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Nothing sets it.
+    /// No layer sets the value.
     Default,
-    /// A file, and where in it.
+    /// A file, with the position in it.
     File(String, Position),
-    /// A variable.
+    /// An environment variable.
     Variable(String),
-    /// A control service's version.
+    /// A version from a control service.
     Service(u64),
 }
 
@@ -50,22 +51,23 @@
     }
 }
 
-/// What all layers together say.
+/// The result of merging all layers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resolved {
-    /// The configuration that applies.
+    /// The effective configuration.
     pub operator: Operator,
-    /// The keys that are set, and by which layer.
+    /// The keys that are set, with the layer that sets them.
     pub origins: BTreeMap<String, Origin>,
 }
 
 impl Resolved {
-    /// Where a key's value comes from: the layer that sets it, or a table or list around it.
+    /// Returns the layer that sets a key, or a table or list around it.
     pub fn origin(&self, key: &str) -> Origin {
         origin(&self.origins, key)
     }
 
-    /// SHA-256 over the configuration, defaults included, in hex: the same for two configurations that say the same.
+    /// Returns the SHA-256 of the effective configuration in hex. It includes defaults and does not depend on
+    /// spelling.
     pub fn digest(&self) -> String {
         let text = serde_json::to_string(&self.operator).unwrap_or_default();
         Sha256::digest(text).iter().map(|byte| format!("{byte:02x}")).collect()
@@ -85,15 +87,16 @@
     }
 }
 
-/// The layers of the environment: each variable that begins with [`PREFIX`], in the order of their names.
+/// Returns a layer for each environment variable that begins with [`PREFIX`], in the order of their names.
 pub fn environment(variables: impl IntoIterator<Item = (String, String)>) -> Vec<Layer> {
-    let mut own: Vec<_> = variables.into_iter().filter(|(name, _)| name.starts_with(PREFIX)).collect();
-    // Sorted by name alone: the order of a name's own repeats is that of the environment.
-    own.sort_by(|a, b| a.0.cmp(&b.0));
-    own.into_iter().map(|(name, value)| Layer::Variable(name, value)).collect()
+    let mut matching: Vec<_> = variables.into_iter().filter(|(name, _)| name.starts_with(PREFIX)).collect();
+    // Sorted by name only: variables with the same name keep their order in the environment.
+    matching.sort_by(|a, b| a.0.cmp(&b.0));
+    matching.into_iter().map(|(name, value)| Layer::Variable(name, value)).collect()
 }
 
-/// A variable as TOML: its path from its name, its value as it is, or in quotes where it is no TOML value.
+/// Converts a variable to a TOML assignment. The path follows from its name; a value that is not valid TOML
+/// is quoted.
 fn assignment(name: &str, value: &str) -> String {
     let path = name.strip_prefix(PREFIX).unwrap_or(name).to_lowercase();
     let quoted = |text: &str| toml::Value::String(text.to_owned()).to_string();
@@ -107,17 +110,17 @@
     }
 }
 
-/// Puts layers on top of each other, the first at the bottom.
+/// Merges layers, of which later ones take precedence.
 ///
 /// # Errors
-/// All that is wrong in any layer; and, where each layer by itself is valid, all contradictions in what they say together,
-/// with the location that set it.
+/// All errors of all layers. If each layer is valid by itself, all contradictions in the merged
+/// configuration, with the location that set the key.
 pub fn resolve(layers: impl IntoIterator<Item = Layer>) -> Result<Resolved, Vec<ConfigError>> {
     let mut merged = Merged::default();
     for layer in layers {
         merged.add(layer);
     }
-    merged.refuse_control_settings_of_service();
+    merged.reject_control_settings_of_service();
     if !merged.errors.is_empty() {
         return Err(merged.errors);
     }
@@ -137,7 +140,7 @@
     }
 }
 
-/// The layers that were added so far.
+/// The layers merged so far.
 #[derive(Default)]
 struct Merged {
     values: Map<String, Value>,
@@ -146,36 +149,37 @@
 }
 
 impl Merged {
-    /// Puts a layer on top.
+    /// Checks a layer, and merges it over the previous ones.
     fn add(&mut self, layer: Layer) {
         match layer {
             Layer::File(name, text) => {
                 let (value, checked) = check_text(&text, &name, true);
-                self.take(value, checked, |position| Origin::File(name.clone(), position));
+                self.add_checked(value, checked, |position| Origin::File(name.clone(), position));
             }
             Layer::Variable(name, value) => {
                 let (value, checked) = check_text(&assignment(&name, &value), &format!("${name}"), false);
-                self.take(value, checked, |_| Origin::Variable(name.clone()));
+                self.add_checked(value, checked, |_| Origin::Variable(name.clone()));
             }
             Layer::Service(version, body) => {
                 let origin = Origin::Service(version);
                 let checked = check_tree(&body, &origin.to_string());
-                self.take(body, checked, |_| origin.clone());
+                self.add_checked(body, checked, |_| origin.clone());
             }
         }
     }
 
-    fn take(&mut self, value: Value, checked: Checked, origin: impl Fn(Position) -> Origin) {
+    /// Adds the values, origins and errors of a checked layer.
+    fn add_checked(&mut self, value: Value, checked: Checked, origin: impl Fn(Position) -> Origin) {
         self.errors.extend(checked.errors);
-        let set = checked.positions.into_iter().map(|(key, position)| (key, origin(position)));
-        self.origins.extend(set);
+        let origins = checked.positions.into_iter().map(|(key, position)| (key, origin(position)));
+        self.origins.extend(origins);
         if let Value::Object(above) = value {
             merge(&mut self.values, above);
         }
     }
 
-    /// Danger: a version that says which control services are followed could cut its proxies off from all of them.
-    fn refuse_control_settings_of_service(&mut self) {
+    /// Rejects a version that sets the control services: it could disconnect its proxies from all of them.
+    fn reject_control_settings_of_service(&mut self) {
         let from_control = self.origins.range(CONTROL.to_owned()..);
         let mut by_service = from_control.filter(|(key, origin)| {
             key.split('.').next() == Some(CONTROL) && matches!(origin, Origin::Service(_))
@@ -188,7 +192,7 @@
     }
 }
 
-/// Lays one table over another.
+/// Merges the table `above` over the table `below`.
 pub fn merge(below: &mut Map<String, Value>, above: Map<String, Value>) {
     for (key, value) in above {
         match (below.get_mut(&key), value) {
--- a/crates/config/src/layers/tests.rs
+++ b/crates/config/src/layers/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn nothing_set_is_the_default() {
+fn without_layers_the_defaults_apply() {
     let resolved = resolve([]).expect("sound");
     assert_eq!(resolved.operator, Operator::default());
     assert_eq!(resolved.origin("log.level"), Origin::Default);
@@ -37,7 +37,7 @@
 fn a_contradiction_between_layers_is_reported_at_the_location_that_set_it() {
     let layers = [file("[limits.node]\nceiling = 10.0\n"), variable("ANISEYOKE__LIMITS__NODE__FLOOR", "20")];
     let errors = resolve(layers).expect_err("the floor is above the ceiling");
-    let floor = errors.iter().find(|f| f.key == "limits.node.floor").expect("named");
+    let floor = errors.iter().find(|e| e.key == "limits.node.floor").expect("named");
     assert_eq!(floor.location, "$ANISEYOKE__LIMITS__NODE__FLOOR");
     assert!(floor.reason.contains("above the ceiling"), "{floor}");
 }
@@ -46,21 +46,21 @@
 fn errors_of_all_layers_are_reported_at_once() {
     let layers = [file("[lag]"), variable("ANISEYOKE__LOG__BURST", "many"), variable("ANISEYOKE__X", "1")];
     let errors = resolve(layers).expect_err("three");
-    let locations: Vec<&str> = errors.iter().map(|f| f.location.as_str()).collect();
+    let locations: Vec<&str> = errors.iter().map(|e| e.location.as_str()).collect();
     assert_eq!(locations, ["f.toml:1:2", "$ANISEYOKE__LOG__BURST", "$ANISEYOKE__X"]);
 }
 
 #[test]
-fn a_route_to_an_unknown_pool_and_an_unreachable_route_are_refused() {
+fn a_route_to_an_unknown_pool_and_an_unreachable_route_are_rejected() {
     let text = "[pools.a]\nkinds = [\"k\"]\n[[routes]]\nclass = \"c\"\npool = \"b\"\n[[routes]]\nclass = \"c\"\npool = \"a\"\n";
     let errors = resolve([file(text)]).expect_err("two");
-    let keys: Vec<&str> = errors.iter().map(|f| f.key.as_str()).collect();
+    let keys: Vec<&str> = errors.iter().map(|e| e.key.as_str()).collect();
     assert_eq!(keys, ["routes.0.pool", "routes.1"]);
-    assert!(errors.iter().all(|f| f.location.starts_with("f.toml:")), "{errors:?}");
+    assert!(errors.iter().all(|e| e.location.starts_with("f.toml:")), "{errors:?}");
 }
 
 #[test]
-fn routes_and_overlays_that_say_nothing_or_too_much_are_all_reported() {
+fn routes_and_overlays_without_effect_or_beyond_limits_are_all_reported() {
     let long = "x".repeat(257);
     let text = format!(
         "[pools.a]\nzones = [\"z\"]\n[[routes]]\npool = \"a\"\n[[routes]]\nprefix = \"{long}\"\npool = \"a\"\n\
@@ -68,7 +68,7 @@
          [[overlays]]\ndrain = true\n[[overlays]]\nnode = \"n\"\n[[overlays]]\nnode = \"n\"\nweight = 0.5\n\
          [[overlays]]\nzone = \"z\"\nweight = 200\n"
     );
-    let reported = |errors: Vec<ConfigError>| errors.into_iter().map(|f| f.key).collect::<Vec<_>>();
+    let reported = |errors: Vec<ConfigError>| errors.into_iter().map(|e| e.key).collect::<Vec<_>>();
     assert_eq!(reported(resolve([file(&text)]).expect_err("by itself")), ["overlays.3.weight"]);
     let text = text.replace("200", "2.0");
     let keys = reported(resolve([file(&text)]).expect_err("six"));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn more_pools_than_are_supported_are_refused() {
+fn more_pools_than_are_supported_are_rejected() {
     let pools = |n: usize| (0..n).map(|n| format!("[pools.p{n}]\nzones = [\"z\"]\n")).collect::<String>();
     assert!(resolve([file(&pools(63))]).is_ok());
     let errors = resolve([file(&pools(64))]).expect_err("one too many");
@@ -92,7 +92,7 @@
     assert_ne!(digest(""), digest("log.burst = 7"));
 }
 
-/// A version means the same as a file with the same keys, and its errors are those of the file.
+/// A version of a control service has the same errors as a file with the same keys.
 #[test]
 fn a_tree_is_checked_like_a_text() {
     let text =
@@ -100,7 +100,7 @@
                 [[routes]]\npool = 7\n[[overlays]]\ndrain = 1\nweight = 0.001\n[nothing]\n";
     let tree: Value = toml::from_str(text).expect("TOML");
     let reported = |errors: Vec<ConfigError>| {
-        errors.into_iter().map(|f| (f.key, f.reason)).collect::<std::collections::BTreeSet<_>>()
+        errors.into_iter().map(|e| (e.key, e.reason)).collect::<std::collections::BTreeSet<_>>()
     };
     let by_text = reported(resolve([file(text)]).expect_err("nine"));
     assert_eq!(
@@ -109,11 +109,11 @@
     );
     let null = resolve([Layer::Service(1, json!({ "log": { "burst": null } }))]).expect_err("null");
     assert!(null[0].reason.contains("not nothing"), "{}", null[0]);
-    assert!(resolve([Layer::Service(1, json!([1]))]).is_err_and(|f| f[0].reason.contains("not a list")));
+    assert!(resolve([Layer::Service(1, json!([1]))]).is_err_and(|e| e[0].reason.contains("not a list")));
 }
 
 #[test]
-fn a_control_service_may_not_say_which_services_are_followed() {
+fn a_control_service_must_not_set_the_control_services() {
     let text = "[control]\nservices = [\"127.0.0.1:1\"]";
     assert!(resolve([file(text)]).is_ok());
     let errors = resolve([Layer::Service(3, json!({ "control": { "services": ["127.0.0.1:1"] } }))])
@@ -121,7 +121,7 @@
     assert_eq!((errors[0].key.as_str(), errors.len()), ("control", 1));
 }
 
-fn some_log() -> impl Strategy<Value = String> {
+fn arbitrary_log_table() -> impl Strategy<Value = String> {
     let level = prop::option::of(prop::sample::select(vec!["off", "error", "warn", "info"]));
     let number = || prop::option::of(1u32..1000);
     (level, number(), number()).prop_map(|(level, burst, per_second)| {
@@ -135,7 +135,10 @@
 
 proptest! {
     #[test]
-    fn merging_layers_is_associative(texts in prop::collection::vec(some_log(), 0..5), cut in 0usize..5) {
+    fn merging_layers_is_associative(
+        texts in prop::collection::vec(arbitrary_log_table(), 0..5),
+        cut in 0usize..5,
+    ) {
         let table = |texts: &[String]| {
             let mut all = Map::new();
             texts.iter().for_each(|t| merge(&mut all, toml::from_str(t).expect("TOML")));
@@ -148,7 +151,7 @@
     }
 
     #[test]
-    fn adding_a_layer_twice_changes_nothing(below in some_log(), above in some_log()) {
+    fn adding_a_layer_twice_changes_nothing(below in arbitrary_log_table(), above in arbitrary_log_table()) {
         let once = resolve([file(&below), file(&above)]).expect("sound").operator;
         let twice = resolve([file(&below), file(&above), file(&above)]).expect("sound").operator;
         prop_assert_eq!(once, twice);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! What an operator may configure beyond what the platform tells a proxy.
+//! The operator's configuration of a proxy, in addition to the settings that the platform sends it.
 //!
-//! The [`model`] is the only list of keys: its types have meaning, default, range, unit, and whether a change takes a
-//! restart. The JSON Schema ([`schema`]), the check of every layer against it with the location of each error ([`check`]),
-//! explanations ([`explain`]) and differences ([`diff`]) all follow from it. [`layers`] puts defaults, file, environment
-//! and what a control service says on top of each other.
+//! The types of the [`model`] define all keys with their description, default, range and unit, and whether a
+//! change requires a restart. The JSON Schema ([`schema`]), the validation of each layer with the location of
+//! each error ([`check`]), explanations ([`explain`]) and differences ([`diff`]) are derived from it.
+//! [`layers`] merges defaults, file, environment and the versions that a control service publishes.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,5 +1,5 @@
-//! Every key of the operator's file. The doc comment of a field is what `config explain` prints, and the names of the types
-//! are in the JSON Schema.
+//! All keys of the operator's file. `config explain` prints the doc comments of the fields, and the JSON
+//! Schema contains the names of the types.
 
 mod contradictions;
 mod start;
@@ -14,38 +14,41 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All that an operator may configure. A part that is not named is off.
+/// The operator's configuration. Optional tables that are absent disable their feature.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
     /// What is written to the log, and how.
     pub log: Log,
-    /// Limits of requests in flight at nodes, and queues of requests that wait for capacity; off where it is not named.
+    /// Limits of requests in flight at nodes, and queues of requests that wait for capacity; disabled if
+    /// absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub limits: Option<LimitsConfig>,
-    /// Services that publish versions of this configuration; off where it is not named. Set in the file or the
-    /// environment alone.
+    /// Services that publish versions of this configuration; disabled if absent. Can only be set in the file
+    /// or the environment.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub control: Option<Control>,
-    /// How the discovery service is polled, and whether its endpoint list is stored over restarts; off where it is not named.
+    /// How the discovery service is polled, and whether its endpoint list is stored across restarts; disabled
+    /// if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.5", "x-apply" = "restart"))]
     pub list: Option<List>,
-    /// Rates of new connections from all proxies together to one machine; not limited where it is not named.
+    /// Maximum rates of new connections from all proxies together to one machine; unlimited if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.5", "x-apply" = "restart"))]
     pub opening: Option<Opening>,
-    /// Tenants by the name that the platform gives them.
+    /// Tenants, by their names on the platform.
     pub tenants: BTreeMap<String, Tenant>,
-    /// Named groups of nodes, which routes refer to.
+    /// Named groups of nodes to which routes refer.
     pub pools: BTreeMap<String, Pool>,
-    /// Which requests go to which pool; the first match applies, and a request that matches none may go to any node.
+    /// Rules that select the pool of a request. The first match applies; a request that matches none may go
+    /// to any node.
     pub routes: Vec<Route>,
-    /// Changes to nodes on top of the endpoint list; the first match applies.
+    /// Changes to nodes of the endpoint list; the first match applies.
     pub overlays: Vec<Overlay>,
-    /// Features that may be turned off.
+    /// Features that can be disabled.
     pub features: Features,
 }
 
@@ -53,19 +56,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The format of a line: plain text, or a JSON object.
+    /// The format of log lines: plain text or JSON objects.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub format: Format,
-    /// The least severe level of a line that is written.
+    /// The least severe level that is logged.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "reload"))]
     pub level: Level,
-    /// The same for a part of the program, by its name, such as `discovery` or `handover`.
+    /// The least severe level that is logged for single parts of the program, such as `discovery` or
+    /// `handover`.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "reload"))]
     pub targets: BTreeMap<String, Level>,
-    /// So many lines of one call site are written at once; after that, `per_second`, and a count of those that were suppressed.
+    /// Number of lines that one call site may log at once. Further lines are limited to `per_second`, and the
+    /// number of suppressed lines is logged.
     #[schemars(range(min = 1, max = 100_000), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "lines"))]
     pub burst: u32,
-    /// Lines of one call site that are written each second once the burst is used up.
+    /// Number of lines that one call site may log per second once `burst` is used up.
     #[schemars(range(min = 1, max = 10_000), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "lines a second"))]
     pub per_second: u32,
 }
@@ -77,21 +82,23 @@
     }
 }
 
-/// The control services that a proxy follows.
+/// The control services whose versions the proxy follows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Control {
-    /// Addresses of services, tried in turn.
+    /// Addresses of the control services, tried in turn.
     #[schemars(with = "Vec<String>", extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub services: Vec<SocketAddr>,
-    /// The name of this proxy to them, the same after a restart; without it the address where it takes clients.
+    /// The name of this proxy at the control services, the same after a restart; by default its listen
+    /// address for clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub instance: Option<String>,
-    /// Labels by which rollouts select this proxy.
+    /// Labels with which rollouts select this proxy.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub labels: BTreeMap<String, String>,
-    /// A folder that stores the last good version over restarts; without it a restart waits for a service.
+    /// The directory in which the last good version is stored across restarts; without it, a restart waits
+    /// for a service.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub dir: Option<PathBuf>,
@@ -101,27 +108,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// `aniseyoke: ` and the text.
+    /// Plain text with the prefix `aniseyoke: `.
     Plain,
-    /// A JSON object with time, level, target and fields.
+    /// JSON objects with time, level, target and fields.
     Json,
 }
 
-/// The severity of a log line.
+/// The minimum severity of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Nothing.
+    /// Log nothing.
     Off,
-    /// What failed.
+    /// Log failures only.
     Error,
-    /// What may fail next.
+    /// Also log conditions that may lead to a failure.
     Warn,
-    /// What changed.
+    /// Also log changes of state.
     Info,
-    /// What happened.
+    /// Also log single events.
     Debug,
-    /// Everything.
+    /// Log everything.
     Trace,
 }
 
@@ -129,66 +136,66 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenant {
-    /// Its quota, in requests a second over all proxies, in place of the platform's.
+    /// The tenant's quota over all proxies, in requests a second; replaces the platform's quota.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 0.0, max = 1e9), extend("x-since" = "0.3", "x-apply" = "restart", "x-unit" = "requests a second"))]
     pub share: Option<f64>,
 }
 
-/// A group of nodes: those that match every list that is given. At least one list is given.
+/// A group of nodes that match each given list. At least one list is required.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pool {
-    /// Names of zones.
+    /// Names of zones. If empty, nodes of all zones match.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub zones: Vec<String>,
-    /// Names of machine kinds.
+    /// Names of machine kinds. If empty, nodes of all kinds match.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub kinds: Vec<String>,
 }
 
-/// Where some requests go. Each condition that is given has to match; at least one is given.
+/// Selects requests for a pool. All given conditions must match; at least one is required.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Route {
-    /// The name of a class.
+    /// The class of the requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub class: Option<String>,
-    /// The name of a tenant.
+    /// The tenant of the requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub tenant: Option<String>,
-    /// What the key begins with, as clients write it; at most 256 bytes.
+    /// A prefix of the key as clients send it, at most 256 bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub prefix: Option<String>,
-    /// The pool that these requests go to.
+    /// The name of the pool for these requests.
     #[schemars(extend("x-since" = "0.3", "x-apply" = "restart"))]
     pub pool: String,
 }
 
-/// A change to some nodes on top of the endpoint list. Each of node, zone and kind that is given has to match; at least one
-/// is given.
+/// A change to some nodes of the endpoint list. Each given one of node, zone and kind must match; at least
+/// one is required.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overlay {
-    /// The id of one node, as in the endpoint list.
+    /// The id of a single node in the endpoint list.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub node: Option<String>,
-    /// The name of a zone.
+    /// The zone of the nodes.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub zone: Option<String>,
-    /// The name of a machine kind.
+    /// The machine kind of the nodes.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub kind: Option<String>,
-    /// Their weight, as a multiple of the one in the endpoint list.
+    /// Factor on the weight that the nodes have in the endpoint list.
     #[schemars(range(min = 0.01, max = 100.0), extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub weight: f64,
-    /// They finish the requests that they have and get no new ones.
+    /// Whether the nodes are drained: they finish their requests in flight and get no new ones.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub drain: bool,
 }
@@ -199,17 +206,17 @@
     }
 }
 
-/// Features that may be turned off; what the platform itself does not allow stays off.
+/// Features that can be disabled. A feature that the platform does not allow stays disabled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Features {
-    /// Failed requests may be retried at another node.
+    /// Whether failed requests may be retried at another node.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub retries: bool,
-    /// A hedged request may be sent beside a slow attempt.
+    /// Whether a hedged request may be sent while an attempt is slow.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub second_copies: bool,
-    /// Attempts for a request that has ended are cancelled.
+    /// Whether the outstanding attempts of a request that has ended are cancelled.
     #[schemars(extend("x-since" = "0.4", "x-apply" = "restart"))]
     pub cancelling: bool,
 }
--- a/crates/config/src/model/contradictions.rs
+++ b/crates/config/src/model/contradictions.rs
@@ -1,4 +1,4 @@
-//! Contradictions between keys, each of which is valid alone.
+//! Contradictions between keys whose values are valid by themselves.
 
 use super::{Operator, Overlay, Route};
 use aniseyoke_decision::api::MAX_POOLS;
@@ -6,12 +6,12 @@
 use aniseyoke_routes::{RouteError, RouteRule, RoutingTable};
 use std::collections::BTreeSet;
 
-/// A key that contradicts another, or itself.
+/// A key that contradicts another key, or has no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contradiction {
     /// The key.
     pub key: String,
-    /// What is wrong with it.
+    /// The reason, for the error message.
     pub reason: String,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl Operator {
-    /// All contradictions between the keys.
+    /// Returns all contradictions between the keys.
     pub fn contradictions(&self) -> Vec<Contradiction> {
         let mut found = Vec::new();
         if let Some(limits) = &self.limits {
@@ -80,15 +80,15 @@
 
     fn overlay_contradictions(&self, found: &mut Vec<Contradiction>) {
         let mut seen = BTreeSet::new();
-        let (mut single, mut general) = (0, 0);
+        let (mut single_node_count, mut general_count) = (0, 0);
         for (index, overlay) in self.overlays.iter().enumerate() {
             let Overlay { node, zone, kind, weight, drain } = overlay;
             let mut report =
                 |reason: &str| found.push(Contradiction::new(format!("overlays.{index}"), reason));
             match (node, zone, kind) {
                 (None, None, None) => report("it names no node, zone or kind"),
-                (Some(_), None, None) => single += 1,
-                _ => general += 1,
+                (Some(_), None, None) => single_node_count += 1,
+                _ => general_count += 1,
             }
             if *weight == 1.0 && !drain {
                 report("it says nothing: set weight or drain");
@@ -97,12 +97,12 @@
                 report("an earlier one is on the same nodes");
             }
         }
-        for (count, max, of) in [
-            (single, MAX_NODE_OVERRIDES, "single nodes"),
-            (general, MAX_GENERAL_OVERRIDES, "zones and kinds"),
+        for (count, max, target) in [
+            (single_node_count, MAX_NODE_OVERRIDES, "single nodes"),
+            (general_count, MAX_GENERAL_OVERRIDES, "zones and kinds"),
         ] {
             if count > max {
-                let reason = format!("{count} on {of} are more than {max}");
+                let reason = format!("{count} on {target} are more than {max}");
                 found.push(Contradiction::new("overlays", reason));
             }
         }
@@ -110,7 +110,7 @@
 }
 
 impl Route {
-    /// The rule that it stands for, with the index of its pool.
+    /// Returns the route as a rule of the routing table, with the index of its pool.
     pub fn rule(&self, pool: u32) -> RouteRule<&str> {
         let prefix = self.prefix.as_deref().unwrap_or_default().as_bytes().to_vec();
         RouteRule { class: self.class.as_deref(), tenant: self.tenant.as_deref(), prefix, pool }
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -1,4 +1,4 @@
-//! A value as the check sees it, whether it is in a text with lines or in a tree.
+//! A common view of TOML and JSON values for the validation.
 
 use serde_json::Value;
 use toml::de::DeValue;
@@ -6,45 +6,45 @@
 
 /// A value of a TOML text, with its position, or of a JSON tree.
 #[derive(Clone, Copy)]
-pub enum Node<'a> {
-    /// Of a text.
+pub enum ConfigValue<'a> {
+    /// A value of a TOML text.
     Toml(&'a Spanned<DeValue<'a>>),
-    /// Of a tree.
+    /// A value of a JSON tree.
     Json(&'a Value),
 }
 
 /// A member of a table.
 pub struct Member<'a> {
-    /// Its name.
+    /// The key of the member.
     pub name: &'a str,
-    /// Where the name is, as an offset in bytes; 0 in a tree.
+    /// Offset of the key in the text, in bytes; 0 in a tree.
     pub offset: usize,
-    /// Its value.
-    pub value: Node<'a>,
+    /// The value of the member.
+    pub value: ConfigValue<'a>,
 }
 
-/// The type of a value, and what the check has to know of the value.
+/// The type of a value, with the data that the validation needs.
 pub enum Shape<'a> {
-    /// A table and its members.
+    /// A table with its members.
     Table(Vec<Member<'a>>),
-    /// A list and its items in order.
-    List(Vec<Node<'a>>),
-    /// A text.
+    /// A list with its items in order.
+    List(Vec<ConfigValue<'a>>),
+    /// A string.
     Text(&'a str),
-    /// An integer; none: too large.
+    /// An integer, or `None` if it is too large.
     Integer(Option<f64>),
-    /// A number with a decimal point; none: it can't be read.
+    /// A floating-point number, or `None` if it can't be parsed.
     Float(Option<f64>),
-    /// True or false.
+    /// A boolean.
     Boolean,
-    /// A date.
+    /// A date or time.
     Date,
     /// Null.
     Null,
 }
 
 impl Shape<'_> {
-    /// The name of the type, for messages.
+    /// Returns the name of the type, for messages.
     pub fn name(&self) -> &'static str {
         match self {
             Shape::Table(_) => "a table",
@@ -59,20 +59,20 @@
     }
 }
 
-impl<'a> Node<'a> {
-    /// Where the value is, as an offset in bytes; 0 in a tree.
+impl<'a> ConfigValue<'a> {
+    /// Returns the offset of the value in the text, in bytes; 0 in a tree.
     pub fn offset(&self) -> usize {
         match self {
-            Node::Toml(value) => value.span().start,
-            Node::Json(_) => 0,
+            ConfigValue::Toml(value) => value.span().start,
+            ConfigValue::Json(_) => 0,
         }
     }
 
-    /// The type of the value.
+    /// Returns the type of the value.
     pub fn shape(&self) -> Shape<'a> {
         match *self {
-            Node::Toml(value) => toml_shape(value.get_ref()),
-            Node::Json(value) => json_shape(value),
+            ConfigValue::Toml(value) => toml_shape(value.get_ref()),
+            ConfigValue::Json(value) => json_shape(value),
         }
     }
 }
@@ -80,7 +80,7 @@
 fn toml_shape<'a>(value: &'a DeValue<'a>) -> Shape<'a> {
     match value {
         DeValue::Table(table) => Shape::Table(members(table)),
-        DeValue::Array(list) => Shape::List(list.iter().map(Node::Toml).collect()),
+        DeValue::Array(list) => Shape::List(list.iter().map(ConfigValue::Toml).collect()),
         DeValue::String(text) => Shape::Text(text),
         DeValue::Integer(integer) => {
             let number = i64::from_str_radix(integer.as_str(), integer.radix()).ok();
@@ -96,10 +96,11 @@
     match value {
         Value::Object(table) => {
             let members = table.iter();
-            let member = members.map(|(name, value)| Member { name, offset: 0, value: Node::Json(value) });
+            let member =
+                members.map(|(name, value)| Member { name, offset: 0, value: ConfigValue::Json(value) });
             Shape::Table(member.collect())
         }
-        Value::Array(list) => Shape::List(list.iter().map(Node::Json).collect()),
+        Value::Array(list) => Shape::List(list.iter().map(ConfigValue::Json).collect()),
         Value::String(text) => Shape::Text(text),
         Value::Number(number) if number.is_f64() => Shape::Float(number.as_f64()),
         Value::Number(number) => Shape::Integer(number.as_f64()),
@@ -108,11 +109,11 @@
     }
 }
 
-/// The members of a table of a text.
+/// Returns the members of a TOML table.
 pub fn members<'a>(table: &'a toml::de::DeTable<'a>) -> Vec<Member<'a>> {
     let member = |(name, value): (&'a Spanned<_>, &'a Spanned<DeValue<'a>>)| {
         let text: &'a std::borrow::Cow<'a, str> = name.get_ref();
-        Member { name: text.as_ref(), offset: name.span().start, value: Node::Toml(value) }
+        Member { name: text.as_ref(), offset: name.span().start, value: ConfigValue::Toml(value) }
     };
     table.iter().map(member).collect()
 }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,17 +1,16 @@
-//! The JSON Schema of the operator's file, and ways to look things up in it.
+//! The JSON Schema of the operator's file, and lookups in it.
 
 use crate::model::Operator;
 use serde_json::Value;
 use std::sync::OnceLock;
 
-/// The schema, made from the model once.
+/// Returns the schema, which is generated from the model on the first call.
 pub fn schema() -> &'static Value {
     static SCHEMA: OnceLock<Value> = OnceLock::new();
     SCHEMA.get_or_init(|| schemars::schema_for!(Operator).to_value())
 }
 
-/// The schema that a node of the whole schema stands for: references are followed, and of an optional value the schema of
-/// the value is taken.
+/// Follows references, and for an optional value returns the schema of the value.
 pub fn dereferenced(node: &'static Value) -> &'static Value {
     let mut node = node;
     loop {
@@ -28,7 +27,7 @@
     }
 }
 
-/// The first type that a schema names, other than null.
+/// Returns the first type of a schema other than null.
 pub fn type_name(node: &Value) -> &str {
     match &node["type"] {
         Value::String(name) => name,
@@ -40,55 +39,55 @@
     }
 }
 
-/// The texts that a value may be, if only some are allowed.
+/// Returns the allowed strings of a value; empty if any is allowed.
 pub fn allowed_values(node: &Value) -> Vec<&str> {
-    let mut allowed = texts(&node["enum"]);
+    let mut allowed = strings(&node["enum"]);
     for alternative in node["oneOf"].as_array().into_iter().flatten() {
         allowed.extend(alternative["const"].as_str());
-        allowed.extend(texts(&alternative["enum"]));
+        allowed.extend(strings(&alternative["enum"]));
     }
     allowed
 }
 
-/// The texts of a list.
-fn texts(list: &Value) -> Vec<&str> {
+/// Returns the strings in a list.
+fn strings(list: &Value) -> Vec<&str> {
     list.as_array().into_iter().flatten().filter_map(Value::as_str).collect()
 }
 
-/// The schema of a member of a table: that of its key, or that of any key where keys are names.
+/// Returns the schema of a member of a table: that of its key or, for a map, that of all members.
 pub fn member_schema(node: &'static Value, key: &str) -> Option<&'static Value> {
     node["properties"].get(key).or_else(|| additional_members(node))
 }
 
-/// The schema of members whose keys are names.
+/// Returns the schema of the members of a map, whose keys the operator chooses.
 fn additional_members(node: &'static Value) -> Option<&'static Value> {
     node.get("additionalProperties").filter(|schema| schema.is_object())
 }
 
-/// One key of the file, with `*` for a name and `N` for an index in a list.
+/// A key of the file.
 #[derive(Clone, Debug)]
 pub struct Key {
-    /// Its path.
+    /// The path, with `*` for a name that the operator chooses and `N` for an index in a list.
     pub path: String,
-    /// Its own schema, which has description and unit.
+    /// The schema of the key, with description and unit.
     pub schema: &'static Value,
-    /// The schema that this refers to.
+    /// The schema of the value, to which `schema` refers.
     pub value_schema: &'static Value,
 }
 
 impl Key {
-    /// A property of the key: its own schema takes precedence.
+    /// Returns a property of the key; `schema` takes precedence over `value_schema`.
     pub fn property(&self, name: &str) -> Option<&'static Value> {
         property(self.schema, self.value_schema, name)
     }
 }
 
-/// A property of a value, by its own schema and the one that it refers to; the own one takes precedence.
+/// Returns a property of a value; its own schema takes precedence over the one that it refers to.
 pub fn property<'a>(own: &'a Value, referred: &'a Value, name: &str) -> Option<&'a Value> {
     own.get(name).or_else(|| referred.get(name))
 }
 
-/// All keys that have a value, in the order of the model.
+/// Returns all keys that have a value, in the order of the model.
 pub fn keys() -> Vec<Key> {
     let mut found = Vec::new();
     collect(String::new(), schema(), &mut found);
@@ -106,7 +105,7 @@
             let Some(any) = additional_members(value_schema) else { return };
             match type_name(dereferenced(any)) {
                 "object" => collect(below("*"), any, found),
-                // What is said of the table holds for each value in it.
+                // The table's description applies to each value in it.
                 _ => found.push(Key { path: below("*"), schema, value_schema: dereferenced(any) }),
             }
         }
