--- a/crates/fanout/src/keys.rs
+++ b/crates/fanout/src/keys.rs
@@ -1,4 +1,4 @@
-//! Parts of the wire format of purges: a position in the log, and keys as one base64 text.
+//! Parts of the wire format of purges: a position in the log, and keys encoded as one base64 string.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -8,25 +8,26 @@
 /// The size of a key, in bytes.
 const KEY_BYTES: usize = 8;
 
-/// A position in the log of purges. The default value means that the holder has no object that a purge could concern.
+/// A position in the purge log. The default value means that the holder has no cached object that a purge
+/// could affect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Progress {
-    /// The log's epoch; 0 in the default value.
+    /// The log's epoch, or 0 in the default value.
     pub epoch: u64,
     /// All entries up to and including this number have been applied.
     pub through: u64,
 }
 
 impl Progress {
-    /// Whether the holder has no object that a purge could concern.
+    /// Whether the holder has no cached object that a purge could affect.
     pub fn is_empty(&self) -> bool {
         *self == Progress::default()
     }
 }
 
-/// Keys of purges, in the order of the log: XXH3-64 of each object's key. Serialized as one base64 text (RFC 4648,
-/// section 4) of eight bytes each, in big-endian order.
+/// Purged keys in log order: the XXH3-64 hash of each object's key. Serialized as one base64 string (RFC
+/// 4648, section 4) of the hashes, eight bytes each in big-endian order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Keys(pub Vec<u64>);
 
--- a/crates/fanout/src/keys/tests.rs
+++ b/crates/fanout/src/keys/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_key_is_eight_bytes_in_big_endian_order() {
+fn a_key_is_encoded_as_eight_bytes_in_big_endian_order() {
     let text = serde_json::to_string(&Keys(vec![1, 0xffee_ddcc_bbaa_9988])).expect("JSON");
     assert_eq!(
         text,
@@ -12,15 +12,15 @@
 
 #[test]
 fn malformed_keys_are_rejected_with_a_clear_error() {
-    for (text, why) in [("\"AAAA\"", "no multiple of 8"), ("\"*\"", "keys: "), ("7", "string")] {
+    for (text, expected) in [("\"AAAA\"", "no multiple of 8"), ("\"*\"", "keys: "), ("7", "string")] {
         let error = serde_json::from_str::<Keys>(text).expect_err("rejected").to_string();
-        assert!(error.contains(why), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
 
 proptest! {
     #[test]
-    fn keys_are_read_as_they_were_written(keys in prop::collection::vec(any::<u64>(), 0..50)) {
+    fn keys_survive_a_serialization_round_trip(keys in prop::collection::vec(any::<u64>(), 0..50)) {
         let keys = Keys(keys);
         let text = serde_json::to_string(&keys).expect("JSON");
         prop_assert_eq!(serde_json::from_str::<Keys>(&text).expect("read"), keys);
--- a/crates/fanout/src/log/tests.rs
+++ b/crates/fanout/src/log/tests.rs
@@ -30,7 +30,7 @@
 
 proptest! {
     #[test]
-    fn entries_are_read_as_they_were_appended(keys in prop::collection::vec(any::<u64>(), 1..60), capacity in 1usize..40) {
+    fn the_newest_entries_are_read_back_in_order_up_to_the_capacity(keys in prop::collection::vec(any::<u64>(), 1..60), capacity in 1usize..40) {
         let mut log = log(capacity);
         for key in &keys {
             log.append(*key);
--- a/crates/fanout/src/member.rs
+++ b/crates/fanout/src/member.rs
@@ -1,15 +1,15 @@
-//! A leaf's side of the purges: its position in the log, which purges are new to it, and whether it may still claim to
-//! have seen all of them.
+//! A leaf of the tree: tracks its position in the log, which purges are new to it, and whether it may claim
+//! to have seen all of them.
 
 use crate::{Nanos, Progress};
 
-/// The shortest time between two requests for a resync.
+/// The minimum time between two resync requests.
 const RESYNC_INTERVAL: Nanos = 1_000_000_000;
 
-/// What the owner of a [`Member`] has to do with a frame.
+/// What the owner of a [`Member`] has to do after a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberAction<'a> {
-    /// Nothing: the frame is a duplicate, or of an earlier epoch.
+    /// Do nothing: the frame is a duplicate, or is from an earlier epoch.
     Ignore,
     /// Drop the objects with these keys, then acknowledge [`Member::progress`].
     Invalidate(&'a [u64]),
@@ -19,44 +19,50 @@
     Resync,
 }
 
-/// A leaf's state, at most 64 bytes. Its owner carries out each action before it passes in the next frame.
+/// The state of a leaf, at most 64 bytes. The owner must carry out each action before passing in the next
+/// frame.
 #[derive(Clone, Debug)]
 pub struct Member {
     position: Progress,
     lease: Nanos,
-    /// When the upstream last said that this member has seen every purge, as the root knew it.
+    /// When the upstream last confirmed that this member has seen every purge known to the root.
     confirmed_at: Option<Nanos>,
     resync_requested_at: Option<Nanos>,
 }
 
 impl Member {
-    /// A member at this position; the default one where it holds no object yet. `lease`: for so many nanoseconds after a
-    /// confirmation that it has seen every purge it may claim to be fresh.
+    /// Creates a member at this position, which is the default one if it holds no object yet. It may claim to
+    /// be fresh for `lease` nanoseconds after a confirmation that it has seen every purge.
     pub fn new(position: Progress, lease: Nanos) -> Self {
         Member { position, lease, confirmed_at: None, resync_requested_at: None }
     }
 
-    /// Up to where all purges have been applied. It goes into `hello`, and into the `purged` that follows each `hello` and
-    /// each change. Without the `purged` after `hello` the member counts as lagging.
+    /// Returns the position up to which all purges have been applied. It is sent in `hello`, and in the
+    /// `purged` that follows each `hello` and each change. Without the `purged` after `hello` the member
+    /// counts as lagging.
     pub fn progress(&self) -> Progress {
         self.position
     }
 
-    /// Whether the member may serve its objects as fresh. Otherwise objects have to be revalidated at their origin, or
-    /// served as stale where the operator allows that.
+    /// Whether the member may serve its objects as fresh. If not, objects have to be revalidated at their
+    /// origin, or served as stale if the operator allows it.
     pub fn is_fresh(&self, now: Nanos) -> bool {
         self.confirmed_at.is_some_and(|confirmed| now.saturating_sub(confirmed) <= self.lease)
     }
 
     fn request_resync(&mut self, now: Nanos) -> MemberAction<'static> {
-        if self.resync_requested_at.is_some_and(|at| now.saturating_sub(at) < RESYNC_INTERVAL) {
+        if self
+            .resync_requested_at
+            .is_some_and(|requested_at| now.saturating_sub(requested_at) < RESYNC_INTERVAL)
+        {
             return MemberAction::Ignore;
         }
         self.resync_requested_at = Some(now);
         MemberAction::Resync
     }
 
-    /// The upstream sent the entries from `after + 1` on; without keys, a heartbeat: nothing newer than `after` is known.
+    /// Handles the entries from `after + 1` on. Without keys it is a heartbeat: the root has nothing newer
+    /// than `after`.
     pub fn receive_purges<'a>(
         &mut self,
         now: Nanos,
@@ -70,7 +76,7 @@
         if self.position.is_empty() || epoch > self.position.epoch {
             return self.request_resync(now);
         }
-        // Danger: to continue past a gap would acknowledge entries that were never applied.
+        // Continuing past a gap would acknowledge entries that were never applied.
         let Some(known) = self.position.through.checked_sub(after) else {
             return self.request_resync(now);
         };
@@ -89,7 +95,8 @@
         }
     }
 
-    /// The upstream no longer has the entries that this member lacks: once every object is dropped, its position is this.
+    /// Handles a flush: the upstream no longer has the entries that this member lacks. Its position becomes
+    /// `position`, once every object is dropped.
     pub fn receive_flush(&mut self, position: Progress) -> MemberAction<'static> {
         let behind = (self.position.epoch, self.position.through) < (position.epoch, position.through);
         if !behind {
--- a/crates/fanout/src/member/tests.rs
+++ b/crates/fanout/src/member/tests.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
-const FIVE: Progress = Progress { epoch: 1, through: 5 };
+const AT_FIVE: Progress = Progress { epoch: 1, through: 5 };
 
 #[test]
 fn duplicates_are_skipped_and_a_gap_requests_a_resync_once_a_second() {
-    let mut member = Member::new(FIVE, SECOND);
+    let mut member = Member::new(AT_FIVE, SECOND);
     assert_eq!(member.receive_purges(0, 1, 4, &[5, 6, 7]), MemberAction::Invalidate(&[6, 7]));
     assert_eq!(member.receive_purges(0, 1, 4, &[5, 6, 7]), MemberAction::Ignore);
     assert_eq!(member.receive_purges(0, 1, 9, &[10]), MemberAction::Resync);
@@ -18,9 +18,9 @@
 
 #[test]
 fn a_member_is_fresh_for_its_lease_after_a_heartbeat_at_its_position() {
-    let mut member = Member::new(FIVE, SECOND);
+    let mut member = Member::new(AT_FIVE, SECOND);
     assert!(!member.is_fresh(0));
-    // Entries alone do not say that there are no others.
+    // Entries alone don't confirm that there are no others.
     member.receive_purges(0, 1, 5, &[6]);
     assert!(!member.is_fresh(0));
     member.receive_purges(10, 1, 5, &[]);
@@ -33,12 +33,12 @@
 
 #[test]
 fn a_new_epoch_needs_a_flush_and_an_earlier_one_is_ignored() {
-    let mut member = Member::new(FIVE, SECOND);
+    let mut member = Member::new(AT_FIVE, SECOND);
     assert_eq!(member.receive_purges(0, 2, 5, &[6]), MemberAction::Resync);
     assert_eq!(member.receive_flush(Progress { epoch: 2, through: 1 }), MemberAction::InvalidateAll);
     assert_eq!(member.receive_flush(Progress { epoch: 2, through: 1 }), MemberAction::Ignore);
     assert_eq!(member.receive_purges(0, 1, 5, &[6]), MemberAction::Ignore);
-    assert_eq!(member.receive_flush(FIVE), MemberAction::Ignore);
+    assert_eq!(member.receive_flush(AT_FIVE), MemberAction::Ignore);
     assert_eq!(member.receive_purges(0, 2, 1, &[2]), MemberAction::Invalidate(&[2]));
 }
 
@@ -48,12 +48,12 @@
 }
 
 proptest! {
-    /// Whatever frames arrive, in any order: a member at position N has invalidated each entry up to N of this epoch, or
-    /// everything at once.
+    /// For any sequence of frames, a member at position N has invalidated each entry of this epoch up to N,
+    /// or has dropped every object.
     #[test]
-    fn a_claimed_position_was_applied(frames in prop::collection::vec((1u64..4, 0u64..30, 0usize..10, any::<bool>()), 0..80)) {
+    fn every_entry_up_to_the_position_was_applied(frames in prop::collection::vec((1u64..4, 0u64..30, 0usize..10, any::<bool>()), 0..80)) {
         let mut member = Member::new(Progress::default(), SECOND);
-        // The number up to which all was invalidated, by epoch; a flush invalidates everything.
+        // The number up to which all entries were invalidated, by epoch. A flush invalidates everything.
         let mut applied: BTreeMap<u64, u64> = BTreeMap::new();
         for (now, (epoch, after, count, flush)) in frames.into_iter().enumerate() {
             let before = member.progress();
--- a/crates/fanout/src/publishers.rs
+++ b/crates/fanout/src/publishers.rs
@@ -1,23 +1,23 @@
-//! Deduplication of publishers' calls, so that a call that is retried is not numbered twice.
+//! Deduplicates publishers' calls, so that a retried call is not numbered twice.
 
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// How many publishers are remembered; the least recently used one is evicted.
+/// The maximum number of remembered publishers. The least recently used one is evicted.
 const MAX_PUBLISHERS: usize = 1024;
-/// How many calls of each publisher are remembered.
+/// The maximum number of remembered calls of each publisher.
 const MAX_CALLS: usize = 256;
-/// The longest name of a publisher, in bytes.
+/// The maximum length of a publisher's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// What is known of a call.
+/// Whether a call was numbered before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallStatus {
-    /// It was not numbered yet.
+    /// The call was not numbered yet.
     New,
-    /// It was numbered; this is the number of its last entry.
+    /// The call was numbered. Holds the number of its last entry.
     Numbered(u64),
-    /// It is older than every call that is remembered of this publisher, so that it may have been numbered before.
+    /// The call is not newer than an evicted call of this publisher, so it may have been numbered before.
     Expired,
 }
 
@@ -26,13 +26,13 @@
 struct PublisherHistory {
     /// The value of [`Publishers::clock`] at its latest call.
     last_used: u64,
-    /// The sequence of each call and the number of its last entry, in the order of their arrival.
+    /// The sequence of each call and the number of its last entry, in order of arrival.
     calls: VecDeque<(u64, u64)>,
-    /// The highest sequence that was evicted.
+    /// The highest evicted sequence.
     evicted: Option<u64>,
 }
 
-/// The calls of all publishers, bounded in number.
+/// The remembered calls of all publishers, bounded in number.
 #[derive(Default)]
 pub struct Publishers {
     histories: FxHashMap<String, PublisherHistory>,
@@ -41,7 +41,7 @@
 }
 
 impl Publishers {
-    /// What is known of a call.
+    /// Returns whether a call was numbered before.
     pub fn status(&self, publisher: &str, sequence: u64) -> CallStatus {
         let Some(history) = self.histories.get(publisher) else { return CallStatus::New };
         match history.calls.iter().find(|(known, _)| *known == sequence) {
@@ -55,7 +55,7 @@
     pub fn record(&mut self, publisher: &str, sequence: u64, through: u64) {
         self.clock += 1;
         if !self.histories.contains_key(publisher) && self.histories.len() >= MAX_PUBLISHERS {
-            self.evict_oldest();
+            self.evict_least_recently_used();
         }
         let history = self.histories.entry(publisher.to_owned()).or_default();
         history.last_used = self.clock;
@@ -66,9 +66,9 @@
         }
     }
 
-    fn evict_oldest(&mut self) {
-        let oldest = self.histories.iter().min_by_key(|(_, history)| history.last_used);
-        if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+    fn evict_least_recently_used(&mut self) {
+        let least_recently_used = self.histories.iter().min_by_key(|(_, history)| history.last_used);
+        if let Some(name) = least_recently_used.map(|(name, _)| name.clone()) {
             self.histories.remove(&name);
         }
     }
--- a/crates/fanout/src/publishers/tests.rs
+++ b/crates/fanout/src/publishers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_retried_call_is_known_and_that_of_another_publisher_is_new() {
+fn a_retried_call_is_known_and_the_same_sequence_of_another_publisher_is_new() {
     let mut publishers = Publishers::default();
     publishers.record("a", 1, 10);
     assert_eq!(publishers.status("a", 1), CallStatus::Numbered(10));
--- a/crates/fanout/src/relay.rs
+++ b/crates/fanout/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: the log as received from its upstream, the children that are fed from it, and the report of what its whole
+//! A relay: keeps the log received from its upstream, sends it to its children, and reports what its whole
 //! subtree has applied. The root is a relay that numbers purges itself.
 
 mod child;
@@ -12,23 +12,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::BuildHasher;
 
-/// A connection to a child.
+/// The id of a connection to a child.
 pub type Id = u64;
 
 const SECOND: Nanos = 1_000_000_000;
-/// The shortest time between two requests for a resync.
+/// The minimum time between two resync requests.
 const RESYNC_INTERVAL: Nanos = SECOND;
-/// The shortest time between two batches of a replay.
+/// The minimum time between two batches of a replay.
 const REPLAY_INTERVAL: Nanos = SECOND / 100;
-/// How many positions of the log are recorded over the time of grace.
+/// The number of log positions recorded per grace period.
 const POSITION_SAMPLES: usize = 16;
 
-/// What a relay asks its owner to do.
+/// What the owner of a relay has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RelayAction {
-    /// Send these entries to all of these children; without keys, a heartbeat: nothing newer is known.
+    /// Send these entries to all of these children. Without keys it is a heartbeat: there is no newer entry.
     Purges {
-        /// The children.
+        /// The children's connections.
         to: Vec<Id>,
         /// The log's epoch.
         epoch: u64,
@@ -39,55 +39,55 @@
     },
     /// Tell a child to drop every object.
     Flush {
-        /// The child.
+        /// The child's connection.
         to: Id,
-        /// Its position afterwards.
+        /// The child's position afterwards.
         position: Progress,
     },
     /// Send `hello` to the upstream again, with [`Relay::progress`].
     Resync,
     /// Send a report to the upstream.
     Report(Report),
-    /// Close a child's connection, for this reason.
+    /// Close a child's connection for this reason.
     Disconnect(Id, String),
     /// Write a warning to the log.
     Warn(String),
 }
 
-/// Up to where a whole subtree has applied purges, and who lags.
+/// The position up to which a whole subtree has applied purges, and which members lag.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Everyone has applied everything up to here, except those that lag.
+    /// All members except the lagging ones have applied every entry up to this position.
     pub position: Progress,
-    /// How many lag behind it.
+    /// The number of members that lag behind it.
     pub lagging: u64,
-    /// Some of them, as `name@number`.
+    /// Some of the lagging members, as `name@number`.
     pub names: Vec<String>,
 }
 
 /// A child's `hello`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChildHello<'a> {
-    /// Its name, the same after a restart.
+    /// The child's name, which is the same after a restart.
     pub name: &'a str,
-    /// A number drawn when its process started.
+    /// A random number drawn when the child's process started.
     pub boot: u64,
-    /// Its position in the log.
+    /// The child's position in the log.
     pub position: Progress,
-    /// How many entries of one frame it accepts.
+    /// The maximum number of entries that the child accepts in one frame.
     pub max_frame_entries: usize,
 }
 
-/// The lowest position that a child needs and this log no longer has.
+/// A planned request to the upstream for entries that children need and this log no longer has.
 #[derive(Clone, Copy, Debug)]
 struct Refetch {
-    /// When the upstream is asked for it.
+    /// When the request is due.
     due: Nanos,
-    /// The number before the first entry needed.
+    /// The number before the first entry that is needed.
     after: u64,
 }
 
-/// A relay, or the root.
+/// A relay or the root.
 pub struct Relay {
     name: String,
     is_root: bool,
@@ -97,33 +97,33 @@
     departed: BTreeMap<String, DepartedChild>,
     /// When the next batch is sent to children.
     send_due_at: Option<Nanos>,
-    /// A heartbeat that was not forwarded yet.
+    /// Whether a heartbeat has to be forwarded to children.
     heartbeat_pending: bool,
     /// When the root last sent a heartbeat.
     last_heartbeat: Nanos,
     started: Nanos,
     resync_requested_at: Option<Nanos>,
     refetch: Option<Refetch>,
-    /// The upstream no longer has entries before this number of this epoch.
+    /// The upstream no longer has entries of this epoch before this number.
     upstream_floor: u64,
-    /// The newest number of the log at recent times, oldest first.
+    /// The newest number of the log at recent times, in order of time.
     recent_positions: VecDeque<(Nanos, u64)>,
     last_report: Report,
     next_report: Nanos,
     report_changed: bool,
-    /// The next report is sent even if it equals the last one.
+    /// Whether the next report is sent even if it equals the last one.
     force_report: bool,
-    /// A child knows a higher number of this epoch than this log.
+    /// Whether a child knows a higher number of this epoch than this log.
     child_ahead: bool,
 }
 
 impl Relay {
-    /// A relay with an empty log of this capacity.
+    /// Creates a relay with an empty log of this capacity, in entries.
     pub fn new(name: &str, settings: Settings, log_capacity: usize, now: Nanos) -> Self {
         Self::with_log(name, settings, Log::new(Progress::default(), log_capacity), false, now)
     }
 
-    /// The root, with its log.
+    /// Creates the root with its log.
     pub fn root(name: &str, settings: Settings, log: Log, now: Nanos) -> Self {
         Self::with_log(name, settings, log, true, now)
     }
@@ -153,30 +153,30 @@
         }
     }
 
-    /// The log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The last report to the upstream.
+    /// Returns the last report to the upstream.
     pub fn last_report(&self) -> &Report {
         &self.last_report
     }
 
-    /// The relay's position for its own `hello`: the whole subtree has applied everything up to it, and the log can be
-    /// continued from it.
+    /// Returns the position for the relay's own `hello`: the whole subtree has applied everything up to it,
+    /// and the log can be continued from it.
     pub fn progress(&self) -> Progress {
         let through = self.last_report.position.through.min(self.log.newest());
         Progress { epoch: self.log.epoch(), through }
     }
 
-    /// Whether a child knows a higher number of this epoch than the root: the root's log was restored from an older
-    /// state, and would assign numbers twice. The root has to start a new epoch.
+    /// Whether a child knows a higher number of this epoch than the root. The root's log was then restored
+    /// from an older state and would assign numbers twice, so the root has to start a new epoch.
     pub fn is_behind_children(&self) -> bool {
         self.is_root && self.child_ahead
     }
 
-    /// The root starts a new epoch: every child will be flushed.
+    /// Starts a new epoch at the root. Every child will be flushed.
     pub fn start_epoch(&mut self, now: Nanos, epoch: u64) {
         self.child_ahead = false;
         self.reset_log(now, Progress { epoch, through: 0 }, 0);
@@ -197,7 +197,7 @@
         self.schedule_send(now.saturating_add(self.settings.batch));
     }
 
-    /// Sends to children at this time, or earlier where that is planned already.
+    /// Schedules a pass over the children at this time, unless one is already scheduled.
     fn schedule_send(&mut self, at: Nanos) {
         self.send_due_at.get_or_insert(at);
     }
@@ -205,24 +205,25 @@
     fn record_position(&mut self, now: Nanos) {
         let grace = self.settings.grace;
         let interval = grace / POSITION_SAMPLES as u64;
-        let is_older = |at: Nanos, than: Nanos| now.saturating_sub(at) >= than;
-        if self.recent_positions.back().is_none_or(|(at, _)| is_older(*at, interval)) {
+        let has_age = |time: Nanos, age: Nanos| now.saturating_sub(time) >= age;
+        if self.recent_positions.back().is_none_or(|(time, _)| has_age(*time, interval)) {
             self.recent_positions.push_back((now, self.log.newest()));
         }
-        // The newest of those that are older than the grace stays.
-        while self.recent_positions.get(1).is_some_and(|(at, _)| is_older(*at, grace)) {
+        // Retain the newest sample that is at least one grace period old.
+        while self.recent_positions.get(1).is_some_and(|(time, _)| has_age(*time, grace)) {
             self.recent_positions.pop_front();
         }
     }
 
-    /// The newest number of the log one grace ago.
+    /// Returns the newest number of the log one grace period ago, or 0 if it is unknown.
     fn position_before_grace(&self, now: Nanos) -> u64 {
         let oldest = self.recent_positions.front();
-        let old = oldest.filter(|(at, _)| now.saturating_sub(*at) >= self.settings.grace);
+        let old = oldest.filter(|(time, _)| now.saturating_sub(*time) >= self.settings.grace);
         old.map_or(0, |(_, newest)| *newest)
     }
 
-    /// The upstream sent the entries from `after + 1` on; without keys, a heartbeat: nothing newer is known.
+    /// Handles the entries from `after + 1` on. Without keys it is a heartbeat: the root has nothing newer
+    /// than `after`.
     pub fn receive_purges(
         &mut self,
         now: Nanos,
@@ -249,13 +250,16 @@
     }
 
     fn request_resync(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
-        if self.resync_requested_at.is_none_or(|at| now.saturating_sub(at) >= RESYNC_INTERVAL) {
+        if self
+            .resync_requested_at
+            .is_none_or(|requested_at| now.saturating_sub(requested_at) >= RESYNC_INTERVAL)
+        {
             self.resync_requested_at = Some(now);
             actions.push(RelayAction::Resync);
         }
     }
 
-    /// The upstream no longer has the entries that this relay lacks.
+    /// Handles a flush: the upstream no longer has the entries that this relay lacks.
     pub fn receive_flush(&mut self, now: Nanos, position: Progress) {
         let own = self.log.position();
         if (own.epoch, own.through) >= (position.epoch, position.through) {
@@ -288,7 +292,7 @@
         ids.into_iter().for_each(|id| self.align_child(now, id));
     }
 
-    /// The connection to the upstream is established, and `hello` was sent on it.
+    /// Handles a new connection to the upstream, on which `hello` was sent.
     pub fn upstream_connected(&mut self, now: Nanos) {
         self.resync_requested_at = None;
         self.report_changed = true;
@@ -296,14 +300,15 @@
         self.next_report = now;
     }
 
-    /// A child sent `hello`, for the first time or, where it lacks entries, again on the same connection. It counts as
-    /// lagging until it acknowledges a position ([`Self::child_acked`]). False if there are too many children: its
-    /// connection has to be closed.
+    /// Handles a child's `hello`: the first on a connection, or a further one if the child lacks entries. The
+    /// child counts as lagging until it acknowledges a position ([`Self::child_acked`]). Returns false if
+    /// there are too many children; the connection then has to be closed.
     pub fn child_connected(&mut self, now: Nanos, id: Id, hello: ChildHello<'_>) -> bool {
         let ChildHello { name, boot, position, max_frame_entries } = hello;
-        // The same process on another connection: the old one is dead, even if the system has not noticed yet.
-        let is_same = |child: &Child| child.name == name && child.boot == boot;
-        let old = self.children.iter().find(|(old, child)| **old != id && is_same(child));
+        // The same process on another connection: the old connection is dead, even if its end was not
+        // detected yet.
+        let is_same_process = |child: &Child| child.name == name && child.boot == boot;
+        let old = self.children.iter().find(|(old, child)| **old != id && is_same_process(child));
         let old = old.map(|(old, _)| *old).and_then(|old| self.children.remove(&old));
         if self.children.len() >= self.settings.max_children && !self.children.contains_key(&id) {
             return false;
@@ -312,7 +317,8 @@
         let mut lagging = old.map(|old| old.lagging).or(departed).unwrap_or_default();
         let (mut acked, mut has_acked) = (position, false);
         if let Some(before) = self.children.get(&id) {
-            // Danger: a relay that goes back to fetch what its child lacks has still applied what it acknowledged.
+            // A relay that resets its log to refetch entries for a child has still applied what it
+            // acknowledged.
             if before.acked.epoch == position.epoch {
                 acked.through = acked.through.max(before.acked.through);
             }
@@ -337,7 +343,8 @@
         true
     }
 
-    /// Decides how a child joins the log: by a replay, by a flush, or after entries were fetched again from upstream.
+    /// Decides how a child is brought up to date: by a replay, by a flush, or by refetching entries from the
+    /// upstream.
     fn align_child(&mut self, now: Nanos, id: Id) {
         let (epoch, newest) = (self.log.epoch(), self.log.newest());
         let Some(child) = self.children.get_mut(&id).filter(|_| epoch > 0) else { return };
@@ -348,7 +355,7 @@
         if position.is_empty() {
             child.flush_due = Some(now);
         } else if position.epoch > epoch {
-            // The upstream has to announce that epoch first.
+            // Wait until the upstream announces that epoch.
         } else if position.epoch < epoch {
             child.flush_due = Some(spread_flush);
         } else if self.log.retains_after(position.through) {
@@ -360,13 +367,14 @@
         {
             child.flush_due = Some(spread_flush);
         } else {
-            // Danger: after a restart of this relay a flush of all children would empty a whole site.
+            // Refetch instead of flushing: after a restart of this relay a flush of all children would empty
+            // the caches of a whole site.
             let planned = self.refetch.unwrap_or(Refetch { due: batch_end, after: position.through });
             self.refetch = Some(Refetch { after: planned.after.min(position.through), ..planned });
         }
     }
 
-    /// A child reports up to where it, or its whole subtree, has applied purges.
+    /// Handles a child's report of the position up to which it, or its whole subtree, has applied purges.
     pub fn child_acked(&mut self, now: Nanos, id: Id, report: Report) {
         let Some(child) = self.children.get_mut(&id) else { return };
         child.last_ack = now;
@@ -384,7 +392,8 @@
         }
     }
 
-    /// Entries from `after + 1` on could not be sent to a child, since its queue is full.
+    /// Handles a failed send: the entries from `after + 1` on were not sent to a child, since its queue is
+    /// full.
     pub fn send_failed(&mut self, now: Nanos, id: Id, after: u64) {
         if let Some(child) = self.children.get_mut(&id) {
             child.sent = child.sent.map(|sent| sent.min(after));
@@ -392,7 +401,7 @@
         }
     }
 
-    /// A child's connection has ended.
+    /// Handles the end of a child's connection.
     pub fn child_disconnected(&mut self, now: Nanos, id: Id) {
         let Some(child) = self.children.remove(&id) else { return };
         self.report_changed = true;
@@ -409,7 +418,7 @@
         self.departed.insert(child.name, departed);
     }
 
-    /// When [`Self::tick`] has to be called at the latest.
+    /// Returns the latest time at which [`Self::tick`] has to be called next.
     pub fn next_tick(&self, now: Nanos) -> Nanos {
         let report = self.report_changed.then_some(self.next_report);
         let due = [self.send_due_at, self.refetch.map(|refetch| refetch.due), report];
@@ -417,7 +426,7 @@
         due.into_iter().flatten().fold(idle, Nanos::min).max(now)
     }
 
-    /// Lets time pass, and does what is due.
+    /// Does what is due at this time. Callers run it by the time that [`Self::next_tick`] returns.
     pub fn tick(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
         self.record_position(now);
         let since_heartbeat = now.saturating_sub(self.last_heartbeat);
@@ -437,10 +446,10 @@
         self.send_report(now, actions);
     }
 
-    /// Resets the log to an earlier position and asks the upstream to replay from there.
+    /// Resets the log to an earlier position and requests a replay from there.
     fn refetch_after(&mut self, now: Nanos, through: u64, actions: &mut Vec<RelayAction>) {
         let position = Progress { epoch: self.log.epoch(), through };
-        let warning = format!("the log of purges is fetched again from {through} on, for children that lag");
+        let warning = format!("refetching the purge log after entry {through} for lagging children");
         actions.push(RelayAction::Warn(warning));
         self.log.reset(position);
         self.resync_requested_at = Some(now);
@@ -453,7 +462,7 @@
     }
 }
 
-/// How much later than others the child of this name is flushed, within this time.
+/// Returns the delay before the child of this name is flushed, at most `spread`.
 fn flush_delay(name: &str, spread: Nanos) -> Nanos {
     let hash = FxBuildHasher.hash_one(name);
     ((u128::from(hash) * u128::from(spread)) >> 64) as Nanos
--- a/crates/fanout/src/relay/child.rs
+++ b/crates/fanout/src/relay/child.rs
@@ -1,13 +1,13 @@
-//! What a relay knows of one child, connected or not.
+//! What a relay knows about one child, connected or not.
 
 use crate::{Nanos, Progress};
 
 /// Members of a child's own subtree that lag behind what the child acknowledged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct LaggingBelow {
-    /// How many.
+    /// The number of these members.
     pub count: u64,
-    /// Some of their labels.
+    /// The labels of some of them.
     pub names: Vec<String>,
 }
 
@@ -15,39 +15,39 @@
 #[derive(Clone, Debug)]
 pub(super) struct Child {
     pub name: String,
-    /// A number drawn when its process started.
+    /// A random number drawn when its process started.
     pub boot: u64,
     /// Its position when it sent `hello`.
     pub joined_at: Progress,
-    /// The position that it acknowledged.
+    /// The position that it has acknowledged.
     pub acked: Progress,
-    /// Whether it has acknowledged a position on this connection. Danger: the `hello` of a relay says nothing of lagging
-    /// members below it, so that a child counts as lagging until its first acknowledgement.
+    /// Whether it has acknowledged a position on this connection. A relay's `hello` doesn't include lagging
+    /// members below it, so a child counts as lagging until its first acknowledgement.
     pub has_acked: bool,
-    /// The last entry that it was sent; none until it is known where it joins the log.
+    /// The number of the last entry sent to it. None until the number from which it continues is known.
     pub sent: Option<u64>,
-    /// When it is to be sent a flush.
+    /// When a flush is due to it.
     pub flush_due: Option<Nanos>,
-    /// When it last acknowledged something, or owed no acknowledgement.
+    /// When it last acknowledged something, or last had nothing to acknowledge.
     pub last_ack: Nanos,
     pub lagging: LaggingBelow,
-    /// How many entries one frame to it carries at most.
+    /// The maximum number of entries in one frame to it.
     pub max_frame_entries: usize,
 }
 
 impl Child {
-    /// Whether it acknowledged everything up to this position.
+    /// Whether it has acknowledged everything up to this position.
     pub fn has_acked_through(&self, position: Progress) -> bool {
         self.acked.epoch == position.epoch && self.acked.through >= position.through
     }
 
-    /// Its name and position, as reports list it.
+    /// Returns its name and position as listed in reports.
     pub fn label(&self) -> String {
         format!("{}@{}", self.name, self.acked.through)
     }
 }
 
-/// A child that has disconnected.
+/// A disconnected child.
 #[derive(Clone, Debug)]
 pub(super) struct DepartedChild {
     pub since: Nanos,
--- a/crates/fanout/src/relay/downstream.rs
+++ b/crates/fanout/src/relay/downstream.rs
@@ -5,25 +5,26 @@
 use crate::{Nanos, Progress};
 use std::collections::BTreeMap;
 
-/// One pass over the children: what is due to them, gathered so that equal frames are encoded once.
+/// One pass over the children. Collects what is due to them, so that a frame for several children is encoded
+/// once.
 #[derive(Default)]
 struct Pass {
-    /// The children that get the same entries, by the number before the first one and the count.
+    /// The children that are sent the same entries, by the number before the first one and the count.
     groups: BTreeMap<(u64, u64), Vec<Id>>,
-    /// The children that have everything once this pass is sent.
+    /// The children that have every entry once the frames of this pass are sent.
     current: Vec<Id>,
     /// When the next pass is due.
     next: Option<Nanos>,
 }
 
 impl Pass {
-    fn again_by(&mut self, due: Nanos) {
+    fn schedule_next(&mut self, due: Nanos) {
         self.next = Some(self.next.map_or(due, |next| next.min(due)));
     }
 }
 
 impl Relay {
-    /// Disconnects children that owe an acknowledgement for too long.
+    /// Disconnects children that have not acknowledged anything for the acknowledgement timeout.
     pub(super) fn disconnect_stuck(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
         let (epoch, newest) = (self.log.epoch(), self.log.newest());
         for (id, child) in &mut self.children {
@@ -40,11 +41,11 @@
         }
     }
 
-    /// Sends every child what is due to it.
+    /// Sends each child the entries, heartbeat or flush that is due to it.
     pub(super) fn send_due(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
         let position = self.log.position();
         let window = self.settings.window as u64;
-        let later = now.saturating_add(self.settings.batch.max(REPLAY_INTERVAL));
+        let next_pass_at = now.saturating_add(self.settings.batch.max(REPLAY_INTERVAL));
         let heartbeat = std::mem::take(&mut self.heartbeat_pending);
         let mut pass = Pass::default();
         let mut ids: Vec<Id> = self.children.keys().copied().collect();
@@ -53,7 +54,7 @@
             let Some(child) = self.children.get_mut(&id) else { continue };
             if let Some(due) = child.flush_due {
                 if due > now {
-                    pass.again_by(due);
+                    pass.schedule_next(due);
                     continue;
                 }
                 child.flush_due = None;
@@ -61,7 +62,7 @@
                 child.joined_at = position;
                 actions.push(RelayAction::Flush { to: id, position });
             }
-            plan_entries(&mut pass, id, child, position, window, later);
+            plan_entries(&mut pass, id, child, position, window, next_pass_at);
         }
         self.send_groups(now, &mut pass, actions);
         if heartbeat && !pass.current.is_empty() {
@@ -77,7 +78,8 @@
     fn send_groups(&mut self, now: Nanos, pass: &mut Pass, actions: &mut Vec<RelayAction>) {
         let epoch = self.log.epoch();
         for ((after, count), to) in std::mem::take(&mut pass.groups) {
-            // The log had these entries when the children were aligned with it; if it has moved on they are aligned again.
+            // The log had these entries when the children were aligned with it. If they were dropped since,
+            // align again.
             match self.log.entries_after(after, count as usize) {
                 Ok(keys) => actions.push(RelayAction::Purges { to, epoch, after, keys }),
                 Err(_) => to.into_iter().for_each(|id| self.realign(now, id, after)),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The log no longer has what a child needs next.
+    /// Aligns a child again after the log has dropped the entries that it needs next.
     fn realign(&mut self, now: Nanos, id: Id, after: u64) {
         let epoch = self.log.epoch();
         if let Some(child) = self.children.get_mut(&id) {
@@ -96,23 +98,31 @@
     }
 }
 
-/// Plans the entries that are due to one child.
-fn plan_entries(pass: &mut Pass, id: Id, child: &mut Child, position: Progress, window: u64, later: Nanos) {
+/// Adds the entries that are due to one child to the pass.
+fn plan_entries(
+    pass: &mut Pass,
+    id: Id,
+    child: &mut Child,
+    position: Progress,
+    window: u64,
+    next_pass_at: Nanos,
+) {
     let Some(mut sent) = child.sent else { return };
     let acked = if child.acked.epoch == position.epoch { child.acked.through } else { sent };
-    let open = window.saturating_sub(sent.saturating_sub(acked));
-    let frame = child.max_frame_entries as u64;
-    // Danger: a log that is replayed all at once fills the queue of its connection, which is closed for it.
-    let mut left = open.min(2 * frame).min(position.through.saturating_sub(sent));
-    while left > 0 {
-        let count = left.min(frame);
+    let window_left = window.saturating_sub(sent.saturating_sub(acked));
+    let max_frame = child.max_frame_entries as u64;
+    // At most two frames per pass: a log that is replayed at once fills the connection's queue, and a full
+    // queue closes the connection.
+    let mut remaining = window_left.min(2 * max_frame).min(position.through.saturating_sub(sent));
+    while remaining > 0 {
+        let count = remaining.min(max_frame);
         pass.groups.entry((sent, count)).or_default().push(id);
         sent += count;
-        left -= count;
+        remaining -= count;
     }
     child.sent = Some(sent);
-    if sent < position.through && open > 0 {
-        pass.again_by(later);
+    if sent < position.through && window_left > 0 {
+        pass.schedule_next(next_pass_at);
     }
     if sent == position.through {
         pass.current.push(id);
--- a/crates/fanout/src/relay/tests.rs
+++ b/crates/fanout/src/relay/tests.rs
@@ -10,7 +10,7 @@
     Relay::root("root", settings(), Log::new(Progress { epoch: 1, through: 0 }, entries), 0)
 }
 
-fn at(through: u64) -> Progress {
+fn position(through: u64) -> Progress {
     Progress { epoch: 1, through }
 }
 
@@ -31,64 +31,64 @@
     actions
 }
 
-fn sent(actions: &[RelayAction]) -> Vec<(Vec<Id>, u64, usize)> {
-    let of = |action: &RelayAction| match action {
+fn purges_sent(actions: &[RelayAction]) -> Vec<(Vec<Id>, u64, usize)> {
+    let entries_sent = |action: &RelayAction| match action {
         RelayAction::Purges { to, after, keys, .. } if !keys.is_empty() => {
             Some((to.clone(), *after, keys.len()))
         }
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(entries_sent).collect()
 }
 
 fn ack(relay: &mut Relay, now: Nanos, id: Id, through: u64) {
-    relay.child_acked(now, id, Report { position: at(through), ..Report::default() });
+    relay.child_acked(now, id, Report { position: position(through), ..Report::default() });
 }
 
 #[test]
 fn entries_within_a_batch_are_sent_as_one_to_all_children_at_the_same_position() {
     let mut relay = root(100);
     for id in 1..=3 {
-        assert!(join(&mut relay, 0, id, &format!("m{id}"), at(0), 100));
+        assert!(join(&mut relay, 0, id, &format!("m{id}"), position(0), 100));
     }
     relay.append(MS, &[7, 8]);
     relay.append(2 * MS, &[9]);
-    assert_eq!(sent(&tick(&mut relay, 3 * MS)), []);
-    assert_eq!(sent(&tick(&mut relay, 21 * MS)), [(vec![1, 2, 3], 0, 3)]);
-    assert_eq!(sent(&tick(&mut relay, 50 * MS)), []);
+    assert_eq!(purges_sent(&tick(&mut relay, 3 * MS)), []);
+    assert_eq!(purges_sent(&tick(&mut relay, 21 * MS)), [(vec![1, 2, 3], 0, 3)]);
+    assert_eq!(purges_sent(&tick(&mut relay, 50 * MS)), []);
 }
 
 #[test]
 fn the_reported_position_is_the_lowest_ack_and_a_child_behind_for_the_grace_is_named() {
     let mut relay = root(100);
     let start = 20 * SECOND;
-    join(&mut relay, start, 1, "a", at(0), 100);
-    join(&mut relay, start, 2, "b", at(0), 100);
+    join(&mut relay, start, 1, "a", position(0), 100);
+    join(&mut relay, start, 2, "b", position(0), 100);
     relay.append(start, &[7; 5]);
     tick(&mut relay, start + 20 * MS);
     ack(&mut relay, start + 30 * MS, 1, 5);
     ack(&mut relay, start + 30 * MS, 2, 3);
     tick(&mut relay, start + 60 * MS);
-    assert_eq!(relay.last_report(), &Report { position: at(3), ..Report::default() });
+    assert_eq!(relay.last_report(), &Report { position: position(3), ..Report::default() });
     tick(&mut relay, start + 5 * SECOND);
-    assert_eq!(relay.last_report(), &Report { position: at(5), lagging: 1, names: vec!["b@3".into()] });
+    assert_eq!(relay.last_report(), &Report { position: position(5), lagging: 1, names: vec!["b@3".into()] });
     ack(&mut relay, start + 6 * SECOND, 2, 5);
     tick(&mut relay, start + 7 * SECOND);
-    assert_eq!(relay.last_report(), &Report { position: at(5), ..Report::default() });
+    assert_eq!(relay.last_report(), &Report { position: position(5), ..Report::default() });
 }
 
 #[test]
 fn a_departed_child_is_named_until_its_retention_is_over() {
     let mut relay = root(100);
     let start = 20 * SECOND;
-    join(&mut relay, start, 1, "a", at(0), 100);
-    join(&mut relay, start, 2, "b", at(0), 100);
+    join(&mut relay, start, 1, "a", position(0), 100);
+    join(&mut relay, start, 2, "b", position(0), 100);
     relay.child_disconnected(start, 2);
     relay.append(start, &[7]);
     tick(&mut relay, start + 20 * MS);
     ack(&mut relay, start + 30 * MS, 1, 1);
     tick(&mut relay, start + 60 * MS);
-    assert_eq!(relay.last_report(), &Report { position: at(1), lagging: 1, names: vec!["b@0".into()] });
+    assert_eq!(relay.last_report(), &Report { position: position(1), lagging: 1, names: vec!["b@0".into()] });
     tick(&mut relay, start + 60 * SECOND);
     assert_eq!(relay.last_report().lagging, 0);
 }
@@ -98,26 +98,30 @@
     let mut relay = root(10);
     relay.append(0, &[7; 30]);
     for id in 1..=50 {
-        join(&mut relay, 0, id, &format!("m{id}"), at(3), 100);
+        join(&mut relay, 0, id, &format!("m{id}"), position(3), 100);
     }
     join(&mut relay, 0, 51, "new", Progress::default(), 100);
     let flushed = |actions: Vec<RelayAction>| {
-        let of = |a: RelayAction| {
+        let flush_sent = |a: RelayAction| {
             if let RelayAction::Flush { to, position } = a {
                 Some((to, position))
             } else {
                 None
             }
         };
-        actions.into_iter().filter_map(of).collect::<Vec<_>>()
+        actions.into_iter().filter_map(flush_sent).collect::<Vec<_>>()
     };
-    assert_eq!(flushed(tick(&mut relay, 20 * MS)), [(51, at(30))], "a child without objects need not wait");
-    let (mut times, mut all) = (0, 0);
+    assert_eq!(
+        flushed(tick(&mut relay, 20 * MS)),
+        [(51, position(30))],
+        "a child without objects need not wait"
+    );
+    let (mut ticks, mut total) = (0, 0);
     for n in 1..=100 {
-        let now = flushed(tick(&mut relay, n * SECOND / 10 + 20 * MS)).len();
-        (times, all) = (times + usize::from(now > 0), all + now);
+        let count = flushed(tick(&mut relay, n * SECOND / 10 + 20 * MS)).len();
+        (ticks, total) = (ticks + usize::from(count > 0), total + count);
     }
-    assert!(all == 50 && times > 25, "{all} at {times} times");
+    assert!(total == 50 && ticks > 25, "{total} flushes in {ticks} ticks");
 }
 
 #[test]
@@ -125,18 +129,18 @@
     let mut relay = Relay::root(
         "root",
         Settings { window: 250, max_frame_entries: 100, ..settings() },
-        Log::new(at(0), 1000),
+        Log::new(position(0), 1000),
         0,
     );
     relay.append(0, &[7; 1000]);
-    join(&mut relay, 0, 1, "a", at(0), 1000);
-    assert_eq!(sent(&tick(&mut relay, 20 * MS)), [(vec![1], 0, 100), (vec![1], 100, 100)]);
-    assert_eq!(sent(&tick(&mut relay, 40 * MS)), [(vec![1], 200, 50)]);
-    assert_eq!(sent(&tick(&mut relay, 60 * MS)), []);
+    join(&mut relay, 0, 1, "a", position(0), 1000);
+    assert_eq!(purges_sent(&tick(&mut relay, 20 * MS)), [(vec![1], 0, 100), (vec![1], 100, 100)]);
+    assert_eq!(purges_sent(&tick(&mut relay, 40 * MS)), [(vec![1], 200, 50)]);
+    assert_eq!(purges_sent(&tick(&mut relay, 60 * MS)), []);
     ack(&mut relay, 60 * MS, 1, 250);
-    assert_eq!(sent(&tick(&mut relay, 80 * MS)), [(vec![1], 250, 100), (vec![1], 350, 100)]);
+    assert_eq!(purges_sent(&tick(&mut relay, 80 * MS)), [(vec![1], 250, 100), (vec![1], 350, 100)]);
     relay.send_failed(80 * MS, 1, 350);
-    assert_eq!(sent(&tick(&mut relay, 100 * MS)), [(vec![1], 350, 100), (vec![1], 450, 50)]);
+    assert_eq!(purges_sent(&tick(&mut relay, 100 * MS)), [(vec![1], 350, 100), (vec![1], 450, 50)]);
     let stuck = tick(&mut relay, 100 * MS + settings().ack_timeout);
     assert!(matches!(stuck[..], [RelayAction::Disconnect(1, _), ..]), "{stuck:?}");
 }
@@ -146,28 +150,28 @@
     let mut relay = Relay::new("site", settings(), 1000, 0);
     relay.upstream_connected(0);
     assert!(relay.progress().is_empty());
-    join(&mut relay, 0, 1, "a", at(90), 100);
-    relay.receive_flush(MS, at(100));
-    join(&mut relay, MS, 2, "b", at(95), 100);
+    join(&mut relay, 0, 1, "a", position(90), 100);
+    relay.receive_flush(MS, position(100));
+    join(&mut relay, MS, 2, "b", position(95), 100);
     let resync = tick(&mut relay, 30 * MS);
     assert!(resync.contains(&RelayAction::Resync), "{resync:?}");
-    assert_eq!(relay.progress(), at(90));
+    assert_eq!(relay.progress(), position(90));
     relay.receive_purges(31 * MS, 1, 90, &[7; 15], &mut Vec::new());
     let actions = tick(&mut relay, 60 * MS);
-    assert_eq!(sent(&actions), [(vec![1], 90, 15), (vec![2], 95, 10)]);
-    // Entries that the upstream no longer has are not requested twice.
-    join(&mut relay, 61 * MS, 3, "c", at(10), 100);
+    assert_eq!(purges_sent(&actions), [(vec![1], 90, 15), (vec![2], 95, 10)]);
+    // Entries that the upstream no longer has are not requested again.
+    join(&mut relay, 61 * MS, 3, "c", position(10), 100);
     assert!(tick(&mut relay, 90 * MS).contains(&RelayAction::Resync));
-    relay.receive_flush(91 * MS, at(110));
-    join(&mut relay, 92 * MS, 4, "d", at(11), 100);
+    relay.receive_flush(91 * MS, position(110));
+    join(&mut relay, 92 * MS, 4, "d", position(11), 100);
     assert!(!tick(&mut relay, 3 * SECOND).contains(&RelayAction::Resync));
 }
 
 #[test]
-fn a_heartbeat_is_forwarded_only_to_children_that_have_everything() {
+fn a_heartbeat_is_forwarded_only_to_children_that_have_every_entry() {
     let mut relay = Relay::new("site", settings(), 1000, 0);
-    relay.receive_flush(0, at(100));
-    join(&mut relay, 0, 1, "a", at(100), 100);
+    relay.receive_flush(0, position(100));
+    join(&mut relay, 0, 1, "a", position(100), 100);
     assert!(!tick(&mut relay, 5 * SECOND).iter().any(|a| matches!(a, RelayAction::Purges { .. })));
     let mut actions = Vec::new();
     relay.receive_purges(6 * SECOND, 1, 100, &[], &mut actions);
@@ -182,9 +186,9 @@
 fn a_root_with_a_restored_log_starts_a_new_epoch() {
     let mut relay = root(10);
     relay.append(0, &[7; 3]);
-    join(&mut relay, 0, 1, "a", at(3), 100);
+    join(&mut relay, 0, 1, "a", position(3), 100);
     assert!(!relay.is_behind_children());
-    join(&mut relay, 0, 2, "b", at(4), 100);
+    join(&mut relay, 0, 2, "b", position(4), 100);
     assert!(relay.is_behind_children());
     relay.start_epoch(0, 2);
     assert!(!relay.is_behind_children());
@@ -194,18 +198,18 @@
 }
 
 #[test]
-fn a_name_that_is_too_long_is_cut_between_characters() {
+fn a_name_that_is_too_long_is_truncated_at_a_character_boundary() {
     let mut relay = root(10);
-    join(&mut relay, 0, 1, "a", at(0), 100);
-    relay.child_acked(1, 1, Report { position: at(0), lagging: 1, names: vec!["é".repeat(10_000)] });
+    join(&mut relay, 0, 1, "a", position(0), 100);
+    relay.child_acked(1, 1, Report { position: position(0), lagging: 1, names: vec!["é".repeat(10_000)] });
     tick(&mut relay, 20 * SECOND);
     assert_eq!(relay.last_report().names, ["é".repeat(128)]);
 }
 
 #[test]
-fn a_child_lags_between_its_hello_and_its_first_ack() {
+fn a_child_is_reported_as_lagging_between_its_hello_and_its_first_ack() {
     let mut relay = root(10);
-    join(&mut relay, 0, 1, "a", at(0), 100);
+    join(&mut relay, 0, 1, "a", position(0), 100);
     tick(&mut relay, 20 * SECOND);
     assert_eq!(relay.last_report().names, ["a@0"]);
     ack(&mut relay, 21 * SECOND, 1, 0);
@@ -214,11 +218,11 @@
 }
 
 #[test]
-fn names_are_bounded_and_the_others_are_counted() {
+fn a_report_lists_a_bounded_number_of_names_and_counts_all_lagging_children() {
     let mut relay = Relay::new("site", Settings { max_names: 3, ..settings() }, 1000, 0);
-    relay.receive_flush(0, at(100));
+    relay.receive_flush(0, position(100));
     for id in 0..10 {
-        join(&mut relay, 0, id, &format!("m{id}"), at(90 + id), 100);
+        join(&mut relay, 0, id, &format!("m{id}"), position(90 + id), 100);
     }
     tick(&mut relay, 20 * SECOND);
     let report = relay.last_report();
--- a/crates/fanout/src/relay/upstream.rs
+++ b/crates/fanout/src/relay/upstream.rs
@@ -1,23 +1,24 @@
-//! What a relay reports to its upstream: up to where its whole subtree has applied purges, and who lags.
+//! A relay's reports to its upstream: the position up to which its whole subtree has applied purges, and
+//! which members lag.
 
 use super::{Relay, RelayAction, Report};
 use crate::{Nanos, Progress};
 
-/// The longest name, with the relays in front of it, in bytes.
+/// The maximum length of a name including the names of the relays before it, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What one child, or one that has disconnected, contributes to a report.
-struct Entry<'a> {
-    /// Its own label, if it lags itself.
-    own: Option<String>,
-    /// Labels of members below it.
+/// What one child, connected or not, contributes to a report.
+struct ChildSummary<'a> {
+    /// The child's label if the child itself lags.
+    own_label: Option<String>,
+    /// The labels of lagging members below it.
     names: &'a [String],
-    /// How many members below it lag.
+    /// The number of lagging members below it.
     count: u64,
 }
 
 impl Relay {
-    /// Reports to the upstream if that is due and something has changed.
+    /// Sends a report to the upstream if one is due and the report has changed.
     pub(super) fn send_report(&mut self, now: Nanos, actions: &mut Vec<RelayAction>) {
         let retention = self.settings.departed_retention;
         self.departed.retain(|_, child| now.saturating_sub(child.since) < retention);
@@ -41,45 +42,48 @@
             report.lagging = 1;
             report.names.push(format!("{}@started", self.name));
         }
-        for Entry { own, names, count } in self.lagging_entries(position) {
-            report.lagging = report.lagging.saturating_add(count).saturating_add(u64::from(own.is_some()));
+        for ChildSummary { own_label, names, count } in self.lagging_children(position) {
+            report.lagging =
+                report.lagging.saturating_add(count).saturating_add(u64::from(own_label.is_some()));
             let capacity = self.settings.max_names.saturating_sub(report.names.len());
-            let labels = own.iter().chain(names).take(capacity);
+            let labels = own_label.iter().chain(names).take(capacity);
             report.names.extend(labels.map(|name| self.qualified(name)));
         }
         report
     }
 
-    /// The lowest number that the children which keep pace have acknowledged.
+    /// Returns the lowest number acknowledged by the children that lag no longer than the grace period.
     fn lowest_ack(&self, now: Nanos) -> u64 {
         let expected = self.position_before_grace(now);
         let epoch = self.log.epoch();
         let in_epoch = self.children.values().filter(|child| child.acked.epoch == epoch);
         let keep_pace = in_epoch.map(|child| child.acked.through).filter(|through| *through >= expected);
         let lowest = keep_pace.fold(self.log.newest(), u64::min);
-        // Danger: a relay that fetches entries again has still applied what it reported before.
+        // A relay that refetches entries has still applied what it reported before.
         lowest.max(self.last_report.position.through)
     }
 
-    /// Everyone that lags behind a position, in a stable order.
-    fn lagging_entries(&self, position: Progress) -> Vec<Entry<'_>> {
+    /// Returns the children that lag, or have lagging members below them, in a stable order.
+    fn lagging_children(&self, position: Progress) -> Vec<ChildSummary<'_>> {
         let connected = self.children.values().map(|child| {
             let lags = !child.has_acked || !child.has_acked_through(position);
-            let own = lags.then(|| child.label());
-            Entry { own, names: &child.lagging.names, count: child.lagging.count }
+            let own_label = lags.then(|| child.label());
+            ChildSummary { own_label, names: &child.lagging.names, count: child.lagging.count }
         });
         let departed = self.departed.iter().map(|(name, child)| {
             let lags = (child.acked.epoch, child.acked.through) < (position.epoch, position.through);
-            let own = lags.then(|| format!("{name}@{}", child.acked.through));
-            Entry { own, names: &child.lagging.names, count: child.lagging.count }
+            let own_label = lags.then(|| format!("{name}@{}", child.acked.through));
+            ChildSummary { own_label, names: &child.lagging.names, count: child.lagging.count }
         });
-        let mut entries: Vec<Entry<'_>> =
-            connected.chain(departed).filter(|entry| entry.count > 0 || entry.own.is_some()).collect();
-        entries.sort_by(|a, b| (&a.own, a.names).cmp(&(&b.own, b.names)));
-        entries
+        let mut summaries: Vec<ChildSummary<'_>> = connected
+            .chain(departed)
+            .filter(|summary| summary.count > 0 || summary.own_label.is_some())
+            .collect();
+        summaries.sort_by(|a, b| (&a.own_label, a.names).cmp(&(&b.own_label, b.names)));
+        summaries
     }
 
-    /// A name as the upstream knows it.
+    /// Returns a name as reported to the upstream: prefixed with this relay's name, except at the root.
     fn qualified(&self, name: &str) -> String {
         let mut qualified = if self.is_root { name.to_owned() } else { format!("{}/{name}", self.name) };
         truncate_name(&mut qualified);
@@ -87,7 +91,7 @@
     }
 }
 
-/// Cuts a name that is too long, between two characters.
+/// Truncates a name to [`MAX_NAME_BYTES`] at a character boundary.
 pub(super) fn truncate_name(name: &mut String) {
     let end = (0..=MAX_NAME_BYTES.min(name.len())).rev().find(|n| name.is_char_boundary(*n)).unwrap_or(0);
     name.truncate(end);
--- a/crates/fanout/src/settings.rs
+++ b/crates/fanout/src/settings.rs
@@ -1,4 +1,4 @@
-//! Times and limits of a relay.
+//! The settings of a relay.
 
 use crate::Nanos;
 
@@ -7,31 +7,32 @@
 /// Times and limits of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long entries are collected, from the first of them, before they are sent as one batch.
+    /// How long entries are collected, counted from the first one, before they are sent as one batch.
     pub batch: Nanos,
-    /// The shortest time between two reports to the upstream.
+    /// The minimum time between two reports to the upstream.
     pub report_interval: Nanos,
     /// The time between two heartbeats of the root.
     pub heartbeat_interval: Nanos,
-    /// A child that lags for longer than this is reported by name, and no longer waited for.
+    /// How long a child may lag. After this it is reported by name, and the reported position no longer waits
+    /// for it.
     pub grace: Nanos,
-    /// A child that was sent entries, and acknowledges none of them for so long, is disconnected.
+    /// A child that was sent entries and acknowledges none of them for this long is disconnected.
     pub ack_timeout: Nanos,
-    /// How long a member may claim to be fresh after a confirmation. After its start a relay reports itself as lagging
-    /// for this time and the grace, since it can't know yet which children it had before.
+    /// How long a member may claim to be fresh after a confirmation. After its start a relay reports itself
+    /// as lagging for this time plus `grace`, since it doesn't know which children it had before.
     pub lease: Nanos,
-    /// How long a child that has disconnected is reported as lagging. At least `lease`: until then it may claim to be
-    /// fresh.
+    /// How long a disconnected child is reported as lagging. At least `lease`, since it may claim to be fresh
+    /// until then.
     pub departed_retention: Nanos,
-    /// Flushes of children are spread over this time.
+    /// The time over which flushes of children are spread.
     pub flush_spread: Nanos,
-    /// How many entries may be sent to a child without being acknowledged.
+    /// The maximum number of unacknowledged entries sent to a child.
     pub window: usize,
-    /// How many entries one frame carries at most.
+    /// The maximum number of entries in one frame.
     pub max_frame_entries: usize,
-    /// How many children may be connected, and how many that have disconnected are remembered.
+    /// The maximum number of connected children, and of remembered disconnected ones.
     pub max_children: usize,
-    /// How many names a report lists; the others are only counted.
+    /// The maximum number of names listed in a report. Further ones are only counted.
     pub max_names: usize,
 }
 
--- a/crates/fanout/tests/net/mod.rs
+++ b/crates/fanout/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! A tree in one thread: connections are queues, time passes in steps of ten milliseconds.
+//! A simulated tree in one thread: connections are queues, and time advances in steps of ten milliseconds.
 
 use aniseyoke_fanout::relay::{ChildHello, Report};
 use aniseyoke_fanout::{Log, Member, MemberAction, Nanos, Progress, Relay, RelayAction, Settings};
@@ -8,24 +8,25 @@
 const STEP: Nanos = 10 * MS;
 const LEASE: Nanos = 1000 * MS;
 
-/// An event in a tree; indices are taken modulo the number of nodes.
+/// An event in a simulated tree. Indices are taken modulo the number of nodes.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// The root appends so many purges.
+    /// The root appends this number of purges.
     Purge(usize),
-    /// Time passes, in steps.
+    /// Time advances by this number of steps.
     Wait(u64),
-    /// A connection unnoticed_ends; the upper end learns it later.
+    /// A connection ends. If the flag is set, the upstream end detects it only later.
     Cut(usize, bool),
-    /// Frames up, frames down on a connection are lost until it is cut, or until the next such event.
+    /// Frames to the upstream (first flag) or from it (second flag) are lost on a connection, until it is cut
+    /// or until the next such event.
     Lose(usize, bool, bool),
-    /// The frames in flight down a connection are lost.
+    /// The frames in flight from the upstream on a connection are lost.
     Drop(usize),
     /// Every frame in flight on a connection is duplicated.
     Duplicate(usize),
-    /// A relay restarts, and loses its state.
+    /// A relay restarts and loses its state.
     RestartRelay(usize),
-    /// A leaf restarts, and loses its state.
+    /// A leaf restarts and loses its state.
     RestartLeaf(usize),
     /// The root restarts with its log.
     RestartRoot,
@@ -34,13 +35,13 @@
 }
 
 #[derive(Clone)]
-enum Up {
+enum UpFrame {
     Hello(Progress),
     Ack(Report),
 }
 
 #[derive(Clone)]
-enum Down {
+enum DownFrame {
     Purges(u64, u64, Vec<u64>),
     Flush(Progress),
 }
@@ -49,11 +50,13 @@
 struct Conn {
     /// None while there is no connection.
     id: Option<u64>,
-    /// Relay 0 is the root.
+    /// The index of the upstream relay; 0 is the root.
     to: usize,
-    retry: Nanos,
-    up: VecDeque<Up>,
-    down: VecDeque<Down>,
+    /// When a connection is next attempted.
+    retry_at: Nanos,
+    up: VecDeque<UpFrame>,
+    down: VecDeque<DownFrame>,
+    /// Whether frames to the upstream and from it are lost.
     lose: (bool, bool),
 }
 
@@ -64,18 +67,19 @@
 
 pub struct Net {
     now: Nanos,
-    entries: usize,
+    log_capacity: usize,
     seed: u64,
-    ids: u64,
+    last_id: u64,
     /// The keys that the root appended, by epoch.
     appended: BTreeMap<u64, Vec<u64>>,
     epoch: u64,
-    /// The root, and the relays.
+    /// The root, followed by the other relays.
     relays: Vec<Relay>,
     members: Vec<Member>,
-    /// Relays but the root, then leaves.
+    /// The relays except the root, followed by the leaves.
     nodes: Vec<Node>,
-    /// Ends that upper unnoticed_ends have not learnt yet.
+    /// Connections that have ended and whose upstream end detects it later: the time, the relay and the
+    /// connection.
     unnoticed_ends: Vec<(Nanos, usize, u64)>,
 }
 
@@ -95,20 +99,20 @@
 }
 
 impl Net {
-    pub fn new(relays: usize, leaves: usize, entries: usize, seed: u64) -> Self {
-        let log = Log::new(Progress { epoch: 1, through: 0 }, entries);
+    pub fn new(relays: usize, leaves: usize, log_capacity: usize, seed: u64) -> Self {
+        let log = Log::new(Progress { epoch: 1, through: 0 }, log_capacity);
         let mut all = vec![Relay::root("root", settings(true), log, 0)];
-        all.extend((1..=relays).map(|n| Relay::new(&format!("r{n}"), settings(false), entries, 0)));
+        all.extend((1..=relays).map(|n| Relay::new(&format!("r{n}"), settings(false), log_capacity, 0)));
         let node = |n: usize| {
             let to = if n < relays { 0 } else { 1 + n % relays };
             let (up, down) = (VecDeque::new(), VecDeque::new());
-            Node { boot: 0, conn: Conn { id: None, to, retry: 0, up, down, lose: (false, false) } }
+            Node { boot: 0, conn: Conn { id: None, to, retry_at: 0, up, down, lose: (false, false) } }
         };
         Net {
             now: 0,
-            entries,
+            log_capacity,
             seed: seed | 1,
-            ids: 0,
+            last_id: 0,
             appended: BTreeMap::from([(1, Vec::new())]),
             epoch: 1,
             relays: all,
@@ -118,12 +122,12 @@
         }
     }
 
-    fn random(&mut self, of: u64) -> u64 {
-        // Xorshift: enough to vary the order of what comes.
+    fn random(&mut self, bound: u64) -> u64 {
+        // Xorshift is sufficient to vary the order of events.
         self.seed ^= self.seed << 13;
         self.seed ^= self.seed >> 7;
         self.seed ^= self.seed << 17;
-        self.seed % of
+        self.seed % bound
     }
 
     fn relay_count(&self) -> usize {
@@ -146,7 +150,7 @@
         self.members.iter().all(|member| member.is_fresh(self.now))
     }
 
-    pub fn play(&mut self, op: Op) {
+    pub fn apply(&mut self, op: Op) {
         let (relays, nodes, leaves) = (self.relay_count(), self.nodes.len(), self.members.len());
         match op {
             Op::Purge(count) => {
@@ -157,7 +161,7 @@
                 self.relays[0].append(self.now, &keys);
             }
             Op::Wait(steps) => (0..steps).for_each(|_| self.step()),
-            Op::Cut(n, late) => self.cut(n % nodes, late),
+            Op::Cut(n, unnoticed) => self.cut(n % nodes, unnoticed),
             Op::Lose(n, up, down) => self.nodes[n % nodes].conn.lose = (up, down),
             Op::Drop(n) => self.nodes[n % nodes].conn.down.clear(),
             Op::Duplicate(n) => {
@@ -189,17 +193,17 @@
         }
         self.unnoticed_ends.retain(|(_, to, _)| *to != relay);
         self.relays[relay] = if relay == 0 {
-            let mut log = Log::new(Progress { epoch: self.epoch, through: 0 }, self.entries);
+            let mut log = Log::new(Progress { epoch: self.epoch, through: 0 }, self.log_capacity);
             self.appended[&self.epoch].iter().for_each(|key| _ = log.append(*key));
             Relay::root("root", settings(true), log, self.now)
         } else {
             self.cut(relay - 1, true);
             self.nodes[relay - 1].boot += 1;
-            Relay::new(&format!("r{relay}"), settings(false), self.entries, self.now)
+            Relay::new(&format!("r{relay}"), settings(false), self.log_capacity, self.now)
         };
     }
 
-    fn cut(&mut self, node: usize, late: bool) {
+    fn cut(&mut self, node: usize, unnoticed: bool) {
         let wait = 100 * MS + self.random(200) * MS;
         let relays = self.relay_count();
         let other = 1 + self.random(relays as u64) as usize;
@@ -209,18 +213,18 @@
         conn.down.clear();
         let Some(id) = conn.id.take() else { return };
         let to = conn.to;
-        conn.retry = self.now + wait;
+        conn.retry_at = self.now + wait;
         if node >= relays {
             conn.to = other;
         }
-        if late {
+        if unnoticed {
             self.unnoticed_ends.push((self.now + 500 * MS, to, id));
         } else {
             self.relays[to].child_disconnected(self.now, id);
         }
     }
 
-    /// The position of a node.
+    /// Returns the position of a node.
     fn position_of(&self, node: usize) -> Progress {
         let relays = self.relay_count();
         match node.checked_sub(relays) {
@@ -229,29 +233,29 @@
         }
     }
 
-    fn send_up(&mut self, node: usize, what: Up) {
+    fn send_up(&mut self, node: usize, frame: UpFrame) {
         let conn = &mut self.nodes[node].conn;
         if conn.id.is_some() && !conn.lose.0 {
-            conn.up.push_back(what);
+            conn.up.push_back(frame);
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
         let unnoticed_ends: Vec<_> =
-            self.unnoticed_ends.extract_if(.., |(at, _, _)| *at <= self.now).collect();
+            self.unnoticed_ends.extract_if(.., |(detected_at, _, _)| *detected_at <= self.now).collect();
         unnoticed_ends.into_iter().for_each(|(_, to, id)| self.relays[to].child_disconnected(self.now, id));
         for node in 0..self.nodes.len() {
             let conn = &mut self.nodes[node].conn;
-            if conn.id.is_none() && conn.retry <= self.now {
-                self.ids += 1;
-                conn.id = Some(self.ids);
+            if conn.id.is_none() && conn.retry_at <= self.now {
+                self.last_id += 1;
+                conn.id = Some(self.last_id);
                 let position = self.position_of(node);
-                self.send_up(node, Up::Hello(position));
+                self.send_up(node, UpFrame::Hello(position));
                 if node < self.relay_count() {
                     self.relays[node + 1].upstream_connected(self.now);
                 } else {
-                    self.send_up(node, Up::Ack(Report { position, ..Report::default() }));
+                    self.send_up(node, UpFrame::Ack(Report { position, ..Report::default() }));
                 }
             }
             for _ in 0..self.random(6) {
@@ -264,7 +268,7 @@
         for relay in 0..self.relays.len() {
             let mut actions = Vec::new();
             self.relays[relay].tick(self.now, &mut actions);
-            self.act(relay, actions);
+            self.run_actions(relay, actions);
         }
         self.check();
     }
@@ -273,12 +277,12 @@
         let (boot, conn) = (self.nodes[node].boot, &mut self.nodes[node].conn);
         let (Some(id), to) = (conn.id, conn.to) else { return };
         match conn.up.pop_front() {
-            Some(Up::Hello(position)) => {
+            Some(UpFrame::Hello(position)) => {
                 let name = format!("n{node}");
                 let hello = ChildHello { name: &name, boot, position, max_frame_entries: 4 };
                 assert!(self.relays[to].child_connected(self.now, id, hello));
             }
-            Some(Up::Ack(report)) => self.relays[to].child_acked(self.now, id, report),
+            Some(UpFrame::Ack(report)) => self.relays[to].child_acked(self.now, id, report),
             None => {}
         }
     }
@@ -289,58 +293,60 @@
         let Some(leaf) = node.checked_sub(relays) else {
             let (relay, mut actions) = (node + 1, Vec::new());
             match frame {
-                Down::Purges(epoch, after, keys) => {
+                DownFrame::Purges(epoch, after, keys) => {
                     self.relays[relay].receive_purges(self.now, epoch, after, &keys, &mut actions);
                 }
-                Down::Flush(at) => self.relays[relay].receive_flush(self.now, at),
+                DownFrame::Flush(position) => self.relays[relay].receive_flush(self.now, position),
             }
-            return self.act(relay, actions);
+            return self.run_actions(relay, actions);
         };
         let (member, appended) = (&mut self.members[leaf], &self.appended);
         let before = member.progress();
         let mut needs_resync = false;
         match frame {
-            Down::Purges(epoch, after, keys) => match member.receive_purges(self.now, epoch, after, &keys) {
-                MemberAction::Invalidate(keys) => {
-                    let from = before.through as usize;
-                    assert_eq!(
-                        keys,
-                        &appended[&epoch][from..from + keys.len()],
-                        "invalidated in the order of the log"
-                    );
+            DownFrame::Purges(epoch, after, keys) => {
+                match member.receive_purges(self.now, epoch, after, &keys) {
+                    MemberAction::Invalidate(keys) => {
+                        let from = before.through as usize;
+                        assert_eq!(
+                            keys,
+                            &appended[&epoch][from..from + keys.len()],
+                            "invalidated in the order of the log"
+                        );
+                    }
+                    MemberAction::Resync => needs_resync = true,
+                    MemberAction::InvalidateAll => panic!("entries can't flush a member"),
+                    MemberAction::Ignore => {}
                 }
-                MemberAction::Resync => needs_resync = true,
-                MemberAction::InvalidateAll => panic!("entries can't flush a member"),
-                MemberAction::Ignore => {}
-            },
-            Down::Flush(at) => _ = member.receive_flush(at),
+            }
+            DownFrame::Flush(position) => _ = member.receive_flush(position),
         }
         let position = member.progress();
         if needs_resync {
-            self.send_up(node, Up::Hello(position));
+            self.send_up(node, UpFrame::Hello(position));
         }
         if position != before {
-            self.send_up(node, Up::Ack(Report { position, ..Report::default() }));
+            self.send_up(node, UpFrame::Ack(Report { position, ..Report::default() }));
         }
     }
 
-    fn act(&mut self, relay: usize, actions: Vec<RelayAction>) {
+    fn run_actions(&mut self, relay: usize, actions: Vec<RelayAction>) {
         let node = relay.checked_sub(1);
         for action in actions {
             match action {
                 RelayAction::Purges { to, epoch, after, keys } => {
                     to.into_iter()
-                        .for_each(|id| self.send(relay, id, Down::Purges(epoch, after, keys.clone())));
+                        .for_each(|id| self.send(relay, id, DownFrame::Purges(epoch, after, keys.clone())));
                 }
-                RelayAction::Flush { to, position } => self.send(relay, to, Down::Flush(position)),
+                RelayAction::Flush { to, position } => self.send(relay, to, DownFrame::Flush(position)),
                 RelayAction::Resync => {
                     let node = node.expect("the root has no upstream");
                     let position = self.position_of(node);
-                    self.send_up(node, Up::Hello(position));
+                    self.send_up(node, UpFrame::Hello(position));
                 }
                 RelayAction::Report(report) => node.into_iter().for_each(|node| {
                     if report.position.epoch > 0 {
-                        self.send_up(node, Up::Ack(report.clone()));
+                        self.send_up(node, UpFrame::Ack(report.clone()));
                     }
                 }),
                 RelayAction::Disconnect(id, _) => {
@@ -352,14 +358,14 @@
         }
     }
 
-    fn send(&mut self, relay: usize, id: u64, frame: Down) {
+    fn send(&mut self, relay: usize, id: u64, frame: DownFrame) {
         let found = self.nodes.iter_mut().find(|n| n.conn.id == Some(id) && n.conn.to == relay);
         if let Some(node) = found.filter(|n| !n.conn.lose.1) {
             node.conn.down.push_back(frame);
         }
     }
 
-    /// Invariants that hold at any time.
+    /// Asserts the invariants that hold after each step.
     fn check(&self) {
         let Report { position: reported, lagging, .. } = self.last_report();
         for (leaf, member) in self.members.iter().enumerate() {
@@ -377,7 +383,7 @@
         }
     }
 
-    /// Reconnects everyone without further faults, until all have everything or a limit of time is over.
+    /// Reconnects all nodes and runs without further faults, until all have every entry or 120 s have passed.
     pub fn recover(&mut self) {
         for node in 0..self.nodes.len() {
             self.cut(node, false);
--- a/crates/fanout/tests/tree.rs
+++ b/crates/fanout/tests/tree.rs
@@ -11,7 +11,7 @@
         8 => (1usize..30).prop_map(Op::Purge),
         6 => (1u64..40).prop_map(Op::Wait),
         1 => (40u64..500).prop_map(Op::Wait),
-        3 => (any::<usize>(), any::<bool>()).prop_map(|(n, late)| Op::Cut(n, late)),
+        3 => (any::<usize>(), any::<bool>()).prop_map(|(n, unnoticed)| Op::Cut(n, unnoticed)),
         2 => (any::<usize>(), any::<bool>(), any::<bool>()).prop_map(|(n, up, down)| Op::Lose(n, up, down)),
         3 => any::<usize>().prop_map(Op::Drop),
         2 => any::<usize>().prop_map(Op::Duplicate),
@@ -25,14 +25,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// Who claims to stand at N has dropped each through N, or everything; done is told, with nobody lagging, only when
-    /// all who claim to be fresh have it; and after all is mended everybody has everything. `Net` asserts the first two
-    /// at each of its steps.
+    /// A member at position N has applied each entry up to N, or dropped every object. A position is reported
+    /// without lagging members only if every member that claims to be fresh has reached it. After the faults
+    /// end, all members reach the newest position. `Net` asserts the first two invariants at each step.
     #[test]
     fn no_position_is_claimed_that_was_not_applied(ops in prop::collection::vec(op(), 1..60), entries in prop_oneof![Just(20usize), Just(100_000)], seed in any::<u64>()) {
         let mut net = Net::new(2, 4, entries, seed);
         for op in ops {
-            net.play(op);
+            net.apply(op);
         }
         net.recover();
         let newest = net.newest();
