--- a/crates/benchlink/src/adapter.rs
+++ b/crates/benchlink/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts one decision module for each instance, and drives them by the messages on the wire. Instances share nothing.
+//! Runs one decision module per instance and drives it by the messages received. Instances share no state.
 
 use crate::wire::{self, Message, WireError};
 use aniseyoke_decision::api::{Action, Entry, Event, ListKind, Nanos, ReportColumns, ServerId};
@@ -8,80 +8,80 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// How many numbered lists the wire has.
+/// Number of numbered lists in the protocol.
 const PAGES: usize = 16;
 
-/// Why a message can't be carried out.
+/// Why a message can't be processed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum MessageError {
-    /// The line is no message.
+    /// The line is not a valid message.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Something else came where entries of a list are due.
+    /// Another message arrived before all entries of a list.
     #[error("list {page} lacks {missing} entries")]
     EntriesMissing {
         /// The list.
         page: usize,
-        /// Entries still to come.
+        /// Number of entries not received yet.
         missing: usize,
     },
-    /// An entry that belongs to no list.
+    /// An entry arrived outside of a list.
     #[error("entry without a list")]
     StrayEntry,
-    /// A batch began before the last one ended.
+    /// A batch began before the previous one ended.
     #[error("frame inside a batch")]
     NestedBatch,
-    /// A batch ended that had not begun.
+    /// A batch ended without having begun.
     #[error("go without a frame")]
     NoBatch,
-    /// The wire has no list of this number.
+    /// The number of a list is out of range.
     #[error("list number is over {max}: {0}", max = PAGES - 1)]
     PageNumber(usize),
-    /// A list is referred to that was not sent.
+    /// A message refers to a list that was not sent.
     #[error("list {0} was never sent")]
     UnknownPage(usize),
 }
 
-/// Why the adapter ends before its input does.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A line can't be read from the input.
+    /// Reading a line failed.
     #[error("line {line}: cannot be read: {cause}")]
     Read {
-        /// The number of the line, from 1.
+        /// Line number, counted from 1.
         line: u64,
-        /// The error of the input.
+        /// The underlying I/O error.
         cause: io::Error,
     },
     /// A line is not UTF-8.
     #[error("line {line}: not UTF-8")]
     NotUtf8 {
-        /// The number of the line, from 1.
+        /// Line number, counted from 1.
         line: u64,
     },
-    /// A line can't be carried out.
+    /// A message can't be processed.
     #[error("line {line}: {cause}")]
     Message {
-        /// The number of the line, from 1.
+        /// Line number, counted from 1.
         line: u64,
-        /// What is wrong with it.
+        /// The error of the message.
         cause: MessageError,
     },
     /// The input ended before a batch was complete.
     #[error("line {line}: the input ends inside a batch")]
     Truncated {
-        /// The number of the line that is missing, from 1.
+        /// Number of the missing line, counted from 1.
         line: u64,
     },
-    /// The reply can't be written.
+    /// Writing the reply failed.
     #[error("the reply cannot be written: {0}")]
     Write(io::Error),
 }
 
-/// Reads messages until the input ends, and replies to each batch.
+/// Processes messages until the end of the input and writes one reply per batch.
 ///
 /// # Errors
-/// If the input can't be read or understood, or the output can't be written.
+/// Returns an error if the input can't be read or parsed, or the output can't be written.
 pub fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut bytes = Vec::new();
@@ -105,33 +105,33 @@
     Ok(())
 }
 
-/// A list that is being received.
+/// A list whose entries are being received.
 #[derive(Clone, Copy)]
 struct OpenPage {
     number: usize,
-    /// Entries still to come.
+    /// Number of entries not received yet.
     missing: usize,
 }
 
-/// All state of the adapter.
+/// The state of the adapter.
 #[derive(Default)]
 struct Adapter {
     now: Nanos,
     balancers: FxHashMap<String, Balancer>,
-    /// The columns of each instance's load reports.
+    /// Column layout of load reports, per instance.
     columns: FxHashMap<String, ReportColumns>,
-    /// Names of servers, for the wire alone; no decision depends on them.
+    /// Server names, used only to write messages; no decision depends on them.
     names: FxHashMap<ServerId, String>,
     pages: [Option<Vec<Entry>>; PAGES],
     in_batch: bool,
     open_page: Option<OpenPage>,
-    /// Of the event in hand; kept for its memory.
+    /// Actions of the current event; a field so that its allocation is reused.
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Adapter {
-    /// Carries out one line; true when a batch has ended and the reply is due.
+    /// Processes one line. Returns true at the end of a batch, when the reply is to be written.
     fn handle(&mut self, line: &str) -> Result<bool, MessageError> {
         let message = wire::parse(line)?;
         if let Some(page) = self.open_page {
@@ -197,7 +197,7 @@
         Ok(())
     }
 
-    /// The entries that an update of the endpoint list refers to.
+    /// Returns the entries that an endpoint list update refers to.
     fn entries(&self, kind: ListKind, page: usize) -> Result<Vec<Entry>, MessageError> {
         if kind == ListKind::Failed {
             return Ok(Vec::new());
@@ -205,11 +205,12 @@
         self.pages.get(page).cloned().flatten().ok_or(MessageError::UnknownPage(page))
     }
 
-    /// Hands an event to an instance and writes what it decides; an event of an unknown instance is ignored.
+    /// Passes an event to an instance and appends its actions to the reply. Events of unknown instances are
+    /// ignored.
     fn event(&mut self, instance: &str, event: Event) {
         let Some(balancer) = self.balancers.get_mut(instance) else { return };
         let (now, actions) = (self.now, &mut self.actions);
-        // A panic inside the decision module has to be reported as such, and must not end the process.
+        // A panic in the decision module is reported as a `bug` line and must not end the process.
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
             self.actions.clear();
@@ -223,7 +224,7 @@
     }
 }
 
-/// The message of a panic on one line.
+/// Returns the message of a panic as a single line.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic").replace('\n', " ")
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,7 +1,7 @@
-//! An adapter that runs the decision module on the wire of the bench's simulator.
+//! An adapter that connects the decision module to the simulator over a text protocol.
 //!
-//! - [`wire`]: the text protocol, one message a line.
-//! - [`adapter`]: one decision module for each instance, driven by these messages.
+//! - [`wire`]: the text protocol, one message per line.
+//! - [`adapter`]: one decision module per instance, driven by these messages.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's wire on standard input and output.
+//! Runs the simulator's text protocol on standard input and output.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/benchlink/src/wire/fields.rs
+++ b/crates/benchlink/src/wire/fields.rs
@@ -1,19 +1,19 @@
-//! Reads the fields of a line one by one.
+//! Parses the fields of a line in order.
 
 use aniseyoke_decision::api::{Nanos, Status};
 use aniseyoke_settings::SettingsError;
 use std::str::{FromStr, Split};
 
-/// Longer times are cut to this, so that sums of times don't overflow.
+/// Upper limit of a duration; longer ones are clamped so that sums of durations don't overflow.
 const MAX_TIME: Nanos = u64::MAX / 4;
 
-/// Why a line is no message. Fields are called by their names in the bench's pages.
+/// Why a line is not a valid message. Fields are named as in the protocol's documentation.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum WireError {
     /// The line ends before a field, or the field is empty.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field is no number of its type.
+    /// A field is not a number of its type.
     #[error("{field} is not a number: {value:?}")]
     NotANumber {
         /// The field.
@@ -21,7 +21,7 @@
         /// Its value.
         value: String,
     },
-    /// A field is no flag.
+    /// A field is not a flag.
     #[error("{field} is neither 1 nor 0: {value:?}")]
     NotAFlag {
         /// The field.
@@ -29,7 +29,7 @@
         /// Its value.
         value: String,
     },
-    /// A field is no hexadecimal number.
+    /// A field is not a hexadecimal number.
     #[error("{field} is not hex: {value:?}")]
     NotHex {
         /// The field.
@@ -37,7 +37,7 @@
         /// Its value.
         value: String,
     },
-    /// A field is no list of numbers.
+    /// A field is not a list of numbers.
     #[error("{field} is not a row of numbers: {value:?}")]
     NotARow {
         /// The field.
@@ -45,7 +45,7 @@
         /// Its value.
         value: String,
     },
-    /// A field has none of the values that it may have.
+    /// A field has a value that is not defined for it.
     #[error("{field} is unknown: {value:?}")]
     Unknown {
         /// The field.
@@ -53,41 +53,41 @@
         /// Its value.
         value: String,
     },
-    /// The settings of an instance can't be used.
+    /// The settings of an instance are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// The fields of a line that were not read yet.
+/// The fields of a line that have not been read yet.
 pub struct Fields<'a>(Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    /// All fields of a line.
+    /// Splits a line into its fields.
     pub fn of(line: &'a str) -> Self {
         Fields(line.split(' '))
     }
 
-    /// The next field, if there is one.
+    /// Returns the next field, if any.
     pub fn next(&mut self) -> Option<&'a str> {
         self.0.next()
     }
 
-    /// The next field as text.
+    /// Returns the next field as text, which must not be empty.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
         self.0.next().filter(|value| !value.is_empty()).ok_or(WireError::Missing(field))
     }
 
-    /// The name of an instance.
+    /// Reads the name of an instance.
     pub fn instance(&mut self) -> Result<String, WireError> {
         self.text("instance").map(str::to_owned)
     }
 
-    /// A number.
+    /// Reads a number.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, WireError> {
         parse_number(field, self.text(field)?)
     }
 
-    /// A number that may be absent.
+    /// Reads a number, or `None` for `-`.
     pub fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, WireError> {
         match self.text(field)? {
             "-" => Ok(None),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A hexadecimal number that may be absent.
+    /// Reads a hexadecimal number, or `None` for `-`.
     pub fn optional_hex(&mut self, field: &'static str) -> Result<Option<u64>, WireError> {
         match self.text(field)? {
             "-" => Ok(None),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A flag; an absent one is false.
+    /// Reads a flag; `-` is false.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -115,12 +115,12 @@
         }
     }
 
-    /// A span of time. It may be negative on the wire (already over), which counts as 0.
+    /// Reads a duration in nanoseconds. A negative one, of a deadline that has already passed, is read as 0.
     pub fn time(&mut self, field: &'static str) -> Result<Nanos, WireError> {
         Ok(self.number::<i128>(field)?.clamp(0, i128::from(MAX_TIME)) as Nanos)
     }
 
-    /// How an attempt ended.
+    /// Reads how an attempt ended.
     pub fn status(&mut self) -> Result<Status, WireError> {
         Ok(match self.text("reason")? {
             "done" => Status::Ok,
@@ -136,7 +136,7 @@
         })
     }
 
-    /// The columns of a load report; `-` for an absent report, or for a column that it lacks.
+    /// Reads the columns of a load report; `-` stands for an absent report or column.
     pub fn load_report(&mut self) -> Result<Vec<Option<f64>>, WireError> {
         let field = "load";
         let row = self.text(field)?;
@@ -145,18 +145,18 @@
         columns.map_err(|_| WireError::NotARow { field, value: row.to_owned() })
     }
 
-    /// All fields that are left.
+    /// Returns the remaining fields.
     pub fn rest(&mut self) -> &mut Split<'a, char> {
         &mut self.0
     }
 }
 
-/// The error for a value that a field may not have.
+/// Returns the error for a value that is not defined for a field.
 pub fn unknown(field: &'static str, value: &str) -> WireError {
     WireError::Unknown { field, value: value.to_owned() }
 }
 
-/// Parses a number that a field holds.
+/// Parses the value of a numeric field.
 pub fn parse_number<T: FromStr>(field: &'static str, value: &str) -> Result<T, WireError> {
     value.parse().map_err(|_| WireError::NotANumber { field, value: value.to_owned() })
 }
--- a/crates/benchlink/src/wire/mod.rs
+++ b/crates/benchlink/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The text protocol of the bench: one message a line, fields separated by single spaces, `-` for an absent one.
+//! The simulator's text protocol: one message per line, fields separated by single spaces, `-` for an absent
+//! field.
 
 mod fields;
 mod parse;
@@ -10,7 +11,7 @@
 
 use aniseyoke_decision::api::{Entry, Event, ListKind, Nanos, Outcome, Settings};
 
-/// A message to the adapter.
+/// A message from the simulator to the adapter.
 #[derive(Clone, Debug)]
 pub enum Message {
     /// A batch begins at this time.
@@ -21,7 +22,7 @@
     PageStart {
         /// The number of the list, 0 to 15.
         number: usize,
-        /// How many entries follow.
+        /// Number of entries that follow.
         count: usize,
     },
     /// One entry of the list, with the server's name.
@@ -30,29 +31,29 @@
     InstanceStart {
         /// The instance.
         instance: String,
-        /// The seed of its random numbers.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
-    /// An instance is gone.
+    /// An instance has stopped.
     InstanceStop(String),
-    /// An instance is notified of servers; the entries are those of a numbered list.
+    /// An endpoint list update for an instance; its entries are those of a numbered list.
     EndpointList {
         /// The instance.
         instance: String,
-        /// What the entries are.
+        /// The kind of update.
         kind: ListKind,
         /// The number of the list.
         page: usize,
     },
-    /// An attempt of an instance has ended.
+    /// An attempt made by an instance has ended.
     Outcome {
         /// The instance.
         instance: String,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The columns of the server's load report; empty where none came along.
+        /// Columns of the server's load report. `None` where a column, or the whole report, is absent.
         load_report: Vec<Option<f64>>,
     },
     /// Any other event of an instance.
@@ -62,6 +63,6 @@
         /// The event.
         event: Event,
     },
-    /// A message that this build does not use.
+    /// A valid message that the adapter does not use.
     Ignored,
 }
--- a/crates/benchlink/src/wire/parse.rs
+++ b/crates/benchlink/src/wire/parse.rs
@@ -5,15 +5,15 @@
 use aniseyoke_decision::api::{server_id, Entry, Event, ListKind, Nanos, Outcome, Request, State};
 use aniseyoke_settings::parse_settings;
 
-/// The bit of an arrival's flags that marks a retry of the client.
+/// Bit of an arrival's flags that marks a retry by the client.
 const RETRY_FLAG: u64 = 2;
-/// The bit of an arrival's flags that marks a write.
+/// Bit of an arrival's flags that marks a write.
 const WRITE_FLAG: u64 = 4;
 
-/// Parses one line without its line end.
+/// Parses one line, given without its line ending.
 ///
 /// # Errors
-/// If it is no message.
+/// Returns an error if the line is not a valid message.
 pub fn parse(line: &str) -> Result<Message, WireError> {
     let mut fields = Fields::of(line);
     let name = fields.text("message name")?;
@@ -85,7 +85,7 @@
     Ok(Message::Event { instance, event })
 }
 
-/// The adapter asks for no health checks (docs/design.md); the line is still validated.
+/// Validates the result of a health check. The adapter requests none (docs/design.md), so it is not used.
 fn health_check(fields: &mut Fields<'_>) -> Result<Message, WireError> {
     let _instance = fields.instance()?;
     let (_server, _status) = (fields.text("node")?, fields.status()?);
@@ -94,7 +94,8 @@
     Ok(Message::Ignored)
 }
 
-/// No decision depends on what other proxies say (docs/design.md); the line is still validated.
+/// Validates a gossip message. No decision depends on other proxies' messages (docs/design.md), so it is not
+/// used.
 fn gossip(fields: &mut Fields<'_>) -> Result<Message, WireError> {
     let _instance = fields.instance()?;
     let _author: u64 = fields.number("author")?;
--- a/crates/benchlink/src/wire/write.rs
+++ b/crates/benchlink/src/wire/write.rs
@@ -1,9 +1,9 @@
-//! Writes actions as lines.
+//! Serializes actions, one per line.
 
 use aniseyoke_decision::api::{Action, ServerId};
 use std::fmt::Write as _;
 
-/// Appends one action of an instance to a reply; `name` gives the wire's name of a server.
+/// Appends one action of an instance to a reply; `name` returns the name of a server in the protocol.
 pub fn write(reply: &mut String, instance: &str, action: &Action, name: impl Fn(ServerId) -> Option<String>) {
     let name = |server: &ServerId| name(*server).unwrap_or_default();
     // Writing to a string can't fail.
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,11 +1,11 @@
-//! The codec line by line, and a whole conversation with the adapter's binary.
+//! Tests of the text protocol's codec, and of the adapter's binary over standard input and output.
 
 use aniseyoke_benchlink::wire::{self, Message};
 use aniseyoke_decision::api::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn converse(input: impl AsRef<[u8]>) -> Output {
+fn run_adapter(input: impl AsRef<[u8]>) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_aniseyoke-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -16,19 +16,19 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-const START: &str = "frame 5000000000\n\
+const SESSION_START: &str = "frame 5000000000\n\
     new_instance proxy_3 77 categories.count=1 categories.0.deadline_ns=750000000 categories.0.promise_ns=300000000 \
     categories.0.effect=safe categories.0.value=1.0 caps.attempts_cap=3 discovery=automatic some.new.key=whatever\n\
     page 0 2\nentry node_a 0 0 0 IN 1 -\nentry node_b 1 0 0 IN 1.5 6100000000\n\
     backends_changed proxy_3 C 41 0\ngo\n";
 
 #[test]
-fn a_conversation_from_start_to_end() {
+fn a_session_answers_every_batch_and_sends_the_request() {
     let input = format!(
-        "{START}frame 5001000000\narrival proxy_3 42 0 0 91f03b7c55d20a64 540000000 - - 0\ngo\n\
+        "{SESSION_START}frame 5001000000\narrival proxy_3 42 0 0 91f03b7c55d20a64 540000000 - - 0\ngo\n\
          frame 5002000000\nshutdown proxy_3\ntick_due proxy_3 9\ngo\n"
     );
-    let out = converse(input);
+    let out = run_adapter(input);
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).expect("text");
     let lines: Vec<&str> = text.lines().collect();
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn malformed_input_ends_the_adapter_with_the_line_and_the_fault() {
-    for (bad, fault) in [
+fn malformed_input_ends_the_adapter_with_its_line_number_and_the_error() {
+    for (bad, expected_error) in [
         ("arrival proxy_3", "corr is missing"),
         ("report_back proxy_3 1 0 node_a done 1 x - -", "final is neither 1 nor 0"),
         ("backends_changed proxy_3 F 42 3", "list 3 was never sent"),
@@ -64,48 +64,51 @@
             "categories.0.allowed_in has a bad value",
         ),
     ] {
-        let out = converse(format!("{START}frame 5000000001\n{bad}\ngo\n"));
+        let out = run_adapter(format!("{SESSION_START}frame 5000000001\n{bad}\ngo\n"));
         let error = String::from_utf8(out.stderr).expect("text");
-        assert!(!out.status.success(), "{bad:?} was taken");
+        assert!(!out.status.success(), "{bad:?} was accepted");
         let line = 9 + bad.matches('\n').count();
-        assert!(error.contains(&format!("line {line}:")) && error.contains(fault), "{bad:?}: {error}");
-        assert_eq!(out.stdout, b"end\n", "{bad:?}: nothing of a bad batch is answered");
+        assert!(
+            error.contains(&format!("line {line}:")) && error.contains(expected_error),
+            "{bad:?}: {error}"
+        );
+        assert_eq!(out.stdout, b"end\n", "{bad:?}: a batch with a malformed line must not be answered");
     }
 }
 
 #[test]
-fn odd_but_legal_input_is_answered() {
-    let again = START.replace("frame 5000000000\n", "").replace("go\n", "");
+fn unusual_but_valid_input_is_answered() {
+    let restart = SESSION_START.replace("frame 5000000000\n", "").replace("go\n", "");
     let input = format!(
-        "{START}frame 5001000000\nshutdown proxy_3\n{again}\
+        "{SESSION_START}frame 5001000000\nshutdown proxy_3\n{restart}\
          arrival proxy_3 1 0 - - 0 - - -\narrival proxy_3 2 7 9 00000000000000ff 99 - - 7\n\
          report_back proxy_3 77 5 node_zz done 1 1 - inf,-,NaN\ntick_due proxy_3 0\nexpired proxy_3 1\n\
          page 0 0\nbackends_changed proxy_3 F 42 0\narrival proxy_3 3 0 0 - 500000000 - - 0\n\
          backends_changed proxy_3 X 43\nfirst proxy_3 3 0 node_a 5\npeer proxy_3 1 6869\ngo\n"
     );
-    let out = converse(input);
+    let out = run_adapter(input);
     let text = String::from_utf8(out.stdout).expect("text");
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     assert!(!text.contains("bug "), "{text}");
     for id in [1, 3] {
-        let finals = [format!("bounce proxy_3 {id} "), format!("abort proxy_3 {id}")];
-        let count = text.lines().filter(|l| finals.iter().any(|f| l.starts_with(f.as_str()))).count();
+        let answers = [format!("bounce proxy_3 {id} "), format!("abort proxy_3 {id}")];
+        let count = text.lines().filter(|l| answers.iter().any(|f| l.starts_with(f.as_str()))).count();
         assert_eq!(count, 1, "request {id} without a server or time: {text}");
     }
 }
 
 #[test]
-fn input_that_is_cut_off_or_no_text_is_an_error() {
-    let out = converse(format!("{START}frame 5001000000\n"));
+fn truncated_input_and_invalid_utf8_are_errors() {
+    let out = run_adapter(format!("{SESSION_START}frame 5001000000\n"));
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("ends inside a batch"));
-    let out = converse(b"frame 1\nshutdown \xff\ngo\n");
+    let out = run_adapter(b"frame 1\nshutdown \xff\ngo\n");
     assert!(!out.status.success() && out.stdout.is_empty());
     assert!(String::from_utf8_lossy(&out.stderr).contains("line 2: not UTF-8"));
 }
 
 #[test]
-fn lines_keep_their_values() {
+fn parsed_messages_have_the_values_of_their_lines() {
     let line = "report_back proxy_3 2526988522394052 1 node_abuevth done 18500000 1 2 3.5,-";
     let Ok(Message::Outcome { instance, outcome, load_report }) = wire::parse(line) else {
         panic!("not an outcome")
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn settings_of_placement_and_closing_are_carried() {
+fn placement_and_connection_closing_settings_are_parsed() {
     let line =
         "new_instance proxy_4 1 categories.count=3 categories.0.allowed_in=0,2 categories.0.allowed_on=1 \
         categories.1.allowed_in= categories.1.effect=new categories.1.group=new rules.let_go_in_ns=500 \
@@ -134,18 +137,18 @@
         (&settings.classes[0].allowed_servers.zones, &settings.classes[0].allowed_servers.kinds),
         (&Some(vec![0, 2]), &Some(vec![1]))
     );
-    assert_eq!(settings.classes[1].allowed_servers.zones, Some(vec![]), "an empty list allows none");
+    assert_eq!(settings.classes[1].allowed_servers.zones, Some(vec![]), "an empty list allows no zone");
     assert_eq!(
         (settings.classes[1].idempotency, settings.classes[1].group),
         (Idempotency::NonIdempotent, Group::Cell),
-        "the strictest"
+        "unknown values select the strictest setting"
     );
     assert_eq!(settings.classes[2].allowed_servers.zones, None);
     assert_eq!((settings.drain_close_within, settings.clients_mark_retries), (500, true));
 }
 
 #[test]
-fn actions_are_written_as_the_wire_wants_them() {
+fn actions_are_written_in_the_wire_format() {
     let mut out = String::new();
     let actions = [
         Action::Send { id: 1, server: server_id("node_a"), timeout: 80 },
@@ -159,7 +162,7 @@
     for a in &actions {
         wire::write(&mut out, "proxy_0", a, |_| Some("node_a".into()));
     }
-    let want = "deliver proxy_0 1 node_a 80\nabandon proxy_0 1 0\nbounce proxy_0 2 5\nabort proxy_0 3\n\
+    let expected = "deliver proxy_0 1 node_a 80\nabandon proxy_0 1 0\nbounce proxy_0 2 5\nabort proxy_0 3\n\
         arm proxy_0 4 6\nclose proxy_0 node_a\nstream_changes proxy_0 1\n";
-    assert_eq!(out, want);
+    assert_eq!(out, expected);
 }
--- a/crates/faults-preload/src/clock.rs
+++ b/crates/faults-preload/src/clock.rs
@@ -1,20 +1,22 @@
-//! Calls about time. Rules on [`Call::ClockGettime`] are about the monotonic clock, such on [`Call::WallClock`] about the wall
-//! clock, which a step tells ahead or behind.
+//! Functions that read clocks. Rules for [`Call::ClockGettime`] apply to the monotonic clock, those for
+//! [`Call::WallClock`] to the wall clock, which [`Effect::Step`](aniseyoke_faults::Effect::Step) sets ahead
+//! or back.
 
-use crate::engine::{guarded, Subject, Verdict};
+use crate::engine::{with_faults, Subject, Verdict};
 use aniseyoke_faults::Call;
 use aniseyoke_interpose::interpose;
 use libc::{c_int, c_void, clockid_t, time_t, timespec, timeval};
 
-const NANOSECONDS: i128 = 1_000_000_000;
-const MICROSECONDS: i128 = 1_000_000;
+const NANOSECONDS_PER_SECOND: i128 = 1_000_000_000;
+const MICROSECONDS_PER_SECOND: i128 = 1_000_000;
 
-/// A time in seconds and so many parts of one, told ahead by the verdict's nanoseconds.
-fn stepped(verdict: &Verdict, seconds: i64, part: i64, parts: i128) -> (i64, i64) {
-    let step = i128::from(verdict.step) * parts / NANOSECONDS;
-    let time = i128::from(seconds) * parts + i128::from(part) + step;
-    let whole = i64::try_from(time.div_euclid(parts)).unwrap_or(seconds);
-    (whole, i64::try_from(time.rem_euclid(parts)).unwrap_or(part))
+/// Adds the verdict's step to a time, given as whole seconds and a fraction in units of 1/`units_per_second`
+/// seconds.
+fn add_step(verdict: &Verdict, seconds: i64, fraction: i64, units_per_second: i128) -> (i64, i64) {
+    let step = i128::from(verdict.step) * units_per_second / NANOSECONDS_PER_SECOND;
+    let time = i128::from(seconds) * units_per_second + i128::from(fraction) + step;
+    let whole_seconds = i64::try_from(time.div_euclid(units_per_second)).unwrap_or(seconds);
+    (whole_seconds, i64::try_from(time.rem_euclid(units_per_second)).unwrap_or(fraction))
 }
 
 interpose! {
@@ -22,39 +24,41 @@
         let call = match clock {
             libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE => Call::WallClock,
             libc::CLOCK_MONOTONIC | libc::CLOCK_MONOTONIC_COARSE | libc::CLOCK_BOOTTIME => Call::ClockGettime,
-            // Processor time is nobody's clock.
-            // SAFETY: the arguments are handed on as they came; so in each function below.
+            // Clocks of processor time are not subject to faults.
+            // SAFETY: the caller's arguments are passed on unchanged; the same holds in each function below.
             _ => return unsafe { next(clock, time) },
         };
-        guarded(call, Subject::Nothing, |verdict| {
-            let done = unsafe { next(clock, time) };
-            if done == 0 && verdict.step != 0 && call == Call::WallClock {
-                // SAFETY: the call has just written a time there.
-                let told = unsafe { &mut *time };
-                (told.tv_sec, told.tv_nsec) = stepped(verdict, told.tv_sec, told.tv_nsec, NANOSECONDS);
+        with_faults(call, Subject::Nothing, |verdict| {
+            let result = unsafe { next(clock, time) };
+            if result == 0 && verdict.step != 0 && call == Call::WallClock {
+                // SAFETY: the call succeeded, so it has written a time there.
+                let reported = unsafe { &mut *time };
+                (reported.tv_sec, reported.tv_nsec) =
+                    add_step(verdict, reported.tv_sec, reported.tv_nsec, NANOSECONDS_PER_SECOND);
             }
-            done
+            result
         })
     }
 
     fn gettimeofday(time: *mut timeval, zone: *mut c_void) -> c_int as next {
-        guarded(Call::WallClock, Subject::Nothing, |verdict| {
-            let done = unsafe { next(time, zone) };
-            if done == 0 && verdict.step != 0 && !time.is_null() {
-                // SAFETY: the call has just written a time there.
-                let told = unsafe { &mut *time };
-                (told.tv_sec, told.tv_usec) = stepped(verdict, told.tv_sec, told.tv_usec, MICROSECONDS);
+        with_faults(Call::WallClock, Subject::Nothing, |verdict| {
+            let result = unsafe { next(time, zone) };
+            if result == 0 && verdict.step != 0 && !time.is_null() {
+                // SAFETY: the call succeeded, so it has written a time there.
+                let reported = unsafe { &mut *time };
+                (reported.tv_sec, reported.tv_usec) =
+                    add_step(verdict, reported.tv_sec, reported.tv_usec, MICROSECONDS_PER_SECOND);
             }
-            done
+            result
         })
     }
 
-    fn time(told: *mut time_t) -> time_t as next {
-        guarded(Call::WallClock, Subject::Nothing, |verdict| {
-            let (now, _) = stepped(verdict, unsafe { next(std::ptr::null_mut()) }, 0, 1);
-            if !told.is_null() {
-                // SAFETY: the caller gives room for a time.
-                unsafe { *told = now };
+    fn time(output: *mut time_t) -> time_t as next {
+        with_faults(Call::WallClock, Subject::Nothing, |verdict| {
+            let (now, _) = add_step(verdict, unsafe { next(std::ptr::null_mut()) }, 0, 1);
+            if !output.is_null() {
+                // SAFETY: the pointer is not null, so the caller provides memory for a time.
+                unsafe { *output = now };
             }
             now
         })
--- a/crates/faults-preload/src/engine.rs
+++ b/crates/faults-preload/src/engine.rs
@@ -1,4 +1,4 @@
-//! The one rule engine: which rule strikes a call, what it does to it, and the log of what was forced.
+//! The rule engine: selects the rules that affect a call, applies their effects, and logs injected faults.
 
 use aniseyoke_faults::{About, Call, Effect, Often, Plan, Rule, PLAN_VARIABLE};
 use libc::c_int;
@@ -12,19 +12,19 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// What a call is about.
+/// What a call refers to.
 #[derive(Clone, Copy)]
 pub enum Subject<'a> {
     Nothing,
     Descriptor(c_int),
-    /// For the calls of `files`, which have yet to come.
+    /// A file, by its path.
     #[allow(dead_code)]
     Path(&'a CStr),
-    /// A socket that is to be connected to this port.
+    /// A socket that is being connected to this port.
     Connection(u16),
 }
 
-/// What rules have decided about one call.
+/// The combined effect of the rules on one call.
 #[derive(Clone, Copy, Default)]
 pub struct Verdict {
     pub before: Duration,
@@ -32,20 +32,20 @@
     pub fail: Option<c_int>,
     pub fail_after: Option<c_int>,
     pub short: Option<usize>,
-    /// The process stops: before the call if it is short of every byte, or else behind it.
+    /// Whether the process stops itself: before the call if `short` is 0, otherwise after it.
     pub stop: bool,
-    /// Nanoseconds to add to a wall clock.
+    /// Offset to add to the wall clock, in nanoseconds.
     pub step: i64,
 }
 
 impl Verdict {
-    /// So many bytes may be asked for.
-    pub fn bytes(&self, asked: usize) -> usize {
-        self.short.map_or(asked, |most| asked.min(most.max(1)))
+    /// Returns the number of bytes to request: the caller's, limited to `short`. A limit of 0 counts as 1.
+    pub fn bytes(&self, requested: usize) -> usize {
+        self.short.map_or(requested, |limit| requested.min(limit.max(1)))
     }
 }
 
-/// Which state a plan's file was read in.
+/// Identifies the state of the plan's file that was last read.
 #[derive(Clone, Copy, PartialEq, Default)]
 struct Generation {
     inode: u64,
@@ -58,20 +58,20 @@
     log: Option<File>,
     generation: Generation,
     plan: Plan,
-    /// For each rule, how many calls it has applied to.
-    seen: Vec<u64>,
+    /// For each rule, the number of calls that it has applied to.
+    match_counts: Vec<u64>,
 }
 
 static ENGINE: Mutex<Option<Engine>> = Mutex::new(None);
 
 thread_local! {
-    /// Whether this thread is within the engine, whose own calls are nobody's business.
-    static WITHIN: Cell<bool> = const { Cell::new(false) };
+    /// Whether this thread is inside the engine. No faults are injected into the engine's own calls.
+    static IN_ENGINE: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Decides about a call and makes it: with the verdict, which `make` follows where it is about bytes or a step. Failure
-/// is -1 and an error number.
-pub fn guarded<R: From<i8>>(call: Call, subject: Subject<'_>, make: impl FnOnce(&Verdict) -> R) -> R {
+/// Evaluates the rules for a call, makes it with `make` and applies their effects. `make` itself must apply
+/// the verdict's `short` and `step`. An injected failure returns -1 and sets the error number.
+pub fn with_faults<R: From<i8>>(call: Call, subject: Subject<'_>, make: impl FnOnce(&Verdict) -> R) -> R {
     let verdict = decide(call, subject);
     pause(verdict.before);
     if let Some(number) = verdict.fail {
@@ -97,9 +97,9 @@
     result
 }
 
-/// What rules say about a call. The error number stays as it was.
+/// Evaluates the rules for a call. Preserves the error number.
 pub fn decide(call: Call, subject: Subject<'_>) -> Verdict {
-    if WITHIN.replace(true) {
+    if IN_ENGINE.replace(true) {
         return Verdict::default();
     }
     let number = errno();
@@ -107,13 +107,13 @@
     let verdict = engine.get_or_insert_with(Engine::new).decide(call, subject);
     drop(engine);
     set_errno(number);
-    WITHIN.set(false);
+    IN_ENGINE.set(false);
     verdict
 }
 
-/// Stops the process, until it is killed or told to go on.
+/// Stops the process until it is killed or continued (SIGCONT).
 fn stop() {
-    // SAFETY: the call takes no memory.
+    // SAFETY: the call accesses no memory of the caller.
     unsafe { libc::raise(libc::SIGSTOP) };
 }
 
@@ -124,7 +124,7 @@
 }
 
 pub fn errno() -> c_int {
-    // SAFETY: the place of this thread's own error number.
+    // SAFETY: the pointer is to this thread's own error number.
     unsafe { *libc::__errno_location() }
 }
 
@@ -137,10 +137,17 @@
     fn new() -> Self {
         let file = PathBuf::from(std::env::var_os(PLAN_VARIABLE).unwrap_or_default());
         let log = OpenOptions::new().create(true).append(true).open(file.with_extension("log")).ok();
-        Engine { file, log, generation: Generation::default(), plan: Plan::default(), seen: Vec::new() }
+        Engine {
+            file,
+            log,
+            generation: Generation::default(),
+            plan: Plan::default(),
+            match_counts: Vec::new(),
+        }
     }
 
-    /// Reads the plan if its file was replaced. One that can't be read forces nothing, and says so once.
+    /// Reads the plan again if its file was replaced. If it can't be read, reports this once and injects no
+    /// faults.
     fn refresh(&mut self) {
         let generation = std::fs::metadata(&self.file).map_or(Generation::default(), |m| Generation {
             inode: m.ino(),
@@ -155,31 +162,31 @@
             eprintln!("faults: {e}");
             Plan::default()
         });
-        self.seen = vec![0; self.plan.rules.len()];
+        self.match_counts = vec![0; self.plan.rules.len()];
     }
 
     fn decide(&mut self, call: Call, subject: Subject<'_>) -> Verdict {
         self.refresh();
         let mut verdict = Verdict::default();
-        for at in 0..self.plan.rules.len() {
-            let rule = &self.plan.rules[at];
+        for index in 0..self.plan.rules.len() {
+            let rule = &self.plan.rules[index];
             if !rule.calls.contains(&call) || !applies(&rule.about, subject) {
                 continue;
             }
-            self.seen[at] += 1;
-            if !strikes(rule, self.plan.seed, at as u64, self.seen[at]) {
+            self.match_counts[index] += 1;
+            if !affects(rule, self.plan.seed, index as u64, self.match_counts[index]) {
                 continue;
             }
             if let Some(log) = &mut self.log {
-                log_forced(log, rule, call);
+                log_fault(log, rule, call);
             }
             match rule.effect {
                 Effect::DelayBefore(micros) => verdict.before += Duration::from_micros(micros),
                 Effect::DelayAfter(micros) => verdict.after += Duration::from_micros(micros),
                 Effect::Fail(number) => verdict.fail = Some(number),
                 Effect::FailAfter(number) => verdict.fail_after = Some(number),
-                Effect::Short(most) => verdict.short = Some(most),
-                Effect::StopAfter(most) => (verdict.short, verdict.stop) = (Some(most), true),
+                Effect::Short(bytes) => verdict.short = Some(bytes),
+                Effect::StopAfter(bytes) => (verdict.short, verdict.stop) = (Some(bytes), true),
                 Effect::Step(nanoseconds) => verdict.step = nanoseconds,
             }
             if !matches!(rule.effect, Effect::DelayBefore(_) | Effect::DelayAfter(_)) {
@@ -190,17 +197,17 @@
     }
 }
 
-/// Whether a rule strikes the call that is its `count`th.
-fn strikes(rule: &Rule, seed: u64, at: u64, count: u64) -> bool {
+/// Whether a rule affects the `count`th call that it applies to; `index` is the rule's position in the plan.
+fn affects(rule: &Rule, seed: u64, index: u64, count: u64) -> bool {
     match rule.often {
         Often::Always => true,
-        Often::First(most) => count <= most,
-        Often::Only(which) => count == which,
-        Often::OneIn(n) => mix(seed ^ at.rotate_left(32) ^ count).is_multiple_of(n.max(1)),
+        Often::First(limit) => count <= limit,
+        Often::Only(number) => count == number,
+        Often::OneIn(n) => mix(seed ^ index.rotate_left(32) ^ count).is_multiple_of(n.max(1)),
     }
 }
 
-/// A number drawn by another (splitmix64).
+/// Hashes a number (splitmix64).
 fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -232,29 +239,29 @@
     }
 }
 
-/// Bytes of a thread's name, with the zero byte at its end.
+/// Maximum length of a thread's name in bytes, including the terminating zero byte.
 const THREAD_NAME_BYTES: usize = 16;
 
-/// Longer lines of the log are cut, in bytes.
+/// Maximum length of a log line in bytes; longer lines are truncated.
 const MAX_LINE_BYTES: usize = 256;
 
-/// Writes that a rule has struck. Danger: the call may be one of a signal handler, which must not take memory: the thread
-/// that it interrupts may hold the allocator's lock.
-fn log_forced(log: &mut File, rule: &Rule, call: Call) {
+/// Logs an injected fault. Danger: the call may come from a signal handler, which must not allocate, because
+/// the thread that it interrupts may hold the allocator's lock.
+fn log_fault(log: &mut File, rule: &Rule, call: Call) {
     let mut line = [0u8; MAX_LINE_BYTES];
-    let mut rest = &mut line[..];
-    // What does not fit is cut.
-    let _ = writeln!(rest, "{} {call:?} {:?}", rule.name, rule.effect);
-    let left = rest.len();
-    let _ = log.write_all(&line[..MAX_LINE_BYTES - left]);
+    let mut unused = &mut line[..];
+    // A line that does not fit is truncated.
+    let _ = writeln!(unused, "{} {call:?} {:?}", rule.name, rule.effect);
+    let unused_bytes = unused.len();
+    let _ = log.write_all(&line[..MAX_LINE_BYTES - unused_bytes]);
 }
 
 /// Whether the calling thread has this name.
 fn thread_is_named(name: &str) -> bool {
     let mut bytes = [0u8; THREAD_NAME_BYTES];
-    // SAFETY: the call writes a name of at most this many bytes, the zero byte included.
-    let done = unsafe { libc::prctl(libc::PR_GET_NAME, bytes.as_mut_ptr()) };
-    done == 0 && CStr::from_bytes_until_nul(&bytes).is_ok_and(|found| found.to_bytes() == name.as_bytes())
+    // SAFETY: the call writes at most this many bytes, including the terminating zero byte.
+    let result = unsafe { libc::prctl(libc::PR_GET_NAME, bytes.as_mut_ptr()) };
+    result == 0 && CStr::from_bytes_until_nul(&bytes).is_ok_and(|found| found.to_bytes() == name.as_bytes())
 }
 
 trait StartsWithText {
@@ -262,49 +269,49 @@
 }
 
 impl StartsWithText for Path {
-    /// By bytes and not by whole names, so that `state/list.` covers every file that begins so.
+    /// Compares bytes, not path components, so that `state/list.` matches every file with this prefix.
     fn starts_with_text(&self, prefix: &Path) -> bool {
         self.as_os_str().as_bytes().starts_with(prefix.as_os_str().as_bytes())
     }
 }
 
-/// Whether a read of a socket would return at once with bytes or its end.
+/// Whether a read of a socket would return bytes or end of file without blocking.
 fn readable(fd: c_int) -> bool {
-    let mut asked = libc::pollfd { fd, events: libc::POLLIN, revents: 0 };
-    // SAFETY: one entry, which lives for the call; it doesn't wait.
-    unsafe { libc::poll(&raw mut asked, 1, 0) == 1 && asked.revents & libc::POLLIN != 0 }
+    let mut poll_fd = libc::pollfd { fd, events: libc::POLLIN, revents: 0 };
+    // SAFETY: one entry, which outlives the call. The timeout is 0, so the call doesn't block.
+    unsafe { libc::poll(&raw mut poll_fd, 1, 0) == 1 && poll_fd.revents & libc::POLLIN != 0 }
 }
 
-type NameOf = unsafe extern "C" fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t) -> c_int;
+type SocketNameFn = unsafe extern "C" fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t) -> c_int;
 
-/// A socket's own port; 0 for one that has none; nothing for what is no socket.
+/// Returns a socket's local port, 0 if it has none, or `None` if the descriptor is not a socket.
 fn local_port(fd: c_int) -> Option<u16> {
-    port_by(libc::getsockname, fd)
+    port_from(libc::getsockname, fd)
 }
 
-/// The port that a socket is connected to.
+/// Returns the port that a socket is connected to.
 fn peer_port(fd: c_int) -> Option<u16> {
-    port_by(libc::getpeername, fd)
+    port_from(libc::getpeername, fd)
 }
 
-fn port_by(name: NameOf, fd: c_int) -> Option<u16> {
-    // SAFETY: zeros are an address of no family; the call writes at most `length` bytes of it.
-    let (address, done) = unsafe {
+fn port_from(socket_name: SocketNameFn, fd: c_int) -> Option<u16> {
+    // SAFETY: all zeros are a valid address of no family; the call writes at most `length` bytes of it.
+    let (address, result) = unsafe {
         let mut address: libc::sockaddr_storage = std::mem::zeroed();
         let mut length = size_of::<libc::sockaddr_storage>() as libc::socklen_t;
-        let done = name(fd, (&raw mut address).cast(), &raw mut length);
-        (address, done)
+        let result = socket_name(fd, (&raw mut address).cast(), &raw mut length);
+        (address, result)
     };
     // SAFETY: the storage is large enough for any address, and aligned.
-    (done == 0).then(|| unsafe { port_of((&raw const address).cast()) })
+    (result == 0).then(|| unsafe { port_of((&raw const address).cast()) })
 }
 
-/// The port of an address; 0 where its family has none.
+/// Returns the port of an address, or 0 if its family has none.
 ///
 /// # Safety
-/// It points to an address as the C library's calls take it.
+/// `address` must point to a socket address as the C library's functions take it.
 pub unsafe fn port_of(address: *const libc::sockaddr) -> u16 {
-    // SAFETY: the family tells the kind of the address, as the caller promises.
+    // SAFETY: the caller guarantees a valid address, and its family determines its type.
     unsafe {
         match c_int::from((*address).sa_family) {
             libc::AF_INET => u16::from_be((*address.cast::<libc::sockaddr_in>()).sin_port),
--- a/crates/faults-preload/src/lib.rs
+++ b/crates/faults-preload/src/lib.rs
@@ -1,6 +1,7 @@
-//! The library that makes system calls of a process under test fail. It is loaded by `LD_PRELOAD`, stands in for functions of the C
-//! library, asks its one [`engine`] whether a rule strikes, and calls the next function of that name. All unsafe code of
-//! the fault tool is here: each function has the C library's own signature, and hands its arguments on as they came.
+//! Preload library (`LD_PRELOAD`) that injects faults into system calls of a process under test. It replaces
+//! functions of the C library; each replacement evaluates the rules in [`engine`] and calls the original
+//! function. All unsafe code of the fault injection is in this crate: each function has the signature of the
+//! original and passes its arguments on unchanged, except for a smaller byte count.
 
 mod clock;
 mod engine;
--- a/crates/faults/src/armed.rs
+++ b/crates/faults/src/armed.rs
@@ -1,36 +1,37 @@
-//! A process under test that a plan is loaded into.
+//! Loads a fault plan into a process under test.
 
 use crate::{Call, Plan, PlanError, PLAN_VARIABLE};
 use std::fmt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The file that cargo makes of the preload package.
+/// File name of the library that cargo builds from the preload package.
 const LIBRARY: &str = "libaniseyoke_faults_preload.so";
 
-/// A plan in force; it may be changed while the process runs.
+/// A fault plan that is active in a process; it can be changed while the process runs.
 #[derive(Clone, Debug)]
 pub struct Armed {
     plan: PathBuf,
 }
 
 impl Armed {
-    /// Puts another plan in force: from the process's next call on, and its counts begin anew.
+    /// Replaces the plan. The new one applies from the process's next call on, and all rules' call counts
+    /// restart at 0.
     pub fn change(&self, plan: &Plan) -> Result<(), PlanError> {
         plan.write(&self.plan)
     }
 
-    /// Where each fault forced is written, one a line: the rule's name, the call, the effect.
+    /// Path of the log of injected faults. Each line has the rule's name, the call and the effect.
     pub fn log(&self) -> PathBuf {
         self.plan.with_extension("log")
     }
 
-    /// How many faults a rule has forced.
+    /// Returns the number of faults that a rule has injected.
     pub fn forced(&self, rule: &str) -> usize {
         self.lines().iter().filter(|line| line.split(' ').next() == Some(rule)).count()
     }
 
-    /// How many faults were forced in a call.
+    /// Returns the number of faults injected into a call.
     pub fn forced_in(&self, call: Call) -> usize {
         let name = format!("{call:?}");
         self.lines().iter().filter(|line| line.split(' ').nth(1) == Some(name.as_str())).count()
@@ -42,8 +43,8 @@
     }
 }
 
-/// Has a command's process start with a plan in force, whose file and log lie in `folder`. The command's environment is
-/// added to, so clear it before.
+/// Makes a command's process start with a fault plan, whose file and log are in `folder`. Adds to the
+/// command's environment, so a caller that clears the environment must do so before.
 pub fn arm(command: &mut Command, folder: &Path, plan: &Plan) -> Result<Armed, ArmError> {
     let library = library()?;
     let armed = Armed { plan: folder.join("faults.json") };
@@ -52,24 +53,24 @@
     Ok(armed)
 }
 
-/// The preload library that cargo has built beside the running test.
+/// Returns the path of the preload library that cargo built beside the running test.
 pub fn library() -> Result<PathBuf, ArmError> {
     built_library(LIBRARY)
 }
 
-/// The library of this file name that cargo has built beside the running test.
+/// Returns the path of the library of this file name that cargo built beside the running test.
 pub fn built_library(file: &'static str) -> Result<PathBuf, ArmError> {
-    let own = std::env::current_exe().map_err(ArmError::Own)?;
-    let folder = own.parent().unwrap_or(Path::new("."));
-    let places = [folder.join(file), folder.join("deps").join(file)];
-    places
+    let program = std::env::current_exe().map_err(ArmError::Own)?;
+    let folder = program.parent().unwrap_or(Path::new("."));
+    let candidates = [folder.join(file), folder.join("deps").join(file)];
+    candidates
         .iter()
-        .find(|place| place.is_file())
+        .find(|path| path.is_file())
         .cloned()
         .ok_or_else(|| ArmError::Library(file, folder.to_owned()))
 }
 
-/// Why a plan can't be put in force.
+/// Why a fault plan can't be loaded into a process.
 #[derive(Debug)]
 pub enum ArmError {
     Own(std::io::Error),
@@ -80,10 +81,10 @@
 impl fmt::Display for ArmError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ArmError::Own(e) => write!(f, "the running program's path is unknown: {e}"),
+            ArmError::Own(e) => write!(f, "cannot get the path of the running program: {e}"),
             ArmError::Library(file, folder) => write!(
                 f,
-                "no {file} in {}: the test's package needs the one that makes it among its dev-dependencies",
+                "{file} not found in {}: add the package that builds it to the test package's dev-dependencies",
                 folder.display()
             ),
             ArmError::Plan(e) => e.fmt(f),
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,5 +1,6 @@
-//! Plans of failing system calls. A test writes a [`Plan`], loads the preload library into the process under test with
-//! [`arm`], may change the plan while that process runs, and counts what was forced by the log.
+//! Fault injection into system calls. A test writes a [`Plan`], loads the preload library into the process
+//! under test with [`arm`], can change the plan while that process runs, and counts the injected faults in
+//! the log.
 #![forbid(unsafe_code)]
 
 mod armed;
@@ -8,10 +9,10 @@
 pub use armed::{arm, built_library, library, ArmError, Armed};
 pub use plan::{About, Call, Effect, Often, Plan, PlanError, Rule};
 
-/// The environment variable that names the plan's file to the process under test.
+/// Environment variable with the path of the plan's file, set for the process under test.
 pub const PLAN_VARIABLE: &str = "ANISEYOKE_FAULT_PLAN";
 
-/// The numbers of errors that rules name.
+/// Error numbers for use in rules.
 pub mod errno {
     pub use libc::{
         EACCES, EADDRNOTAVAIL, EAGAIN, EBADF, ECONNABORTED, ECONNREFUSED, ECONNRESET, EDQUOT, EFBIG,
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -1,16 +1,16 @@
-//! What is to fail: typed rules, read and written as JSON.
+//! Fault plans: typed rules, stored as JSON.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// A call of the C library that can be made to fail.
+/// A function of the C library that faults can be injected into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
     Socket,
     Connect,
-    /// `accept4`, and `accept`, where a connection waits to be taken.
+    /// `accept4` and `accept`, only while a connection is pending.
     Accept,
     Recv,
     Recvfrom,
@@ -23,7 +23,7 @@
     Write,
     Writev,
     EpollWait,
-    /// `getsockopt` of `SO_ERROR`, which tells what became of a connection that was being made.
+    /// `getsockopt` of `SO_ERROR`, which returns the result of a non-blocking connect.
     SocketError,
     /// `open64`, `open` and `openat`.
     Open,
@@ -36,7 +36,8 @@
     ClockGettime,
     /// `clock_gettime` of the wall clock, `gettimeofday` and `time`.
     WallClock,
-    /// The `futex` system call, with which the standard library's locks, channels and parked threads wait and wake.
+    /// The `futex` system call, with which the standard library's locks, channels and parked threads wait and
+    /// wake.
     Futex,
     /// `sched_yield`.
     SchedYield,
@@ -45,73 +46,77 @@
 }
 
 impl Call {
-    /// Each call that takes bytes from a socket.
+    /// The calls that receive from a socket.
     pub const RECEIVING: [Call; 5] = [Call::Recv, Call::Recvfrom, Call::Recvmsg, Call::Read, Call::Readv];
-    /// Each call that gives bytes to a socket.
+    /// The calls that send to a socket.
     pub const SENDING: [Call; 5] = [Call::Send, Call::Sendto, Call::Sendmsg, Call::Write, Call::Writev];
 }
 
-/// What a call must be about for a rule to apply.
+/// What a call must refer to for a rule to apply.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum About {
-    /// Anything.
+    /// Applies to every call.
     #[default]
     Any,
-    /// Any socket that has a port, and any that is to be made or connected.
+    /// Any socket that has a port, and any that is being created or connected.
     Sockets,
-    /// A socket whose own port is this one: a listener, or a connection that it took.
+    /// A socket with this local port: a listener, or a connection that it accepted.
     LocalPort(u16),
-    /// A socket that is connected, or is to be connected, to this port.
+    /// A socket that is connected, or being connected, to this port.
     PeerPort(u16),
-    /// A socket that is connected to this port, on which bytes, or its peer's end, have come and were not read.
+    /// A socket that is connected to this port and readable: it has unread bytes, or the peer has closed the
+    /// connection.
     ArrivedFrom(u16),
-    /// A file whose path begins so.
+    /// A file whose path starts with this prefix.
     Files(PathBuf),
-    /// Anything that is called by a thread of this name.
+    /// Any call made by a thread of this name.
     Thread(String),
 }
 
-/// What becomes of a call.
+/// What a rule does to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// It isn't made, and fails with this number.
+    /// The call isn't made and fails with this error number.
     Fail(i32),
-    /// It is made, and then said to have failed with this number. A connection taken by `accept` is closed then.
+    /// The call is made, then reported as failed with this error number. A connection that `accept` returned
+    /// is closed.
     FailAfter(i32),
-    /// It is made for at most so many bytes. Danger: epoll promises that a short read or write has emptied or filled the
-    /// socket, so a process that relies on this (the runtime's own `AsyncRead` and `AsyncWrite`) waits for ever after an invented one.
+    /// The call is made for at most this many bytes. Danger: with epoll, a short read or write means that the
+    /// socket is empty or full. A process that relies on this, as the runtime's own `AsyncRead` and
+    /// `AsyncWrite` do, waits forever after an injected one.
     Short(usize),
-    /// It is made for at most so many bytes, then the process stops itself (SIGSTOP), so that a test can kill it there.
+    /// The call is made for at most this many bytes, then the process stops itself (SIGSTOP), so that a test
+    /// can kill it at this point.
     StopAfter(usize),
-    /// It is made so many microseconds later.
+    /// Delay before the call, in microseconds.
     DelayBefore(u64),
-    /// It returns so many microseconds after it was made.
+    /// Delay between the call and its return, in microseconds.
     DelayAfter(u64),
-    /// The wall clock is told so many nanoseconds ahead (behind, if negative).
+    /// Offset of the wall clock in nanoseconds; negative values set it back.
     Step(i64),
 }
 
-/// How often a rule strikes among the calls that it applies to.
+/// How often a rule takes effect among the calls that it applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Often {
-    /// Each.
+    /// Every call.
     #[default]
     Always,
-    /// The first so many.
+    /// The first calls, up to this number.
     First(u64),
-    /// One in so many, drawn by the plan's seed.
+    /// On average one call in this many, selected pseudorandomly by the plan's seed.
     OneIn(u64),
-    /// That one alone, counted from 1.
+    /// Only the call with this number, counted from 1.
     Only(u64),
 }
 
-/// Calls that fail, and how.
+/// Which calls are affected, and how.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rule {
-    /// What the log calls it; no blanks.
+    /// Name of the rule in the log; must not contain spaces.
     pub name: String,
     pub calls: Vec<Call>,
     #[serde(default)]
@@ -122,7 +127,7 @@
 }
 
 impl Rule {
-    /// A rule about anything, at every call.
+    /// Returns a rule that affects every one of the given calls, whatever they refer to.
     pub fn new(name: &str, calls: &[Call], effect: Effect) -> Self {
         Rule { name: name.to_owned(), calls: calls.to_vec(), about: About::Any, effect, often: Often::Always }
     }
@@ -140,7 +145,8 @@
     }
 }
 
-/// All that is to fail in one process. The first rule that strikes a call decides; delays let later rules speak as well.
+/// All rules for one process. The first rule that affects a call ends the search, except that after a delay
+/// the later rules are evaluated as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     pub seed: u64,
@@ -152,19 +158,19 @@
         Plan { seed, rules: rules.to_vec() }
     }
 
-    /// Reads a plan's file.
+    /// Reads a plan from a file.
     pub fn read(path: &Path) -> Result<Self, PlanError> {
         let text = std::fs::read(path).map_err(|e| PlanError::Read(path.to_owned(), e))?;
         serde_json::from_slice(&text).map_err(|e| PlanError::Parse(path.to_owned(), e))
     }
 
-    /// Replaces a plan's file as a whole, so that a running process sees either plan and no mixture.
+    /// Replaces a plan's file atomically, so that a running process reads either the old or the new plan.
     pub fn write(&self, path: &Path) -> Result<(), PlanError> {
         let failed = |e| PlanError::Write(path.to_owned(), e);
         let text = serde_json::to_vec_pretty(self).map_err(|e| PlanError::Parse(path.to_owned(), e))?;
-        let beside = path.with_extension("new");
-        std::fs::write(&beside, text).map_err(failed)?;
-        std::fs::rename(&beside, path).map_err(failed)
+        let temporary = path.with_extension("new");
+        std::fs::write(&temporary, text).map_err(failed)?;
+        std::fs::rename(&temporary, path).map_err(failed)
     }
 }
 
@@ -179,9 +185,9 @@
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlanError::Read(path, e) => write!(f, "{}: can't be read: {e}", path.display()),
-            PlanError::Parse(path, e) => write!(f, "{}: no plan: {e}", path.display()),
-            PlanError::Write(path, e) => write!(f, "{}: can't be written: {e}", path.display()),
+            PlanError::Read(path, e) => write!(f, "{}: cannot read the fault plan: {e}", path.display()),
+            PlanError::Parse(path, e) => write!(f, "{}: not a valid fault plan: {e}", path.display()),
+            PlanError::Write(path, e) => write!(f, "{}: cannot write the fault plan: {e}", path.display()),
         }
     }
 }
