--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! How the real program follows the discovery service, its endpoint list and a change of its address.
+//! How the proxy process follows the discovery service: its endpoint list and a change of its address.
 
 mod rig;
 
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 #[test]
-fn a_drain_closes_idle_connections_and_the_watch_goes_on() {
+fn a_drain_closes_idle_connections_and_the_watch_continues() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_new_address_is_used_and_the_old_one_left() {
+fn a_changed_node_address_replaces_the_old_one() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -48,8 +48,8 @@
 }
 
 #[test]
-fn nothing_is_written_to_a_node_that_drains_while_its_connection_comes_up() {
-    // A full backlog holds the connection back until the drain has been told.
+fn nothing_is_written_to_a_node_that_starts_draining_during_the_connect() {
+    // A full accept queue delays the connection until the proxy has been notified of the drain.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
     socket.listen(0).expect("listening");
@@ -62,7 +62,7 @@
     let mut watch = discovery.take();
     watch.request();
     client.ask("order", "");
-    // The next health answer comes after the attempt has begun.
+    // A health check that is answered now shows that the attempt has begun.
     assert_eq!(proxy.health(), 200);
     watch.reply("200 OK", "", &list(42, false, &[member("c1", addr, "std", "draining")]).to_string());
     watch.request();
@@ -79,8 +79,8 @@
     let mut watch = r.discovery.take();
     watch.request();
     watch.reply("503 Service Unavailable", "", "");
-    let mut again = r.discovery.take();
-    assert!(again.request().line.contains("from=41"));
+    let mut retry = r.discovery.take();
+    assert!(retry.request().line.contains("from=41"));
     let mut client = r.proxy.client();
     client.ask("read", "");
     let mut node = r.cache.take();
@@ -90,30 +90,30 @@
 }
 
 #[test]
-fn a_list_of_version_0_is_watched_from_there() {
+fn a_list_of_version_0_is_watched_from_version_0() {
     let discovery = Server::new();
-    let mut first = config(discovery.addr, &[]);
-    first["known"]["version"] = json!(0);
-    let _proxy = Proxy::new(&first);
+    let mut platform = config(discovery.addr, &[]);
+    platform["known"]["version"] = json!(0);
+    let _proxy = Proxy::new(&platform);
     assert!(discovery.take().request().line.contains("?from=0&hold_ms="));
 }
 
 #[test]
-fn a_watch_whose_reused_connection_ended_goes_on_at_once() {
+fn a_watch_whose_reused_connection_was_closed_is_renewed_at_once() {
     let mut r = rig();
     let mut watch = r.discovery.take();
     watch.request();
     watch.reply("200 OK", "Connection: close\r\n", &list(42, false, &[]).to_string());
     drop(watch);
-    let mut again = r.discovery.take();
-    assert!(again.request().line.contains("from=42"));
-    // Had it counted as a failure, the log would say so, and the module would have waited.
+    let mut renewed = r.discovery.take();
+    assert!(renewed.request().line.contains("from=42"));
+    // A failure would have been logged, and the decision module would have backed off before the next call.
     r.proxy.signal("-TERM");
     assert_eq!(r.proxy.logged("draining"), 0);
 }
 
-/// A proxy whose file names another discovery from now on, not told of it yet.
-fn moving(r: &Rig) -> Server {
+/// Writes the address of a new discovery service into the proxy's file, without a SIGHUP.
+fn change_discovery_address(r: &Rig) -> Server {
     let next = Server::new();
     let text = config(next.addr, &[]).to_string();
     std::fs::write(&r.proxy.file, text).expect("written");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_new_discovery_address_is_polled_at_once_and_the_old_one_left() {
+fn a_new_discovery_address_is_polled_at_once_and_the_old_one_abandoned() {
     let mut r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -129,12 +129,12 @@
     node.request();
     let mut watch = r.discovery.take();
     watch.request();
-    let (next, fresh) = (moving(&r), Server::new());
+    let (next, fresh) = (change_discovery_address(&r), Server::new());
     r.proxy.signal("-HUP");
     let mut list_call = next.take();
     assert_eq!(list_call.request().line, "GET /catalog/members HTTP/1.1");
     assert_eq!(watch.read(), None);
-    // What it has is kept until the new list has come: the request, its connection, the nodes.
+    // The open request, its connection and the known nodes are kept until the new list has arrived.
     node.reply("200 OK", "X-Lookup: hit\r\n", "kept");
     assert_eq!(client.answer().body, b"kept");
     assert_eq!(r.proxy.health(), 200);
@@ -145,8 +145,9 @@
     node.request();
     node.reply("200 OK", "X-Lookup: hit\r\n", "fresh");
     assert_eq!(client.answer().body, b"fresh");
-    // Another one, and the same twice: each time the whole list is asked for, and in a drain it does no harm.
-    let third = moving(&r);
+    // After another change of the address, and after a SIGHUP without a change, the complete list is polled.
+    // A SIGHUP during a drain has no effect.
+    let third = change_discovery_address(&r);
     r.proxy.signal("-HUP");
     third.take().request();
     r.proxy.signal("-HUP");
@@ -163,7 +164,7 @@
 fn a_failed_poll_at_a_new_address_is_retried_there_and_not_at_the_old_one() {
     let r = rig();
     r.discovery.take().request();
-    let next = moving(&r);
+    let next = change_discovery_address(&r);
     r.proxy.signal("-HUP");
     for _ in 0..4 {
         let mut call = next.take();
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_changes_nothing() {
+fn an_unreadable_file_leaves_the_settings_unchanged() {
     let mut r = rig();
     let mut watch = r.discovery.take();
     watch.request();
@@ -187,11 +188,11 @@
 }
 
 #[test]
-fn health_fails_until_a_node_is_ready() {
+fn health_check_fails_until_a_node_is_ready() {
     let (cache, discovery) = (Server::new(), Server::new());
-    let mut unknown = config(discovery.addr, &[]);
-    unknown.as_object_mut().expect("an object").remove("known");
-    let proxy = Proxy::new(&unknown);
+    let mut platform = config(discovery.addr, &[]);
+    platform.as_object_mut().expect("an object").remove("known");
+    let proxy = Proxy::new(&platform);
     assert_eq!(proxy.health(), 503);
     let mut watch = discovery.take();
     assert_eq!(watch.request().line, "GET /catalog/members HTTP/1.1");
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -1,4 +1,5 @@
-//! The list service as the operator's file has it asked, and the list that is kept over restarts, at the real program.
+//! Polling of the list service as set in the operator's file, and the endpoint list that is stored over
+//! restarts.
 
 mod rig;
 
@@ -27,7 +28,8 @@
         [member("c1", self.cache.addr, "std", "ready"), member("o1", self.origin.addr, "origin", "ready")]
     }
 
-    /// A proxy that keeps the list of this site; `known`: the platform tells version 41 of it at the start.
+    /// Starts a proxy that stores the endpoint list of `site`. `known`: whether the platform configuration
+    /// has version 41 of the list.
     fn start(&self, site: &str, known: bool) -> Proxy {
         let path = self.folder.path().join("operator.toml");
         let text =
@@ -43,42 +45,44 @@
         })
     }
 
-    fn kept(&self) -> PathBuf {
+    fn stored_list(&self) -> PathBuf {
         self.folder.path().join("state/aniseyoke-list")
     }
 
-    /// A proxy is told version 50, in which there is another node, keeps it, and is killed.
-    fn keep_one(&self) {
+    /// Has a proxy store version 50 of the list and, on top of it, version 51 with another node, and kills
+    /// it.
+    fn store_list(&self) {
         let _proxy = self.start("here", true);
         let mut call = self.discovery.take();
         assert!(call.request().line.contains("from=41"));
         let [first, origin] = self.members();
         let other = member("c2", self.other.addr, "std", "ready");
         call.reply("200 OK", "", &list(50, true, &[first.clone(), origin]).to_string());
-        // Changes go on top of it.
+        // A delta is applied to the stored list.
         assert!(call.request().line.contains("from=50"));
-        let mut gone = first;
-        gone["state"] = json!("gone");
-        call.reply("200 OK", "", &list(51, false, &[gone, other]).to_string());
-        until("it is kept", || {
-            std::fs::read_to_string(self.kept()).is_ok_and(|text| text.contains("\"version\":51"))
+        let mut removed = first;
+        removed["state"] = json!("gone");
+        call.reply("200 OK", "", &list(51, false, &[removed, other]).to_string());
+        until("the list is stored", || {
+            std::fs::read_to_string(self.stored_list()).is_ok_and(|text| text.contains("\"version\":51"))
         });
     }
 }
 
-fn list_at(door: SocketAddr) -> Value {
-    get_version(door)["list"].clone()
+fn list_status(admin_addr: SocketAddr) -> Value {
+    get_version(admin_addr)["list"].clone()
 }
 
 #[test]
-fn a_restarted_proxy_serves_from_the_list_that_it_kept_while_the_service_says_nothing() {
+fn a_restarted_proxy_serves_from_its_stored_list_while_the_service_does_not_answer() {
     let site = Site::new();
-    site.keep_one();
+    site.store_list();
     let mut proxy = site.start("here", false);
-    let held = list_at(proxy.admin_addr());
-    assert_eq!((&held["from"], &held["version"]), (&json!("disk"), &json!(51)));
-    assert!(held["age_s"].as_f64().is_some_and(|age| age < 60.0), "{held}");
-    // The service takes the call and says nothing; the node of the kept list is asked, and the one that was gone is not.
+    let status = list_status(proxy.admin_addr());
+    assert_eq!((&status["from"], &status["version"]), (&json!("disk"), &json!(51)));
+    assert!(status["age_s"].as_f64().is_some_and(|age| age < 60.0), "{status}");
+    // The service accepts the call but doesn't answer. Requests go to the node of the stored list, not to the
+    // removed one.
     let mut call = site.discovery.take();
     assert!(call.request().line.contains("from=51"));
     let mut client = proxy.client();
@@ -91,25 +95,24 @@
 }
 
 #[test]
-fn a_kept_list_that_is_damaged_or_of_another_site_is_named_and_not_used() {
+fn a_stored_list_that_is_damaged_or_of_another_site_is_logged_and_not_used() {
     let site = Site::new();
-    site.keep_one();
-    let mut elsewhere = site.start("there", true);
-    assert!(
-        elsewhere.logged_at_startup("aniseyoke-list: the kept list is not used: it is of another site (here")
-    );
-    assert_eq!(list_at(elsewhere.admin_addr())["from"], "platform");
-    drop(elsewhere);
-    let mut bytes = std::fs::read(site.kept()).expect("kept");
+    site.store_list();
+    let mut other_site = site.start("there", true);
+    assert!(other_site
+        .logged_at_startup("aniseyoke-list: the kept list is not used: it is of another site (here"));
+    assert_eq!(list_status(other_site.admin_addr())["from"], "platform");
+    drop(other_site);
+    let mut bytes = std::fs::read(site.stored_list()).expect("kept");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
-    std::fs::write(site.kept(), bytes).expect("written");
+    std::fs::write(site.stored_list(), bytes).expect("written");
     let mut proxy = site.start("here", false);
     assert!(proxy.logged_at_startup("aniseyoke-list: the kept list is damaged, not used and put aside"));
-    let door = proxy.admin_addr();
-    assert_eq!(list_at(door)["from"], "nothing");
-    assert!(!site.kept().exists());
-    // Without a list there is nobody to ask: a clear refusal, and nothing sent anywhere.
+    let admin_addr = proxy.admin_addr();
+    assert_eq!(list_status(admin_addr)["from"], "nothing");
+    assert!(!site.stored_list().exists());
+    // Without a list there is no node to send to: the request is rejected and nothing is forwarded.
     let mut client = proxy.client();
     client.ask("read", "X-Time-Left: 20\r\n");
     let answer = client.answer();
@@ -120,41 +123,41 @@
 }
 
 #[test]
-fn a_service_that_refuses_is_asked_again_when_it_says() {
+fn a_rejected_poll_is_repeated_after_the_retry_after_of_the_service() {
     let site = Site::new();
     let mut proxy = site.start("here", true);
-    let door = proxy.admin_addr();
+    let admin_addr = proxy.admin_addr();
     let mut call = site.discovery.take();
     call.request();
     call.reply("503 Service Unavailable", "Retry-After: 1.5\r\n", "");
-    let refused = Instant::now();
+    let rejected = Instant::now();
     proxy.logged("answered 503, retry after 1.5 s");
-    let mut again = site.discovery.take();
-    again.request();
-    assert!(refused.elapsed() > Duration::from_millis(1300), "{:?}", refused.elapsed());
-    assert_eq!(list_at(door)["refused"], 1);
+    let mut retry = site.discovery.take();
+    retry.request();
+    assert!(rejected.elapsed() > Duration::from_millis(1300), "{:?}", rejected.elapsed());
+    assert_eq!(list_status(admin_addr)["refused"], 1);
 }
 
 #[test]
-fn a_storm_of_changes_is_asked_for_once_in_a_cycle() {
+fn frequent_changes_are_polled_at_most_once_per_interval() {
     let site = Site::new();
     let _proxy = site.start("here", true);
     let mut call = site.discovery.take();
-    let mut times = Vec::new();
+    let mut polled = Vec::new();
     for version in 42..48 {
         call.request();
-        times.push(Instant::now());
+        polled.push(Instant::now());
         call.reply("200 OK", "", &list(version, false, &[]).to_string());
     }
-    let least = times.windows(2).map(|w| w[1] - w[0]).min().expect("some");
-    assert!(least > Duration::from_millis(150), "{least:?}");
+    let shortest = polled.windows(2).map(|w| w[1] - w[0]).min().expect("some");
+    assert!(shortest > Duration::from_millis(150), "{shortest:?}");
 }
 
 #[test]
-fn a_folder_that_takes_nothing_costs_no_start() {
+fn an_unusable_list_folder_does_not_prevent_the_start() {
     let site = Site::new();
     std::fs::write(site.folder.path().join("state"), "a file").expect("written");
     let mut proxy = site.start("here", true);
     assert!(proxy.logged_at_startup("the list is not kept: state: "), "{:?}", proxy.startup_log);
-    assert_eq!(list_at(proxy.admin_addr())["from"], "platform");
+    assert_eq!(list_status(proxy.admin_addr())["from"], "platform");
 }
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see of the real program: the door, bans and the drain.
+//! The admin endpoint, bans and the drain of the proxy process.
 
 mod rig;
 
@@ -6,10 +6,10 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Two cache nodes, an origin, and a door.
+/// A proxy with its admin endpoint, two cache nodes and an origin.
 struct Site {
     proxy: Proxy,
-    door: SocketAddr,
+    admin_addr: SocketAddr,
     nodes: [Server; 2],
     discovery: Server,
     _origin: Server,
@@ -24,27 +24,27 @@
     ];
     let mut config = config(discovery.addr, &listed);
     config["mgmt"] = json!("127.0.0.1:0");
-    // Nodes are warm from the first, so that which one gets a read is the hash's matter alone.
+    // Without slow start, only the hash of the key decides which node gets a read.
     config["settings"]["rules"]["cold_ns"] = json!(0);
     let mut proxy = Proxy::new(&config);
-    let door = proxy.admin_addr();
-    Site { proxy, door, nodes, discovery, _origin: origin }
+    let admin_addr = proxy.admin_addr();
+    Site { proxy, admin_addr, nodes, discovery, _origin: origin }
 }
 
 impl Site {
-    /// Has one read served by the node that it goes to, on a new connection there; which node that is.
+    /// Sends a read and answers it on a new connection. Returns the index of the node that got it.
     fn read(&self, client: &mut Peer) -> usize {
         client.ask("read", "");
-        let (at, mut node) = accept_any(&self.nodes);
+        let (index, mut node) = accept_any(&self.nodes);
         node.request();
         node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "value");
         assert_eq!(client.answer().status(), 200);
-        at
+        index
     }
 }
 
 #[test]
-fn every_call_is_answered_at_once_as_the_page_says() {
+fn every_admin_call_gets_the_documented_status() {
     let s = site();
     let cases = [
         ("GET", "/api/ready", "", 200),
@@ -62,80 +62,80 @@
         ("POST", "/api/rejoin", "", 200),
     ];
     for (method, path, body, status) in cases {
-        assert_eq!(call(s.door, method, path, body), status, "{method} {path} {body}");
+        assert_eq!(call(s.admin_addr, method, path, body), status, "{method} {path} {body}");
     }
-    assert_eq!(call(s.door, "POST", "/api/exclude", &"x".repeat(20 << 10)), 400);
+    assert_eq!(call(s.admin_addr, "POST", "/api/exclude", &"x".repeat(20 << 10)), 400);
     assert_eq!(s.proxy.health(), 200);
 }
 
-/// Danger: callers that hold their connection and never finish would keep operators out.
+/// Guards against connections with unfinished requests that use up the admin endpoint and lock operators out.
 #[test]
-fn callers_that_never_finish_make_room_for_those_that_do() {
+fn connections_with_unfinished_requests_do_not_block_other_admin_calls() {
     let s = site();
-    let mut held: Vec<Peer> = (0..40).map(|_| Peer::to(s.door)).collect();
-    held.iter_mut().step_by(2).for_each(|caller| caller.write("POST /api/evacuate HTTP/1.1\r\nHost"));
+    let mut callers: Vec<Peer> = (0..40).map(|_| Peer::to(s.admin_addr)).collect();
+    callers.iter_mut().step_by(2).for_each(|caller| caller.write("POST /api/evacuate HTTP/1.1\r\nHost"));
     for _ in 0..20 {
-        assert_eq!(call(s.door, "GET", "/api/ready", ""), 200);
+        assert_eq!(call(s.admin_addr, "GET", "/api/ready", ""), 200);
     }
-    assert_eq!(held[1].read(), None);
+    assert_eq!(callers[1].read(), None);
     assert_eq!(s.proxy.health(), 200);
 }
 
 #[test]
-fn a_proxy_without_a_node_that_takes_work_is_not_ready() {
+fn a_proxy_without_an_available_node_is_not_ready() {
     let discovery = Server::new();
     let mut config = config(discovery.addr, &[]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut proxy = Proxy::new(&config);
-    let door = proxy.admin_addr();
-    assert_eq!(call(door, "GET", "/api/ready", ""), 503);
+    let admin_addr = proxy.admin_addr();
+    assert_eq!(call(admin_addr, "GET", "/api/ready", ""), 503);
 }
 
 #[test]
-fn a_drain_asks_clients_away_and_ends_with_the_call_back() {
+fn a_drain_closes_client_connections_and_ends_with_rejoin() {
     let mut s = site();
-    let (mut idle, mut used) = (s.proxy.client(), s.proxy.client());
+    let (mut idle, mut busy) = (s.proxy.client(), s.proxy.client());
     s.read(&mut idle);
-    used.ask("read", "");
+    busy.ask("read", "");
     let (_, mut node) = accept_any(&s.nodes);
     node.request();
-    assert_eq!(call(s.door, "POST", "/api/evacuate", ""), 200);
+    assert_eq!(call(s.admin_addr, "POST", "/api/evacuate", ""), 200);
     assert_eq!(s.proxy.health(), 503);
     s.proxy.logged("drain: called");
-    // Who still comes is served, and asked to go.
+    // A new client is served, and its connection is closed after the answer.
     let mut late = s.proxy.client();
     s.read(&mut late);
     assert_eq!(late.read(), None);
     assert_eq!(idle.read(), None);
     node.reply("200 OK", "X-Lookup: hit\r\nConnection: close\r\n", "value");
-    let answer = used.answer();
+    let answer = busy.answer();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    // A connection that asks nothing is not held either.
+    // A connection without a request is closed as well.
     assert_eq!(s.proxy.client().read(), None);
-    assert_eq!(call(s.door, "POST", "/api/rejoin", ""), 200);
+    assert_eq!(call(s.admin_addr, "POST", "/api/rejoin", ""), 200);
     assert_eq!(s.proxy.health(), 200);
     s.read(&mut s.proxy.client());
 }
 
-/// Danger: a node that operators work on must get nothing, whatever discovery says of it.
+/// Guards against requests to a node that an operator has excluded, whatever the endpoint list says of it.
 #[test]
-fn a_node_that_is_out_gets_nothing_until_the_call_back() {
+fn an_excluded_node_gets_no_requests_until_it_is_included() {
     let s = site();
     let mut watch = s.discovery.take();
     watch.request();
     let mut client = s.proxy.client();
     let home = s.read(&mut client);
     let id = format!("c{home}");
-    assert_eq!(call_for_node(s.door, "/api/exclude", &id), 200);
+    assert_eq!(call_for_node(s.admin_addr, "/api/exclude", &id), 200);
     assert_eq!(s.read(&mut client), 1 - home);
-    let news = [("gone", 42), ("ready", 43)];
-    for (state, version) in news {
+    let changes = [("gone", 42), ("ready", 43)];
+    for (state, version) in changes {
         let changed = [member(&id, s.nodes[home].addr, "std", state)];
         watch.reply("200 OK", "", &list(version, false, &changed).to_string());
-        // The next watch is called once the news has been taken in.
+        // The next watch begins once the event has been applied.
         watch.request();
         assert_eq!(s.read(&mut client), 1 - home, "{state}");
     }
-    assert_eq!(call_for_node(s.door, "/api/include", &id), 200);
+    assert_eq!(call_for_node(s.admin_addr, "/api/include", &id), 200);
     assert_eq!(s.read(&mut client), home);
 }
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! What clients and nodes see of the real program: answers, attempts and connections to nodes.
+//! Answers to clients, attempts at nodes and connections to nodes, as seen from outside the proxy process.
 
 mod rig;
 
@@ -7,17 +7,17 @@
 use std::net::{Shutdown, TcpListener};
 
 #[test]
-fn a_hit_is_passed_on_unchanged_and_its_connection_used_again() {
+fn a_hit_is_forwarded_unchanged_and_its_connection_reused() {
     let r = rig();
     let mut client = r.proxy.client();
-    let more = "X-Time-Left: 30.5\r\nX-Other: kept\r\nConnection: x-own\r\nX-Own: dropped\r\n";
-    client.write(&get_as("9b1f03aa", "read", more));
+    let headers = "X-Time-Left: 30.5\r\nX-Other: kept\r\nConnection: x-own\r\nX-Own: dropped\r\n";
+    client.write(&get_as("9b1f03aa", "read", headers));
     let mut node = r.cache.take();
-    let asked = node.request();
-    assert_eq!(asked.line, "GET /read/7f3a9c21e0b4d655 HTTP/1.1");
-    assert_eq!(asked.header("x-correlation-id"), Some("9b1f03aa"));
-    assert_eq!((asked.header("x-other"), asked.header("x-own")), (Some("kept"), None));
-    let left: f64 = asked.header("x-time-left").expect("told").parse().expect("a number");
+    let request = node.request();
+    assert_eq!(request.line, "GET /read/7f3a9c21e0b4d655 HTTP/1.1");
+    assert_eq!(request.header("x-correlation-id"), Some("9b1f03aa"));
+    assert_eq!((request.header("x-other"), request.header("x-own")), (Some("kept"), None));
+    let left: f64 = request.header("x-time-left").expect("told").parse().expect("a number");
     assert!(left > 0.0 && left < 30.5, "{left}");
     node.reply("200 OK", "X-Lookup: hit\r\n", "21.5 C");
     let answer = client.answer();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_write_goes_to_the_origin_with_its_body_and_key() {
+fn a_write_goes_to_the_origin_with_its_body_and_idempotency_key() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write(
@@ -52,15 +52,18 @@
          Idempotency-Key: k1\r\nContent-Length: 4\r\n\r\n20.0",
     );
     let mut origin = r.origin.take();
-    let asked = origin.request();
-    assert_eq!(asked.line, "PUT /set/7f3a9c21e0b4d655?by=console HTTP/1.1");
-    assert_eq!((asked.header("idempotency-key"), asked.body.as_slice()), (Some("k1"), b"20.0".as_slice()));
+    let request = origin.request();
+    assert_eq!(request.line, "PUT /set/7f3a9c21e0b4d655?by=console HTTP/1.1");
+    assert_eq!(
+        (request.header("idempotency-key"), request.body.as_slice()),
+        (Some("k1"), b"20.0".as_slice())
+    );
     origin.reply("200 OK", "", "");
     assert_eq!(client.answer().status(), 200);
 }
 
 #[test]
-fn a_request_that_nodes_reject_unseen_is_rejected_at_once() {
+fn a_request_that_a_node_rejects_unprocessed_is_rejected_at_once() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("order", "");
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_failed_not_rejected() {
+fn a_non_idempotent_request_that_may_have_run_fails_with_502_not_503() {
     for close_early in [true, false] {
         let r = rig();
         let mut client = r.proxy.client();
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_that_found_no_connection_is_rejected() {
+fn a_non_idempotent_request_is_rejected_if_the_connect_fails() {
     let (cache, discovery) = (TcpListener::bind("127.0.0.1:0").expect("bound"), Server::new());
     let addr = cache.local_addr().expect("an address");
     drop(cache);
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn half_an_answer_of_a_node_never_reaches_the_client() {
+fn a_truncated_answer_of_a_node_never_reaches_the_client() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("order", "");
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn an_idle_connection_that_ended_is_not_written_to() {
+fn a_connection_closed_by_the_node_is_not_reused() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("order", "");
@@ -127,7 +130,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     for pipelined in ["", "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"] {
         let r = rig();
         let mut client = r.proxy.client();
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn a_client_that_ended_its_sending_still_gets_its_answer() {
+fn a_client_that_half_closes_its_connection_still_gets_its_answer() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn silence_ends_with_an_answer_in_time_and_a_closed_connection() {
+fn a_silent_node_leads_to_a_timely_answer_and_a_closed_connection() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("order", "X-Time-Left: 0.3\r\n");
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn sigterm_answers_what_is_taken_and_what_still_comes() {
+fn after_sigterm_accepted_and_pending_requests_are_answered() {
     let mut r = rig();
     let (mut early, mut idle) = (r.proxy.client(), r.proxy.client());
     idle.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -172,18 +175,18 @@
     early.ask("read", "");
     let mut node = r.cache.take();
     node.request();
-    // While it is stopped it takes no connection: this one is taken after the signal, or not at all.
+    // A stopped process accepts no connection: this one is accepted after SIGTERM, or not at all.
     r.proxy.signal("-STOP");
     let mut late = r.proxy.client();
     late.ask("read", "");
     r.proxy.signal("-TERM");
     r.proxy.signal("-CONT");
     r.proxy.logged("draining");
-    let mut other = r.cache.take();
-    other.request();
-    // The idle connection has ended, so nothing but the two requests is waited for.
+    let mut late_node = r.cache.take();
+    late_node.request();
+    // The idle connection has been closed, so the proxy waits for the two requests only.
     assert_eq!(idle.read(), None);
-    for (node, client) in [(&mut node, &mut early), (&mut other, &mut late)] {
+    for (node, client) in [(&mut node, &mut early), (&mut late_node, &mut late)] {
         node.reply("200 OK", "X-Lookup: hit\r\n", "");
         let answer = client.answer();
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -192,7 +195,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_and_ends_its_connection() {
+fn an_invalid_answer_fails_with_502_and_its_connection_is_closed() {
     let endless = |text: &str| text.repeat((600 << 10) / text.len());
     let cases = [
         "\x01\x02 noise that is no answer\r\n\r\n".to_owned(),
@@ -217,7 +220,7 @@
         client.ask("order", "");
         let mut node = r.cache.take();
         node.request();
-        // The proxy may close before it has all.
+        // The proxy may close the connection before it has read everything.
         let _ = node.0.get_mut().write_all(text.as_bytes());
         assert_eq!(client.answer().status(), 502, "{:?}", text.chars().take(60).collect::<String>());
         assert_eq!(node.read(), None);
@@ -225,24 +228,25 @@
 }
 
 #[test]
-fn what_follows_an_answer_never_answers_the_next_request() {
+fn bytes_after_an_answer_never_answer_the_next_request() {
     let r = rig();
     let mut client = r.proxy.client();
     let answer = |body: &str| {
         let length = body.len();
         format!("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: {length}\r\n\r\n{body}")
     };
-    let mut behind = vec![answer("copy"), "noise".to_owned(), "\r\n".to_owned(), answer("late copy")];
+    let mut surpluses = vec![answer("copy"), "noise".to_owned(), "\r\n".to_owned(), answer("late copy")];
     for n in 0..4 {
         client.ask("read", "");
         let mut node = r.cache.take();
         node.request();
-        let surplus = behind.pop().expect("one");
+        let surplus = surpluses.pop().expect("one");
         if n > 0 {
             node.write(&(answer("good") + &surplus));
             assert_eq!(client.answer().body, b"good");
         } else {
-            // It comes while the connection is kept, before or after the next request has been thought of.
+            // The surplus arrives while the connection is idle, before or after the next request is assigned
+            // to it.
             node.write(&answer("good"));
             assert_eq!(client.answer().body, b"good");
             node.write(&surplus);
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn interim_answers_ahead_are_passed_over() {
+fn interim_answers_are_skipped() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
--- a/crates/proxy/tests/reached.rs
+++ b/crates/proxy/tests/reached.rs
@@ -1,6 +1,6 @@
-//! From when on a list service that could not be reached is back, at the real program: a change counts as told 6 s after
-//! the service had it and could be reached, whatever became of the calls before. In each test the service is back the very
-//! moment after a call went out that fails, and the next call waits for its turn.
+//! Recovery of a list service that was unreachable. The proxy has to be notified of a change within 6 s from
+//! when the service had it and was reachable, whatever the outcome of earlier calls. In each test the service
+//! recovers right after the proxy has sent a call that fails, and the next call is queued at the service.
 
 mod rig;
 
@@ -8,59 +8,59 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after the list service had it and could be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// A call may wait for its turn there for so long.
-const TURN: Duration = Duration::from_secs(2);
+/// Time within which the proxy must know of a change, from when the list service had it and was reachable.
+const MAX_NOTIFY_DELAY: Duration = Duration::from_secs(6);
+/// Longest time that a call may be queued at the list service.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// What becomes of a call.
+/// The outcome of a call to the list service.
 #[derive(Clone, Copy)]
-enum Fate {
-    Ended,
+enum CallOutcome {
+    Closed,
     Silent,
     Refused,
 }
 
-use Fate::{Ended, Refused, Silent};
+use CallOutcome::{Closed, Refused, Silent};
 
-/// Calls come to their ends; the service is back just after the last of them came, with a drain. Returns how long after
-/// that the drain was told.
-fn told_after(r: &Rig, fates: &[Fate]) -> Duration {
-    let (mut held, mut back) = (Vec::new(), Instant::now());
-    for fate in fates {
+/// Gives calls these outcomes. The service recovers right after the last of them has arrived, with a drain of
+/// the node. Returns the time from then until the proxy is notified of the drain.
+fn notify_delay(r: &Rig, outcomes: &[CallOutcome]) -> Duration {
+    let (mut open_calls, mut recovered) = (Vec::new(), Instant::now());
+    for outcome in outcomes {
         let mut call = r.discovery.take();
         call.request();
-        back = Instant::now();
-        match fate {
-            Ended => drop(call),
-            Silent => held.push(call),
+        recovered = Instant::now();
+        match outcome {
+            Closed => drop(call),
+            Silent => open_calls.push(call),
             Refused => {
                 call.reply("503 Service Unavailable", "Retry-After: 25\r\n", "");
-                held.push(call);
+                open_calls.push(call);
             }
         }
     }
     let mut next = r.discovery.take();
     next.request();
-    assert!(next.stays_open(TURN), "given up before its turn came");
+    assert!(next.stays_open(MAX_QUEUE_TIME), "the call was abandoned while it was queued");
     next.reply("200 OK", "", &list(42, true, &[member("c1", r.cache.addr, "std", "draining")]).to_string());
-    let told = back.elapsed();
-    println!("told after {told:?}");
-    assert!(next.request().line.contains("from=42"), "the watch goes on");
+    let notified = recovered.elapsed();
+    println!("notified after {notified:?}");
+    assert!(next.request().line.contains("from=42"), "the watch continues");
     let mut client = r.proxy.client();
     client.ask("read", "");
     assert_eq!(client.answer().status(), 503);
     assert!(r.cache.no_new_connection());
-    told
+    notified
 }
 
-fn in_time(r: &Rig, fates: &[Fate]) {
-    let told = told_after(r, fates);
-    assert!(told < TOLD_AFTER, "told after {told:?}");
+fn assert_notified_in_time(r: &Rig, outcomes: &[CallOutcome]) {
+    let notified = notify_delay(r, outcomes);
+    assert!(notified < MAX_NOTIFY_DELAY, "notified after {notified:?}");
 }
 
-/// A proxy by an operator's file; `pushed`: the platform pushes its lists.
-fn rig_by(operator: &str, pushed: bool) -> (Rig, tempfile::TempDir) {
+/// Starts a proxy with an operator's file. `pushed`: whether the platform pushes its lists.
+fn rig_with_operator_file(operator_file: &str, pushed: bool) -> (Rig, tempfile::TempDir) {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
     let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
     let mut config = config(discovery.addr, &servers);
@@ -70,7 +70,7 @@
     }
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("operator.toml");
-    std::fs::write(&path, operator).expect("written");
+    std::fs::write(&path, operator_file).expect("written");
     let proxy = Proxy::with(&config, |c| {
         c.env("ANISEYOKE_FILE", &path);
     });
@@ -78,87 +78,99 @@
 }
 
 #[test]
-fn after_connections_that_ended() {
-    in_time(&rig(), &[Ended; 6]);
+fn notified_in_time_after_closed_connections() {
+    assert_notified_in_time(&rig(), &[Closed; 6]);
 }
 
 #[test]
-fn after_calls_that_fell_silent() {
-    in_time(&rig(), &[Silent; 3]);
+fn notified_in_time_after_calls_without_an_answer() {
+    assert_notified_in_time(&rig(), &[Silent; 3]);
 }
 
 #[test]
-fn after_refusals() {
-    in_time(&rig(), &[Refused; 6]);
+fn notified_in_time_after_rejected_calls() {
+    assert_notified_in_time(&rig(), &[Refused; 6]);
 }
 
 #[test]
-fn after_all_of_these() {
-    in_time(&rig(), &[Ended, Refused, Ended, Silent, Refused, Ended, Silent]);
+fn notified_in_time_after_calls_that_failed_in_different_ways() {
+    assert_notified_in_time(&rig(), &[Closed, Refused, Closed, Silent, Refused, Closed, Silent]);
 }
 
 #[test]
-fn where_lists_are_pushed() {
-    in_time(&rig_by("", true).0, &[Ended, Silent, Silent, Silent]);
+fn notified_in_time_with_pushed_lists() {
+    assert_notified_in_time(&rig_with_operator_file("", true).0, &[Closed, Silent, Silent, Silent]);
 }
 
-/// Danger: what is pushed counts as told at once, not from a slot on.
+/// A proxy must know of a pushed list at once. Guards against polls that are delayed to the next interval in
+/// this mode.
 #[test]
-fn lists_that_are_pushed_are_watched_without_a_gap_whatever_the_operator_sets() {
-    let (r, _folder) = rig_by("[list]\nevery = \"3s\"\n", true);
+fn pushed_lists_are_watched_without_a_gap_whatever_the_operator_sets() {
+    let (r, _folder) = rig_with_operator_file("[list]\nevery = \"3s\"\n", true);
     assert!(r.proxy.logged_at_startup("list: the platform pushes its lists, so that polls are not limited"));
     let mut watch = r.discovery.take();
     watch.request();
     for version in 42..46 {
-        let told = Instant::now();
+        let answered = Instant::now();
         watch.reply("200 OK", "", &list(version, false, &[]).to_string());
         watch.request();
-        assert!(told.elapsed() < Duration::from_secs(1), "the next watch came {:?} later", told.elapsed());
+        assert!(
+            answered.elapsed() < Duration::from_secs(1),
+            "the next watch began {:?} later",
+            answered.elapsed()
+        );
     }
     drop(watch);
-    in_time(&r, &[Silent, Silent]);
+    assert_notified_in_time(&r, &[Silent, Silent]);
 }
 
 #[test]
-fn where_calls_are_paced_after_connections_that_ended() {
-    in_time(&rig_by("[list]\n", false).0, &[Ended; 4]);
+fn notified_in_time_with_a_poll_interval_after_closed_connections() {
+    assert_notified_in_time(&rig_with_operator_file("[list]\n", false).0, &[Closed; 4]);
 }
 
 #[test]
-fn where_calls_are_paced_after_calls_that_fell_silent() {
-    in_time(&rig_by("[list]\n", false).0, &[Silent; 4]);
+fn notified_in_time_with_a_poll_interval_after_calls_without_an_answer() {
+    assert_notified_in_time(&rig_with_operator_file("[list]\n", false).0, &[Silent; 4]);
 }
 
 #[test]
-fn where_calls_are_paced_in_a_short_cycle() {
-    in_time(&rig_by("[list]\nevery = \"300ms\"\n", false).0, &[Ended, Refused, Silent, Ended, Ended, Silent]);
+fn notified_in_time_with_a_short_poll_interval() {
+    assert_notified_in_time(
+        &rig_with_operator_file("[list]\nevery = \"300ms\"\n", false).0,
+        &[Closed, Refused, Silent, Closed, Closed, Silent],
+    );
 }
 
-/// A service that asks for a longer silence than there is gets as much as there is.
+/// A `Retry-After` beyond the allowed delay is cut to that delay.
 #[test]
-fn where_calls_are_paced_after_a_refusal_that_asks_for_a_long_silence() {
-    in_time(&rig_by("[list]\nevery = \"1s\"\n", false).0, &[Refused, Refused]);
+fn notified_in_time_after_a_rejection_with_a_long_retry_after() {
+    assert_notified_in_time(
+        &rig_with_operator_file("[list]\nevery = \"1s\"\n", false).0,
+        &[Refused, Refused],
+    );
 }
 
 #[test]
-fn what_the_operator_sets_beyond_that_is_named() {
+fn operator_settings_beyond_the_allowed_delay_are_logged() {
     let text = "[list]\nevery = \"2s\"\nback_off_most = \"10s\"\n";
-    let (r, _folder) = rig_by(text, false);
+    let (r, _folder) = rig_with_operator_file(text, false);
     assert!(r.proxy.logged_at_startup("list.every: 2s counts as 2.4s"), "{:?}", r.proxy.startup_log);
     assert!(r.proxy.logged_at_startup("list.back_off_most: 10s counts as 3.6s"), "{:?}", r.proxy.startup_log);
     assert!(!r.proxy.logged_at_startup("list.answer_most"), "{:?}", r.proxy.startup_log);
 }
 
-/// Danger: a first call that is given up before its turn, again and again, never has one.
+/// Guards against a first call to a new address that is abandoned and repeated while it is queued, so that
+/// the service never answers it.
 #[test]
-fn at_a_new_address() {
+fn notified_in_time_at_a_new_address() {
     let mut r = rig();
     r.discovery.take().request();
-    let there = Server::new();
-    let mut moved = config(there.addr, &[]);
-    moved["known"] = Value::Null;
-    std::fs::write(&r.proxy.file, moved.to_string()).expect("written");
-    r.discovery = there;
+    let new_service = Server::new();
+    let mut platform = config(new_service.addr, &[]);
+    platform["known"] = Value::Null;
+    std::fs::write(&r.proxy.file, platform.to_string()).expect("written");
+    r.discovery = new_service;
     r.proxy.signal("-HUP");
-    in_time(&r, &[Silent]);
+    assert_notified_in_time(&r, &[Silent]);
 }
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What the real program rejects, and how it forwards the framing of what it accepts.
+//! Which requests the proxy process rejects, and how it frames the bodies that it forwards.
 
 mod rig;
 
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 #[test]
-fn pipelined_requests_are_answered_in_turn() {
+fn pipelined_requests_are_answered_in_order() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write(&(get("read", "") + &get("read", "")));
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn bad_requests_get_one_clear_answer_and_the_process_stays_up() {
+fn invalid_requests_get_one_error_answer_and_the_process_keeps_running() {
     let r = rig();
-    let long = format!("Content-Length: {}\r\n", 65 << 10);
-    let put = |class: &str, more: &str| {
-        format!("PUT /{class}/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\n{more}\r\n")
+    let long_length = format!("Content-Length: {}\r\n", 65 << 10);
+    let put = |class: &str, headers: &str| {
+        format!("PUT /{class}/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\n{headers}\r\n")
     };
     let cases = [
         (get("nosuch", ""), 404),
@@ -36,7 +36,7 @@
         ("GET /read/1 HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(), 400),
         ("DELETE /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\n\r\n".to_owned(), 405),
         (put("set", "Content-Length: 0\r\n"), 400),
-        (get("read", &long), 413),
+        (get("read", &long_length), 413),
         (get("read", "Transfer-Encoding: chunked\r\n") + "10400\r\n" + &"x".repeat(0x10400), 413),
         ("nonsense\r\n\r\n".to_owned(), 400),
         (get("read", "X-Time-Left: 1\r\nX-Time-Left: 2\r\n"), 400),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_body_that_stalls_is_given_up() {
+fn a_stalled_body_times_out() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write(
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn a_length_that_may_hide_another_request_is_refused() {
+fn ambiguous_body_lengths_that_may_hide_another_request_are_rejected() {
     let r = rig();
     let put = |id: &str, lengths: &str| {
         format!("PUT /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {id}\r\n{lengths}\r\n")
     };
-    let hidden = "0\r\n\r\n".to_owned() + &get("order", "");
+    let hidden_request = "0\r\n\r\n".to_owned() + &get("order", "");
     for lengths in [
         "Content-Length: 99\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 99\r\n",
@@ -88,13 +88,15 @@
         "Transfer-Encoding: gzip\r\n",
     ] {
         let mut client = r.proxy.client();
-        client.write(&(put("hides-1", lengths) + &hidden));
+        client.write(&(put("hides-1", lengths) + &hidden_request));
         assert_eq!(client.answer().status(), 400, "{lengths}");
         assert_eq!(client.read(), None);
-        // The same behind a request that is well.
+        // The same after a valid request on the connection.
         let mut client = r.proxy.client();
         client.write(
-            &("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".to_owned() + &put("hides-2", lengths) + &hidden),
+            &("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".to_owned()
+                + &put("hides-2", lengths)
+                + &hidden_request),
         );
         assert_eq!(client.answer().status(), 200);
         assert_eq!(client.answer().status(), 400, "{lengths}");
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn a_body_goes_on_with_framing_of_our_own() {
+fn bodies_are_forwarded_with_new_framing() {
     let r = rig();
     for (framing, body) in [
         ("Transfer-Encoding: chunked\r\n", "2\r\n20\r\n2\r\n.0\r\n0\r\n\r\n"),
@@ -114,11 +116,11 @@
         let head = "PUT /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\n";
         client.write(&format!("{head}{framing}\r\n{body}"));
         let mut node = r.origin.take();
-        let asked = node.request();
-        let framed: Vec<_> =
-            asked.headers.iter().filter(|(n, _)| n.contains("length") || n.contains("encod")).collect();
-        assert_eq!(framed, [&("content-length".to_owned(), "4".to_owned())]);
-        assert_eq!(asked.body, b"20.0");
+        let request = node.request();
+        let length_headers: Vec<_> =
+            request.headers.iter().filter(|(n, _)| n.contains("length") || n.contains("encod")).collect();
+        assert_eq!(length_headers, [&("content-length".to_owned(), "4".to_owned())]);
+        assert_eq!(request.body, b"20.0");
         node.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: x-a\r\nConnection: close\r\n\r\n3\r\nyes\r\n0\r\nX-A: 1\r\n\r\n");
         let answer = client.answer();
         assert_eq!((answer.body.as_slice(), answer.header("content-length")), (b"yes".as_slice(), Some("3")));
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_belongs_to_the_first_request_with_it() {
+fn a_second_request_with_an_id_in_use_is_rejected() {
     let r = rig();
     let mut first = r.proxy.client();
     first.write(&get_as("taken", "read", ""));
@@ -140,7 +142,7 @@
     assert_eq!(second.read(), None);
     node.reply("200 OK", "X-Lookup: hit\r\n", "for the first");
     assert_eq!(first.answer().body, b"for the first");
-    // Answered or left behind, it is free again.
+    // The ID is free again once its request was answered or its client has disconnected.
     let mut third = r.proxy.client();
     third.write(&get_as("taken", "read", ""));
     node.request();
@@ -154,33 +156,33 @@
 }
 
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let addr = Server::new().addr;
-    let broken = |path: &[&str], value: Value| {
+    let with_value = |path: &[&str], value: Value| {
         let mut config = config(addr, &[]);
-        *path.iter().fold(&mut config, |at, name| &mut at[*name]) = value;
+        *path.iter().fold(&mut config, |value_at, name| &mut value_at[*name]) = value;
         config.to_string()
     };
     let cases = [
         ("{".to_owned(), "not JSON"),
-        (broken(&["listen"], json!(null)), "PROXY_LISTEN"),
-        (broken(&["discovery"], json!("nowhere")), "PROXY_DISCOVERY"),
-        (broken(&["mgmt"], json!("nowhere")), "PROXY_MGMT"),
-        (broken(&["mgmt"], json!(10250)), "mgmt"),
-        (broken(&["settings"], json!(null)), "settings"),
-        (broken(&["settings", "categories"], json!([])), "settings.categories"),
-        (broken(&["settings", "categories"], json!([{"deadline_ns": 1}])), "settings.categories.0.name"),
-        (broken(&["settings", "categories"], json!([{"name": "a"}])), "categories.0.deadline_ns"),
-        (broken(&["settings", "caps", "attempts_cap"], json!("many")), "caps.attempts_cap"),
-        (broken(&["known"], json!({"servers": 3})), "known"),
-        (broken(&["limits", "sockets"], json!("all")), "limits.sockets"),
+        (with_value(&["listen"], json!(null)), "PROXY_LISTEN"),
+        (with_value(&["discovery"], json!("nowhere")), "PROXY_DISCOVERY"),
+        (with_value(&["mgmt"], json!("nowhere")), "PROXY_MGMT"),
+        (with_value(&["mgmt"], json!(10250)), "mgmt"),
+        (with_value(&["settings"], json!(null)), "settings"),
+        (with_value(&["settings", "categories"], json!([])), "settings.categories"),
+        (with_value(&["settings", "categories"], json!([{"deadline_ns": 1}])), "settings.categories.0.name"),
+        (with_value(&["settings", "categories"], json!([{"name": "a"}])), "categories.0.deadline_ns"),
+        (with_value(&["settings", "caps", "attempts_cap"], json!("many")), "caps.attempts_cap"),
+        (with_value(&["known"], json!({"servers": 3})), "known"),
+        (with_value(&["limits", "sockets"], json!("all")), "limits.sockets"),
     ];
-    for (text, named) in cases {
+    for (text, expected) in cases {
         let (child, file) = start(&text);
         let ended = child.wait_with_output().expect("ended");
         let _ = std::fs::remove_file(file);
         let log = String::from_utf8(ended.stderr).expect("text");
-        assert!(log.contains(named) && log.lines().count() == 1, "{named}: {log:?}");
+        assert!(log.contains(expected) && log.lines().count() == 1, "{expected}: {log:?}");
         assert_eq!(ended.status.code(), Some(1));
     }
     let unset = Command::new(env!("CARGO_BIN_EXE_aniseyoke")).env_clear().output().expect("run");
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -1,4 +1,4 @@
-//! The lines of the log in which the real program tells how far its start has come.
+//! The log lines in which the proxy process reports the progress of its start.
 
 mod rig;
 
@@ -10,7 +10,7 @@
 use std::os::fd::AsFd;
 use std::process::{Command, Stdio};
 
-/// The phases in their order, as they are logged.
+/// The phases of the start in order, with the names that are logged.
 const PHASES: [&str; 8] = [
     "signal handling",
     "operator's file",
@@ -22,13 +22,13 @@
     "engine",
 ];
 
-/// Only the phases are logged at debug level.
+/// Sets the log level to debug for the phases of the start alone.
 fn log_phases(command: &mut Command) {
     command.env("ANISEYOKE__LOG__LEVEL", "info");
     command.env("ANISEYOKE__LOG__TARGETS", r#"{ startup = "debug" }"#);
 }
 
-/// The messages about the start, from the first line to the last phase.
+/// Returns the log lines about the start up to the completion of the last phase.
 fn start_lines(log: impl Read) -> Vec<String> {
     let lines = BufReader::new(log).lines().map(|line| line.expect("a line of text"));
     let mut found = Vec::new();
@@ -66,13 +66,13 @@
     let _ = std::fs::remove_file(platform);
 }
 
-/// Guards against a log that grows by default: a start that fails prints what is wrong and nothing else.
+/// Guards against more log lines by default: a start that fails prints its error and nothing else.
 #[test]
 fn the_start_logs_no_phases_by_default() {
     let discovery = Server::new();
     let mut proxy = Proxy::new(&config(discovery.addr, &[]));
     assert!(!proxy.logged_at_startup("start: "), "{:?}", proxy.startup_log);
-    // The first poll of its list comes after the last phase.
+    // The proxy polls its endpoint list only after the last phase.
     let mut poll = discovery.take();
     poll.request();
     let log = proxy.take_log();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_lines_are_json_where_the_log_is() {
+fn start_lines_are_json_if_the_log_is_json() {
     let discovery = Server::new();
     let (mut child, platform) = start_with(&config(discovery.addr, &[]).to_string(), |command| {
         log_phases(command);
@@ -99,7 +99,7 @@
     let _ = std::fs::remove_file(platform);
 }
 
-/// Fills a pipe, so that a further write to it waits.
+/// Fills a pipe, so that a further write to it blocks. Returns the number of bytes written.
 fn fill(pipe: &mut (impl Write + AsFd)) -> usize {
     let set_flags = |pipe: &dyn AsFd, flags| fcntl(pipe.as_fd(), FcntlArg::F_SETFL(flags)).expect("flags");
     set_flags(pipe, OFlag::O_NONBLOCK);
@@ -115,7 +115,8 @@
     written
 }
 
-/// Guards against a first line that waits for a reader: standard error may be a pipe that nobody reads.
+/// Guards against a start that blocks on its first log line: standard error may be a full pipe that nobody
+/// reads.
 #[test]
 fn a_full_pipe_that_nobody_reads_does_not_delay_the_start() {
     let (mut unread, mut log) = std::io::pipe().expect("a pipe");
@@ -125,7 +126,7 @@
         log_phases(command);
         command.stderr(log);
     });
-    // The first poll of its list shows that the proxy has started.
+    // The first poll of the endpoint list shows that the proxy has started.
     let mut poll = discovery.take();
     poll.request();
     let mut before = vec![0; filled];
@@ -137,9 +138,10 @@
     let _ = std::fs::remove_file(platform);
 }
 
-/// Guards against a description of its own for the first lines where it would write a file from its beginning.
+/// Guards against first lines that overwrite the beginning of the file because they use an open file
+/// description of their own.
 #[test]
-fn a_log_in_a_file_goes_on_where_the_file_ends() {
+fn a_log_in_a_file_is_appended_to_the_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("log");
     let mut log = File::create(&path).expect("a file");
--- a/crates/proxy/tests/stored.rs
+++ b/crates/proxy/tests/stored.rs
@@ -1,5 +1,5 @@
-//! What the proxy keeps on disk, while writes and syncs fail and when it is killed with a write half done: operators' orders,
-//! the endpoint list, the last good version.
+//! What the proxy stores on disk (operators' orders, the endpoint list, the last good version), while writes
+//! and syncs fail and when the process is killed in the middle of a write.
 
 mod rig;
 
@@ -14,7 +14,8 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
-/// A folder that is kept over restarts, one for the fault plan, and what a proxy needs around it.
+/// A state folder that persists over restarts, a folder for the fault plan, and the servers that a proxy
+/// needs.
 struct Site {
     state: TempDir,
     faults: TempDir,
@@ -33,7 +34,7 @@
         [0, 1].map(|n| member(&format!("c{n}"), self.nodes[n].addr, "std", "ready"))
     }
 
-    /// Starts a proxy under a plan; `settings`: the operator's file.
+    /// Starts a proxy with a fault plan; `settings`: the text of the operator's file.
     fn start(&self, plan: &Plan, settings: &str) -> (Proxy, SocketAddr, Armed) {
         let mut config = config(self.discovery.addr, &self.listed());
         config["mgmt"] = json!("127.0.0.1:0");
@@ -44,24 +45,24 @@
             command.env("TMPDIR", self.state.path()).env("ANISEYOKE_FILE", &file);
             armed = Some(arm(command, self.faults.path(), plan).expect("armed"));
         });
-        // The lines up to the door are kept: they tell what the process begins with.
-        let door = loop {
+        // The lines up to the one with the admin endpoint report the loaded state.
+        let admin_addr = loop {
             let mut line = String::new();
             assert!(
                 proxy.log.read_line(&mut line).expect("a line") > 0,
                 "the log ended: {:?}",
                 proxy.startup_log
             );
-            let door = line.trim().split_once("operators call at ").map(|(_, addr)| addr.parse());
+            let admin_addr = line.trim().split_once("operators call at ").map(|(_, addr)| addr.parse());
             proxy.startup_log.push(line);
-            if let Some(door) = door {
-                break door.expect("an address");
+            if let Some(admin_addr) = admin_addr {
+                break admin_addr.expect("an address");
             }
         };
-        (proxy, door, armed.expect("armed"))
+        (proxy, admin_addr, armed.expect("armed"))
     }
 
-    /// A file in the folder; without a name the folder itself, and all in it.
+    /// The path of a file in the state folder. An empty name means the folder with all files in it.
     fn path(&self, name: &str) -> PathBuf {
         if name.is_empty() {
             self.state.path().into()
@@ -70,13 +71,13 @@
         }
     }
 
-    /// The first rule's calls fail about files whose path begins so.
+    /// A rule that fails these calls with error `number` on files whose path begins with that of `name`.
     fn failing(&self, calls: &[Call], name: &str, number: i32) -> Rule {
         Rule::new("failing", calls, Effect::Fail(number)).about(About::Files(self.path(name)))
     }
 
-    /// The cache nodes that are out by the file, which has to be whole.
-    fn out(&self) -> Vec<String> {
+    /// The excluded cache nodes in the file of operators' orders, which has to be complete.
+    fn excluded(&self) -> Vec<String> {
         let text = std::fs::read(self.path("aniseyoke-operators.json")).expect("read");
         let orders: Value = serde_json::from_slice(&text).expect("whole");
         serde_json::from_value(orders["bans"].clone()).expect("ids")
@@ -87,7 +88,7 @@
     Plan::new(1, &[rule])
 }
 
-/// Waits until the process has stopped itself in the midst of a write, and kills it there.
+/// Waits until the process has stopped in the middle of a write, and kills it.
 fn kill_when_stopped(mut proxy: Proxy) {
     let stat = format!("/proc/{}/stat", proxy.child.id());
     until("it has stopped", || {
@@ -98,9 +99,10 @@
     proxy.child.wait().expect("ended");
 }
 
-/// Danger: a yes for a ban that is not on disk is forgotten by the next process, and the node gets requests again.
+/// Guards against a ban that is acknowledged before it is on disk: the next process doesn't know it, and the
+/// node gets requests again.
 #[test]
-fn an_order_is_answered_with_yes_only_once_it_is_synced_and_the_next_call_succeeds() {
+fn an_order_is_acknowledged_only_once_it_is_synced_and_the_next_call_succeeds() {
     use Call::{Fsync, Open, Rename, Write};
     let always = Often::Always;
     let steps = [
@@ -112,100 +114,106 @@
         ("its name", Rename, "aniseyoke-operators.json", always),
         ("the folder's sync", Fsync, "", Often::Only(2)),
     ];
-    let (mut calls, mut wrong) = (0, Vec::new());
+    let (mut calls, mut unexpected) = (0, Vec::new());
     for number in [errno::ENOSPC, errno::EIO] {
         for (step, call, name, often) in steps {
             let site = Site::new();
-            let (proxy, door, armed) = site.start(&Plan::default(), "");
-            assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
+            let (proxy, admin_addr, armed) = site.start(&Plan::default(), "");
+            assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
             armed.change(&plan(site.failing(&[call], name, number).often(often))).expect("changed");
             calls += 1;
-            let answered = call_for_node(door, "/api/exclude", "c1");
-            if answered != 503 {
-                wrong.push(format!("{step}, error {number}: {answered}"));
+            let status = call_for_node(admin_addr, "/api/exclude", "c1");
+            if status != 503 {
+                unexpected.push(format!("{step}, error {number}: {status}"));
                 continue;
             }
             assert!(armed.forced("failing") > 0, "{step}");
-            // After the very last step the file may have it, but nobody was told so.
+            // After the rename the file has the order already, but it was not acknowledged.
             let renamed = name.is_empty();
-            assert_eq!(site.out().len(), if renamed { 2 } else { 1 }, "{step}");
+            assert_eq!(site.excluded().len(), if renamed { 2 } else { 1 }, "{step}");
             armed.change(&Plan::default()).expect("changed");
-            assert_eq!(call_for_node(door, "/api/exclude", "c1"), 200, "{step}: the disk is back");
+            assert_eq!(call_for_node(admin_addr, "/api/exclude", "c1"), 200, "{step}: the disk works again");
             drop(proxy);
-            assert_eq!(site.out(), ["c0", "c1"], "{step}");
+            assert_eq!(site.excluded(), ["c0", "c1"], "{step}");
             let (next, ..) = site.start(&Plan::default(), "");
             assert!(next.logged_at_startup("out {\"c0\", \"c1\"}"), "{:?}", next.startup_log);
         }
     }
     assert!(
-        wrong.is_empty(),
-        "of {calls} calls whose write failed {} had another answer: {wrong:#?}",
-        wrong.len()
+        unexpected.is_empty(),
+        "of {calls} calls whose write failed, {} were not answered with 503: {unexpected:#?}",
+        unexpected.len()
     );
 }
 
-/// Danger: what could not be synced once may be in memory only; to find it there again is no proof that it is on disk.
+/// Guards against a repeated call that is acknowledged because the file reads as expected: after a failed
+/// sync its content may be in memory only.
 #[test]
-fn a_call_that_is_made_again_after_a_failed_sync_is_written_anew() {
+fn a_call_repeated_after_a_failed_sync_is_written_again() {
     let site = Site::new();
-    let (_proxy, door, armed) = site.start(&Plan::default(), "");
+    let (_proxy, admin_addr, armed) = site.start(&Plan::default(), "");
     let folder = site.failing(&[Call::Fsync], "", errno::EIO).often(Often::Only(2));
     armed.change(&plan(folder)).expect("changed");
-    assert_eq!(call(door, "POST", "/api/evacuate", ""), 503);
-    // The file says so already, and no sync works.
+    assert_eq!(call(admin_addr, "POST", "/api/evacuate", ""), 503);
+    // The file already has the order, and every sync fails.
     armed.change(&plan(site.failing(&[Call::Fsync], "", errno::EIO))).expect("changed");
-    assert_eq!(call(door, "POST", "/api/evacuate", ""), 503, "it is still not on disk");
+    assert_eq!(call(admin_addr, "POST", "/api/evacuate", ""), 503, "it is still not on disk");
     armed.change(&Plan::default()).expect("changed");
-    assert_eq!(call(door, "POST", "/api/evacuate", ""), 200);
+    assert_eq!(call(admin_addr, "POST", "/api/evacuate", ""), 200);
 }
 
 #[test]
-fn a_process_killed_in_the_midst_of_writing_an_order_leaves_the_orders_before_it() {
+fn a_process_killed_while_writing_an_order_leaves_the_earlier_orders_intact() {
     for bytes in [0, 1, 13] {
         let site = Site::new();
-        let (proxy, door, armed) = site.start(&Plan::default(), "");
-        assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
-        let name = site.path("aniseyoke-operators.new");
-        let stop = Rule::new("stop", &[Call::Write], Effect::StopAfter(bytes)).about(About::Files(name));
+        let (proxy, admin_addr, armed) = site.start(&Plan::default(), "");
+        assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
+        let new_file = site.path("aniseyoke-operators.new");
+        let stop = Rule::new("stop", &[Call::Write], Effect::StopAfter(bytes)).about(About::Files(new_file));
         armed.change(&plan(stop)).expect("changed");
-        let mut caller = Peer::to(door);
+        let mut caller = Peer::to(admin_addr);
         let body = json!({ "id": "c1" }).to_string();
         let length = body.len();
         caller.write(&format!(
             "POST /api/exclude HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"
         ));
         kill_when_stopped(proxy);
-        assert_eq!(site.out(), ["c0"]);
-        let (_next, door, _armed) = site.start(&Plan::default(), "");
-        assert_eq!(call_for_node(door, "/api/exclude", "c1"), 200);
-        assert_eq!(site.out(), ["c0", "c1"]);
+        assert_eq!(site.excluded(), ["c0"]);
+        let (_next, admin_addr, _armed) = site.start(&Plan::default(), "");
+        assert_eq!(call_for_node(admin_addr, "/api/exclude", "c1"), 200);
+        assert_eq!(site.excluded(), ["c0", "c1"]);
     }
 }
 
-/// Danger: a process that could not read the orders at its start would write over them with the next one.
+/// Guards against a process that could not read the orders at its start and overwrites them with the next
+/// order.
 #[test]
-fn orders_that_could_not_be_read_at_the_start_are_read_later_and_never_written_over() {
+fn orders_that_could_not_be_read_at_the_start_are_read_later_and_never_overwritten() {
     let site = Site::new();
-    let (proxy, door, _armed) = site.start(&Plan::default(), "");
-    assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
+    let (proxy, admin_addr, _armed) = site.start(&Plan::default(), "");
+    assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
     drop(proxy);
     let unreadable = site.failing(&[Call::Open], "aniseyoke-operators.json", errno::EIO);
-    let (mut next, door, armed) = site.start(&plan(unreadable), "");
-    assert_eq!((call_for_node(door, "/api/exclude", "c1"), site.out()), (503, vec!["c0".to_owned()]));
+    let (mut next, admin_addr, armed) = site.start(&plan(unreadable), "");
+    assert_eq!(
+        (call_for_node(admin_addr, "/api/exclude", "c1"), site.excluded()),
+        (503, vec!["c0".to_owned()])
+    );
     armed.change(&Plan::default()).expect("changed");
     next.logged("out {\"c0\"}");
-    assert_eq!(call_for_node(door, "/api/exclude", "c1"), 200);
-    assert_eq!(site.out(), ["c0", "c1"]);
+    assert_eq!(call_for_node(admin_addr, "/api/exclude", "c1"), 200);
+    assert_eq!(site.excluded(), ["c0", "c1"]);
 }
 
-fn list_kept(site: &Site, version: u64) -> bool {
+fn list_is_stored(site: &Site, version: u64) -> bool {
     let text = std::fs::read_to_string(site.path("aniseyoke-list")).unwrap_or_default();
     text.contains(&format!("\"version\":{version}"))
 }
 
-/// Danger: the list is told once; a proxy that did not write it then begins its next life with an older one.
+/// The proxy gets a list only once. Guards against one that failed to write it and begins its next
+/// incarnation with an older list.
 #[test]
-fn a_list_that_could_not_be_written_is_written_once_the_disk_is_back_and_survives_a_kill() {
+fn a_list_that_could_not_be_written_is_written_once_the_disk_works_and_survives_a_kill() {
     let steps = [(Call::Open, "aniseyoke-list.new"), (Call::Write, "aniseyoke-list.new"), (Call::Fsync, "")];
     for (call, name) in steps {
         let site = Site::new();
@@ -216,16 +224,16 @@
         let mut watch = site.discovery.take();
         watch.request();
         watch.reply("200 OK", "", &list(50, true, &site.listed()).to_string());
-        until("it could not be written", || armed.forced("failing") > 0);
-        assert!(!list_kept(&site, 50) || name.is_empty());
+        until("the write has failed", || armed.forced("failing") > 0);
+        assert!(!list_is_stored(&site, 50) || name.is_empty());
         armed.change(&Plan::default()).expect("changed");
-        until("it is kept", || list_kept(&site, 50));
+        until("it is stored", || list_is_stored(&site, 50));
         drop((watch, proxy));
         while !site.discovery.no_new_connection() {}
-        // The next one is killed with a newer list half written.
-        let half = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
+        // The next process is killed when a newer list is partly written.
+        let stop_mid_write = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
             .about(About::Files(site.path("aniseyoke-list.new")));
-        let (proxy, ..) = site.start(&plan(half), &settings);
+        let (proxy, ..) = site.start(&plan(stop_mid_write), &settings);
         let mut watch = site.discovery.take();
         assert!(watch.request().line.contains("from=50"));
         watch.reply("200 OK", "", &list(51, true, &site.listed()).to_string());
@@ -237,7 +245,7 @@
 }
 
 #[test]
-fn a_version_that_could_not_be_written_is_written_once_the_disk_is_back_and_survives_a_kill() {
+fn a_version_that_could_not_be_written_is_written_once_the_disk_works_and_survives_a_kill() {
     for call in [Call::Write, Call::Fsync, Call::Rename] {
         let (site, service) = (Site::new(), Hosted::start(1).expect("started"));
         let folder = site.state.path().display();
@@ -247,21 +255,21 @@
         let (proxy, _, armed) = site.start(&plan(rule), &settings);
         let body = json!({ "log": { "burst": 7 } });
         let (stamp, _) = service.publish(body, Rollout::default()).expect("published");
-        until("it could not be written", || armed.forced("failing") > 0);
-        let kept = || match Store::new(Disk, site.path("aniseyoke-version")).load().expect("read") {
-            Loaded::Valid(kept) => Some(kept.version.stamp),
+        until("the write has failed", || armed.forced("failing") > 0);
+        let stored_stamp = || match Store::new(Disk, site.path("aniseyoke-version")).load().expect("read") {
+            Loaded::Valid(stored) => Some(stored.version.stamp),
             Loaded::Missing => None,
             Loaded::Damaged { reason: why, .. } => panic!("{why}"),
         };
-        assert_eq!(kept(), None);
+        assert_eq!(stored_stamp(), None);
         armed.change(&Plan::default()).expect("changed");
-        until("it is kept", || kept() == Some(stamp));
-        let half = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
+        until("it is stored", || stored_stamp() == Some(stamp));
+        let stop_mid_write = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
             .about(About::Files(site.path("aniseyoke-version.new")));
-        armed.change(&plan(half)).expect("changed");
+        armed.change(&plan(stop_mid_write)).expect("changed");
         service.publish(json!({ "log": { "burst": 8 } }), Rollout::default()).expect("published");
         kill_when_stopped(proxy);
-        assert_eq!(kept(), Some(stamp));
+        assert_eq!(stored_stamp(), Some(stamp));
         drop(service);
         let (next, ..) = site.start(&Plan::default(), &settings);
         assert!(
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Bodies and answers that are passed on while they still come.
+//! Request bodies and answers that are forwarded while they are still being received.
 
 mod rig;
 
@@ -8,33 +8,33 @@
 use std::net::TcpStream;
 use std::thread::JoinHandle;
 
-/// As large as anything that is to pass.
-const LARGE: usize = 32 << 20;
-/// What the proxy may hold in these tests, in megabytes.
+/// The length of a large body, in bytes.
+const LARGE_BYTES: usize = 32 << 20;
+/// The memory limit of the proxy in these tests, in megabytes.
 const MEMORY_MB: usize = 48;
-const PART: usize = 64 << 10;
+const PART_BYTES: usize = 64 << 10;
 
-/// The byte at a place of a body, so that a part that is lost, doubled or moved is seen.
-fn byte(at: usize) -> u8 {
-    (at % 251) as u8
+/// The byte at an offset of a body; lost, duplicated or moved parts differ from it.
+fn byte(offset: usize) -> u8 {
+    (offset % 251) as u8
 }
 
-fn part(from: usize, length: usize) -> Vec<u8> {
+fn body_part(from: usize, length: usize) -> Vec<u8> {
     (from..from + length).map(byte).collect()
 }
 
-/// Writes a body of this length from the start on, or as far as the other side reads.
-fn pour(stream: &mut TcpStream, length: usize, chunked: bool) {
-    let mut at = 0;
-    while at < length {
-        let bytes = part(at, PART.min(length - at));
+/// Writes a body of this length, or as much of it as the peer reads.
+fn write_body(stream: &mut TcpStream, length: usize, chunked: bool) {
+    let mut offset = 0;
+    while offset < length {
+        let bytes = body_part(offset, PART_BYTES.min(length - offset));
         let frame = if chunked { format!("{:x}\r\n", bytes.len()) } else { String::new() };
         let end = if chunked { "\r\n" } else { "" };
-        let whole = [frame.as_bytes(), &bytes, end.as_bytes()].concat();
-        if stream.write_all(&whole).is_err() {
+        let chunk = [frame.as_bytes(), &bytes, end.as_bytes()].concat();
+        if stream.write_all(&chunk).is_err() {
             return;
         }
-        at += bytes.len();
+        offset += bytes.len();
     }
     if chunked {
         let _ = stream.write_all(b"0\r\n\r\n");
@@ -42,7 +42,7 @@
 }
 
 /// Reads the head of a message, line by line.
-fn head(peer: &mut Peer) -> Vec<String> {
+fn read_head(peer: &mut Peer) -> Vec<String> {
     use std::io::BufRead;
     let mut lines = Vec::new();
     loop {
@@ -55,22 +55,22 @@
     }
 }
 
-/// Reads so many bytes of a body and checks each.
-fn drink(peer: &mut Peer, from: usize, length: usize) {
-    let mut at = 0;
-    let mut bytes = vec![0; PART];
-    while at < length {
-        let most = PART.min(length - at);
-        peer.0.read_exact(&mut bytes[..most]).expect("a body");
-        assert!(bytes[..most] == part(from + at, most), "other bytes near {at}");
-        at += most;
+/// Reads `length` bytes of a body from offset `from` on and checks each.
+fn expect_body(peer: &mut Peer, from: usize, length: usize) {
+    let mut offset = 0;
+    let mut bytes = vec![0; PART_BYTES];
+    while offset < length {
+        let count = PART_BYTES.min(length - offset);
+        peer.0.read_exact(&mut bytes[..count]).expect("a body");
+        assert!(bytes[..count] == body_part(from + offset, count), "wrong bytes near offset {offset}");
+        offset += count;
     }
 }
 
-/// Reads a chunked body to its end; its length, or none if it broke off.
-fn drink_chunks(peer: &mut Peer) -> Option<usize> {
+/// Reads a chunked body to its end and checks each byte. Returns its length, or `None` if it ends early.
+fn expect_chunked_body(peer: &mut Peer) -> Option<usize> {
     use std::io::BufRead;
-    let mut at = 0;
+    let mut offset = 0;
     loop {
         let mut size = String::new();
         peer.0.read_line(&mut size).ok().filter(|n| *n > 0)?;
@@ -78,21 +78,21 @@
         let mut bytes = vec![0; size + 2];
         peer.0.read_exact(&mut bytes).ok()?;
         if size == 0 {
-            return Some(at);
+            return Some(offset);
         }
-        assert!(bytes[..size] == part(at, size), "other bytes near {at}");
-        at += size;
+        assert!(bytes[..size] == body_part(offset, size), "wrong bytes near offset {offset}");
+        offset += size;
     }
 }
 
-/// The most memory that the proxy has held, in megabytes.
-fn peak(proxy: &Proxy) -> usize {
+/// Returns the peak memory of the proxy, in megabytes.
+fn peak_memory_mb(proxy: &Proxy) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("a status");
     let line = status.lines().find(|l| l.starts_with("VmHWM")).expect("a peak");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse::<usize>().ok()).expect("a number") >> 10
 }
 
-fn small_rig() -> Rig {
+fn rig_with_memory_limit() -> Rig {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
     let listed = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
     let mut config = config(discovery.addr, &listed);
@@ -100,76 +100,79 @@
     Rig { proxy: Proxy::new(&config), cache, origin, discovery }
 }
 
-fn answering(mut node: Peer, length: usize, chunked: bool) -> JoinHandle<Peer> {
+fn send_answer(mut node: Peer, length: usize, chunked: bool) -> JoinHandle<Peer> {
     std::thread::spawn(move || {
-        let told = match chunked {
+        let framing = match chunked {
             true => "Transfer-Encoding: chunked".to_owned(),
             false => format!("Content-Length: {length}"),
         };
-        node.write(&format!("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\n{told}\r\n\r\n"));
-        pour(node.0.get_mut(), length, chunked);
+        node.write(&format!("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\n{framing}\r\n\r\n"));
+        write_body(node.0.get_mut(), length, chunked);
         node
     })
 }
 
-/// Danger: answers held whole would take more memory than there is.
+/// Guards against answers that are buffered completely, which would exceed the memory limit.
 #[test]
-fn large_answers_pass_unchanged_within_the_memory() {
-    let r = small_rig();
-    let mut running = Vec::new();
+fn large_answers_are_forwarded_unchanged_within_the_memory_limit() {
+    let r = rig_with_memory_limit();
+    let mut answers = Vec::new();
     for n in 0..6 {
         let mut client = r.proxy.client();
         client.ask("read", "");
         let mut node = r.cache.take();
         node.request();
-        running.push((n % 2 == 0, answering(node, LARGE, n % 2 == 0), client));
+        answers.push((n % 2 == 0, send_answer(node, LARGE_BYTES, n % 2 == 0), client));
     }
-    for (chunked, node, mut client) in running {
-        let lines = head(&mut client);
+    for (chunked, node, mut client) in answers {
+        let lines = read_head(&mut client);
         assert!(lines[0].contains("200"), "{lines:?}");
         if chunked {
-            assert_eq!(drink_chunks(&mut client), Some(LARGE));
+            assert_eq!(expect_chunked_body(&mut client), Some(LARGE_BYTES));
         } else {
-            assert!(lines.contains(&format!("content-length: {LARGE}")), "{lines:?}");
-            drink(&mut client, 0, LARGE);
+            assert!(lines.contains(&format!("content-length: {LARGE_BYTES}")), "{lines:?}");
+            expect_body(&mut client, 0, LARGE_BYTES);
         }
         node.join().expect("poured");
     }
-    assert!(peak(&r.proxy) < MEMORY_MB, "{} MB", peak(&r.proxy));
+    assert!(peak_memory_mb(&r.proxy) < MEMORY_MB, "{} MB", peak_memory_mb(&r.proxy));
 }
 
 #[test]
-fn large_bodies_pass_unchanged_within_the_memory() {
-    let r = small_rig();
+fn large_bodies_are_forwarded_unchanged_within_the_memory_limit() {
+    let r = rig_with_memory_limit();
     for chunked in [true, false] {
         let mut client = r.proxy.client();
-        let framing =
-            if chunked { "Transfer-Encoding: chunked".into() } else { format!("Content-Length: {LARGE}") };
-        let pouring = std::thread::spawn(move || {
+        let framing = if chunked {
+            "Transfer-Encoding: chunked".into()
+        } else {
+            format!("Content-Length: {LARGE_BYTES}")
+        };
+        let upload = std::thread::spawn(move || {
             client.write(&format!(
                 "PUT /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: up-{chunked}\r\n{framing}\r\n\r\n"
             ));
-            pour(client.0.get_mut(), LARGE, chunked);
+            write_body(client.0.get_mut(), LARGE_BYTES, chunked);
             client.answer().status()
         });
         let mut node = r.origin.take();
-        let lines = head(&mut node);
+        let lines = read_head(&mut node);
         if chunked {
             assert!(lines.contains(&"transfer-encoding: chunked".to_owned()), "{lines:?}");
-            assert_eq!(drink_chunks(&mut node), Some(LARGE));
+            assert_eq!(expect_chunked_body(&mut node), Some(LARGE_BYTES));
         } else {
-            assert!(lines.contains(&format!("content-length: {LARGE}")), "{lines:?}");
-            drink(&mut node, 0, LARGE);
+            assert!(lines.contains(&format!("content-length: {LARGE_BYTES}")), "{lines:?}");
+            expect_body(&mut node, 0, LARGE_BYTES);
         }
         node.reply("200 OK", "Connection: close\r\n", "stored");
-        assert_eq!(pouring.join().expect("poured"), 200);
+        assert_eq!(upload.join().expect("poured"), 200);
     }
-    assert!(peak(&r.proxy) < MEMORY_MB, "{} MB", peak(&r.proxy));
+    assert!(peak_memory_mb(&r.proxy) < MEMORY_MB, "{} MB", peak_memory_mb(&r.proxy));
 }
 
-/// Danger: bytes that wait for those behind them may wait for good.
+/// Guards against bytes that are held back until more arrive, which may never happen.
 #[test]
-fn what_a_node_has_given_is_passed_on_before_it_gives_more() {
+fn received_bytes_are_forwarded_before_the_node_sends_more() {
     let r = rig();
     for framing in ["Content-Length: 200000", "Transfer-Encoding: chunked"] {
         let mut client = r.proxy.client();
@@ -178,82 +181,82 @@
         node.request();
         node.write(&format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n"));
         let chunked = framing.contains("chunked");
-        let give = |node: &mut Peer, from: usize| {
-            let bytes = part(from, 100_000);
-            let (before, behind) = if chunked { ("186a0\r\n", "\r\n") } else { ("", "") };
-            let whole = [before.as_bytes(), &bytes, behind.as_bytes()].concat();
-            node.0.get_mut().write_all(&whole).expect("written");
+        let send_half = |node: &mut Peer, from: usize| {
+            let bytes = body_part(from, 100_000);
+            let (before, after) = if chunked { ("186a0\r\n", "\r\n") } else { ("", "") };
+            let framed = [before.as_bytes(), &bytes, after.as_bytes()].concat();
+            node.0.get_mut().write_all(&framed).expect("written");
         };
-        give(&mut node, 0);
-        head(&mut client);
-        // However the proxy frames it, more than its first 64 KiB are there while the node gives no more.
+        send_half(&mut node, 0);
+        read_head(&mut client);
+        // In either framing, more than the first 64 KiB arrive while the node sends no more.
         let mut first = vec![0; 80_000];
         client.0.read_exact(&mut first).expect("the first half");
-        give(&mut node, 100_000);
+        send_half(&mut node, 100_000);
         let mut rest = vec![0; 110_000];
         client.0.read_exact(&mut rest).expect("the second half");
         drop(node);
     }
 }
 
-/// Danger: an answer that ends like a whole one although its node broke off would be taken for one.
+/// Guards against an answer that was cut off by its node and ends like a complete one.
 #[test]
-fn an_answer_whose_node_breaks_off_ends_visibly_broken() {
+fn an_answer_cut_off_by_its_node_is_visibly_incomplete() {
     let r = rig();
     for chunked in [true, false] {
         let mut client = r.proxy.client();
         client.ask("order", "");
         let mut node = r.cache.take();
         node.request();
-        let told = if chunked { "Transfer-Encoding: chunked" } else { "Content-Length: 300000" };
-        node.write(&format!("HTTP/1.1 200 OK\r\n{told}\r\n\r\n"));
+        let framing = if chunked { "Transfer-Encoding: chunked" } else { "Content-Length: 300000" };
+        node.write(&format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n"));
         if chunked {
             node.write("249f0\r\n");
         }
-        node.0.get_mut().write_all(&part(0, 140_000)).expect("written");
-        head(&mut client);
+        node.0.get_mut().write_all(&body_part(0, 140_000)).expect("written");
+        read_head(&mut client);
         drop(node);
         if chunked {
-            assert_eq!(drink_chunks(&mut client), None);
+            assert_eq!(expect_chunked_body(&mut client), None);
         } else {
             let mut bytes = Vec::new();
             let _ = client.0.read_to_end(&mut bytes);
-            assert!((1..300_000).contains(&bytes.len()) && bytes == part(0, bytes.len()));
+            assert!((1..300_000).contains(&bytes.len()) && bytes == body_part(0, bytes.len()));
         }
     }
     assert_eq!(r.proxy.health(), 200);
 }
 
-/// Danger: an upload of which a part is lost must not be taken for a whole one by another attempt.
+/// Guards against another attempt with an upload of which a part is lost.
 #[test]
-fn an_upload_that_breaks_at_the_node_is_not_sent_again() {
+fn an_upload_whose_node_disconnects_is_not_retried() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write(&format!(
-        "PUT /set/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nIdempotency-Key: 1\r\nContent-Length: {LARGE}\r\n\r\n"
+        "PUT /set/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nIdempotency-Key: 1\r\nContent-Length: {LARGE_BYTES}\r\n\r\n"
     ));
     let mut stream = client.0.get_ref().try_clone().expect("a copy");
-    let pouring = std::thread::spawn(move || pour(&mut stream, LARGE / 2, false));
+    let upload = std::thread::spawn(move || write_body(&mut stream, LARGE_BYTES / 2, false));
     let mut node = r.origin.take();
-    head(&mut node);
-    drink(&mut node, 0, 1 << 20);
+    read_head(&mut node);
+    expect_body(&mut node, 0, 1 << 20);
     drop(node);
-    // It never ran, so that a repeat is harmless.
+    // The request never ran, so a repetition is harmless.
     assert_eq!(client.answer().status(), 503);
     drop(client);
-    pouring.join().expect("poured");
+    upload.join().expect("poured");
     assert!(r.origin.no_new_connection());
 }
 
 #[test]
-fn a_client_that_breaks_off_its_upload_ends_the_attempt() {
+fn a_client_that_disconnects_during_its_upload_ends_the_attempt() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write("PUT /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nContent-Length: 900000\r\n\r\n");
-    pour(client.0.get_mut(), 300_000, false);
+    write_body(client.0.get_mut(), 300_000, false);
     let mut node = r.origin.take();
-    head(&mut node);
-    drink(&mut node, 0, 100_000);
+    read_head(&mut node);
+    expect_body(&mut node, 0, 100_000);
     drop(client);
     let mut bytes = Vec::new();
     let _ = node.0.read_to_end(&mut bytes);
@@ -262,22 +265,22 @@
 }
 
 #[test]
-fn a_client_that_leaves_in_the_midst_of_an_answer_ends_it_at_the_node() {
+fn a_client_that_disconnects_during_an_answer_ends_it_at_the_node() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
     let mut node = r.cache.take();
     node.request();
-    let pouring = answering(node, LARGE, false);
-    head(&mut client);
-    drink(&mut client, 0, 100_000);
+    let answer = send_answer(node, LARGE_BYTES, false);
+    read_head(&mut client);
+    expect_body(&mut client, 0, 100_000);
     drop(client);
-    // The node could not have poured it all, had its connection stayed open and unread.
-    assert_eq!(pouring.join().expect("ended").read(), None);
+    // The node could not have written everything if its connection had stayed open and unread.
+    assert_eq!(answer.join().expect("ended").read(), None);
 }
 
 #[test]
-fn an_answer_that_ends_with_its_connection_is_served() {
+fn an_answer_delimited_by_its_connection_close_is_forwarded() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -289,49 +292,50 @@
 }
 
 #[test]
-fn a_head_is_asked_for_and_answered_without_a_body() {
+fn a_head_request_is_forwarded_and_answered_without_a_body() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write(&get("read", "").replace("GET ", "HEAD "));
     let mut node = r.cache.take();
     assert!(node.request().line.starts_with("HEAD "));
     node.write("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nContent-Length: 70000\r\n\r\n");
-    let lines = head(&mut client);
+    let lines = read_head(&mut client);
     assert!(lines[0].contains("200") && lines.contains(&"content-length: 70000".to_owned()), "{lines:?}");
-    // Nothing follows it, so the connection serves the next request.
+    // No body follows, so the connection serves the next request.
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(client.answer().status(), 200);
 }
 
 #[test]
-fn a_client_that_waits_for_leave_to_send_its_body_gets_it() {
+fn a_client_that_expects_100_continue_gets_it() {
     let r = rig();
     let mut client = r.proxy.client();
     client.write(
         "PUT /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nExpect: 100-continue\r\n\
          Content-Length: 100000\r\n\r\n",
     );
-    assert!(head(&mut client)[0].contains("100"));
-    pour(client.0.get_mut(), 100_000, false);
+    assert!(read_head(&mut client)[0].contains("100"));
+    write_body(client.0.get_mut(), 100_000, false);
     let mut node = r.origin.take();
-    let lines = head(&mut node);
+    let lines = read_head(&mut node);
     assert!(!lines.iter().any(|l| l.starts_with("expect")), "{lines:?}");
-    drink(&mut node, 0, 100_000);
+    expect_body(&mut node, 0, 100_000);
     node.reply("200 OK", "", "stored");
     assert_eq!(client.answer().body, b"stored");
 }
 
-/// Danger: an answer of unknown length may be a large one, and its client waits for the first bytes.
+/// Guards against an answer of unknown length that is buffered to its end: it may be large, and its client
+/// waits for the first bytes.
 #[test]
-fn an_answer_of_unknown_length_is_not_held_until_it_ends() {
+fn an_answer_of_unknown_length_is_not_buffered_until_it_ends() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
     let mut node = r.cache.take();
     node.request();
     node.write("HTTP/1.1 200 OK\r\nX-Lookup: hit\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n");
-    node.0.get_mut().write_all(&[&part(0, 4)[..], b"\r\n"].concat()).expect("written");
-    assert!(head(&mut client)[0].contains("200"));
+    node.0.get_mut().write_all(&[&body_part(0, 4)[..], b"\r\n"].concat()).expect("written");
+    assert!(read_head(&mut client)[0].contains("200"));
     node.write("0\r\n\r\n");
-    assert_eq!(drink_chunks(&mut client), Some(4));
+    assert_eq!(expect_chunked_body(&mut client), Some(4));
 }
--- a/crates/proxy/tests/thread_order.rs
+++ b/crates/proxy/tests/thread_order.rs
@@ -1,8 +1,8 @@
-//! The real program with one thread running at a time: which one runs next is drawn from a seed at each of its calls, some
-//! seeds hold one thread back for as long as others can run, and the process sends itself signals at drawn calls. It has to
-//! start, serve, and end by itself, with its first and last line written, whatever the order.
+//! Runs the proxy process with one thread at a time. At each call the next thread is drawn from a seed; some
+//! seeds suspend one thread for as long as others can run, and the process sends itself signals at drawn
+//! calls. In every order it has to start, serve and end by itself, with its first and last log line written.
 //!
-//! `ANISEYOKE_ORDER_SEEDS=FROM..TO` plays other seeds than CI's, for all tests of this file.
+//! `ANISEYOKE_ORDER_SEEDS=FROM..TO` runs other seeds than CI's, in all tests of this file.
 
 mod rig;
 
@@ -19,20 +19,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seeds that CI plays in each scenario.
+/// Seeds that CI runs in each test.
 const CI_SEEDS: Range<u64> = 0..24;
-/// Which seeds to play instead.
+/// Environment variable with the seeds to run instead.
 const SEEDS_VARIABLE: &str = "ANISEYOKE_ORDER_SEEDS";
-/// Plays at a time; each mostly waits.
-const PLAYS_AT_A_TIME: usize = 6;
-/// Signals come within so many calls from the start on; the program makes about a hundred until it listens.
+/// Number of seeds that run in parallel; each run mostly waits.
+const PARALLEL_RUNS: usize = 6;
+/// Signals are drawn within this number of calls from the start; the process makes about a hundred until it
+/// listens.
 const SIGNAL_WITHIN_CALLS: u64 = 300;
-/// The version of the list that the list service tells a proxy.
+/// Version of the endpoint list that the list service gives a proxy.
 const NEXT_VERSION: u64 = 50;
-/// Orders that the operators give to a proxy.
+/// Number of operators' orders that a proxy gets.
 const ORDERS_GIVEN: usize = 3;
 
-/// Numbers drawn from a seed (splitmix64).
+/// A pseudo-random number generator (splitmix64).
 struct Draws(u64);
 
 impl Draws {
@@ -44,7 +45,7 @@
     }
 }
 
-/// SIGHUP up to twice at drawn calls; with a stop, SIGTERM at one as well.
+/// Returns the order of a seed with up to two SIGHUP at drawn calls, and SIGTERM at one if `stops`.
 fn order(seed: u64, stops: bool) -> Order {
     let mut draws = Draws(seed);
     let hangups = draws.under(3);
@@ -56,16 +57,16 @@
     Order { seed, signals }
 }
 
-/// Waits for a process's end, and says what was wrong with it.
-fn check_end(mut proxy: Proxy, seed: u64) -> Result<(), String> {
+/// Waits for the end of a process. Fails unless it ended successfully, with its last log line written.
+fn check_shutdown(mut proxy: Proxy, seed: u64) -> Result<(), String> {
     let log = proxy.take_log();
     let status = wait_for_end(&mut proxy);
-    let said = log.join().expect("the log");
+    let log_text = log.join().expect("the log");
     match status {
-        None => Err(format!("seed {seed}: it did not end: {said}")),
-        Some(status) if !status.success() => Err(format!("seed {seed}: {status}: {said}")),
-        Some(_) if !said.lines().any(|line| line.ends_with("draining")) => {
-            Err(format!("seed {seed}: the last line is missing: {said:?}"))
+        None => Err(format!("seed {seed}: the process did not end: {log_text}")),
+        Some(status) if !status.success() => Err(format!("seed {seed}: {status}: {log_text}")),
+        Some(_) if !log_text.lines().any(|line| line.ends_with("draining")) => {
+            Err(format!("seed {seed}: the last log line is missing: {log_text:?}"))
         }
         Some(_) => Ok(()),
     }
@@ -83,23 +84,23 @@
     None
 }
 
-/// Plays seeds, a few at a time; all that was wrong with them.
-fn play_all(play: impl Fn(u64) -> Result<(), String> + Sync) -> Vec<String> {
+/// Runs all seeds, a few in parallel, and returns the failures.
+fn run_seeds(run: impl Fn(u64) -> Result<(), String> + Sync) -> Vec<String> {
     let seeds = seeds();
     let next = AtomicU64::new(seeds.start);
-    let one_after_the_other = || {
-        let mut wrong = Vec::new();
+    let run_next_seeds = || {
+        let mut failures = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= seeds.end {
-                return wrong;
+                return failures;
             }
-            wrong.extend(play(seed).err());
+            failures.extend(run(seed).err());
         }
     };
     thread::scope(|scope| {
-        let lanes: Vec<_> = (0..PLAYS_AT_A_TIME).map(|_| scope.spawn(one_after_the_other)).collect();
-        lanes.into_iter().flat_map(|lane| lane.join().expect("a lane")).collect()
+        let workers: Vec<_> = (0..PARALLEL_RUNS).map(|_| scope.spawn(run_next_seeds)).collect();
+        workers.into_iter().flat_map(|worker| worker.join().expect("a worker")).collect()
     })
 }
 
@@ -109,11 +110,11 @@
     from.parse().expect("a number")..to.parse().expect("a number")
 }
 
-fn assert_none_wrong(wrong: &[String]) {
-    assert!(wrong.is_empty(), "{} plays were wrong:\n{}", wrong.len(), wrong.join("\n"));
+fn assert_no_failures(failures: &[String]) {
+    assert!(failures.is_empty(), "{} seeds failed:\n{}", failures.len(), failures.join("\n"));
 }
 
-/// What a proxy needs around it.
+/// The servers and the state folder that a proxy needs.
 struct Site {
     discovery: Server,
     node: Server,
@@ -126,7 +127,7 @@
         Site { discovery: Server::new(), node: Server::new(), state }
     }
 
-    /// A proxy that listens, under an order and with every line logged.
+    /// Starts a proxy with this thread order and every line logged, and waits until it listens.
     fn start(&self, order: &Order) -> Result<Proxy, String> {
         let mut config = config(self.discovery.addr, &[member("c0", self.node.addr, "std", "ready")]);
         config["mgmt"] = json!("127.0.0.1:0");
@@ -142,82 +143,88 @@
         Proxy::try_with(&config, armed).map_err(ended)
     }
 
-    /// Answers calls for the list until the proxy has kept one. A SIGHUP ends a call, and another follows.
-    fn tell_list(&self) {
-        let told = list(NEXT_VERSION, true, &[member("c0", self.node.addr, "std", "ready")]).to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{told}", told.len());
-        let kept = self.state.path().join("aniseyoke-list");
-        let (known, version) = (format!("from={NEXT_VERSION}"), format!("\"version\":{NEXT_VERSION}"));
-        let mut calls = Vec::new();
-        until("the list is kept", || {
+    /// Answers polls of the list until the proxy has stored it. After a SIGHUP the proxy ends its call and
+    /// makes another.
+    fn serve_list(&self) {
+        let list_body = list(NEXT_VERSION, true, &[member("c0", self.node.addr, "std", "ready")]).to_string();
+        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list_body}", list_body.len());
+        let stored_list = self.state.path().join("aniseyoke-list");
+        let (poll_of_new_version, version) =
+            (format!("from={NEXT_VERSION}"), format!("\"version\":{NEXT_VERSION}"));
+        let mut open_calls = Vec::new();
+        until("the list is stored", || {
             if let Ok(stream) = self.discovery.accepted.try_recv() {
                 let mut call = Peer::new(stream);
-                if call.read().is_some_and(|request| !request.line.contains(&known)) {
-                    // The proxy may have ended this call since.
+                if call.read().is_some_and(|request| !request.line.contains(&poll_of_new_version)) {
+                    // The proxy may have ended this call meanwhile.
                     let _ = call.0.get_mut().write_all(answer.as_bytes());
                 }
-                calls.push(call);
+                open_calls.push(call);
             }
-            std::fs::read_to_string(&kept).is_ok_and(|text| text.contains(&version))
+            std::fs::read_to_string(&stored_list).is_ok_and(|text| text.contains(&version))
         });
     }
 
-    /// Has a list kept by the background writer, a request served, and orders stored by the pool of blocking threads.
-    fn serve(&self, proxy: &Proxy, door: SocketAddr) {
-        self.tell_list();
+    /// Has the proxy store a list (background writer), serve a request, and store orders (pool of blocking
+    /// threads).
+    fn serve(&self, proxy: &Proxy, admin_addr: SocketAddr) {
+        self.serve_list();
         let mut client = proxy.client();
         client.ask("read", "");
-        let mut asked = self.node.take();
-        asked.request();
-        asked.reply("200 OK", "X-Lookup: hit\r\n", "served");
+        let mut node = self.node.take();
+        node.request();
+        node.reply("200 OK", "X-Lookup: hit\r\n", "served");
         assert_eq!(client.answer().status(), 200);
         for _ in 0..ORDERS_GIVEN {
-            assert_eq!(call_for_node(door, "/api/exclude", "c0"), 200);
+            assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
         }
     }
 }
 
-/// Guards against a spin, a lost wake-up or a wait without an end between the serving thread, the log's and those of the
-/// blocking pool, from the start on and while it serves.
+/// Guards against a busy loop, a lost wake-up or an endless wait between the serving thread, the log thread
+/// and those of the blocking pool, at the start and while the proxy serves.
 #[test]
 fn a_proxy_starts_and_serves_in_every_order_of_its_threads() {
-    let wrong = play_all(|seed| {
+    let failures = run_seeds(|seed| {
         let site = Site::new();
         let mut proxy = site.start(&order(seed, false))?;
-        let door = proxy.admin_addr();
+        let admin_addr = proxy.admin_addr();
         let log = proxy.take_log();
-        let served = catch_unwind(AssertUnwindSafe(|| site.serve(&proxy, door)));
+        let served = catch_unwind(AssertUnwindSafe(|| site.serve(&proxy, admin_addr)));
         let ended = proxy.child.try_wait().expect("a status");
         proxy.child.kill().expect("killed");
         proxy.child.wait().expect("its end");
-        let said = log.join().expect("the log");
+        let log_text = log.join().expect("the log");
         if served.is_err() || ended.is_some() {
-            return Err(format!("seed {seed}: served {}, ended {ended:?}: {said}", served.is_ok()));
+            return Err(format!("seed {seed}: served {}, ended {ended:?}: {log_text}", served.is_ok()));
         }
         Ok(())
     });
-    assert_none_wrong(&wrong);
+    assert_no_failures(&failures);
 }
 
-/// Plays the end at any call by the seeds that hold a thread back, or by those that do not; what was wrong.
-fn play_ends(held_back: bool) -> Vec<String> {
-    play_all(|seed| {
+/// Runs a shutdown at a drawn call with the seeds that suspend a thread (`held_back`), or with the others.
+/// Returns the failures.
+fn run_shutdowns(held_back: bool) -> Vec<String> {
+    run_seeds(|seed| {
         if Scheduler::new(seed).held_back().is_some() != held_back {
             return Ok(());
         }
         let site = Site::new();
-        check_end(site.start(&order(seed, true))?, seed)
+        check_shutdown(site.start(&order(seed, true))?, seed)
     })
 }
 
-/// Guards against the same at an end that is asked for at any call, and against a last line that is lost.
+/// Guards against a busy loop, a lost wake-up or an endless wait in a shutdown at any call, and against a
+/// lost last log line.
 #[test]
 fn a_proxy_that_is_told_to_stop_at_any_call_ends_by_itself_in_every_order() {
-    assert_none_wrong(&play_ends(false));
+    assert_no_failures(&run_shutdowns(false));
 }
 
-/// Guards against a thread that spins at the end, until another that is held back has done the second half of a step.
+/// Guards against a thread that spins during shutdown until a suspended thread has completed the second half
+/// of a step.
 #[test]
 fn a_proxy_that_is_told_to_stop_ends_by_itself_whichever_thread_is_held_back() {
-    assert_none_wrong(&play_ends(true));
+    assert_no_failures(&run_shutdowns(true));
 }
--- a/crates/proxy/tests/unread_log.rs
+++ b/crates/proxy/tests/unread_log.rs
@@ -1,4 +1,5 @@
-//! A log that nobody reads any more: its pipe is full, or its reader has gone. It keeps no process from its end.
+//! A log that nobody reads any more (its pipe is full or its reader has closed it) must not keep a process
+//! from ending.
 
 mod rig;
 
@@ -16,11 +17,11 @@
 const DEADLINE: Duration = Duration::from_millis(200);
 /// A process may be killed this long after SIGTERM and the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// A command that waits for nobody ends within this time on the busiest machine.
-const SOON: Duration = Duration::from_secs(20);
-/// More lines than may wait to be written.
-const LINES: usize = 1100;
-/// Each connection of a client is worth a line or more.
+/// Time within which a command that doesn't block ends, even on a busy machine.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
+/// More lines than the queue of the log holds.
+const LOG_LINES: usize = 1100;
+/// Settings that log at least one line for each client connection.
 const LOG_EACH_CONNECTION: &str =
     "[log]\nburst = 100000\nper_second = 10000\n[log.targets]\nfront = \"debug\"\n";
 
@@ -49,15 +50,15 @@
     fcntl(&*pipe, FcntlArg::F_SETFL(OFlag::empty())).expect("set");
 }
 
-/// A proxy whose log was read until it listened, and is full since.
-struct Unread {
+/// A proxy whose log was read until it listened and whose log pipe is full since then.
+struct UnreadProxy {
     child: Child,
     addr: SocketAddr,
     _pipe: (BufReader<PipeReader>, PipeWriter),
 }
 
-impl Unread {
-    /// Starts it; standard output is the same pipe, or nothing.
+impl UnreadProxy {
+    /// Starts the proxy. Standard output goes to the pipe of the log if `output_too`, otherwise to /dev/null.
     fn start(output_too: bool, more: impl FnOnce(&mut Command)) -> Self {
         let (reader, mut writer) = std::io::pipe().expect("a pipe");
         let error = writer.try_clone().expect("a copy");
@@ -74,7 +75,7 @@
         }
         fill(&mut writer);
         let addr = line.trim().rsplit(' ').next().and_then(|addr| addr.parse().ok()).expect("an address");
-        Unread { child, addr, _pipe: (reader, writer) }
+        UnreadProxy { child, addr, _pipe: (reader, writer) }
     }
 
     fn terminate(&self) {
@@ -83,52 +84,53 @@
     }
 }
 
-impl Drop for Unread {
+impl Drop for UnreadProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// How a process ends within a time; `None` if it has not.
+/// Waits for a process to end. Returns `None` if it still runs after `time`.
 fn end_within(child: &mut Child, time: Duration) -> Option<ExitStatus> {
-    let until = Instant::now() + time;
+    let deadline = Instant::now() + time;
     loop {
         let status = child.try_wait().expect("its status");
-        if status.is_some() || Instant::now() > until {
+        if status.is_some() || Instant::now() > deadline {
             return status;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Guards against an end that waits for a log that nobody reads, until the process is killed.
+/// Guards against a shutdown that waits for the reader of the log until the process is killed.
 #[test]
 fn a_process_whose_log_is_not_read_ends_before_it_may_be_killed() {
-    let mut proxy = Unread::start(false, |_| {});
+    let mut proxy = UnreadProxy::start(false, |_| {});
     proxy.terminate();
     let status = end_within(&mut proxy.child, DEADLINE + KILL_MARGIN);
-    assert_eq!(status.and_then(|status| status.code()), Some(0), "ended by the time of the kill");
+    assert_eq!(status.and_then(|status| status.code()), Some(0), "not ended by the time of the kill");
 }
 
-/// Guards against an end that writes to standard output, and for ever where that is the log's own pipe.
+/// Guards against a shutdown that writes to standard output, which blocks for ever if that is the full pipe
+/// of the log.
 #[test]
-fn a_process_whose_log_and_output_are_one_full_pipe_ends_though_lines_still_wait() {
+fn a_process_whose_log_and_output_are_one_full_pipe_ends_with_lines_still_queued() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("operator.toml");
     std::fs::write(&file, LOG_EACH_CONNECTION).expect("written");
-    let mut proxy = Unread::start(true, |command| _ = command.env("ANISEYOKE_FILE", &file));
-    (0..LINES).for_each(|_| _ = Peer::health(proxy.addr));
+    let mut proxy = UnreadProxy::start(true, |command| _ = command.env("ANISEYOKE_FILE", &file));
+    (0..LOG_LINES).for_each(|_| _ = Peer::health(proxy.addr));
     proxy.terminate();
     let status = end_within(&mut proxy.child, STEP_TIMEOUT);
-    assert_eq!(status.and_then(|status| status.code()), Some(0), "ended at all");
+    assert_eq!(status.and_then(|status| status.code()), Some(0), "the process did not end");
 }
 
-/// A start that fails, since its address is taken: its exit code, if it ends.
-fn failed_start(error: impl Into<Stdio>) -> Option<i32> {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("bound");
+/// Starts a proxy whose address is in use. Returns its exit code, or `None` if it doesn't end.
+fn exit_code_of_failed_start(error: impl Into<Stdio>) -> Option<i32> {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let mut config = short_config();
-    config["listen"] = json!(taken.local_addr().expect("an address").to_string());
+    config["listen"] = json!(listener.local_addr().expect("an address").to_string());
     let (mut child, _) = start_with(&config.to_string(), |command| {
         command.stdout(Stdio::null()).stderr(error);
     });
@@ -140,41 +142,42 @@
     status.and_then(|status| status.code())
 }
 
-/// Guards against a start that fails and stays for ever, since it can't say why.
+/// Guards against a failed start that blocks for ever on writing its error.
 #[test]
-fn a_start_that_fails_ends_though_its_log_is_not_read() {
+fn a_failed_start_ends_though_its_log_is_not_read() {
     let (_reader, mut writer) = std::io::pipe().expect("a pipe");
     fill(&mut writer);
-    assert_eq!(failed_start(writer), Some(1));
+    assert_eq!(exit_code_of_failed_start(writer), Some(1));
 }
 
-/// Guards against a command that stays for ever, since it can't say what is wrong with its command line or its file.
+/// Guards against a command that blocks for ever on writing the error in its command line or file.
 #[test]
-fn a_wrong_command_ends_with_its_status_though_standard_error_is_not_read() {
+fn an_invalid_command_ends_with_its_status_though_standard_error_is_not_read() {
     for (arguments, expected) in [(&["--nonsense"][..], 2), (&["config", "check", "/nowhere.toml"], 1)] {
         let (_reader, mut writer) = std::io::pipe().expect("a pipe");
         fill(&mut writer);
         let mut command = Command::new(env!("CARGO_BIN_EXE_aniseyoke"));
         let mut child =
             command.args(arguments).stdout(Stdio::null()).stderr(writer).spawn().expect("started");
-        let status = end_within(&mut child, SOON);
+        let status = end_within(&mut child, COMMAND_TIMEOUT);
         let _ = child.kill();
         let _ = child.wait();
         assert_eq!(status.and_then(|status| status.code()), Some(expected), "{arguments:?}");
     }
 }
 
-/// Guards against a start that fails and panics, since it can't say why.
+/// Guards against a failed start that panics because it can't write its error.
 #[test]
-fn a_start_that_fails_ends_with_its_status_though_the_reader_of_its_log_has_gone() {
+fn a_failed_start_ends_with_its_status_though_the_reader_of_its_log_has_closed_it() {
     let (reader, writer) = std::io::pipe().expect("a pipe");
     drop(reader);
-    assert_eq!(failed_start(writer), Some(1));
+    assert_eq!(exit_code_of_failed_start(writer), Some(1));
 }
 
-/// Guards against the same where standard error is a socket, as a service manager gives it.
+/// Guards against a failed start that blocks for ever on writing its error to a socket, as set up by a
+/// service manager.
 #[test]
-fn a_start_that_fails_ends_though_its_log_is_a_socket_that_is_not_read() {
+fn a_failed_start_ends_though_its_log_is_a_socket_that_is_not_read() {
     let (_reader, mut writer) = UnixStream::pair().expect("a pair");
     writer.set_nonblocking(true).expect("set");
     let full = loop {
@@ -184,12 +187,12 @@
     };
     assert_eq!(full.kind(), ErrorKind::WouldBlock);
     writer.set_nonblocking(false).expect("set");
-    assert_eq!(failed_start(OwnedFd::from(writer)), Some(1));
+    assert_eq!(exit_code_of_failed_start(OwnedFd::from(writer)), Some(1));
 }
 
-/// Guards against a reason that is lost, since the log's reader is slow.
+/// Guards against an error of a failed start that is lost because the reader of the log is slow.
 #[test]
-fn a_start_that_fails_says_why_to_a_reader_that_begins_late() {
+fn a_failed_start_reports_its_error_to_a_reader_that_begins_late() {
     const LATE: Duration = Duration::from_millis(100);
     let (mut reader, mut writer) = std::io::pipe().expect("a pipe");
     fill(&mut writer);
@@ -199,7 +202,7 @@
         reader.read_to_string(&mut text).expect("text");
         text
     });
-    assert_eq!(failed_start(writer), Some(1));
+    assert_eq!(exit_code_of_failed_start(writer), Some(1));
     let text = text.join().expect("read");
     assert!(text.trim_start().starts_with("aniseyoke: PROXY_LISTEN: "), "{:?}", text.trim_start());
 }
--- a/crates/proxy/tests/versions.rs
+++ b/crates/proxy/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions from a control service at the real program.
+//! Versions of the configuration that the proxy process gets from a control service.
 
 mod rig;
 
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A service in a thread of its own, ended with the test.
+/// A control service in a thread of its own that ends with the test.
 struct Control(Hosted);
 
 fn control(epoch: u64) -> Control {
@@ -28,19 +28,19 @@
         self.0.publish(body, Plan::default()).expect("published").0
     }
 
-    fn row(&self) -> Option<ProxyStatus> {
+    fn status(&self) -> Option<ProxyStatus> {
         self.0.statuses().into_iter().next()
     }
 
-    fn runs(&self, stamp: Stamp) {
-        until("it runs", || self.row().is_some_and(|r| r.running == Some(stamp)));
-        assert!(self.row().is_some_and(|r| r.ack_latency.is_some()), "it was told so");
+    fn wait_until_running(&self, stamp: Stamp) {
+        until("the version is running", || self.status().is_some_and(|r| r.running == Some(stamp)));
+        assert!(self.status().is_some_and(|r| r.ack_latency.is_some()), "the version was acknowledged");
     }
 
-    fn refusal(&self, stamp: Stamp) -> String {
-        let refused = || self.row().and_then(|r| r.rejected).filter(|(s, _)| *s == stamp);
-        until("it is turned down", || refused().is_some());
-        refused().expect("told").1.join("; ")
+    fn wait_for_rejection(&self, stamp: Stamp) -> String {
+        let rejection = || self.status().and_then(|r| r.rejected).filter(|(s, _)| *s == stamp);
+        until("the version is rejected", || rejection().is_some());
+        rejection().expect("told").1.join("; ")
     }
 }
 
@@ -73,7 +73,7 @@
         Proxy::with(&config, |c| _ = c.env("ANISEYOKE_FILE", &path))
     }
 
-    fn kept(&self) -> PathBuf {
+    fn stored_version(&self) -> PathBuf {
         self.folder.path().join("aniseyoke-version")
     }
 }
@@ -87,56 +87,58 @@
     let (site, control) = (Site::new(), control(1));
     let relay = Hosted::relay("site", vec![control.addr()]).expect("started");
     let mut proxy = site.start(&[relay.addr]);
-    let door = proxy.admin_addr();
+    let admin_addr = proxy.admin_addr();
     let first = control.publish(json!({}));
-    until("it came through the relay", || relay.statuses().first().is_some_and(|r| r.running == Some(first)));
+    until("the version came through the relay", || {
+        relay.statuses().first().is_some_and(|r| r.running == Some(first))
+    });
     for body in [one_at_a_time(), json!({})] {
         let stamp = control.publish(body);
-        control.runs(stamp);
-        assert_eq!(control.row().expect("the relay").instance, "site");
-        assert_eq!(get_version(door)["version"].as_str(), Some(stamp.to_string().as_str()));
+        control.wait_until_running(stamp);
+        assert_eq!(control.status().expect("the relay").instance, "site");
+        assert_eq!(get_version(admin_addr)["version"].as_str(), Some(stamp.to_string().as_str()));
     }
-    let why = control.refusal(control.publish(json!({ "log": { "burst": 0 } })));
-    assert!(why.starts_with("p0: "), "{why}");
+    let rejection = control.wait_for_rejection(control.publish(json!({ "log": { "burst": 0 } })));
+    assert!(rejection.starts_with("p0: "), "{rejection}");
 }
 
 #[test]
-fn a_version_comes_into_force_while_requests_are_open_and_goes_again() {
+fn a_version_is_put_in_force_and_replaced_while_requests_are_open() {
     let (site, control) = (Site::new(), control(1));
     let mut proxy = site.start(&[control.addr()]);
-    let door = proxy.admin_addr();
+    let admin_addr = proxy.admin_addr();
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.ask("read", "");
     let mut node = site.cache.take();
     node.request();
     let stamp = control.publish(one_at_a_time());
-    control.runs(stamp);
-    assert_eq!(get_version(door)["version"].as_str(), Some(stamp.to_string().as_str()));
+    control.wait_until_running(stamp);
+    assert_eq!(get_version(admin_addr)["version"].as_str(), Some(stamp.to_string().as_str()));
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
-    assert_eq!(first.answer().status(), 200, "what was open when the version came has its answer");
+    assert_eq!(first.answer().status(), 200, "a request that was open when the version arrived is answered");
     first.ask("read", "");
     node.request();
     second.ask("read", "");
     assert_eq!(second.answer().status(), 503, "the limit is in force");
     let stamp = control.publish(json!({}));
-    control.runs(stamp);
+    control.wait_until_running(stamp);
     second.ask("read", "");
     let mut other = site.cache.take();
     other.request();
     other.reply("200 OK", "X-Lookup: hit\r\n", "value");
-    assert_eq!(second.answer().status(), 200, "and is no more");
+    assert_eq!(second.answer().status(), 200, "the limit is not in force any more");
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
     assert_eq!(first.answer().status(), 200);
 }
 
 #[test]
-fn versions_that_would_do_harm_are_turned_down_with_all_reasons_and_what_runs_stays() {
+fn invalid_versions_are_rejected_with_all_reasons_and_the_running_one_stays() {
     let (site, control) = (Site::new(), control(1));
     let mut proxy = site.start(&[control.addr()]);
-    let door = proxy.admin_addr();
+    let admin_addr = proxy.admin_addr();
     let good = control.publish(json!({ "log": { "burst": 7 } }));
-    control.runs(good);
-    let bad = [
+    control.wait_until_running(good);
+    let invalid = [
         (json!({ "lgo": {}, "log": { "burst": 0 } }), vec!["did you mean \"log\"", "burst"]),
         (json!({ "tenants": { "nobody": { "share": 1.0 } } }), vec!["names no tenant \"nobody\""]),
         (
@@ -145,30 +147,31 @@
         ),
         (json!({ "control": { "services": ["127.0.0.1:1"] } }), vec!["may not set which services"]),
     ];
-    for (body, parts) in bad {
-        let why = control.refusal(control.publish(body));
-        assert!(parts.iter().all(|part| why.contains(part)), "{why}");
-        assert_eq!(get_version(door)["version"].as_str(), Some(good.to_string().as_str()));
+    for (body, reasons) in invalid {
+        let rejection = control.wait_for_rejection(control.publish(body));
+        assert!(reasons.iter().all(|reason| rejection.contains(reason)), "{rejection}");
+        assert_eq!(get_version(admin_addr)["version"].as_str(), Some(good.to_string().as_str()));
     }
     let after = control.publish(json!({}));
-    control.runs(after);
+    control.wait_until_running(after);
     assert_eq!(proxy.health(), 200);
 }
 
-/// Danger: a service that is away while a proxy restarts would leave it without what its operators set.
+/// Guards against a proxy that loses its operators' settings because it restarts while the control service is
+/// unavailable.
 #[test]
-fn the_last_good_version_outlives_a_restart_without_any_service() {
+fn the_last_good_version_survives_a_restart_without_any_service() {
     let site = Site::new();
     let service = control(1);
     let proxy = site.start(&[service.addr()]);
     let stamp = service.publish(one_at_a_time());
-    service.runs(stamp);
-    until("it is kept", || site.kept().exists());
+    service.wait_until_running(stamp);
+    until("the version is stored", || site.stored_version().exists());
     let addr = service.addr();
     drop((proxy, service));
-    let mut again = site.start(&[addr]);
-    assert_eq!(get_version(again.admin_addr())["version"].as_str(), Some(stamp.to_string().as_str()));
-    let (mut first, mut second) = (again.client(), again.client());
+    let mut restarted = site.start(&[addr]);
+    assert_eq!(get_version(restarted.admin_addr())["version"].as_str(), Some(stamp.to_string().as_str()));
+    let (mut first, mut second) = (restarted.client(), restarted.client());
     first.ask("read", "");
     let mut node = site.cache.take();
     node.request();
@@ -179,36 +182,38 @@
 }
 
 #[test]
-fn a_damaged_version_on_disk_is_put_aside_and_a_service_with_a_later_epoch_is_followed() {
+fn a_damaged_version_on_disk_is_set_aside_and_a_service_with_a_later_epoch_is_followed() {
     let site = Site::new();
-    let kept = StoredVersion { version: Version::new(Stamp { epoch: 1, number: 900 }, &json!({})), at_ms: 1 };
-    Store::new(Disk, site.kept()).save(&kept).expect("kept");
-    let mut bytes = std::fs::read(site.kept()).expect("there");
+    let stored =
+        StoredVersion { version: Version::new(Stamp { epoch: 1, number: 900 }, &json!({})), at_ms: 1 };
+    Store::new(Disk, site.stored_version()).save(&stored).expect("kept");
+    let mut bytes = std::fs::read(site.stored_version()).expect("there");
     bytes[100] ^= 1;
-    std::fs::write(site.kept(), &bytes).expect("written");
+    std::fs::write(site.stored_version(), &bytes).expect("written");
     let service = control(2);
     let mut proxy = site.start(&[service.addr()]);
     assert_eq!(get_version(proxy.admin_addr())["version"], Value::Null);
-    assert!(site.kept().with_file_name("aniseyoke-version.damaged").exists());
+    assert!(site.stored_version().with_file_name("aniseyoke-version.damaged").exists());
     let stamp = service.publish(json!({ "log": { "burst": 3 } }));
-    service.runs(stamp);
-    // A service from a backup: lower numbers under the epoch that was there before.
+    service.wait_until_running(stamp);
+    // A service restored from a backup has lower numbers under the earlier epoch.
     let old = control(1);
     old.publish(json!({ "log": { "burst": 4 } }));
-    // The version is kept by a thread of its own after it is in force: the proxy is ended only once it is on disk.
-    until("the later one is kept", || {
-        let mut store = Store::new(Disk, site.kept());
+    // A separate thread stores the version after it is in force, so the proxy is ended only once the version
+    // is on disk.
+    until("the later version is stored", || {
+        let mut store = Store::new(Disk, site.stored_version());
         matches!(store.load(), Ok(aniseyoke_control::store::Loaded::Valid(k)) if k.version.stamp == stamp)
     });
     drop((proxy, service));
     let proxy = site.start(&[old.addr()]);
-    let why = old.refusal(Stamp { epoch: 1, number: 1 });
-    assert!(why.contains("older"), "{why}");
+    let rejection = old.wait_for_rejection(Stamp { epoch: 1, number: 1 });
+    assert!(rejection.contains("older"), "{rejection}");
     assert_eq!(proxy.health(), 200);
 }
 
-/// A proxy that follows a service, before two cache nodes of two kinds.
-fn two_kinds(site: &Site, service: &Control) -> (Proxy, [Server; 2]) {
+/// Starts a proxy that follows a control service and has two cache nodes of different kinds.
+fn start_with_two_kinds(site: &Site, service: &Control) -> (Proxy, [Server; 2]) {
     let path = site.folder.path().join("operator.toml");
     std::fs::write(&path, format!("[control]\nservices = [\"{}\"]\n", service.addr())).expect("written");
     let caches = [Server::new(), Server::new()];
@@ -226,8 +231,8 @@
     json!({ "std": { "kinds": ["std"] }, "fast": { "kinds": ["fast"] } })
 }
 
-/// Whom a request goes to.
-fn asked(client: &mut Peer, caches: &[Server; 2], peers: &mut [Option<Peer>; 2], to: usize) {
+/// Sends a request and answers it at the cache node with index `to`, where it has to arrive.
+fn expect_served_by(client: &mut Peer, caches: &[Server; 2], peers: &mut [Option<Peer>; 2], to: usize) {
     client.ask("read", "");
     let node = peers[to].get_or_insert_with(|| caches[to].take());
     assert!(node.request().line.contains("/read/7f3a9c21e0b4d655"));
@@ -236,53 +241,58 @@
 }
 
 #[test]
-fn requests_go_to_the_pool_of_the_first_route_that_fits_and_open_ones_stay_where_they_are() {
+fn requests_go_to_the_pool_of_the_first_matching_route_and_open_ones_stay_at_their_node() {
     let (site, service) = (Site::new(), control(1));
-    let (proxy, caches) = two_kinds(&site, &service);
+    let (proxy, caches) = start_with_two_kinds(&site, &service);
     let (mut client, mut peers) = (proxy.client(), [None, None]);
     let route = |body: Value| json!({ "pools": pools(), "routes": body });
     let by_prefix = json!([{ "prefix": "7f3b", "pool": "std" }, { "prefix": "7f3", "pool": "fast" }]);
-    service.runs(service.publish(route(by_prefix)));
-    (0..5).for_each(|_| asked(&mut client, &caches, &mut peers, 1));
+    service.wait_until_running(service.publish(route(by_prefix)));
+    (0..5).for_each(|_| expect_served_by(&mut client, &caches, &mut peers, 1));
     let mut early = proxy.client();
     early.ask("read", "");
     let mut node = peers[1].take().expect("a connection");
     node.request();
     let by_tenant = json!([{ "class": "order", "pool": "fast" }, { "tenant": "acme", "pool": "std" }]);
-    service.runs(service.publish(route(by_tenant)));
-    (0..5).for_each(|_| asked(&mut client, &caches, &mut peers, 0));
+    service.wait_until_running(service.publish(route(by_tenant)));
+    (0..5).for_each(|_| expect_served_by(&mut client, &caches, &mut peers, 0));
     node.reply("200 OK", "X-Lookup: hit\r\n", "value");
-    assert_eq!(early.answer().status(), 200, "what was open has its answer from where it was");
-    let why = service.refusal(service.publish(route(json!([{ "tenant": "nobody", "pool": "std" }]))));
-    assert!(why.contains("names no tenant \"nobody\""), "{why}");
+    assert_eq!(early.answer().status(), 200, "an open request is answered by the node that it was sent to");
+    let rejection =
+        service.wait_for_rejection(service.publish(route(json!([{ "tenant": "nobody", "pool": "std" }]))));
+    assert!(rejection.contains("names no tenant \"nobody\""), "{rejection}");
 }
 
 #[test]
-fn a_remark_takes_a_node_out_of_service_and_one_that_would_take_the_last_is_turned_down() {
+fn an_overlay_drains_a_node_and_one_that_would_drain_the_last_is_rejected() {
     let (site, service) = (Site::new(), control(1));
-    let (proxy, caches) = two_kinds(&site, &service);
+    let (proxy, caches) = start_with_two_kinds(&site, &service);
     let (mut client, mut peers) = (proxy.client(), [None, None]);
     let drain = |on: Value| json!({ "overlays": [on] });
-    service.runs(service.publish(drain(json!({ "node": "c2", "drain": true }))));
-    (0..5).for_each(|_| asked(&mut client, &caches, &mut peers, 0));
-    service.runs(service.publish(drain(json!({ "kind": "std", "drain": true }))));
-    (0..5).for_each(|_| asked(&mut client, &caches, &mut peers, 1));
-    let why = service.refusal(service.publish(drain(json!({ "zone": "a", "drain": true }))));
-    assert!(why.contains("no node that takes work would be left for class read, which has 1"), "{why}");
+    service.wait_until_running(service.publish(drain(json!({ "node": "c2", "drain": true }))));
+    (0..5).for_each(|_| expect_served_by(&mut client, &caches, &mut peers, 0));
+    service.wait_until_running(service.publish(drain(json!({ "kind": "std", "drain": true }))));
+    (0..5).for_each(|_| expect_served_by(&mut client, &caches, &mut peers, 1));
+    let rejection = service.wait_for_rejection(service.publish(drain(json!({ "zone": "a", "drain": true }))));
+    assert!(
+        rejection.contains("no node that takes work would be left for class read, which has 1"),
+        "{rejection}"
+    );
     let lost = json!({ "pools": pools(), "overlays": [{ "node": "c1", "drain": true }],
                        "routes": [{ "class": "read", "pool": "std" }] });
-    let why = service.refusal(service.publish(lost));
-    assert!(why.contains("class read routed to pool std"), "{why}");
-    asked(&mut client, &caches, &mut peers, 1);
-    service.runs(service.publish(json!({})));
+    let rejection = service.wait_for_rejection(service.publish(lost));
+    assert!(rejection.contains("class read routed to pool std"), "{rejection}");
+    expect_served_by(&mut client, &caches, &mut peers, 1);
+    service.wait_until_running(service.publish(json!({})));
     assert_eq!(proxy.health(), 200);
 }
 
-/// Danger: ten thousand routes that name a class with a slip would be ten thousand reasons in one frame.
+/// Guards against a rejection that is too large for a frame: ten thousand routes with a mistyped class give
+/// ten thousand reasons.
 #[test]
-fn ten_thousand_routes_come_into_force_and_a_slip_in_all_of_them_is_told_in_short() {
+fn ten_thousand_routes_are_put_in_force_and_an_error_in_all_of_them_is_summarized() {
     let (site, service) = (Site::new(), control(1));
-    let (mut proxy, caches) = two_kinds(&site, &service);
+    let (mut proxy, caches) = start_with_two_kinds(&site, &service);
     let (mut client, mut peers) = (proxy.client(), [None, None]);
     let routes = |class: &str| {
         let route = |n: u32| json!({ "class": class, "prefix": format!("{n:05}/"), "pool": "std" });
@@ -290,10 +300,10 @@
         routes.push(json!({ "prefix": "7f3a", "pool": "fast" }));
         json!({ "pools": pools(), "routes": routes })
     };
-    service.runs(service.publish(routes("read")));
-    asked(&mut client, &caches, &mut peers, 1);
+    service.wait_until_running(service.publish(routes("read")));
+    expect_served_by(&mut client, &caches, &mut peers, 1);
     proxy.logged("swapped in");
-    let why = service.refusal(service.publish(routes("raed")));
-    assert!(why.contains("names no class \"raed\"") && why.len() < 20_000, "{}", why.len());
-    asked(&mut client, &caches, &mut peers, 1);
+    let rejection = service.wait_for_rejection(service.publish(routes("raed")));
+    assert!(rejection.contains("names no class \"raed\"") && rejection.len() < 20_000, "{}", rejection.len());
+    expect_served_by(&mut client, &caches, &mut peers, 1);
 }
--- a/crates/proxy/tests/watches.rs
+++ b/crates/proxy/tests/watches.rs
@@ -1,4 +1,5 @@
-//! Where a watch on the list and something else cross, at the real program. Each crossing is made by a peer that holds back.
+//! Races between a watch of the endpoint list and other events at the proxy process, each forced by a peer
+//! that delays its answer.
 
 mod rig;
 
@@ -6,35 +7,35 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// A watch that says nothing any more counts as having told its news so long after it fell silent.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// A call may wait for its turn at the list service for so long.
-const TURN: Duration = Duration::from_secs(2);
+/// Time within which the proxy must know of a change, counted from when its watch stopped answering.
+const MAX_NOTIFY_DELAY: Duration = Duration::from_secs(6);
+/// Longest time that a call may be queued at the list service.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// How long a watch asks to wait.
-fn hold(line: &str) -> Duration {
-    let told = line.split("hold_ms=").nth(1).and_then(|rest| rest.split([' ', '&']).next());
-    Duration::from_millis(told.and_then(|ms| ms.parse().ok()).expect("a wait"))
+/// Returns the wait that a watch asks for in its request line.
+fn watch_wait(line: &str) -> Duration {
+    let wait_ms = line.split("hold_ms=").nth(1).and_then(|rest| rest.split([' ', '&']).next());
+    Duration::from_millis(wait_ms.and_then(|ms| ms.parse().ok()).expect("a wait"))
 }
 
-fn drained(r: &Rig, version: u64) -> String {
+fn draining_list(r: &Rig, version: u64) -> String {
     list(version, false, &[member("c1", r.cache.addr, "std", "draining")]).to_string()
 }
 
-/// Danger: what a silent watch would have told counts as told 6 s later; a call that comes after that is too late, and one
-/// that comes just before may still wait for its turn.
-fn silent_after(said: &str) {
+/// The proxy must know within 6 s what a silent watch did not deliver. Guards against a replacing call that
+/// begins too late: it may still be queued at the service.
+fn assert_silent_watch_is_replaced(answer_start: &str) {
     let r = rig();
     let mut silent = r.discovery.take();
-    let (began, asked) = (Instant::now(), hold(&silent.request().line));
-    silent.write(said);
+    let (began, wait) = (Instant::now(), watch_wait(&silent.request().line));
+    silent.write(answer_start);
     let mut next = r.discovery.take();
     let took = began.elapsed();
-    assert!(took > asked, "it was not given the time that it was asked to wait: {took:?} of {asked:?}");
-    assert!(took + TURN < TOLD_AFTER, "the next call came after {took:?}");
-    assert_eq!(silent.read(), None, "what may still come on the old one is not heard");
+    assert!(took > wait, "the watch ended before the wait that it asked for: {took:?} of {wait:?}");
+    assert!(took + MAX_QUEUE_TIME < MAX_NOTIFY_DELAY, "the next call began after {took:?}");
+    assert_eq!(silent.read(), None, "the old watch is still open");
     next.request();
-    next.reply("200 OK", "", &drained(&r, 42));
+    next.reply("200 OK", "", &draining_list(&r, 42));
     next.request();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -43,43 +44,45 @@
 }
 
 #[test]
-fn a_silent_watch_is_replaced_before_its_news_counts_as_told() {
-    silent_after("");
+fn a_watch_without_an_answer_is_replaced_in_time() {
+    assert_silent_watch_is_replaced("");
 }
 
 #[test]
-fn so_is_one_that_falls_silent_after_the_head_of_its_answer() {
-    silent_after("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
+fn a_watch_that_stalls_after_the_head_of_its_answer_is_replaced_in_time() {
+    assert_silent_watch_is_replaced("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
 }
 
 #[test]
-fn so_is_one_that_falls_silent_in_the_midst_of_a_list() {
-    silent_after(
+fn a_watch_that_stalls_in_the_middle_of_a_list_is_replaced_in_time() {
+    assert_silent_watch_is_replaced(
         "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":42,\"full\":false,\"servers\":[{\"id\":",
     );
 }
 
-/// Danger: the kernel goes on sending what a silent link has not taken, until the connection is reset. Calls that were given up
-/// in order would come to the service when the link is well, those of all proxies at once, each beside a later one.
+/// The kernel keeps sending unacknowledged data until the connection is reset. Guards against abandoned calls
+/// that are closed in order: once the link works again, those of all proxies would arrive at once, each
+/// beside a later call.
 #[test]
-fn a_call_that_is_given_up_is_reset_so_that_it_is_not_sent_again() {
+fn an_abandoned_call_is_reset_so_that_it_is_not_retransmitted() {
     let r = rig();
     let mut silent = r.discovery.take();
     silent.request();
     let mut next = r.discovery.take();
-    assert!(silent.ends_with_a_reset(), "the given-up call ended in order");
+    assert!(silent.ends_with_a_reset(), "the abandoned call was closed without a reset");
     next.request();
-    // One that stands at an address that discovery has left is given up as well.
-    let there = Server::new();
-    std::fs::write(&r.proxy.file, config(there.addr, &[]).to_string()).expect("written");
+    // An open call at an old address of the discovery service is abandoned as well.
+    let new_service = Server::new();
+    std::fs::write(&r.proxy.file, config(new_service.addr, &[]).to_string()).expect("written");
     r.proxy.signal("-HUP");
-    assert!(next.ends_with_a_reset(), "the call at the old address ended in order");
-    there.take().request();
+    assert!(next.ends_with_a_reset(), "the call at the old address was closed without a reset");
+    new_service.take().request();
 }
 
-/// Danger: of what one answer says of a node the last word counts: it drains, is gone, and is back as a new process.
+/// One answer says of a node that it drains, is gone, and is ready as a new process. Guards against a proxy
+/// that doesn't act on the last of these states.
 #[test]
-fn a_node_that_is_gone_and_back_within_one_answer_is_used_on_new_connections() {
+fn a_node_that_restarts_within_one_answer_is_used_on_new_connections() {
     let r = rig();
     let mut client = r.proxy.client();
     client.ask("read", "");
@@ -89,12 +92,12 @@
     client.answer();
     let mut watch = r.discovery.take();
     watch.request();
-    let mut back = member("c1", r.cache.addr, "std", "ready");
-    back["started_ms"] = json!(1_700_000_000_000u64);
+    let mut restarted = member("c1", r.cache.addr, "std", "ready");
+    restarted["started_ms"] = json!(1_700_000_000_000u64);
     let states = ["draining", "gone"].map(|state| member("c1", r.cache.addr, "std", state));
     let [draining, gone] = states;
-    watch.reply("200 OK", "", &list(42, false, &[draining, gone, back]).to_string());
-    assert_eq!(node.read(), None, "the old process's connection is kept");
+    watch.reply("200 OK", "", &list(42, false, &[draining, gone, restarted]).to_string());
+    assert_eq!(node.read(), None, "the connection to the old process is still open");
     client.ask("read", "");
     let mut node = r.cache.take();
     node.request();
@@ -102,38 +105,39 @@
     assert_eq!(client.answer().body, b"back");
 }
 
-/// Danger: to ask a service that is slow for all again and again would keep it slow.
+/// Guards against repeated polls of the complete list, which would keep a slow service slow.
 #[test]
-fn a_list_service_that_is_slow_gets_more_time_and_is_not_asked_twice() {
+fn a_slow_list_service_gets_more_time_and_is_not_polled_twice() {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
-    let mut quick = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
-    quick["settings"]["rules"]["must_ask_in_ns"] = json!(2_000_000_000u64);
-    let mut r = Rig { proxy: Proxy::new(&quick), cache, origin, discovery };
+    let mut platform = config(discovery.addr, &[member("c1", cache.addr, "std", "ready")]);
+    platform["settings"]["rules"]["must_ask_in_ns"] = json!(2_000_000_000u64);
+    let mut r = Rig { proxy: Proxy::new(&platform), cache, origin, discovery };
     let mut silent = r.discovery.take();
-    let asked = hold(&silent.request().line);
+    let wait = watch_wait(&silent.request().line);
     let mut slow = r.discovery.take();
     slow.request();
-    let late = asked + Duration::from_millis(1500);
-    assert!(slow.stays_open(late), "it was given up within {late:?}");
+    let delay = wait + Duration::from_millis(1500);
+    assert!(slow.stays_open(delay), "the call was abandoned within {delay:?}");
     slow.reply("200 OK", "", &list(41, false, &[]).to_string());
     slow.request();
     r.proxy.signal("-TERM");
-    assert_eq!(r.proxy.logged("draining"), 1, "the module heard of a discovery that is down");
+    assert_eq!(r.proxy.logged("draining"), 1, "the decision module was notified of a discovery failure");
 }
 
-/// Danger: where lists are pushed nothing comes on sockets unless it is asked for, and all of it counts as told.
+/// A proxy must know of pushed lists at once, but on sockets it gets only what it asks for. Guards against
+/// one that doesn't watch in this mode.
 #[test]
-fn where_lists_are_pushed_they_are_watched_as_well() {
+fn pushed_lists_are_watched_as_well() {
     let (cache, origin, discovery) = (Server::new(), Server::new(), Server::new());
     let servers = [member("c1", cache.addr, "std", "ready"), member("o1", origin.addr, "origin", "ready")];
-    let mut pushed = config(discovery.addr, &servers);
-    pushed["settings"]["discovery"] = json!("automatic");
-    pushed["settings"]["rules"]["must_ask_in_ns"] = Value::Null;
-    let r = Rig { proxy: Proxy::new(&pushed), cache, origin, discovery };
+    let mut platform = config(discovery.addr, &servers);
+    platform["settings"]["discovery"] = json!("automatic");
+    platform["settings"]["rules"]["must_ask_in_ns"] = Value::Null;
+    let r = Rig { proxy: Proxy::new(&platform), cache, origin, discovery };
     let mut watch = r.discovery.take();
     assert!(watch.request().line.contains("from=41"));
-    watch.reply("200 OK", "", &drained(&r, 42));
-    assert!(hold(&watch.request().line) + TURN < TOLD_AFTER);
+    watch.reply("200 OK", "", &draining_list(&r, 42));
+    assert!(watch_wait(&watch.request().line) + MAX_QUEUE_TIME < MAX_NOTIFY_DELAY);
     let mut client = r.proxy.client();
     client.ask("read", "");
     assert_eq!(client.answer().status(), 503);
