--- a/crates/control/src/commit/leader.rs
+++ b/crates/control/src/commit/leader.rs
@@ -1,26 +1,29 @@
-//! The leader of the control services: has changes prepared, requests their commit or abort, and grants leases.
+//! The leader of the control services: has changes prepared, requests their commit or abort, and grants
+//! leases.
 
 use super::{Change, LeaderMessage, Log, MemberMessage, Name, Nanos, Record, RecordError, Times};
 use crate::version::Stamp;
 use std::collections::BTreeMap;
 
-/// How many members one leader serves; others get no lease.
+/// Maximum number of members of one leader; others get no lease.
 const MAX_MEMBERS: usize = 20_000;
-/// How many members a reason names.
+/// Maximum number of members that the reason of an abort names.
 const MAX_NAMES: usize = 10;
-/// A member is forgotten so many leases after its last one.
+/// A member is removed this many leases after the end of its last one.
 const RETENTION_LEASES: u64 = 10;
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// What a leader asks its owner to do.
+/// An action that the leader's caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderAction {
     /// Send a message to a member.
     Send(Name, LeaderMessage),
-    /// Append a record to the log under this leader's term, and call [`Leader::record_committed`] once a majority has it.
+    /// Append a record to the log under this leader's term, and call [`Leader::record_committed`] once a
+    /// majority has it.
     Append(Record),
-    /// Have a majority of the services confirm, from now on, that this one still leads; then call
-    /// [`Leader::leadership_confirmed`] with the same name and time. If it does not lead any more, call nothing.
+    /// Start a new round in which a majority of the services confirms that this one still leads; then call
+    /// [`Leader::leadership_confirmed`] with the same name and time. If this service no longer leads, make no
+    /// call.
     ConfirmLeadership(Name, Nanos),
 }
 
@@ -30,12 +33,12 @@
     /// The log does not accept it.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// Some proxy may still serve under the version before the last one.
+    /// Some proxy may still serve requests under a version before the last committed one.
     #[error("version {} may not be in force everywhere yet; publish again in {retry_ms} ms", .last.map_or("of an earlier leader".to_owned(), |stamp| stamp.to_string()))]
     NotSettled {
         /// The last committed version; none where an earlier leader may have granted leases.
         last: Option<Stamp>,
-        /// When publishing succeeds at the latest, in milliseconds.
+        /// The longest time until a retry is no longer rejected for this reason, in milliseconds.
         retry_ms: u64,
     },
 }
@@ -43,11 +46,11 @@
 /// A member as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberState {
-    /// Until when it may serve at the latest, on the leader's clock.
+    /// The latest time at which the member may still serve requests, on the leader's clock.
     pub lease_until: Nanos,
-    /// The version that it runs, by its last message.
+    /// The version that the member runs, by its last heartbeat.
     pub running: Option<Change>,
-    /// The change that it has prepared, by its last message.
+    /// The change that the member has prepared, by its last heartbeat or vote.
     pub prepared: Option<Change>,
 }
 
@@ -63,12 +66,14 @@
     prepare_started: Nanos,
     /// Whether the commit or abort of the pending change was requested.
     decision_requested: bool,
-    /// When every member surely runs the committed version or serves no requests. Earlier no change may begin.
+    /// The time from which on every member is known to run the committed version or to serve no requests.
+    /// Before, a change may begin only if the state of each member shows the same; see
+    /// [`Leader::is_settled`].
     settled_at: Nanos,
 }
 
 impl Leader {
-    /// A service that begins to lead now, with the state of the log.
+    /// Creates the leader for a term that begins now, with the current state of the log.
     pub fn new(times: Times, log: Log, now: Nanos) -> Self {
         let earlier_leases_end = now.saturating_add(times.lease_with_margin());
         Leader {
@@ -116,11 +121,11 @@
     /// Whether the committed version is in force everywhere: each member runs it, or serves no requests.
     pub fn is_settled(&self, now: Nanos) -> bool {
         let committed = self.log.committed();
-        let follows = |m: &MemberState| m.lease_until <= now || m.running.as_ref() == committed;
-        now >= self.earlier_leases_end && (now >= self.settled_at || self.members.values().all(follows))
+        let complies = |m: &MemberState| m.lease_until <= now || m.running.as_ref() == committed;
+        now >= self.earlier_leases_end && (now >= self.settled_at || self.members.values().all(complies))
     }
 
-    /// A majority has appended a record, whoever requested it.
+    /// Handles a record that a majority has appended, whichever leader requested it.
     pub fn record_committed(&mut self, now: Nanos, record: Record, actions: &mut Vec<LeaderAction>) {
         if self.log.apply(record.clone()).is_err() {
             return;
@@ -141,7 +146,7 @@
         actions.extend(self.members.keys().map(|name| LeaderAction::Send(name.clone(), message.clone())));
     }
 
-    /// A message of a member has arrived.
+    /// Handles a message of a member.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -154,7 +159,7 @@
                 if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(name) {
                     return;
                 }
-                // A member that is never granted a lease is forgotten in time as well.
+                // Starts at `now`, so that a member that is never granted a lease is removed in time as well.
                 let new = MemberState { lease_until: now, running: None, prepared: None };
                 let member = self.members.entry(name.clone()).or_insert(new);
                 member.running = running;
@@ -179,7 +184,8 @@
         }
     }
 
-    /// Sends a member what it missed: a commit, a change to prepare, the abort of the change that it has prepared.
+    /// Sends a member the messages that it missed: a commit, a change to prepare, the abort of the change
+    /// that it has prepared.
     fn catch_up(&self, name: &Name, actions: &mut Vec<LeaderAction>) {
         let Some(member) = self.members.get(name) else { return };
         let (committed, pending) = (self.log.committed(), self.log.pending());
@@ -196,16 +202,17 @@
         }
     }
 
-    /// Whether a member may be granted a lease: it runs the committed version, and if a decision was requested it has
-    /// prepared the change that may be committed by it.
+    /// Whether a member may be granted a lease: it runs the committed version and, if a decision was
+    /// requested, it has prepared the pending change, which that decision may commit.
     fn may_hold_lease(&self, name: &Name) -> bool {
         let Some(member) = self.members.get(name) else { return false };
         let is_ready = !self.decision_requested || member.prepared.as_ref() == self.log.pending();
         member.running.as_ref() == self.log.committed() && is_ready
     }
 
-    /// A majority has confirmed that this service leads, after a member requested its lease. Since the lease counts from
-    /// that request, it is over before a later leader may decide anything.
+    /// Grants a lease to a member, after a majority has confirmed, later than the member's request, that this
+    /// service leads. Since the lease counts from that request, it expires before a later leader may decide
+    /// on a change.
     pub fn leadership_confirmed(
         &mut self,
         now: Nanos,
@@ -213,7 +220,7 @@
         requested_at: Nanos,
         actions: &mut Vec<LeaderAction>,
     ) {
-        // The committed version may have changed meanwhile.
+        // The committed version may have changed since the confirmation was requested.
         if !self.may_hold_lease(name) {
             return;
         }
@@ -226,32 +233,37 @@
         }
     }
 
-    /// Lets time pass. To be called many times in a lease.
+    /// Decides on the pending change if that is due, and removes members whose last lease ended long ago. To
+    /// be called many times per lease.
     pub fn tick(&mut self, now: Nanos, actions: &mut Vec<LeaderAction>) {
         self.decide(now, actions);
-        // A member that is forgotten is added again by its next heartbeat.
+        // A member that is removed is added again by its next heartbeat.
         let retention = self.times.lease_with_margin().saturating_mul(RETENTION_LEASES);
         self.members.retain(|_, member| member.lease_until.saturating_add(retention) > now);
     }
 
-    /// Requests the commit once every member that may serve has prepared the pending change, or its abort once that has
-    /// taken too long.
+    /// Requests the commit of the pending change once every member that may serve requests has prepared it,
+    /// or its abort once that has taken longer than [`Times::prepare`].
     fn decide(&mut self, now: Nanos, actions: &mut Vec<LeaderAction>) {
         let Some(pending) = self.log.pending().cloned() else { return };
         if self.decision_requested || now < self.earlier_leases_end {
             return;
         }
-        let lacks = |m: &MemberState| m.lease_until > now && m.prepared.as_ref() != Some(&pending);
-        let lacking: Vec<&str> =
-            self.members.iter().filter(|(_, member)| lacks(member)).map(|(name, _)| &**name).collect();
+        let is_unprepared = |m: &MemberState| m.lease_until > now && m.prepared.as_ref() != Some(&pending);
+        let unprepared: Vec<&str> = self
+            .members
+            .iter()
+            .filter(|(_, member)| is_unprepared(member))
+            .map(|(name, _)| &**name)
+            .collect();
         let stamp = pending.stamp;
-        if lacking.is_empty() {
+        if unprepared.is_empty() {
             return self.request_decision(Record::Commit { stamp }, actions);
         }
         let started = self.prepare_started.max(self.earlier_leases_end);
         if now.saturating_sub(started) > self.times.prepare {
-            let named: Vec<&str> = lacking.iter().copied().take(MAX_NAMES).collect();
-            let others = match lacking.len() - named.len() {
+            let named: Vec<&str> = unprepared.iter().copied().take(MAX_NAMES).collect();
+            let others = match unprepared.len() - named.len() {
                 0 => String::new(),
                 count => format!(" and {count} more"),
             };
@@ -266,7 +278,7 @@
         }
     }
 
-    /// A requested record was not appended, and never will be under this term.
+    /// Handles the failure of a requested record, which was not appended and never will be in this term.
     pub fn append_failed(&mut self) {
         self.decision_requested = false;
     }
--- a/crates/control/src/commit/log.rs
+++ b/crates/control/src/commit/log.rs
@@ -5,28 +5,28 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// How many aborted changes are remembered.
+/// Maximum number of aborted changes whose reasons are kept.
 const MAX_ABORTED: usize = 64;
-/// The longest reason that is kept, in bytes.
+/// Maximum length of a stored reason, in bytes; longer ones are truncated.
 const MAX_REASON_BYTES: usize = 2000;
 
 /// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Record {
-    /// A change begins to be prepared.
+    /// The preparation of a change begins.
     Begin {
         /// The change.
         change: Change,
     },
     /// The pending change is committed.
     Commit {
-        /// The change.
+        /// The stamp of the change.
         stamp: Stamp,
     },
     /// The pending change is aborted.
     Abort {
-        /// The change.
+        /// The stamp of the change.
         stamp: Stamp,
         /// The reason.
         #[serde(rename = "why")]
@@ -40,20 +40,20 @@
     /// Another change is pending.
     #[error("version {stamp} lost to version {winner}, which was published first and is not decided yet")]
     Conflict {
-        /// The change of the record.
+        /// The stamp of the record's change.
         stamp: Stamp,
-        /// The pending change.
+        /// The stamp of the pending change.
         winner: Stamp,
     },
     /// A change with this stamp or a later one has begun before.
     #[error("version {stamp} is no newer than version {newest}, which was published before")]
     Outdated {
-        /// The change of the record.
+        /// The stamp of the record's change.
         stamp: Stamp,
-        /// The newest change that has begun.
+        /// The stamp of the newest change that has begun.
         newest: Stamp,
     },
-    /// The change is not pending, and may have been decided before.
+    /// The change is not pending; it may have been decided before.
     #[error("version {0} is not pending, and nothing is left to decide")]
     NotPending(Stamp),
 }
@@ -73,17 +73,17 @@
         self.committed.as_ref()
     }
 
-    /// The change that has begun and is not decided yet.
+    /// The change that has begun and is neither committed nor aborted.
     pub fn pending(&self) -> Option<&Change> {
         self.pending.as_ref()
     }
 
-    /// The newest change that has begun.
+    /// The stamp of the newest change that has begun.
     pub fn newest(&self) -> Option<Stamp> {
         self.newest
     }
 
-    /// Why a change was aborted, if that was recently.
+    /// Why a change was aborted, if it is among the last `MAX_ABORTED` aborted ones.
     pub fn abort_reason(&self, stamp: Stamp) -> Option<&str> {
         self.aborted.iter().find(|(aborted, _)| *aborted == stamp).map(|(_, reason)| reason.as_str())
     }
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Applies the next record of the log. The first commit or abort of a change decides it; later ones have no effect.
+    /// Applies the next record of the log. The first commit or abort of a change decides it; later ones have
+    /// no effect.
     ///
     /// # Errors
     /// Why the record has no effect; the same at every service.
--- a/crates/control/src/commit/member.rs
+++ b/crates/control/src/commit/member.rs
@@ -1,10 +1,10 @@
-//! A proxy's side of the commit protocol: it prepares a change, activates it once it is committed, and serves requests
-//! only while it holds a lease.
+//! A proxy's side of the commit protocol: it prepares a change, activates it once it is committed, and serves
+//! requests only while it holds a lease.
 
 use super::{Change, LeaderMessage, MemberMessage, Nanos, Times};
 use crate::version::Stamp;
 
-/// What a member asks its owner to do.
+/// An action that the member's caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberAction {
     /// Send a message to the leader.
@@ -13,7 +13,7 @@
     Validate(Change),
     /// Store a change on disk as prepared, then call [`Member::persisted`].
     Persist(Change),
-    /// Put a validated change in force: from here on requests are decided under it.
+    /// Activate a validated change: requests are handled under it from now on.
     Activate(Change),
     /// Discard a prepared change, in memory and on disk.
     Discard(Stamp),
@@ -26,29 +26,29 @@
 #[error("{0}")]
 pub struct PrepareError(pub String);
 
-/// How far the preparation of a change has come.
+/// The stage of preparation of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    /// It is being validated.
+    /// The change is being validated.
     Validating,
-    /// It is being stored on disk.
+    /// The change is being stored on disk.
     Persisting,
-    /// It can be activated at once.
+    /// The change is validated and stored, and can be activated at once.
     Prepared,
-    /// It can't be put in force here.
+    /// This proxy can't activate or store the change.
     Rejected,
 }
 
-/// The next change.
+/// The change that is being prepared, or that waits for its commit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Candidate {
     change: Change,
     stage: Stage,
-    /// Whether it is known to be committed.
+    /// Whether the change is known to be committed.
     is_committed: bool,
 }
 
-/// A proxy's state.
+/// A proxy's state in the commit protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     times: Times,
@@ -58,55 +58,58 @@
 }
 
 impl Member {
-    /// A proxy that starts, with what its disk holds: the version that it ran and the change that it had prepared. It
-    /// holds no lease.
+    /// Creates the state of a proxy that starts, from what is stored on its disk: the version that it ran and
+    /// the change that it had prepared. It holds no lease.
     pub fn new(times: Times, running: Option<Change>, prepared: Option<Change>) -> Self {
         let candidate =
             prepared.map(|change| Candidate { change, stage: Stage::Prepared, is_committed: false });
         Member { times, running, candidate, lease_until: None }
     }
 
-    /// The version that it runs.
+    /// The version that the proxy runs.
     pub fn running(&self) -> Option<&Change> {
         self.running.as_ref()
     }
 
-    /// The change that it has prepared and not activated.
+    /// The change that the proxy has prepared and not activated.
     pub fn prepared(&self) -> Option<&Change> {
         let candidate = self.candidate.as_ref().filter(|candidate| candidate.stage == Stage::Prepared);
         candidate.map(|candidate| &candidate.change)
     }
 
-    /// Whether it may serve a request now, under the version that it runs. Danger: this has to be checked for each
-    /// request, and again after a pause of the process: a lease that was valid before the pause may be over after it.
+    /// Whether the proxy may serve a request now, under the version that it runs. This has to be checked for
+    /// each request, and again after a pause of the process, since a lease that was valid before the pause
+    /// may have expired after it.
     pub fn may_serve(&self, now: Nanos) -> bool {
         self.lease_until.is_some_and(|until| now < until)
     }
 
-    /// Until when it may serve requests.
+    /// When the proxy's last lease expires or expired, on its own clock; `None` if none was granted since the
+    /// start or since the last commit of a newer version.
     pub fn lease_until(&self) -> Option<Nanos> {
         self.lease_until
     }
 
-    /// Sends a heartbeat, which requests a lease. To be called several times in a lease.
+    /// Sends a heartbeat, which requests a lease. To be called several times per lease.
     pub fn heartbeat(&self, now: Nanos, actions: &mut Vec<MemberAction>) {
         let (running, prepared) = (self.running.clone(), self.prepared().cloned());
         actions.push(MemberAction::Send(MemberMessage::Heartbeat { sent_at: now, running, prepared }));
     }
 
-    /// A message of the leader has arrived.
+    /// Handles a message of the leader.
     pub fn receive(&mut self, now: Nanos, message: LeaderMessage, actions: &mut Vec<MemberAction>) {
         match message {
             LeaderMessage::Prepare { change } => self.prepare(change, actions),
             LeaderMessage::Commit { change } => self.commit(change, actions),
             LeaderMessage::Abort { stamp } => {
-                // Danger: a late abort must not discard a change that is known to be committed; it can't be both.
+                // A change can't be both committed and aborted: a late abort must not discard a committed
+                // change.
                 let is_aborted = |c: &mut Candidate| c.change.stamp == stamp && !c.is_committed;
                 let aborted = self.candidate.take_if(is_aborted);
                 actions.extend(aborted.map(|c| MemberAction::Discard(c.change.stamp)));
             }
             LeaderMessage::Lease { requested_at, committed } => {
-                // Danger: a lease that crossed a commit on the way is for the version before.
+                // A lease that was granted before a commit but arrives after it is for the version before.
                 let is_stale = self.candidate.as_ref().is_some_and(|c| c.is_committed);
                 if requested_at <= now && committed == self.running && !is_stale {
                     let until = requested_at.saturating_add(self.times.lease);
@@ -129,12 +132,14 @@
             Some(Candidate { change: current, stage: Stage::Prepared, .. }) if *current == change => {
                 actions.push(MemberAction::Send(MemberMessage::VoteCommit { change }));
             }
-            // A repeated request: the vote may have been lost, and the cause of the rejection may be gone.
+            // The leader sends the request again: the vote may have been lost, and the cause of the rejection
+            // resolved.
             Some(Candidate { change: current, stage: Stage::Rejected, .. }) if *current == change => {
                 self.begin(change, false, actions);
             }
             Some(Candidate { change: current, .. }) if current.stamp >= change.stamp => {}
-            // An older candidate that was not decided here is decided by now: a change begins when none is pending.
+            // An older candidate, whose decision did not arrive here, is decided: a change begins when none
+            // is pending.
             _ => self.begin(change, false, actions),
         }
     }
@@ -158,13 +163,15 @@
                 candidate.is_committed = true;
                 match candidate.stage {
                     Stage::Prepared | Stage::Persisting => self.activate(actions),
-                    // The commit is sent again while this proxy requests leases in vain; each time it is validated anew.
+                    // The commit is sent again with each heartbeat of this proxy; the change is validated
+                    // anew each time.
                     Stage::Rejected => self.begin(change, true, actions),
                     Stage::Validating => {}
                 }
             }
-            // Danger: a newer candidate from before this commit may have been aborted since. Nobody relies on it, since
-            // a proxy that lacks a commit holds no lease; if it is still pending it is sent again.
+            // A newer candidate from before this commit may have been aborted since. It can be dropped: no
+            // commit depends on it, since a proxy that lacks a commit holds no lease, and if it is still
+            // pending it is sent again.
             _ => self.begin(change, true, actions),
         }
     }
@@ -176,12 +183,12 @@
         }
     }
 
-    /// The candidate with this stamp, if it is at this stage.
+    /// The candidate, if it has this stamp and is at this stage.
     fn candidate_at(&mut self, stage: Stage, stamp: Stamp) -> Option<&mut Candidate> {
         self.candidate.as_mut().filter(|c| c.stage == stage && c.change.stamp == stamp)
     }
 
-    /// A change was validated: it can be put in force, or why not.
+    /// Handles the outcome of a change's validation.
     pub fn validated(
         &mut self,
         stamp: Stamp,
@@ -209,7 +216,7 @@
         }
     }
 
-    /// A change was stored on disk as prepared, or why not.
+    /// Handles the outcome of storing a change on disk as prepared.
     pub fn persisted(
         &mut self,
         stamp: Stamp,
--- a/crates/control/src/commit/messages.rs
+++ b/crates/control/src/commit/messages.rs
@@ -11,7 +11,7 @@
     /// Reports the proxy's state and requests a lease.
     #[serde(rename = "renew")]
     Heartbeat {
-        /// When it was sent, on the proxy's clock; returned with the lease.
+        /// When the heartbeat was sent, on the proxy's clock; returned with the lease.
         #[serde(rename = "asked")]
         sent_at: Nanos,
         /// The version that the proxy runs.
@@ -20,13 +20,13 @@
         /// The change that it has prepared and not activated.
         prepared: Option<Change>,
     },
-    /// Votes for a change: it is validated and stored, and can be activated at once.
+    /// Votes for a change: the proxy has validated and stored it, and can activate it at once.
     #[serde(rename = "prepared")]
     VoteCommit {
         /// The change.
         change: Change,
     },
-    /// Votes against a change: it can't be activated there.
+    /// Votes against a change: the proxy can't activate it.
     #[serde(rename = "refused")]
     VoteAbort {
         /// The change.
@@ -41,28 +41,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum LeaderMessage {
-    /// Validate and store a change, without activating it.
+    /// Requests that the proxy validates and stores a change without activating it.
     Prepare {
         /// The change.
         change: Change,
     },
-    /// A change is committed: activate it.
+    /// Requests that the proxy activates a change, which is committed.
     Commit {
         /// The change.
         change: Change,
     },
-    /// A change is aborted: discard it.
+    /// Requests that the proxy discards a change, which is aborted.
     Abort {
-        /// The change.
+        /// The stamp of the change.
         stamp: Stamp,
     },
     /// Grants a lease.
     #[serde(rename = "granted")]
     Lease {
-        /// When it was requested, on the proxy's clock: it is valid from then on.
+        /// When the lease was requested, on the proxy's clock; its duration counts from then.
         #[serde(rename = "asked")]
         requested_at: Nanos,
-        /// The committed version; a proxy that runs another one does not hold the lease.
+        /// The committed version. A proxy that runs another one must not use the lease.
         committed: Option<Change>,
     },
 }
--- a/crates/control/src/commit/mod.rs
+++ b/crates/control/src/commit/mod.rs
@@ -1,14 +1,15 @@
-//! A two-phase commit of a version across all proxies, which takes effect everywhere or nowhere even while some proxies
-//! are down. No I/O, no clock.
+//! A two-phase commit of a version across all proxies, which takes effect everywhere or nowhere even while
+//! some proxies are down. Does no I/O and reads no clock: the caller passes the time and carries out the
+//! returned actions.
 //!
-//! A replicated [`Log`] of records decides: once it has the commit or abort of a change, nothing takes that back. The
-//! [`Leader`] of the control services has each proxy prepare a change, and requests its commit once every proxy that may
-//! serve requests has voted for it; a [`Member`] is a proxy's side. A proxy that is cut off can't go on serving under an
-//! older version because of its lease: it serves only while it holds one, and one is granted only to a proxy that runs
-//! the committed version. `docs/design-commit.md` specifies the protocol, and why it is correct.
+//! A replicated [`Log`] of records decides: the commit or abort of a change in it is final. The [`Leader`] of
+//! the control services has each proxy prepare a change, and requests its commit once every proxy that may
+//! serve requests has voted for it; a [`Member`] is a proxy's side. Leases keep a proxy that is cut off from
+//! serving under an older version: it serves only while it holds one, and one is granted only to a proxy that
+//! runs the committed version. `docs/design-commit.md` specifies the protocol, and why it is correct.
 //!
-//! `tests/commit` runs this code in a model checker (stateright), under every order of messages, losses, crashes and
-//! changes of leader at a small size.
+//! `tests/commit` runs this code in a model checker (stateright), under every order of messages, losses,
+//! crashes and changes of leader at a small size.
 
 mod leader;
 mod log;
@@ -24,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Nanoseconds on a steady clock of each party's own.
+/// Nanoseconds on the monotonic clock of one process; not comparable between processes.
 pub type Nanos = u64;
 
 /// A proxy's name.
@@ -39,38 +40,39 @@
     pub digest: Arc<str>,
 }
 
-/// Times of the protocol.
+/// Durations of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
-    /// For how long a proxy may serve, counted from when it requested the lease.
+    /// The length of a lease: how long a proxy may serve requests, counted from when it requested the lease.
     pub lease: Nanos,
-    /// More than the clocks of two machines drift apart over a lease.
+    /// Must exceed the drift between the clocks of two machines over a lease.
     pub margin: Nanos,
-    /// A change that is not prepared everywhere after so long is aborted.
+    /// The time to prepare a change. A change that is not prepared everywhere by then is aborted.
     pub prepare: Nanos,
 }
 
-/// Why times do not fit together.
+/// Why [`Times`] are inconsistent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TimesError {
-    /// No proxy could ever serve.
+    /// The lease has no length, so no proxy could ever serve requests.
     #[error("a lease of no length would let no proxy serve requests")]
     NoLease,
-    /// A change would be aborted before the lease of a proxy that has died is over.
+    /// A change would be aborted before the lease of a crashed proxy expires.
     #[error("the time to prepare a change has to be longer than a lease and its margin: otherwise a proxy that dies would cause each change to be aborted")]
     PrepareTooShort,
 }
 
 impl Times {
-    /// So long after a lease was granted its proxy surely no longer serves under it.
+    /// Returns the time after which a lease, counted from its grant on the leader's clock, has expired on the
+    /// proxy's clock too.
     pub fn lease_with_margin(&self) -> Nanos {
         self.lease.saturating_add(self.margin)
     }
 
-    /// Checks that the times fit together.
+    /// Checks that the times are consistent.
     ///
     /// # Errors
-    /// Why they do not.
+    /// Why they are not.
     pub fn check(&self) -> Result<(), TimesError> {
         if self.lease == 0 {
             return Err(TimesError::NoLease);
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,4 +1,5 @@
-//! A staged rollout: who gets a new version when, and when the rollout is halted. No I/O, no clock.
+//! A staged rollout: which proxies get a new version at which stage, and when the rollout is halted. Does no
+//! I/O and reads no clock: the caller passes the time, and counts of responses.
 
 use crate::version::Stamp;
 use serde::{Deserialize, Serialize};
@@ -6,24 +7,28 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Nanoseconds since an arbitrary fixed point.
+/// Nanoseconds since an arbitrary fixed point on the caller's monotonic clock.
 type Nanos = u64;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
-/// How many responses under each version are needed before they are compared.
+/// Minimum number of responses, under the new version and under others each, before the two are compared.
+/// With fewer there is no comparison, and a stage may end without one.
 const MIN_RESPONSES: u64 = 200;
-/// By how many standard deviations the shares of bad responses have to differ. Danger: since they are compared every
-/// second, a smaller figure halts sound versions by chance; four deviations are one comparison in 30,000.
+/// Number of standard deviations by which the share of bad responses has to be higher under the new version.
+/// The shares are compared every second, so a smaller number would halt sound versions by chance: a one-sided
+/// test at four deviations gives about one false alarm in 30,000 comparisons.
 const DEVIATIONS: f64 = 4.0;
 
-/// How a version is rolled out.
+/// The plan by which a version is rolled out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The stages, each wider than the one before. None: every proxy gets the version at once.
+    /// The stages, in order. A stage includes the proxies of all earlier stages, and its percentage must not
+    /// be lower than theirs. If empty, every proxy gets the version at once.
     #[serde(default)]
     pub stages: Vec<Stage>,
-    /// By how much the share of failed and rejected responses may rise, 0 to 1, before the rollout is halted.
+    /// The largest tolerated difference, from 0 to 1, between the share of failed and rejected responses
+    /// under the new version and the share under other versions. A larger difference halts the rollout.
     #[serde(default = "default_margin")]
     pub margin: f64,
 }
@@ -42,24 +47,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// The percentage of instances that get the version, drawn by their names and the version.
+    /// The percentage of proxies that get the version, from 0 to 100. They are selected by a hash of the
+    /// proxy's name and the version's stamp.
     #[serde(default)]
     pub percent: u8,
-    /// Instances that have all of these labels get it as well, if any label is given.
+    /// Proxies that have all of these labels get the version as well. If empty, no proxy is selected by
+    /// labels.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
-    /// The shortest duration of the stage, in milliseconds.
+    /// The minimum duration of the stage, in milliseconds.
     #[serde(default)]
     pub hold_ms: u64,
 }
 
-/// Why a plan is not valid. The text begins with the place in the plan.
+/// Why a plan is not valid. The message starts with the path of the field in the plan, such as
+/// `stages.0.percent`.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// The margin is no share.
+    /// The margin is not between 0 and 1.
     #[error("margin: {0} lies outside of 0 to 1")]
     Margin(f64),
-    /// A percentage is out of its range.
+    /// A percentage is above 100.
     #[error("stages.{stage}.percent: {percent} lies outside of 0 to 100")]
     Percent {
         /// The index of the stage.
@@ -67,7 +75,7 @@
         /// Its percentage.
         percent: u8,
     },
-    /// A stage is narrower than the one before.
+    /// A stage has a lower percentage than the one before.
     #[error("stages.{stage}.percent: {percent} is less than the {before} of the stage before")]
     Narrower {
         /// The index of the stage.
@@ -80,10 +88,11 @@
 }
 
 impl Plan {
-    /// Checks the plan.
+    /// Checks that the margin and the percentages are in range, and that no percentage is lower than the one
+    /// before.
     ///
     /// # Errors
-    /// The first fault of it.
+    /// The first violation.
     pub fn check(&self) -> Result<(), PlanError> {
         if !(0.0..=1.0).contains(&self.margin) {
             return Err(PlanError::Margin(self.margin));
@@ -106,11 +115,13 @@
 /// The state of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It is in the stage with this index.
+    /// The rollout is in the stage with this index.
     Stage(usize),
-    /// Every proxy gets the version.
+    /// Every proxy gets the version. Displayed as `everybody`.
     Complete,
-    /// No other proxy gets the version, for this reason.
+    /// The rollout was stopped for this reason, and is not resumed. [`Rollout::includes`] is false for every
+    /// proxy; the publisher lets proxies that already run the version keep it, and sends it to no other.
+    /// Taking the version back requires publishing another one.
     Halted(String),
 }
 
@@ -124,12 +135,12 @@
     }
 }
 
-/// Counts of responses under one version.
+/// Counts of responses under one version, or under several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
     /// All responses.
     pub total: u64,
-    /// Those that failed or were rejected.
+    /// Responses that failed or were rejected.
     pub bad: u64,
 }
 
@@ -151,50 +162,54 @@
     plan: Plan,
     state: RolloutState,
     stage_started: Nanos,
-    /// Responses since this stage began, under the new version and under others.
+    /// Responses under the new version since the current stage began.
     under_new: ResponseCounts,
+    /// Responses under all other versions since the current stage began.
     under_others: ResponseCounts,
 }
 
 impl Rollout {
-    /// A rollout at its first stage.
+    /// Starts a rollout at its first stage. With a plan without stages it is complete from the start.
     pub fn new(now: Nanos, stamp: Stamp, plan: Plan) -> Self {
         let state = if plan.stages.is_empty() { RolloutState::Complete } else { RolloutState::Stage(0) };
         let (under_new, under_others) = (ResponseCounts::default(), ResponseCounts::default());
         Rollout { stamp, plan, state, stage_started: now, under_new, under_others }
     }
 
-    /// The version.
+    /// The stamp of the version that is rolled out: an epoch, which rises with each start of the service, and
+    /// the version's number within the epoch.
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// The state.
+    /// The state of the rollout.
     pub fn state(&self) -> &RolloutState {
         &self.state
     }
 
-    /// Whether an instance gets the version now. Once it does, it does so in all later stages.
+    /// Whether a proxy with this name and these labels gets the version now. A proxy that one stage includes
+    /// is included in all later stages and once the rollout is complete, but no proxy is included once the
+    /// rollout is halted.
     pub fn includes(&self, instance: &str, labels: &BTreeMap<String, String>) -> bool {
-        let last = match &self.state {
+        let current_stage = match &self.state {
             RolloutState::Complete => return true,
             RolloutState::Halted(_) => return false,
             RolloutState::Stage(n) => *n,
         };
         let seed = self.stamp.epoch ^ self.stamp.number.rotate_left(32);
-        let drawn = xxh3_64_with_seed(instance.as_bytes(), seed) % 100;
-        self.plan.stages[..=last].iter().any(|stage| {
+        let bucket = xxh3_64_with_seed(instance.as_bytes(), seed) % 100;
+        self.plan.stages[..=current_stage].iter().any(|stage| {
             let has_labels = stage.labels.iter().all(|(name, value)| labels.get(name) == Some(value));
-            drawn < u64::from(stage.percent) || has_labels && !stage.labels.is_empty()
+            bucket < u64::from(stage.percent) || has_labels && !stage.labels.is_empty()
         })
     }
 
-    /// Adds responses of an instance, under the new version or another one.
+    /// Adds responses of a proxy, under the new version if `is_new` and under another one otherwise.
     pub fn report(&mut self, is_new: bool, counts: ResponseCounts) {
         if is_new { &mut self.under_new } else { &mut self.under_others }.add(counts);
     }
 
-    /// An instance has rejected the version.
+    /// Handles the rejection of the version (a NACK) by a proxy, which halts the rollout if it is in a stage.
     pub fn nacked(&mut self, instance: &str, reason: &str) {
         self.halt(&format!("{instance} rejected it: {reason}"));
     }
@@ -206,8 +221,13 @@
         }
     }
 
-    /// Lets time pass. `pending`: how many instances have not answered yet whether they accept the version. True if the
-    /// state has changed.
+    /// Halts the rollout if responses are worse under the new version, or else begins the next stage once the
+    /// current one has lasted its minimum duration and `pending` is 0. Returns whether the state has changed.
+    ///
+    /// `pending` is the number of proxies that were sent the version and have neither accepted nor rejected
+    /// it. There is no timeout: a stage waits for each of them until it answers or the caller no longer
+    /// counts it. The publisher stops counting a proxy once its connection is closed or has been idle for too
+    /// long.
     pub fn tick(&mut self, now: Nanos, pending: usize) -> bool {
         let RolloutState::Stage(n) = self.state else { return false };
         if let Some(reason) = self.regression() {
@@ -226,8 +246,10 @@
         true
     }
 
-    /// Whether responses under the new version are worse than under others, by more than the margin and by more than
-    /// chance explains: the difference of two proportions against its standard deviation.
+    /// Returns the reason to halt the rollout if the share of bad responses is higher under the new version
+    /// than under others, by more than the margin and by more than chance explains. The latter is a
+    /// two-proportion z-test: the difference of the shares is compared with its standard deviation under the
+    /// pooled share. Returns `None` if either side has fewer than [`MIN_RESPONSES`].
     fn regression(&self) -> Option<String> {
         let (new, others) = (self.under_new, self.under_others);
         if new.total < MIN_RESPONSES || others.total < MIN_RESPONSES {
--- a/crates/control/src/rollout/tests.rs
+++ b/crates/control/src/rollout/tests.rs
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn stages_widen_and_an_included_instance_stays_included() {
+fn each_stage_includes_the_proxies_of_earlier_stages() {
     let mut rollout = Rollout::new(0, stamp(), plan(&[5, 25, 100]));
     let first = included(&rollout);
     assert!((25..=80).contains(&first.len()), "{}", first.len());
     assert!(!rollout.tick(9 * SECOND, 0), "the stage is held");
-    assert!(!rollout.tick(11 * SECOND, 1), "one has not answered yet");
+    assert!(!rollout.tick(11 * SECOND, 1), "one proxy has not answered yet");
     assert!(rollout.tick(11 * SECOND, 0));
     let second = included(&rollout);
     assert!((200..=300).contains(&second.len()) && first.iter().all(|n| second.contains(n)));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn labels_include_the_instances_that_have_them() {
+fn a_stage_includes_proxies_with_its_labels() {
     let labels = BTreeMap::from([("site".to_owned(), "test".to_owned())]);
     let stage = Stage { labels: labels.clone(), ..Stage::default() };
     let rollout = Rollout::new(0, stamp(), Plan { stages: vec![stage], ..Plan::default() });
@@ -43,20 +43,20 @@
 }
 
 #[test]
-fn a_version_with_worse_responses_is_halted_for_good() {
+fn worse_responses_under_the_new_version_halt_its_rollout_for_good() {
     let mut rollout = Rollout::new(0, stamp(), plan(&[5, 100]));
     rollout.report(false, ResponseCounts { total: 10_000, bad: 100 });
     rollout.report(true, ResponseCounts { total: 100, bad: 100 });
-    assert!(!rollout.tick(SECOND, 0), "too few to compare");
+    assert!(!rollout.tick(SECOND, 0), "too few responses to compare");
     rollout.report(true, ResponseCounts { total: 400, bad: 20 });
     assert!(rollout.tick(2 * SECOND, 0));
     assert!(matches!(rollout.state(), RolloutState::Halted(why) if why.contains("% of 500 answers")));
     assert_eq!(included(&rollout), Vec::<usize>::new());
-    assert!(!rollout.tick(100 * SECOND, 0), "for good");
+    assert!(!rollout.tick(100 * SECOND, 0), "a halted rollout is not resumed");
 }
 
 #[test]
-fn a_version_that_an_instance_rejects_is_halted() {
+fn a_rejection_by_a_proxy_halts_the_rollout() {
     let mut rollout = Rollout::new(0, stamp(), plan(&[5, 100]));
     rollout.nacked("proxy-1", "it empties pool a");
     assert!(
@@ -64,7 +64,8 @@
     );
 }
 
-/// Danger: a comparison every second halts sound versions by chance.
+/// Guards against false alarms: responses are compared every second, so too low a threshold would halt sound
+/// versions by chance.
 #[test]
 fn sound_versions_are_not_halted_by_chance() {
     let mut halted = 0;
@@ -87,13 +88,13 @@
 }
 
 #[test]
-fn faults_of_a_plan_are_reported_with_their_place() {
-    let faults = [
+fn errors_of_a_plan_start_with_the_path_of_the_field() {
+    let invalid = [
         (plan(&[101]), "stages.0.percent"),
         (plan(&[50, 5]), "stages.1.percent"),
         (Plan { margin: f64::NAN, ..Plan::default() }, "margin"),
     ];
-    for (plan, key) in faults {
+    for (plan, key) in invalid {
         assert!(plan.check().is_err_and(|e| e.to_string().starts_with(key)), "{key}");
     }
     assert_eq!(plan(&[5, 5, 100]).check(), Ok(()));
