--- a/crates/turns-preload/src/sending.rs
+++ b/crates/turns-preload/src/sending.rs
@@ -1,4 +1,4 @@
-//! Signals that the process sends to itself, and the calls about them.
+//! Signals that the process sends to itself, and the interposed call that changes the signal mask.
 
 use crate::turns;
 use aniseyoke_interpose::interpose;
@@ -7,7 +7,7 @@
 
 /// Whether the process has a handler for a signal.
 pub fn is_handled(number: c_int) -> bool {
-    // SAFETY: zeros are an action; the call writes one and changes none.
+    // SAFETY: an all-zero `sigaction` is valid; the call writes one there and changes no handler.
     unsafe {
         let mut action: libc::sigaction = std::mem::zeroed();
         libc::sigaction(number, std::ptr::null(), &raw mut action) == 0
@@ -15,16 +15,17 @@
     }
 }
 
-/// Sends the process a signal; its handler runs before this returns if this thread doesn't block it.
+/// Sends a signal to this process. Unless this thread blocks it, the handler runs before this function
+/// returns.
 pub fn send(number: c_int) {
-    // SAFETY: the calls take no memory.
+    // SAFETY: the calls access no memory.
     unsafe { libc::kill(libc::getpid(), number) };
 }
 
 interpose! {
-    fn pthread_sigmask(how: c_int, set: *const sigset_t, before: *mut sigset_t) -> c_int as next {
+    fn pthread_sigmask(how: c_int, set: *const sigset_t, previous: *mut sigset_t) -> c_int as next {
         turns::turn(Call::SignalMask);
-        // SAFETY: the arguments are handed on as they came.
-        unsafe { next(how, set, before) }
+        // SAFETY: the arguments are forwarded unchanged.
+        unsafe { next(how, set, previous) }
     }
 }
--- a/crates/turns-preload/src/threads.rs
+++ b/crates/turns-preload/src/threads.rs
@@ -1,4 +1,4 @@
-//! Threads: how they begin and end, and who waits for that.
+//! Calls that create, end, join and yield threads.
 
 use crate::turns;
 use aniseyoke_interpose::interpose;
@@ -6,44 +6,44 @@
 use libc::{c_int, c_void, pthread_attr_t, pthread_key_t, pthread_t};
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-type Body = extern "C" fn(*mut c_void) -> *mut c_void;
+type StartRoutine = extern "C" fn(*mut c_void) -> *mut c_void;
 
-/// What a new thread has to run.
+/// The start routine of a new thread, with its argument and id.
 struct Start {
     id: ThreadId,
-    body: Body,
+    body: StartRoutine,
     argument: *mut c_void,
 }
 
-/// The threads by their handles, the newest last: a handle is used again.
+/// Thread ids by handle, the newest last, since the C library reuses handles.
 static HANDLES: Mutex<Vec<(pthread_t, ThreadId)>> = Mutex::new(Vec::new());
 
-/// The key whose destructor runs at a thread's end, behind the destructors of its thread-local values.
-fn key() -> pthread_key_t {
+/// Returns the key whose destructor runs at a thread's end, after the destructors of its thread-local values.
+fn end_key() -> pthread_key_t {
     static KEY: OnceLock<pthread_key_t> = OnceLock::new();
     *KEY.get_or_init(|| {
         let mut key = 0;
-        // SAFETY: the call writes a key there.
-        unsafe { libc::pthread_key_create(&raw mut key, Some(ended)) };
+        // SAFETY: the call writes a key to `key`.
+        unsafe { libc::pthread_key_create(&raw mut key, Some(on_thread_end)) };
         key
     })
 }
 
-unsafe extern "C" fn ended(_: *mut c_void) {
+unsafe extern "C" fn on_thread_end(_: *mut c_void) {
     turns::end();
 }
 
-extern "C" fn begin(start: *mut c_void) -> *mut c_void {
-    // SAFETY: `pthread_create` below gives each thread one of its own.
+extern "C" fn thread_main(start: *mut c_void) -> *mut c_void {
+    // SAFETY: `pthread_create` below passes each thread its own boxed `Start`.
     let start = unsafe { Box::from_raw(start.cast::<Start>()) };
-    // SAFETY: any value that is not null has the destructor run; nobody reads it.
-    unsafe { libc::pthread_setspecific(turns::quietly(key), begin as *const c_void) };
+    // SAFETY: any non-null value makes the destructor run; the value is never read.
+    unsafe { libc::pthread_setspecific(turns::bypass_scheduler(end_key), thread_main as *const c_void) };
     turns::begin(start.id);
     (start.body)(start.argument)
 }
 
 fn id_of(handle: pthread_t) -> Option<ThreadId> {
-    turns::quietly(|| {
+    turns::bypass_scheduler(|| {
         let handles = HANDLES.lock().unwrap_or_else(PoisonError::into_inner);
         handles.iter().rev().find(|(known, _)| *known == handle).map(|(_, id)| *id)
     })
@@ -51,24 +51,27 @@
 
 interpose! {
     fn pthread_create(
-        thread: *mut pthread_t, attributes: *const pthread_attr_t, body: Body, argument: *mut c_void,
+        thread: *mut pthread_t, attributes: *const pthread_attr_t, body: StartRoutine, argument: *mut c_void,
     ) -> c_int as next {
         turns::turn(Call::CreateThread);
         let Some(id) = turns::create() else {
-            // SAFETY: the arguments are handed on as they came; so in each function below.
+            // SAFETY: the arguments are forwarded unchanged, here and in each function below.
             return unsafe { next(thread, attributes, body, argument) };
         };
-        turns::quietly(key);
+        turns::bypass_scheduler(end_key);
         let start = Box::into_raw(Box::new(Start { id, body, argument }));
-        let done = unsafe { next(thread, attributes, begin, start.cast()) };
+        let done = unsafe { next(thread, attributes, thread_main, start.cast()) };
         if done == 0 {
-            // SAFETY: the call has written a handle there. The new thread can't have ended: the turn is still this one's.
+            // SAFETY: the call has written a handle. The new thread can't have ended: this thread still holds
+            // the turn.
             let handle = unsafe { *thread };
-            turns::quietly(|| HANDLES.lock().unwrap_or_else(PoisonError::into_inner).push((handle, id)));
+            turns::bypass_scheduler(|| {
+                HANDLES.lock().unwrap_or_else(PoisonError::into_inner).push((handle, id))
+            });
             turns::turn(Call::CreateThread);
         } else {
             turns::cancel(id);
-            // SAFETY: no thread has taken it.
+            // SAFETY: no thread was started that could have taken the box.
             drop(unsafe { Box::from_raw(start) });
         }
         done
--- a/crates/turns-preload/src/turns.rs
+++ b/crates/turns-preload/src/turns.rs
@@ -1,4 +1,4 @@
-//! The one scheduler of the process and the gates at which its threads wait for their turn.
+//! The process's scheduler and the condition variables on which its threads wait for their turn.
 
 use crate::sending;
 use aniseyoke_turns::{Call, Fault, Order, Scheduler, ThreadId, Wait};
@@ -8,72 +8,72 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The kernel's longest name of a thread in bytes, with the zero byte at its end.
+/// The kernel's maximum length of a thread name in bytes, including the terminating zero byte.
 const THREAD_NAME_BYTES: usize = 16;
 
 struct Turns {
     scheduler: Scheduler,
-    /// Where each thread waits for its turn.
+    /// The condition variable on which each thread waits for its turn, by thread index.
     gates: Vec<Arc<Condvar>>,
-    /// Signals that the process still has to send to itself.
+    /// Signals that the process has yet to send to itself, each with its earliest call number.
     signals: Vec<(u64, c_int)>,
     calls: u64,
 }
 
 static TURNS: Mutex<Option<Turns>> = Mutex::new(None);
 
-/// Which thread this is.
+/// The state of the calling thread.
 #[derive(Clone, Copy, PartialEq)]
-enum Own {
+enum CurrentThread {
     Unknown,
     Running(ThreadId),
     Ended,
 }
 
 thread_local! {
-    /// Whether this thread is within this library, whose own calls are made at once.
-    static WITHIN: Cell<bool> = const { Cell::new(false) };
-    static OWN: Cell<Own> = const { Cell::new(Own::Unknown) };
+    /// Whether this thread is executing code of this library, whose own calls bypass the scheduler.
+    static INSIDE_LIBRARY: Cell<bool> = const { Cell::new(false) };
+    static CURRENT_THREAD: Cell<CurrentThread> = const { Cell::new(CurrentThread::Unknown) };
 }
 
-/// While it lives this thread is within the library, and the error number is kept.
-struct Within {
+/// Marks this thread as inside the library while it lives, and restores `errno` when dropped.
+struct LibraryGuard {
     errno: c_int,
 }
 
-impl Within {
+impl LibraryGuard {
     fn enter() -> Option<Self> {
-        (!WITHIN.replace(true)).then(|| Within { errno: errno() })
+        (!INSIDE_LIBRARY.replace(true)).then(|| LibraryGuard { errno: errno() })
     }
 }
 
-impl Drop for Within {
+impl Drop for LibraryGuard {
     fn drop(&mut self) {
         set_errno(self.errno);
-        WITHIN.set(false);
+        INSIDE_LIBRARY.set(false);
     }
 }
 
-/// The scheduler, locked, with what its thread needs of it.
-struct Locked {
+/// The locked scheduler, with the id of the calling thread.
+struct LockedTurns {
     turns: MutexGuard<'static, Option<Turns>>,
     id: ThreadId,
 }
 
-impl Locked {
-    /// Nothing for a thread that has ended.
+impl LockedTurns {
+    /// Locks the scheduler for a call of this thread. Returns `None` for a thread that has ended.
     fn new(call: Call) -> Option<Self> {
         let mut turns = TURNS.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = turns.is_some();
+        let is_initialized = turns.is_some();
         let seed = turns.get_or_insert_with(Turns::new).scheduler.seed();
-        let id = match OWN.get() {
-            Own::Running(id) => id,
-            Own::Ended => return None,
-            Own::Unknown if !known => ThreadId::MAIN,
-            Own::Unknown => fail(seed, Fault::WithoutTurn(call)),
+        let id = match CURRENT_THREAD.get() {
+            CurrentThread::Running(id) => id,
+            CurrentThread::Ended => return None,
+            CurrentThread::Unknown if !is_initialized => ThreadId::MAIN,
+            CurrentThread::Unknown => abort_with_fault(seed, Fault::WithoutTurn(call)),
         };
-        OWN.set(Own::Running(id));
-        Some(Locked { turns, id })
+        CURRENT_THREAD.set(CurrentThread::Running(id));
+        Some(LockedTurns { turns, id })
     }
 
     fn state(&mut self) -> &mut Turns {
@@ -84,23 +84,23 @@
         &mut self.state().scheduler
     }
 
-    /// Ends the process if this is a fault.
-    fn check(&mut self, done: Result<(), Fault>) {
-        if let Err(fault) = done {
-            fail(self.scheduler().seed(), fault);
+    /// Aborts the process if the result is a fault.
+    fn check(&mut self, outcome: Result<(), Fault>) {
+        if let Err(fault) = outcome {
+            abort_with_fault(self.scheduler().seed(), fault);
         }
     }
 
-    /// Wakes the thread that has the turn now.
-    fn call_holder(&mut self) {
+    /// Notifies the thread that now holds the turn.
+    fn notify_holder(&mut self) {
         if let Some(holder) = self.scheduler().holder() {
             self.state().gates[holder.index()].notify_one();
         }
     }
 
-    /// Waits until this thread has the turn.
+    /// Waits until this thread holds the turn.
     fn wait_for_turn(mut self) -> Self {
-        self.call_holder();
+        self.notify_holder();
         let gate = self.gate();
         while self.scheduler().holder() != Some(self.id) {
             self.turns = gate.wait(self.turns).unwrap_or_else(PoisonError::into_inner);
@@ -109,8 +109,8 @@
     }
 
     fn gate(&mut self) -> Arc<Condvar> {
-        let at = self.id.index();
-        self.state().gates[at].clone()
+        let index = self.id.index();
+        self.state().gates[index].clone()
     }
 }
 
@@ -122,8 +122,8 @@
         Turns { scheduler, gates: vec![Arc::default()], signals: order.signals, calls: 0 }
     }
 
-    /// The signals that are due at this call.
-    fn due(&mut self) -> Vec<c_int> {
+    /// Counts a call, and removes and returns the signals that are due at it.
+    fn take_due_signals(&mut self) -> Vec<c_int> {
         self.calls += 1;
         let calls = self.calls;
         let is_due = |(call, number): &mut (u64, c_int)| *call <= calls && sending::is_handled(*number);
@@ -131,68 +131,70 @@
     }
 }
 
-/// Gives the turn to whoever is drawn, and returns when this thread has it again.
+/// Passes the turn to the thread that is drawn, and returns when this thread holds it again. Then sends due
+/// signals.
 pub fn turn(call: Call) {
-    let Some(within) = Within::enter() else { return };
-    let mut due = Vec::new();
-    if let Some(mut locked) = Locked::new(call) {
+    let Some(guard) = LibraryGuard::enter() else { return };
+    let mut due_signals = Vec::new();
+    if let Some(mut locked) = LockedTurns::new(call) {
         let id = locked.id;
-        let done = locked.scheduler().turn(id, call);
-        locked.check(done);
-        due = locked.wait_for_turn().state().due();
+        let outcome = locked.scheduler().turn(id, call);
+        locked.check(outcome);
+        due_signals = locked.wait_for_turn().state().take_due_signals();
     }
-    drop(within);
-    due.into_iter().for_each(sending::send);
+    drop(guard);
+    due_signals.into_iter().for_each(sending::send);
 }
 
-/// Gives the turn away while `make` waits for something outside the process.
-pub fn outside<R>(call: Call, make: impl FnOnce() -> R) -> R {
-    let Some(mut within) = Within::enter() else { return make() };
-    let Some(mut locked) = Locked::new(call) else {
-        drop(within);
+/// Releases the turn while `make` waits for an event from outside the process.
+pub fn wait_outside<R>(call: Call, make: impl FnOnce() -> R) -> R {
+    let Some(mut guard) = LibraryGuard::enter() else { return make() };
+    let Some(mut locked) = LockedTurns::new(call) else {
+        drop(guard);
         return make();
     };
     let id = locked.id;
-    let done = locked.scheduler().wait(id, call, Wait::Outside);
-    locked.check(done);
-    locked.call_holder();
+    let outcome = locked.scheduler().wait(id, call, Wait::Outside);
+    locked.check(outcome);
+    locked.notify_holder();
     drop(locked);
     let result = make();
-    within.errno = errno();
-    if let Some(mut locked) = Locked::new(call) {
+    guard.errno = errno();
+    if let Some(mut locked) = LockedTurns::new(call) {
         locked.scheduler().resume(id);
         drop(locked.wait_for_turn());
     }
     result
 }
 
-/// Makes calls of this library's own.
-pub fn quietly<R>(make: impl FnOnce() -> R) -> R {
-    let within = Within::enter();
+/// Runs `make` with its calls bypassing the scheduler, and preserves `errno`.
+pub fn bypass_scheduler<R>(make: impl FnOnce() -> R) -> R {
+    let guard = LibraryGuard::enter();
     let result = make();
-    drop(within);
+    drop(guard);
     result
 }
 
-/// Waits at a futex while `is_unchanged`; a number of an error, or 0. Nothing for a thread that takes no turns.
+/// Waits on a futex if `is_unchanged`. Returns an error number or 0, or `None` for a thread that takes no
+/// turns.
 pub fn wait_at_futex(
     address: usize,
     bits: u32,
     limit: Option<Duration>,
     is_unchanged: impl FnOnce() -> bool,
 ) -> Option<c_int> {
-    let _within = Within::enter()?;
-    let mut locked = Locked::new(Call::FutexWait)?;
+    let _guard = LibraryGuard::enter()?;
+    let mut locked = LockedTurns::new(Call::FutexWait)?;
     if !is_unchanged() {
         return Some(libc::EAGAIN);
     }
     let id = locked.id;
     let wait = Wait::Futex { address, bits, limited: limit.is_some() };
-    let done = locked.scheduler().wait(id, Call::FutexWait, wait);
-    locked.check(done);
-    locked.call_holder();
-    let until = limit.map(|limit| Instant::now() + limit);
-    let (mut locked, timed_out) = wait_for_wake(locked, until);
+    let outcome = locked.scheduler().wait(id, Call::FutexWait, wait);
+    locked.check(outcome);
+    locked.notify_holder();
+    let deadline = limit.map(|limit| Instant::now() + limit);
+    let (mut locked, timed_out) = wait_for_wake(locked, deadline);
     if timed_out {
         locked.scheduler().resume(id);
     }
@@ -200,80 +202,82 @@
     Some(if timed_out { libc::ETIMEDOUT } else { 0 })
 }
 
-/// Waits until this thread is woken, or the time has come.
-fn wait_for_wake(mut locked: Locked, until: Option<Instant>) -> (Locked, bool) {
+/// Waits until this thread is woken or the deadline has passed. Returns whether it timed out.
+fn wait_for_wake(mut locked: LockedTurns, deadline: Option<Instant>) -> (LockedTurns, bool) {
     let (id, gate) = (locked.id, locked.gate());
     while locked.scheduler().is_waiting(id) {
-        let Some(until) = until else {
+        let Some(deadline) = deadline else {
             locked.turns = gate.wait(locked.turns).unwrap_or_else(PoisonError::into_inner);
             continue;
         };
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        if time_left.is_zero() {
             return (locked, true);
         }
-        locked.turns = gate.wait_timeout(locked.turns, left).unwrap_or_else(PoisonError::into_inner).0;
+        locked.turns = gate.wait_timeout(locked.turns, time_left).unwrap_or_else(PoisonError::into_inner).0;
     }
     (locked, false)
 }
 
-/// Wakes threads that wait at a futex; how many it were. Nothing for a thread that takes no turns.
-pub fn wake_at_futex(address: usize, bits: u32, most: usize) -> Option<usize> {
-    let _within = Within::enter()?;
-    let mut locked = Locked::new(Call::FutexWake)?;
-    Some(locked.scheduler().wake(address, bits, most))
+/// Wakes up to `max_woken` waiters of a futex. Returns their number, or `None` for a thread that takes no
+/// turns.
+pub fn wake_at_futex(address: usize, bits: u32, max_woken: usize) -> Option<usize> {
+    let _guard = LibraryGuard::enter()?;
+    let mut locked = LockedTurns::new(Call::FutexWake)?;
+    Some(locked.scheduler().wake(address, bits, max_woken))
 }
 
-/// A new thread of the process, which takes turns from now on. Nothing if its maker takes none.
+/// Registers a new thread, which takes turns from now on. Returns `None` if the calling thread takes no
+/// turns.
 pub fn create() -> Option<ThreadId> {
-    let _within = Within::enter()?;
-    let mut locked = Locked::new(Call::CreateThread)?;
+    let _guard = LibraryGuard::enter()?;
+    let mut locked = LockedTurns::new(Call::CreateThread)?;
     locked.state().gates.push(Arc::default());
     Some(locked.scheduler().create())
 }
 
-/// The thread could not be started.
+/// Removes a thread that could not be started.
 pub fn cancel(id: ThreadId) {
-    let _within = Within::enter();
-    if let Some(mut locked) = Locked::new(Call::CreateThread) {
+    let _guard = LibraryGuard::enter();
+    if let Some(mut locked) = LockedTurns::new(Call::CreateThread) {
         locked.scheduler().cancel(id);
     }
 }
 
-/// Has this thread, which has just been started, wait for its first turn.
+/// Makes the calling thread, which has just been started, wait for its first turn.
 pub fn begin(id: ThreadId) {
-    let _within = Within::enter();
-    OWN.set(Own::Running(id));
-    if let Some(locked) = Locked::new(Call::CreateThread) {
+    let _guard = LibraryGuard::enter();
+    CURRENT_THREAD.set(CurrentThread::Running(id));
+    if let Some(locked) = LockedTurns::new(Call::CreateThread) {
         drop(locked.wait_for_turn());
     }
 }
 
 /// Waits for a thread's end.
 pub fn join(other: ThreadId) {
-    let Some(_within) = Within::enter() else { return };
-    let Some(mut locked) = Locked::new(Call::JoinThread) else { return };
+    let Some(_guard) = LibraryGuard::enter() else { return };
+    let Some(mut locked) = LockedTurns::new(Call::JoinThread) else { return };
     let id = locked.id;
-    let done = locked.scheduler().wait(id, Call::JoinThread, Wait::End(other));
-    locked.check(done);
+    let outcome = locked.scheduler().wait(id, Call::JoinThread, Wait::End(other));
+    locked.check(outcome);
     drop(locked.wait_for_turn());
 }
 
-/// This thread takes no turns any more.
+/// Ends the calling thread, which takes no more turns.
 pub fn end() {
-    let _within = Within::enter();
-    let Some(mut locked) = Locked::new(Call::EndThread) else { return };
+    let _guard = LibraryGuard::enter();
+    let Some(mut locked) = LockedTurns::new(Call::EndThread) else { return };
     let id = locked.id;
-    let done = locked.scheduler().end(id);
-    locked.check(done);
-    locked.call_holder();
-    OWN.set(Own::Ended);
+    let outcome = locked.scheduler().end(id);
+    locked.check(outcome);
+    locked.notify_holder();
+    CURRENT_THREAD.set(CurrentThread::Ended);
 }
 
-/// Tells of a fault in one line, and ends the process.
-fn fail(seed: u64, fault: Fault) -> ! {
+/// Reports a fault in one line on standard error, and aborts the process.
+fn abort_with_fault(seed: u64, fault: Fault) -> ! {
     let mut name = [0_u8; THREAD_NAME_BYTES];
-    // SAFETY: the kernel writes at most that many bytes.
+    // SAFETY: the kernel writes at most `THREAD_NAME_BYTES` bytes.
     unsafe { libc::prctl(libc::PR_GET_NAME, name.as_mut_ptr()) };
     let end = name.iter().position(|byte| *byte == 0).unwrap_or(name.len());
     let name = String::from_utf8_lossy(&name[..end]);
@@ -281,7 +285,7 @@
     if std::env::var_os(BACKTRACE_VARIABLE).is_some() {
         line.push_str(&std::backtrace::Backtrace::force_capture().to_string());
     }
-    // SAFETY: the line lives for the call. The process ends then.
+    // SAFETY: the line lives for the call. The process is aborted afterwards.
     unsafe {
         libc::write(libc::STDERR_FILENO, line.as_ptr().cast(), line.len());
         libc::abort()
@@ -289,11 +293,11 @@
 }
 
 pub fn errno() -> c_int {
-    // SAFETY: the place of this thread's own error number.
+    // SAFETY: the pointer is valid: it points to this thread's own `errno`.
     unsafe { *libc::__errno_location() }
 }
 
 pub fn set_errno(number: c_int) {
-    // SAFETY: as above.
+    // SAFETY: the pointer is valid: it points to this thread's own `errno`.
     unsafe { *libc::__errno_location() = number }
 }
--- a/crates/turns-preload/src/waits.rs
+++ b/crates/turns-preload/src/waits.rs
@@ -1,4 +1,4 @@
-//! Waits for time and for events of descriptors.
+//! Calls that sleep or wait for events on file descriptors.
 
 use crate::turns;
 use aniseyoke_interpose::interpose;
@@ -6,30 +6,35 @@
 use libc::{c_int, clockid_t, epoll_event, nfds_t, pollfd, timespec};
 
 interpose! {
-    fn epoll_wait(fd: c_int, events: *mut epoll_event, most: c_int, time: c_int) -> c_int as next {
+    fn epoll_wait(
+        fd: c_int, events: *mut epoll_event, max_events: c_int, timeout_ms: c_int
+    ) -> c_int as next {
         turns::turn(Call::EpollWait);
-        // SAFETY: the arguments are handed on as they came, or without a wait; so in each function below.
-        let done = unsafe { next(fd, events, most, 0) };
-        if done != 0 || time == 0 {
+        // SAFETY: the arguments are forwarded unchanged, or with a zero timeout, here and in each function
+        // below.
+        let done = unsafe { next(fd, events, max_events, 0) };
+        if done != 0 || timeout_ms == 0 {
             return done;
         }
-        turns::outside(Call::EpollWait, || unsafe { next(fd, events, most, time) })
+        turns::wait_outside(Call::EpollWait, || unsafe { next(fd, events, max_events, timeout_ms) })
     }
 
-    fn poll(asked: *mut pollfd, count: nfds_t, time: c_int) -> c_int as next {
+    fn poll(entries: *mut pollfd, count: nfds_t, timeout_ms: c_int) -> c_int as next {
         turns::turn(Call::Poll);
-        let done = unsafe { next(asked, count, 0) };
-        if done != 0 || time == 0 {
+        let done = unsafe { next(entries, count, 0) };
+        if done != 0 || timeout_ms == 0 {
             return done;
         }
-        turns::outside(Call::Poll, || unsafe { next(asked, count, time) })
+        turns::wait_outside(Call::Poll, || unsafe { next(entries, count, timeout_ms) })
     }
 
-    fn nanosleep(time: *const timespec, left: *mut timespec) -> c_int as next {
-        turns::outside(Call::Sleep, || unsafe { next(time, left) })
+    fn nanosleep(time: *const timespec, remaining: *mut timespec) -> c_int as next {
+        turns::wait_outside(Call::Sleep, || unsafe { next(time, remaining) })
     }
 
-    fn clock_nanosleep(clock: clockid_t, flags: c_int, time: *const timespec, left: *mut timespec) -> c_int as next {
-        turns::outside(Call::Sleep, || unsafe { next(clock, flags, time, left) })
+    fn clock_nanosleep(
+        clock: clockid_t, flags: c_int, time: *const timespec, remaining: *mut timespec
+    ) -> c_int as next {
+        turns::wait_outside(Call::Sleep, || unsafe { next(clock, flags, time, remaining) })
     }
 }
--- a/crates/turns/src/armed.rs
+++ b/crates/turns/src/armed.rs
@@ -1,36 +1,37 @@
-//! Has a process start with the preload library.
+//! Configures a command so that its process loads the preload library.
 
 use aniseyoke_faults::{built_library, ArmError};
 use std::process::Command;
 
-/// The file that cargo makes of the preload package.
+/// The file name of the preload library that cargo builds.
 const LIBRARY: &str = "libaniseyoke_turns_preload.so";
-/// The environment variable that gives the process under test its seed.
+/// The environment variable that holds the scheduler seed of the process under test.
 pub const SEED_VARIABLE: &str = "ANISEYOKE_TURNS_SEED";
-/// The environment variable that names the signals which the process under test sends to itself.
+/// The environment variable that lists the signals that the process under test sends to itself.
 pub const SIGNALS_VARIABLE: &str = "ANISEYOKE_TURNS_SIGNALS";
-/// The environment variable that has a process with a fault print the stack of the thread at fault behind its line.
+/// The environment variable that, if set, makes a fault report include the backtrace of the faulty thread.
 pub const BACKTRACE_VARIABLE: &str = "ANISEYOKE_TURNS_BACKTRACE";
 
-/// The order of events that a process under test is to be forced into.
+/// The thread schedule and the signals that are imposed on a process under test.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Order {
-    /// Decides which thread runs next.
+    /// The seed from which the scheduler picks the next thread.
     pub seed: u64,
-    /// The process sends itself each of these signals at the call of this number, or at the first one after it at which it
-    /// handles that signal. The calls are those at which the turn may change, counted over all threads.
+    /// Pairs of a call number and a signal number. The process sends itself the signal at that call, or at
+    /// the first later call at which it has a handler for it. Calls at which the turn may change are counted
+    /// over all threads.
     pub signals: Vec<(u64, i32)>,
 }
 
 impl Order {
-    /// The signals as [`SIGNALS_VARIABLE`] holds them: `CALL:NUMBER` with commas between them.
+    /// Returns the signals in the format of [`SIGNALS_VARIABLE`]: comma-separated `CALL:NUMBER` pairs.
     fn signals_text(&self) -> String {
-        let each: Vec<String> =
+        let pairs: Vec<String> =
             self.signals.iter().map(|(call, number)| format!("{call}:{number}")).collect();
-        each.join(",")
+        pairs.join(",")
     }
 
-    /// The order that the two variables hold. What can't be read is left out.
+    /// Parses the values of the two variables. An invalid seed counts as 0; invalid signals are skipped.
     pub fn from_text(seed: &str, signals: &str) -> Self {
         let pairs = signals.split(',').filter_map(|pair| pair.split_once(':'));
         let read = |(call, number): (&str, &str)| Some((call.parse().ok()?, number.parse().ok()?));
@@ -38,10 +39,10 @@
     }
 }
 
-/// Has a command's process run in an order. The command's environment is added to, so clear it before.
+/// Makes a command's process run in an order. This adds to the command's environment, so clear that first.
 ///
 /// # Errors
-/// If cargo has not built the library beside the running test.
+/// If the library is missing beside the running test executable.
 pub fn arm(command: &mut Command, order: &Order) -> Result<(), ArmError> {
     command.env("LD_PRELOAD", built_library(LIBRARY)?);
     command.env(SEED_VARIABLE, order.seed.to_string()).env(SIGNALS_VARIABLE, order.signals_text());
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -1,6 +1,7 @@
-//! Lets one thread of a process under test run at a time. Which one runs next is drawn from a seed at each call of the C
-//! library that the preload library (`crates/turns-preload`) stands in for; this crate holds what decides about it, without
-//! I/O, and what a test needs to load that library into a process.
+//! A seeded scheduler that runs one thread of a process under test at a time. The next thread is drawn from
+//! the seed at each C library call that the preload library (`crates/turns-preload`) interposes. This crate
+//! holds the scheduling decisions, without I/O, and the functions with which a test loads that library into a
+//! process.
 #![forbid(unsafe_code)]
 
 mod armed;
--- a/crates/turns/src/scheduler.rs
+++ b/crates/turns/src/scheduler.rs
@@ -1,24 +1,25 @@
-//! Which thread runs next, and when a thread's behaviour is a fault. No I/O and no clock.
+//! Picks the next thread to run and detects faulty behaviour of threads. Uses no I/O and no clock.
 
 use crate::fault::Fault;
 
-/// So many yields of a thread, with no other call between them, are spinning if another thread could run at each. Far more
-/// than a bounded backoff makes before it waits.
+/// The number of consecutive yields of a thread, with another thread ready at each, that counts as spinning.
+/// Far more than a bounded backoff makes before it waits.
 pub const MAX_YIELDS: u32 = 1_000;
-/// A thread that makes so many calls without waiting once, while another thread could run, keeps the process to itself.
+/// The number of calls without a wait, with another thread ready at each, after which a thread counts as
+/// never waiting.
 pub const MAX_TURNS: u32 = 100_000;
-/// A seed that holds one thread back draws it among the first so many of the process.
+/// A seed that holds one thread back draws it among this many of the process's first threads.
 const HOLDABLE_THREADS: u64 = 4;
 
-/// A thread, by the order in which the process's threads began.
+/// A thread, numbered in the order in which the process's threads were created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ThreadId(usize);
 
 impl ThreadId {
-    /// The thread that the process begins with.
+    /// The main thread.
     pub const MAIN: ThreadId = ThreadId(0);
 
-    /// Its place in that order.
+    /// Returns the thread's position in that order.
     pub fn index(self) -> usize {
         self.0
     }
@@ -27,56 +28,56 @@
 /// A call at which the turn may go to another thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// A connection is taken.
+    /// Accepts a connection.
     Accept,
-    /// A connection is made.
+    /// Opens a connection.
     Connect,
-    /// A thread is started.
+    /// Creates a thread.
     CreateThread,
-    /// A thread ends.
+    /// Ends the calling thread.
     EndThread,
-    /// A wait for events of descriptors through epoll.
+    /// Waits for events on file descriptors through epoll.
     EpollWait,
-    /// A wait at a futex.
+    /// Waits on a futex.
     FutexWait,
-    /// A wake-up at a futex.
+    /// Wakes waiters of a futex.
     FutexWake,
-    /// A wait for a thread's end.
+    /// Waits for the end of a thread.
     JoinThread,
-    /// A wait for events of descriptors.
+    /// Waits for events on file descriptors through poll.
     Poll,
-    /// Bytes are taken.
+    /// Reads or receives bytes.
     Receive,
-    /// Bytes are given.
+    /// Writes or sends bytes.
     Send,
-    /// A thread blocks signals, or no longer does.
+    /// Changes the calling thread's signal mask.
     SignalMask,
-    /// A wait for a time.
+    /// Sleeps.
     Sleep,
-    /// A thread lets others run.
+    /// Yields the processor.
     Yield,
 }
 
 /// What a thread waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wait {
-    /// A wake-up at an address, by one whose bits meet these.
+    /// A wake-up of a futex whose bit mask intersects this one.
     Futex {
         /// The futex's address.
         address: usize,
-        /// Its bits; all of them where the call has none.
+        /// The bit mask; all bits are set if the call has no mask.
         bits: u32,
-        /// Whether the wait ends by itself after a time.
+        /// Whether the wait has a timeout.
         limited: bool,
     },
     /// The end of a thread.
     End(ThreadId),
-    /// Something from outside the process: bytes, a connection, a time, a signal.
+    /// An event from outside the process: bytes, a connection, a timer, a signal.
     Outside,
 }
 
 impl Wait {
-    /// Whether only another thread of the process can end it.
+    /// Whether only another thread of the process can end the wait.
     fn needs_another_thread(self) -> bool {
         match self {
             Wait::Futex { limited, .. } => !limited,
@@ -95,9 +96,9 @@
 
 struct Thread {
     state: State,
-    /// Calls since it last waited, with another thread ready.
+    /// Calls since the last wait, with another thread ready.
     turns: u32,
-    /// Yields since its last other call, with another thread ready.
+    /// Yields since the last call of another kind, with another thread ready.
     yields: u32,
 }
 
@@ -107,22 +108,22 @@
     }
 }
 
-/// Draws who is next from a seed.
+/// Draws the thread that runs next from a seed.
 pub struct Scheduler {
     seed: u64,
-    drawn: u64,
+    draw_count: u64,
     held_back: Option<ThreadId>,
     threads: Vec<Thread>,
     holder: Option<ThreadId>,
 }
 
 impl Scheduler {
-    /// A process with its first thread, which has the turn. Every other seed holds one thread back for as long as others can
-    /// run.
+    /// Returns the scheduler of a process whose main thread holds the turn. About half of the seeds hold one
+    /// thread back for as long as others can run.
     pub fn new(seed: u64) -> Self {
         let mut scheduler = Scheduler {
             seed,
-            drawn: 0,
+            draw_count: 0,
             held_back: None,
             threads: vec![Thread::new()],
             holder: Some(ThreadId::MAIN),
@@ -133,31 +134,31 @@
         scheduler
     }
 
-    /// The seed.
+    /// Returns the seed.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// The thread that this seed holds back, if it does so.
+    /// Returns the thread that this seed holds back, if any.
     pub fn held_back(&self) -> Option<ThreadId> {
         self.held_back
     }
 
-    /// The thread that has the turn; none while all wait.
+    /// Returns the thread that holds the turn, or `None` while all threads wait.
     pub fn holder(&self) -> Option<ThreadId> {
         self.holder
     }
 
-    /// A new thread, which is ready.
+    /// Adds a thread, which is ready to run.
     pub fn create(&mut self) -> ThreadId {
         self.threads.push(Thread::new());
         ThreadId(self.threads.len() - 1)
     }
 
-    /// A thread makes a call: it keeps the turn or gives it to another.
+    /// Records a call of a thread and draws the next holder of the turn.
     ///
     /// # Errors
-    /// If it spins, never waits, or has no turn to give.
+    /// If the thread spins, never waits, or does not hold the turn.
     pub fn turn(&mut self, id: ThreadId, call: Call) -> Result<(), Fault> {
         self.check_holder(id, call)?;
         let another_is_ready = self.ready().any(|other| other != id);
@@ -175,51 +176,51 @@
         if thread.turns >= MAX_TURNS {
             return Err(Fault::NeverWaits(call));
         }
-        self.pass_on();
+        self.draw_next_holder();
         Ok(())
     }
 
-    /// A thread waits, and gives its turn away.
+    /// Makes a thread wait, and draws the next holder of the turn.
     ///
     /// # Errors
-    /// If it has no turn to give, or all threads wait for each other now.
+    /// If the thread does not hold the turn, or all threads now wait for each other.
     pub fn wait(&mut self, id: ThreadId, call: Call, wait: Wait) -> Result<(), Fault> {
         self.check_holder(id, call)?;
-        if !self.is_over(wait) {
+        if !self.has_ended(wait) {
             self.threads[id.0] = Thread { state: State::Waiting(wait), ..Thread::new() };
         }
-        self.pass_on();
+        self.draw_next_holder();
         self.check_progress(call)
     }
 
-    /// A thread's wait is over, by itself or by what came from outside; it takes part again. Nothing changes for one that
-    /// was woken meanwhile.
+    /// Marks a thread as ready after its wait timed out or ended by an event from outside the process. Has no
+    /// effect on a thread that has been woken in the meantime.
     pub fn resume(&mut self, id: ThreadId) {
         self.threads[id.0].state = State::Ready;
         if self.holder.is_none() {
-            self.pass_on();
+            self.draw_next_holder();
         }
     }
 
-    /// Wakes at most so many threads that wait at an address, the longest known first; how many it were.
-    pub fn wake(&mut self, at: usize, by_bits: u32, most: usize) -> usize {
+    /// Wakes up to `max_woken` threads that wait on a futex, in order of creation, and returns their number.
+    pub fn wake(&mut self, futex: usize, wake_bits: u32, max_woken: usize) -> usize {
         let waits = |thread: &&mut Thread| {
             matches!(thread.state, State::Waiting(Wait::Futex { address, bits, .. })
-                if address == at && bits & by_bits != 0)
+                if address == futex && bits & wake_bits != 0)
         };
-        let woken = self.threads.iter_mut().filter(waits).take(most);
+        let woken = self.threads.iter_mut().filter(waits).take(max_woken);
         woken.map(|thread| thread.state = State::Ready).count()
     }
 
-    /// Whether a thread still waits.
+    /// Whether a thread is waiting.
     pub fn is_waiting(&self, id: ThreadId) -> bool {
         matches!(self.threads[id.0].state, State::Waiting(_))
     }
 
-    /// A thread ends.
+    /// Ends a thread, and wakes the threads that join it.
     ///
     /// # Errors
-    /// If it has no turn to give, or all others wait for each other.
+    /// If the thread does not hold the turn, or all remaining threads wait for each other.
     pub fn end(&mut self, id: ThreadId) -> Result<(), Fault> {
         self.check_holder(id, Call::EndThread)?;
         self.threads[id.0].state = State::Ended;
@@ -228,16 +229,16 @@
                 thread.state = State::Ready;
             }
         }
-        self.pass_on();
+        self.draw_next_holder();
         self.check_progress(Call::EndThread)
     }
 
-    /// A thread that could not be started after all.
+    /// Removes a thread that could not be started.
     pub fn cancel(&mut self, id: ThreadId) {
         self.threads[id.0].state = State::Ended;
     }
 
-    fn is_over(&self, wait: Wait) -> bool {
+    fn has_ended(&self, wait: Wait) -> bool {
         matches!(wait, Wait::End(other) if self.threads[other.0].state == State::Ended)
     }
 
@@ -255,8 +256,8 @@
             State::Waiting(wait) => wait.needs_another_thread(),
             State::Ended => true,
         };
-        let any_left = self.threads.iter().any(|thread| thread.state != State::Ended);
-        if any_left && self.threads.iter().all(stuck) {
+        let any_alive = self.threads.iter().any(|thread| thread.state != State::Ended);
+        if any_alive && self.threads.iter().all(stuck) {
             return Err(Fault::AllWait(call));
         }
         Ok(())
@@ -264,11 +265,11 @@
 
     fn ready(&self) -> impl Iterator<Item = ThreadId> + '_ {
         let threads = self.threads.iter().enumerate();
-        threads.filter(|(_, thread)| thread.state == State::Ready).map(|(at, _)| ThreadId(at))
+        threads.filter(|(_, thread)| thread.state == State::Ready).map(|(index, _)| ThreadId(index))
     }
 
-    /// Draws the next holder of the turn among the threads that are ready.
-    fn pass_on(&mut self) {
+    /// Draws the next holder of the turn among the ready threads.
+    fn draw_next_holder(&mut self) {
         let mut ready: Vec<ThreadId> = self.ready().collect();
         if ready.len() > 1 {
             ready.retain(|id| Some(*id) != self.held_back);
@@ -276,14 +277,14 @@
         self.holder = match ready.len() {
             0 => None,
             1 => Some(ready[0]),
-            many => Some(ready[self.draw(many as u64) as usize]),
+            count => Some(ready[self.draw(count as u64) as usize]),
         };
     }
 
-    /// A number under a bound (splitmix64 over the seed and a counter).
+    /// Returns a number below `bound` (splitmix64 over the seed and a counter).
     fn draw(&mut self, bound: u64) -> u64 {
-        self.drawn += 1;
-        let mut mixed = self.seed.wrapping_add(self.drawn.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        self.draw_count += 1;
+        let mut mixed = self.seed.wrapping_add(self.draw_count.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (mixed ^ (mixed >> 31)) % bound
--- a/crates/turns/src/tests.rs
+++ b/crates/turns/src/tests.rs
@@ -1,21 +1,21 @@
-//! Tests of the scheduler.
+//! Tests of the scheduler and of the text form of an order.
 
 use super::*;
 
 const LOCK: Wait = Wait::Futex { address: 8, bits: u32::MAX, limited: false };
-const LIMITED: Wait = Wait::Futex { address: 8, bits: u32::MAX, limited: true };
+const LOCK_WITH_TIMEOUT: Wait = Wait::Futex { address: 8, bits: u32::MAX, limited: true };
 const SEEDS: std::ops::Range<u64> = 0..200;
 
-/// A scheduler of two threads, and a seed that holds this thread back or none.
-fn holding_back(index: Option<usize>) -> Scheduler {
+/// Returns a scheduler of two threads whose seed holds back the given thread, or none.
+fn scheduler_holding_back(index: Option<usize>) -> Scheduler {
     let held = |s: &Scheduler| s.held_back().map(ThreadId::index) == index;
-    let mut scheduler = SEEDS.map(Scheduler::new).find(held).expect("such a seed");
+    let mut scheduler = SEEDS.map(Scheduler::new).find(held).expect("a seed with this held-back thread");
     scheduler.create();
     scheduler
 }
 
-/// Has whoever has the turn make this call so often.
-fn repeat(scheduler: &mut Scheduler, call: Call, times: u32) -> Result<(), Fault> {
+/// Makes the holder of the turn make this call `times` times.
+fn repeat_call(scheduler: &mut Scheduler, call: Call, times: u32) -> Result<(), Fault> {
     (0..times).try_for_each(|_| {
         let holder = scheduler.holder().expect("a thread runs");
         scheduler.turn(holder, call)
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_order_again() {
+fn same_seed_draws_same_order() {
     let order = |seed| {
         let mut scheduler = Scheduler::new(seed);
         scheduler.create();
@@ -40,50 +40,50 @@
 }
 
 #[test]
-fn the_thread_that_is_held_back_runs_when_no_other_can() {
-    let mut scheduler = holding_back(Some(1));
-    repeat(&mut scheduler, Call::Send, 100).expect("no fault");
+fn held_back_thread_runs_only_when_no_other_is_ready() {
+    let mut scheduler = scheduler_holding_back(Some(1));
+    repeat_call(&mut scheduler, Call::Send, 100).expect("no fault");
     assert_eq!(scheduler.holder(), Some(ThreadId::MAIN));
     scheduler.wait(ThreadId::MAIN, Call::FutexWait, LOCK).expect("the other can run");
     assert_eq!(scheduler.holder().map(ThreadId::index), Some(1));
 }
 
 #[test]
-fn a_thread_that_yields_over_one_that_is_held_back_spins() {
-    let mut scheduler = holding_back(Some(1));
-    repeat(&mut scheduler, Call::Yield, MAX_YIELDS - 1).expect("not yet");
-    assert_eq!(repeat(&mut scheduler, Call::Yield, 1), Err(Fault::Spins(Call::Yield)));
+fn repeated_yields_with_another_thread_ready_are_a_spin_fault() {
+    let mut scheduler = scheduler_holding_back(Some(1));
+    repeat_call(&mut scheduler, Call::Yield, MAX_YIELDS - 1).expect("not yet");
+    assert_eq!(repeat_call(&mut scheduler, Call::Yield, 1), Err(Fault::Spins(Call::Yield)));
 }
 
 #[test]
-fn yields_with_a_call_between_them_are_no_spinning() {
-    let mut scheduler = holding_back(Some(1));
+fn another_call_resets_the_yield_count() {
+    let mut scheduler = scheduler_holding_back(Some(1));
     for _ in 0..3 {
-        repeat(&mut scheduler, Call::Yield, MAX_YIELDS - 1).expect("no fault");
-        repeat(&mut scheduler, Call::Send, 1).expect("no fault");
+        repeat_call(&mut scheduler, Call::Yield, MAX_YIELDS - 1).expect("no fault");
+        repeat_call(&mut scheduler, Call::Send, 1).expect("no fault");
     }
 }
 
 #[test]
-fn yields_are_no_spinning_while_no_other_thread_can_run() {
+fn yields_with_no_other_thread_ready_are_no_fault() {
     let mut scheduler = Scheduler::new(0);
-    repeat(&mut scheduler, Call::Yield, 3 * MAX_YIELDS).expect("no fault");
+    repeat_call(&mut scheduler, Call::Yield, 3 * MAX_YIELDS).expect("no fault");
 }
 
 #[test]
-fn a_thread_that_never_waits_is_a_fault() {
-    let mut scheduler = holding_back(Some(1));
-    repeat(&mut scheduler, Call::Send, MAX_TURNS - 1).expect("not yet");
-    assert_eq!(repeat(&mut scheduler, Call::Send, 1), Err(Fault::NeverWaits(Call::Send)));
+fn calls_without_a_wait_are_a_fault() {
+    let mut scheduler = scheduler_holding_back(Some(1));
+    repeat_call(&mut scheduler, Call::Send, MAX_TURNS - 1).expect("not yet");
+    assert_eq!(repeat_call(&mut scheduler, Call::Send, 1), Err(Fault::NeverWaits(Call::Send)));
 }
 
 #[test]
-fn a_wake_up_makes_as_many_ready_as_it_says() {
+fn wake_readies_at_most_the_given_number_of_threads() {
     let mut scheduler = Scheduler::new(0);
     let (first, second) = (scheduler.create(), scheduler.create());
     for id in [first, second] {
         while scheduler.holder() != Some(id) {
-            repeat(&mut scheduler, Call::Send, 1).expect("no fault");
+            repeat_call(&mut scheduler, Call::Send, 1).expect("no fault");
         }
         scheduler.wait(id, Call::FutexWait, LOCK).expect("main can run");
     }
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn threads_that_all_wait_for_each_other_are_a_fault() {
-    let mut scheduler = holding_back(None);
+fn all_threads_waiting_for_each_other_is_a_fault() {
+    let mut scheduler = scheduler_holding_back(None);
     let first = scheduler.holder().expect("a thread runs");
     scheduler.wait(first, Call::FutexWait, LOCK).expect("the other can run");
     let second = scheduler.holder().expect("the other runs");
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn a_wait_with_a_limit_or_for_what_is_outside_is_no_fault() {
-    for wait in [LIMITED, Wait::Outside] {
-        let mut scheduler = holding_back(None);
+fn wait_with_timeout_or_for_outside_event_is_no_fault() {
+    for wait in [LOCK_WITH_TIMEOUT, Wait::Outside] {
+        let mut scheduler = scheduler_holding_back(None);
         let first = scheduler.holder().expect("a thread runs");
         scheduler.wait(first, Call::FutexWait, LOCK).expect("the other can run");
         let second = scheduler.holder().expect("the other runs");
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn whoever_waits_for_a_threads_end_goes_on_when_it_ends_and_not_before() {
-    let mut scheduler = holding_back(Some(1));
+fn join_returns_when_the_thread_ends_and_not_before() {
+    let mut scheduler = scheduler_holding_back(Some(1));
     let other = scheduler.create();
     scheduler.wait(ThreadId::MAIN, Call::JoinThread, Wait::End(other)).expect("others can run");
     assert_eq!(scheduler.holder(), Some(other));
@@ -128,14 +128,14 @@
 }
 
 #[test]
-fn a_call_without_the_turn_is_a_fault() {
+fn call_without_the_turn_is_a_fault() {
     let mut scheduler = Scheduler::new(0);
     let other = scheduler.create();
     assert_eq!(scheduler.turn(other, Call::Send), Err(Fault::WithoutTurn(Call::Send)));
 }
 
 #[test]
-fn an_order_is_read_as_it_was_written() {
+fn order_round_trips_through_its_text_form() {
     let order = Order { seed: 7, signals: vec![(40, 1), (200, 15)] };
     assert_eq!(Order::from_text(&order.seed.to_string(), "40:1,200:15"), order);
     assert_eq!(Order::from_text("", ""), Order::default());
--- a/crates/turns/tests/planted_faults.rs
+++ b/crates/turns/tests/planted_faults.rs
@@ -1,11 +1,11 @@
-//! The preload library ends a process whose threads are at fault, and leaves one alone whose threads are not.
+//! The preload library aborts a process whose threads are faulty, and lets a correct process finish.
 
 use aniseyoke_turns::{arm, Order};
 use std::ops::Range;
 use std::process::{Command, Output};
 
 const SEEDS: Range<u64> = 0..40;
-/// Fewer, for a run of so many calls takes long.
+/// Fewer seeds, because a run with that many calls is slow.
 const FEW_SEEDS: Range<u64> = 0..6;
 
 fn run(fault: &str, seed: u64) -> Output {
@@ -15,9 +15,10 @@
     command.output().expect("run")
 }
 
-/// How many seeds show the planted fault. Each run ends well or tells of it in one line that names the seed.
-fn shown(fault: &str, seeds: Range<u64>, told: &str) -> usize {
-    let shows = |seed: &u64| {
+/// Returns how many seeds expose the planted fault. Each run succeeds or reports the fault in one line with
+/// the seed.
+fn count_exposing_seeds(fault: &str, seeds: Range<u64>, message: &str) -> usize {
+    let exposes_fault = |seed: &u64| {
         let output = run(fault, *seed);
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         if output.status.success() {
@@ -25,29 +26,29 @@
             return false;
         }
         assert!(log.starts_with("turns: thread "), "seed {seed}: {:?}, {log:?}", output.status);
-        assert!(log.contains(&format!(", seed {seed}: {told}")), "seed {seed}: {log:?}");
+        assert!(log.contains(&format!(", seed {seed}: {message}")), "seed {seed}: {log:?}");
         assert_eq!(log.lines().count(), 1, "seed {seed}: {log:?}");
         true
     };
-    seeds.filter(shows).count()
+    seeds.filter(exposes_fault).count()
 }
 
 #[test]
-fn a_program_without_a_fault_ends_well_by_every_seed() {
-    assert_eq!(shown("none", SEEDS, "nothing"), 0);
+fn program_without_a_fault_succeeds_with_every_seed() {
+    assert_eq!(count_exposing_seeds("none", SEEDS, "nothing"), 0);
 }
 
 #[test]
-fn a_planted_spin_is_shown() {
-    assert!(shown("spin", SEEDS, "spins: ") > 0);
+fn planted_spin_is_detected() {
+    assert!(count_exposing_seeds("spin", SEEDS, "spins: ") > 0);
 }
 
 #[test]
-fn a_planted_lost_wakeup_is_shown() {
-    assert!(shown("lost-wakeup", SEEDS, "all threads wait for each other") > 0);
+fn planted_lost_wakeup_is_detected() {
+    assert!(count_exposing_seeds("lost-wakeup", SEEDS, "all threads wait for each other") > 0);
 }
 
 #[test]
-fn a_planted_thread_that_never_waits_is_shown() {
-    assert!(shown("never-waits", FEW_SEEDS, "never waits: ") > 0);
+fn planted_thread_that_never_waits_is_detected() {
+    assert!(count_exposing_seeds("never-waits", FEW_SEEDS, "never waits: ") > 0);
 }
--- a/crates/turns/tests/programs/planted.rs
+++ b/crates/turns/tests/programs/planted.rs
@@ -1,14 +1,14 @@
-//! A program whose threads are at fault in the way that its argument names, or not at all.
+//! A program whose threads have the fault that its argument names, or none.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::thread;
 
-/// Calls without a wait, more than the scheduler lets pass.
+/// The number of calls without a wait; more than the scheduler allows.
 const ENDLESS_CALLS: u32 = 200_000;
 
-/// A flag, and the lock and the condition variable of those who wait for it.
+/// A flag with the lock and the condition variable of its waiters.
 #[derive(Default)]
 struct Flag {
     set: AtomicBool,
@@ -21,7 +21,7 @@
         self.set.load(Ordering::SeqCst)
     }
 
-    /// Waits as it has to be done: looks at the flag under the lock.
+    /// Waits correctly: checks the flag while holding the lock.
     fn wait(&self) {
         let mut guard = self.lock.lock().unwrap_or_else(PoisonError::into_inner);
         while !self.is_set() {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The planted fault: looks at the flag before it takes the lock, so that a wake-up between the two is lost.
+    /// Planted fault: checks the flag before taking the lock, so that a wake-up between the two is lost.
     fn wait_with_lost_wakeup(&self) {
         if self.is_set() {
             return;
@@ -39,7 +39,7 @@
         drop(self.changed.wait(guard));
     }
 
-    /// The planted fault: yields until the flag is set.
+    /// Planted fault: yields until the flag is set.
     fn spin(&self) {
         while !self.is_set() {
             thread::yield_now();
@@ -54,8 +54,8 @@
     }
 }
 
-/// The planted fault: keeps the process to itself with calls that don't wait.
-fn keep_busy() {
+/// Planted fault: makes many calls without ever waiting.
+fn write_without_waiting() {
     let mut sink = std::fs::OpenOptions::new().write(true).open("/dev/null").expect("a sink");
     for _ in 0..ENDLESS_CALLS {
         sink.write_all(b"x").expect("written");
@@ -65,13 +65,13 @@
 fn main() {
     let fault = std::env::args().nth(1).unwrap_or_default();
     let flag = Arc::new(Flag::default());
-    let of_thread = flag.clone();
-    let setter = thread::spawn(move || of_thread.set());
+    let thread_flag = flag.clone();
+    let setter = thread::spawn(move || thread_flag.set());
     match fault.as_str() {
         "none" => flag.wait(),
         "spin" => flag.spin(),
         "lost-wakeup" => flag.wait_with_lost_wakeup(),
-        "never-waits" => keep_busy(),
+        "never-waits" => write_without_waiting(),
         other => panic!("unknown fault {other:?}"),
     }
     setter.join().expect("it ends");
