--- a/crates/decision/src/logic/key_affinity.rs
+++ b/crates/decision/src/logic/key_affinity.rs
@@ -1,9 +1,17 @@
-//! Key affinity: which servers a key's bucket prefers (Go-With-The-Winner).
+//! Key affinity: which servers a key's bucket prefers. The method is Go-With-The-Winner: try a few
+//! servers, and stay with the first one that serves well enough.
 //!
 //! Keys are hashed into buckets. A bucket ranks the servers by weighted rendezvous hashing, with the same
-//! result at all proxies; the first ones that slow start admits are its candidates. Each candidate has a
-//! window of its last reads; the first one with [`HITS_TO_WIN`] hits in a row wins the bucket and keeps it. A
-//! hot bucket is spread over its first servers.
+//! result at all proxies; the first [`CANDIDATES`] that are not excluded and that slow start admits are its
+//! candidates. Each candidate has a window of its last reads; the first one with [`HITS_TO_WIN`] hits in a
+//! row wins the bucket and keeps it until it stops being a candidate (an operator's exclusion only suspends
+//! it). A hot bucket is spread over its first servers.
+//!
+//! Buckets belong to scopes. A scope is one pool, or the requests without a pool, of the classes that may use
+//! the same servers; such classes are represented by the first of them. The id of a bucket is
+//! `(C * SCOPES_PER_CLASS + P) * BUCKETS_PER_SCOPE + I`, where `C` is the index of the representative class
+//! plus one, or 0 for an unknown class, `P` is the index of the pool plus one, or 0 without a pool, and `I`
+//! is the index of the bucket within its scope, a hash of the key.
 
 use super::*;
 
@@ -11,15 +19,15 @@
 pub const CANDIDATES: usize = 2;
 /// Number of hits in a row with which a candidate wins a bucket.
 const HITS_TO_WIN: u32 = 3;
-/// How much lower the miss rate of a later candidate must be for it to be asked before the first one, while
-/// the bucket has no winner. With many proxies, each sees few requests of a bucket; asking the candidates in
+/// How much lower the miss rate of a later candidate must be for it to be tried before the first one, while
+/// the bucket has no winner. With many proxies, each sees few requests of a bucket; trying the candidates in
 /// turn would put a copy on each of them, and each copy costs a fetch from the origin.
 const LATER_CANDIDATE_PENALTY: f64 = 0.25;
 /// Number of key buckets in each scope; the state of a bucket is created on first use.
 const BUCKETS_PER_SCOPE: u64 = 1 << 13;
-/// Number of pool scopes of each class: one for each pool, and one for requests without a pool.
-const POOL_SCOPES: u64 = MAX_POOLS as u64 + 1;
-/// Number of servers ranked for each bucket: its candidates first, then their substitutes.
+/// Number of scopes of each representative class: one for each pool, and one for requests without a pool.
+const SCOPES_PER_CLASS: u64 = MAX_POOLS as u64 + 1;
+/// Number of servers ranked for each bucket: its candidates first, then their fallbacks.
 const MAX_RANKED: usize = 16;
 /// The fraction of its keys that a server in slow start gets, as a multiple of its warm fraction. With a
 /// multiple of one, new servers are underused during a rollout, since they warm up faster than required and
@@ -27,15 +35,16 @@
 const SLOW_START_KEY_FACTOR: f64 = 2.5;
 /// The load of a bucket above which it is spread, as a fraction of the average load of a server.
 const HOT_LOAD: f64 = 0.25;
-/// How much the cost of crossing zones lowers that load: a copy in each zone saves cross-zone traffic.
+/// How much the cost of crossing zones lowers the threshold [`HOT_LOAD`]: a copy in each zone saves
+/// cross-zone traffic.
 const CROSS_ZONE_FACTOR: f64 = 20.0;
 /// Salt of the hash that ranks servers.
 const RANK_SALT: u64 = 0x5ca1_ab1e;
 /// Salt of the hash that admits servers in slow start.
 const ADMIT_SALT: u64 = 0xc01d;
 
-/// Returns the position of a bucket in the hash. It is the same in every scope, so that scopes share cached
-/// copies where their servers overlap.
+/// Returns the index of a bucket within its scope. Servers are hashed with this index rather than the id, so
+/// that scopes share cached copies where their servers overlap.
 pub fn hash_position(bucket: u32) -> u64 {
     u64::from(bucket) % BUCKETS_PER_SCOPE
 }
@@ -74,87 +83,88 @@
     requests: DecayingCounter,
     /// Counter that rotates the requests over the servers that share the bucket.
     turn: u32,
-    /// Whether its last read was answered, so that some server has it cached.
+    /// Whether its last read was answered, which implies that some server has the key of that read cached.
     answered: bool,
-    /// Whether it was ever read.
+    /// Whether any of its keys was ever read.
     read: bool,
 }
 
 /// What is known about the cached copies of a bucket.
 #[derive(Clone, Copy, Default)]
 pub struct CacheState {
-    /// Whether some server has it cached.
+    /// Whether some server is known to have keys of the bucket cached.
     pub cached: bool,
-    /// Whether it was ever read.
+    /// Whether any key of the bucket was ever read.
     pub read: bool,
 }
 
 /// All buckets used so far.
 pub struct KeyBuckets {
     all: FxHashMap<u32, Bucket>,
-    /// For each class, the first class that may use the same servers; such classes share candidates and
-    /// winners.
-    scopes: Vec<usize>,
-    /// The first class of each scope.
-    scope_classes: Vec<usize>,
+    /// For each class, its representative: the first class that may use the same servers. Such classes share
+    /// candidates and winners.
+    representative_of: Vec<usize>,
+    /// The classes that represent themselves.
+    representatives: Vec<usize>,
     /// The load above which a bucket is spread, as a fraction of the average load of a server.
     hot_load: f64,
     proxy_index: usize,
 }
 
-/// Returns for each class the first class that may use the same servers, and the first classes of these
-/// scopes.
-fn scopes_of(settings: &Settings) -> (Vec<usize>, Vec<usize>) {
+/// Returns the representative of each class, which is the first class that may use the same servers, and the
+/// list of all representatives.
+fn class_representatives(settings: &Settings) -> (Vec<usize>, Vec<usize>) {
     let first =
         |c: &Class| settings.classes.iter().position(|o| o.allowed_servers == c.allowed_servers).unwrap_or(0);
-    let scopes: Vec<usize> = settings.classes.iter().map(first).collect();
-    let scope_classes = (0..scopes.len()).filter(|c| scopes[*c] == *c).collect();
-    (scopes, scope_classes)
+    let representative_of: Vec<usize> = settings.classes.iter().map(first).collect();
+    let representatives = (0..representative_of.len()).filter(|c| representative_of[*c] == *c).collect();
+    (representative_of, representatives)
 }
 
 impl KeyBuckets {
     /// Creates the state without any bucket.
     pub fn new(settings: &Settings) -> Self {
         let hot_load = HOT_LOAD / (1.0 + CROSS_ZONE_FACTOR * settings.cross_zone_cost.max(0.0));
-        let (scopes, scope_classes) = scopes_of(settings);
+        let (representative_of, representatives) = class_representatives(settings);
         KeyBuckets {
             all: FxHashMap::default(),
-            scopes,
-            scope_classes,
+            representative_of,
+            representatives,
             hot_load,
             proxy_index: settings.proxy_index as usize,
         }
     }
 
-    /// Updates the scopes to new settings.
+    /// Updates the representatives of the classes to new settings.
     pub fn update_settings(&mut self, settings: &Settings) {
-        (self.scopes, self.scope_classes) = scopes_of(settings);
+        (self.representative_of, self.representatives) = class_representatives(settings);
     }
 
-    /// Returns the bucket of a key for a class and pool; buckets of other scopes have their own candidates
-    /// and winner.
+    /// Returns the id of a key's bucket for a class and pool; buckets of other scopes have their own
+    /// candidates and winner.
     pub fn bucket_of(&self, class: usize, pool: Option<usize>, key: u64) -> u32 {
-        let scope = self.scopes.get(class).map_or(0, |s| s + 1) as u64;
-        let scope = scope * POOL_SCOPES + pool.map_or(0, |p| p as u64 + 1) % POOL_SCOPES;
+        let class_number = self.representative_of.get(class).map_or(0, |s| s + 1) as u64;
+        let scope = class_number * SCOPES_PER_CLASS + pool.map_or(0, |p| p as u64 + 1) % SCOPES_PER_CLASS;
         (scope * BUCKETS_PER_SCOPE + mix(key) % BUCKETS_PER_SCOPE) as u32
     }
 
-    /// Ranks the servers open to a bucket's classes by weighted rendezvous hashing; the ranking is the same
-    /// at every proxy.
+    /// Ranks the servers allowed for a bucket's classes by weighted rendezvous hashing; the ranking is the
+    /// same at every proxy.
     pub fn rank(&mut self, servers: &ServerTable, bucket: u32) {
         let state = self.all.entry(bucket).or_default();
         if state.version == servers.version && !state.ranked.is_empty() {
             return;
         }
         let scope = (u64::from(bucket) / BUCKETS_PER_SCOPE) as usize;
-        let class = (scope / POOL_SCOPES as usize).wrapping_sub(1);
-        let pool = (scope % POOL_SCOPES as usize).checked_sub(1);
-        state.ranked = best_ranked(servers, bucket, class, pool, &self.scope_classes);
+        let class = (scope / SCOPES_PER_CLASS as usize).wrapping_sub(1);
+        let pool = (scope % SCOPES_PER_CLASS as usize).checked_sub(1);
+        state.ranked = best_ranked(servers, bucket, class, pool, &self.representatives);
         state.version = servers.version;
     }
 
-    /// Whether a server may serve a bucket. A server in slow start is admitted once its warm fraction exceeds
-    /// a threshold from a hash of both, which is the same at all proxies.
+    /// Whether a server may serve a bucket. A server in slow start is admitted once its warm fraction times
+    /// [`SLOW_START_KEY_FACTOR`] exceeds a threshold, a hash of the server and the bucket that is the same at
+    /// all proxies.
     fn is_admitted(servers: &ServerTable, now: Nanos, bucket: u32, s: &Server) -> bool {
         let warm = servers.warm_fraction(now, s);
         let threshold = || unit_interval(mix(s.entry.server ^ mix(hash_position(bucket) ^ ADMIT_SALT)));
@@ -174,7 +184,8 @@
     }
 
     /// Returns what is known about the cached copies of a bucket. A hit in any window counts; otherwise one
-    /// late read of a rare key would block a bucket whose other keys are cached by its candidates.
+    /// read of a rare key that timed out or failed would make the whole bucket count as not cached, and
+    /// origin protection could reject requests for its other keys, which its candidates have cached.
     pub fn cache_state(&self, bucket: u32) -> CacheState {
         let Some(state) = self.all.get(&bucket) else { return CacheState::default() };
         let hit = state.windows.iter().any(|w| w.hits != 0);
@@ -182,18 +193,19 @@
     }
 
     /// Counts a request of a bucket; returns over how many servers the bucket is to be spread, given the
-    /// recent number of `arrivals` and the number of candidate `servers`.
+    /// recent number of `arrivals` and the number of eligible `servers`.
     pub fn record_request(&mut self, now: Nanos, bucket: u32, arrivals: f64, servers: f64) -> usize {
         let Some(state) = self.all.get_mut(&bucket) else { return 1 };
         state.requests.add(now, traffic::ARRIVAL_TIME_CONSTANT_S);
         state.turn = state.turn.wrapping_add(1);
-        // With few requests a bucket's share of the traffic is uncertain: use one deviation less.
+        // With few requests a bucket's share of the traffic is uncertain, so this subtracts one standard
+        // deviation (of a Poisson count, the root of the count).
         let lower_bound = state.requests.sum - state.requests.sum.sqrt();
         ((lower_bound / arrivals.max(1.0) * servers / self.hot_load).ceil() as usize).clamp(1, MAX_RANKED)
     }
 
     /// Returns the ranked servers admitted to a bucket in order of preference: the winner, or else the
-    /// candidate with the best window, with ties broken in the same way at all proxies; then the substitutes.
+    /// candidate with the best window, with ties broken in the same way at all proxies; then the fallbacks.
     /// The first `spread` servers take turns at the first place.
     pub fn preference_order(
         &mut self,
@@ -235,14 +247,14 @@
             let window_before = old.iter().find(|o| o.server == server).copied();
             *window = window_before.unwrap_or(Window { server, ..Window::default() });
         }
-        // A winner that is no longer a candidate is cleared, unless an operator excluded it: then its keys
-        // return to it with the end of the exclusion.
+        // A winner that is no longer a candidate is cleared, unless an operator excluded it: then it stays
+        // the winner, and gets the bucket's keys again when the exclusion ends.
         if self.winner.is_some_and(|w| !ids.contains(&w) && !servers.excluded.contains(&w)) {
             self.winner = None;
         }
     }
 
-    /// Returns the penalty of a candidate; the one with the lowest penalty is asked first.
+    /// Returns the penalty of a candidate; the one with the lowest penalty is tried first.
     fn penalty(&self, server: ServerId) -> f64 {
         if self.winner == Some(server) {
             return -1.0;
@@ -253,29 +265,31 @@
     }
 }
 
-/// Returns the best-ranked servers of a bucket, of those open to its class and pool.
+/// Returns the best-ranked servers of a bucket, of those allowed for its class and pool. Each server has a
+/// score; a lower score is better.
 fn best_ranked(
     servers: &ServerTable,
     bucket: u32,
     class: usize,
     pool: Option<usize>,
-    scope_classes: &[usize],
+    representatives: &[usize],
 ) -> Vec<u32> {
     let salt = mix(hash_position(bucket) ^ RANK_SALT);
-    let open = |class, pool, s: &Server| servers.is_open_to(&servers.settings, class, pool, s);
-    let fits = |s: &Server| (servers.can_be_candidate(s) || s.excluded) && open(class, pool, s);
+    let is_allowed = |class, pool, s: &Server| servers.is_open_to(&servers.settings, class, pool, s);
+    let fits = |s: &Server| (servers.can_be_candidate(s) || s.excluded) && is_allowed(class, pool, s);
     let mut best: Vec<(f64, u32)> = Vec::with_capacity(MAX_RANKED + 1);
     for (index, s) in servers.servers.iter().enumerate() {
-        // Since -ln(x) >= 1 - x, this cheap bound shows for most servers that they score above the worst one
-        // in the list.
+        // Since -ln(x) >= 1 - x, this cheap lower bound shows for most servers that their score is higher
+        // than the worst one in the list.
         let worst_score = best.get(MAX_RANKED - 1).map_or(f64::INFINITY, |x| x.0);
         let hash = unit_interval(mix(salt ^ s.entry.server));
         if (1.0 - hash) * s.inverse_weight < worst_score && fits(s) {
-            // A server that is open to more scopes and pools gets a worse score, so that keys that any server
-            // may serve do not crowd the servers that restricted classes and pools depend on.
-            let scopes = scope_classes.iter().filter(|c| open(**c, None, s)).count();
-            let pools = (0..servers.settings.pools.len()).filter(|p| open(class, Some(*p), s)).count();
-            let score = -hash.ln() * s.inverse_weight * (scopes + pools).max(1) as f64;
+            // A server that is allowed for more classes and pools gets a worse score, so that keys that any
+            // server may serve do not displace those of restricted classes and pools from the servers that
+            // these depend on.
+            let classes = representatives.iter().filter(|c| is_allowed(**c, None, s)).count();
+            let pools = (0..servers.settings.pools.len()).filter(|p| is_allowed(class, Some(*p), s)).count();
+            let score = -hash.ln() * s.inverse_weight * (classes + pools).max(1) as f64;
             if score < worst_score {
                 best.insert(best.partition_point(|x| x.0 <= score), (score, index as u32));
                 best.truncate(MAX_RANKED);
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The maximum number of bytes received in answer to a request: a buffered body, its framing, and interim
-/// answers before it. Hyper reads on as long as interim answers arrive, and does not report them.
+/// The maximum number of bytes received in answer to a request. Eight times the largest buffered body leaves
+/// room for the body's framing and for interim answers before it. Hyper reads on as long as interim answers
+/// arrive, and does not report them.
 const MAX_ANSWER_BYTES: usize = 8 * MAX_BUFFERED_BODY_BYTES;
-/// How often the request of an attempt may be withheld by the check before its first byte, before the attempt
-/// is given up.
+/// How often [`WriteCheck`] may withhold the request of an attempt before the attempt is given up.
 const MAX_WITHHELD: usize = 2;
 
 /// An attempt in flight.
@@ -29,21 +29,26 @@
     pub(super) pool: &'a Rc<Upstreams>,
     pub(super) server: ServerId,
     pub(super) job: &'a Job,
-    /// The deadline, if the client's request has been fully received.
+    /// The deadline for writing the first byte of the request, and for the attempt. An attempt with a
+    /// streamed body instead ends [`Attempt::time_limit`] after the body's last byte was received from the
+    /// client.
     pub(super) due: Instant,
     /// The total time allowed.
     pub(super) time_limit: Duration,
     pub(super) handle: &'a Rc<AttemptHandle>,
 }
 
-/// Why the exchange on one connection has no outcome.
+/// Why the exchange on one connection ended without a usable answer.
 enum TryError {
-    /// The attempt ends with this status.
+    /// The attempt ends with this status; no other connection is tried.
     Ended(Status),
     /// A reused connection closed before the request was fully written: another connection is tried.
     ConnectionEnded,
-    /// The check before the first byte withheld the request, as the process was delayed or its tasks ran in
-    /// another order. The presence of the client is checked again.
+    /// [`WriteCheck`], which runs right before the first byte is written, did not allow the write: since the
+    /// connection was chosen, the deadline passed, the node stopped accepting requests or its epoch changed,
+    /// the engine forbade the write, or the client left or was not confirmed recently enough. This happens if
+    /// the process is delayed, or if another task runs before the write. If time is left, the attempt chooses
+    /// a connection and confirms the client again.
     Withheld,
 }
 
@@ -60,22 +65,27 @@
 }
 
 impl Attempt<'_> {
-    /// Makes the attempt. It ends at its deadline, or, if the client's body is still being received,
-    /// `time_limit` after the body's last byte.
+    /// Makes the attempt. It ends at its deadline or, if the body is streamed, `time_limit` after the body's
+    /// last byte was received.
     pub(super) async fn run(&self) -> Outcome {
         tokio::select! {
+            // `never_sent` resolves when the engine forbids writing before the request was fully written. As
+            // this also closes the connection, it is polled first: otherwise the exchange might report the
+            // closed connection as a failure of the node.
             biased;
             () = self.handle.never_sent() => Status::NotSent.into(),
             outcome = self.exchange() => outcome,
-            () = self.wait_over() => {
-                // A request that was not fully written has not run.
+            () = self.wait_for_timeout() => {
+                // A request that was not fully written was not processed by the node. `ConnectFailed` stands
+                // for that, even if a connection was opened and a part of the request was written.
                 if self.handle.is_written() { Status::Timeout } else { Status::ConnectFailed }.into()
             }
         }
     }
 
-    /// Waits until the time for the attempt is over or its node is stuck.
-    async fn wait_over(&self) {
+    /// Waits until the time for the attempt is over or its node is stuck: the request is not fully written,
+    /// and the node has accepted no bytes of it for too long (see [`AttemptHandle::stuck`]).
+    async fn wait_for_timeout(&self) {
         let time_over = async {
             match self.job.body.upload() {
                 None => sleep_until(self.due).await,
@@ -144,19 +154,25 @@
     /// Chooses an idle connection or opens one, after checking that the client still waits.
     async fn prepare_connection(&self) -> Result<ReadyConnection, TryError> {
         const NOT_SENT: TryError = TryError::Ended(Status::NotSent);
-        // Waits for a permit before taking the body: what an attempt has read of an upload is lost with the
-        // attempt.
+        // If opening connections is limited, this returns an idle connection if there is one, and otherwise
+        // acquires a permit. The body is taken later, since upload bytes that an attempt has read may not be
+        // available to another attempt.
         let idle = self.pool.wait_for_permit(self.server, self.due, self.time_limit).await.ok_or(NOT_SENT)?;
         let mut checked_at = Instant::now();
-        let probed = self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
-        let idle = idle.filter(|idle| !probed || idle.is_clean());
+        let client_probed = self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
+        // A probe waits for the client's reaction; meanwhile the idle connection may have closed
+        // or received bytes.
+        let idle = idle.filter(|idle| !client_probed || idle.is_clean());
         let body = self.job.body.for_attempt().ok_or(NOT_SENT)?;
         let (addr, epoch) = self.pool.address_and_epoch(self.server).ok_or(NOT_SENT)?;
+        // There is none yet if opening is not limited, if a permit was acquired, or if the idle connection
+        // was dropped just now. One may have become idle since.
         let idle = idle.or_else(|| self.pool.take_idle(self.server));
         let (mut connection, reused) = match idle.and_then(ReservedConnection::into_connection) {
             Some(connection) => (connection, true),
             None => {
                 let connection = self.pool.connect(addr).await.map_err(TryError::Ended)?;
+                // Opening a connection takes time, and the client may have left meanwhile.
                 checked_at = Instant::now();
                 self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
                 (connection, false)
@@ -189,16 +205,17 @@
         }
     }
 
-    /// Returns the meaning of a request that got no answer on its connection.
+    /// Classifies a failure to get an answer on a connection.
     fn send_error(&self, connection: &Connection, reused: bool) -> TryError {
         if connection.socket.is_withheld() {
             return TryError::Withheld;
         }
-        // A failure of the client says nothing about the node.
+        // A failure of the client says nothing about the node. `NotSent` means here that the node did not get
+        // the complete request, though it may have got a part of the body.
         if self.job.body.upload().is_some_and(|upload| upload.failed()) {
             return TryError::Ended(Status::NotSent);
         }
-        // A fully written request may have run, so it must not be repeated here.
+        // The node may have processed a fully written request, so it must not be sent again here.
         if connection.socket.is_fully_written() {
             return TryError::Ended(Status::Reset);
         }
@@ -214,8 +231,8 @@
         *request.uri_mut() = self.job.uri.clone();
         let headers = request.headers_mut();
         headers.reserve(self.job.headers.len() + 2);
-        // The check before the first byte replaces the value. The header comes first, so that it is in the
-        // first bytes that are written.
+        // The value of this header is updated when the first bytes are written, with the time left that
+        // [`WriteCheck`] returns. The header comes first, so that it is in those bytes.
         let time_left = self.due.saturating_duration_since(Instant::now());
         if let Ok(value) = HeaderValue::try_from(time_left::format(time_left)) {
             headers.insert(TIME_LEFT, value);
