--- a/crates/control/src/purge_log.rs
+++ b/crates/control/src/purge_log.rs
@@ -35,21 +35,21 @@
     },
     /// What an earlier failed write left can't be cut off yet.
     #[error("{}: what a failed write left can't be cut off: {source}", .path.display())]
-    Uncut {
+    TruncateFailed {
         /// The log's folder.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
     /// A write failed, and what it left can't be cut off yet.
-    #[error("{}: {source}; what the write left can't be cut off: {cut}", .path.display())]
-    FailedAndUncut {
+    #[error("{}: {source}; what the write left can't be cut off: {truncate_error}", .path.display())]
+    WriteAndTruncateFailed {
         /// The log's folder.
         path: PathBuf,
         /// Why the write failed.
         source: io::Error,
         /// Why what it left can't be cut off.
-        cut: io::Error,
+        truncate_error: io::Error,
     },
     /// Its files were set aside, and the new epoch could not be started yet.
     #[error("{}: the log is set aside, and its new epoch has not started yet", .0.display())]
@@ -209,7 +209,7 @@
             State::SetAside => return Err(PurgeLogError::SetAside(path())),
             State::Torn => {
                 let path = path();
-                self.cut_off_torn().map_err(|source| PurgeLogError::Uncut { path, source })?;
+                self.cut_off_torn().map_err(|source| PurgeLogError::TruncateFailed { path, source })?;
             }
         }
         let Err(source) = self.write(requests) else { return Ok(()) };
@@ -217,7 +217,7 @@
         let path = self.folder.clone();
         Err(match self.cut_off_torn() {
             Ok(()) => PurgeLogError::Io { path, source },
-            Err(cut) => PurgeLogError::FailedAndUncut { path, source, cut },
+            Err(truncate_error) => PurgeLogError::WriteAndTruncateFailed { path, source, truncate_error },
         })
     }
 
