--- a/crates/control/src/checksummed_file.rs
+++ b/crates/control/src/checksummed_file.rs
@@ -1,19 +1,19 @@
-//! One value in one file with a checksum, written to a new file that is renamed: what is loaded is what was saved, or is
-//! known to be damaged.
+//! One value in one file with a checksum. A value is written to a new file, which is then renamed. Loading
+//! returns a value that was saved, or detects that the file is damaged.
 
 use sha2::{Digest, Sha256};
 use std::fs::File;
 use std::io::{self, Read as _, Write as _};
 use std::path::{Path, PathBuf};
 
-/// The largest file that is read, in bytes.
+/// Maximum size of a file that is loaded.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// The longest first line, in bytes.
+/// Maximum length of the first line.
 const MAX_HEADER_BYTES: usize = 200;
 
-/// File operations, each a step that a crash may precede or follow.
+/// File operations. Tests implement them with a crash before, during or after one of them.
 pub trait Files {
-    /// A file's bytes, or none if there is no such file.
+    /// Returns the bytes of a file, or `None` if there is no such file.
     ///
     /// # Errors
     /// If it exists and can't be read.
@@ -21,16 +21,16 @@
     /// Creates or replaces a file with these bytes, and syncs it.
     ///
     /// # Errors
-    /// If not all of that was done; part of it may have been.
+    /// If that failed. Part of it may have been done.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Renames a file, replacing any file of the new name, and syncs the folder.
+    /// Renames a file, replacing any file with the new name, and syncs the folder.
     ///
     /// # Errors
-    /// If not all of that was done; part of it may have been.
+    /// If that failed. Part of it may have been done.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// The files of this machine.
+/// The file system of this machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disk;
 
@@ -61,18 +61,18 @@
     }
 }
 
-/// What was loaded.
+/// The result of loading.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Loaded {
-    /// Nothing was ever saved.
+    /// There is no file.
     Missing,
     /// The saved value.
     Intact(Vec<u8>),
     /// The file is damaged.
     Damaged {
-        /// What is wrong with it.
+        /// The reason why it is not valid.
         reason: String,
-        /// The name that it was renamed to, if that was possible.
+        /// The path that it was renamed to, if that was possible.
         quarantined: Option<PathBuf>,
     },
 }
@@ -84,13 +84,13 @@
     TooLong,
     #[error("its first line has no end")]
     NoHeader,
-    #[error("its first line is no text")]
+    #[error("its first line is not UTF-8")]
     HeaderNotText,
     #[error("it does not begin with {0:?}")]
     WrongMagic(&'static str),
-    #[error("its first line is cut short")]
+    #[error("its first line is incomplete")]
     HeaderTooShort,
-    #[error("{actual} bytes are there, and {expected} were written")]
+    #[error("its payload has {actual} bytes, and {expected} are expected")]
     WrongLength { actual: usize, expected: String },
     #[error("its checksum does not match")]
     WrongChecksum,
@@ -114,21 +114,22 @@
 }
 
 impl<F: Files> ChecksummedFile<F> {
-    /// The file of this path. Its first line begins with `magic`: what it holds, and the version of the format.
+    /// Creates a handle for the file with this path. Its first line begins with `magic`, which identifies the
+    /// kind of value and the version of the format.
     pub fn new(files: F, path: PathBuf, magic: &'static str) -> Self {
         ChecksummedFile { files, path, magic }
     }
 
-    /// The file's path.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Replaces the saved value; all of it is written anew.
+    /// Replaces the saved value. The file is always written completely.
     ///
     /// # Errors
-    /// If the value is not known to be on disk. The value before is still there, or, where the very last step failed, this
-    /// one in its place; never anything between.
+    /// If the value is not known to be on disk. The file has the previous value then or, if the last step
+    /// failed, possibly the new one, but never a mixture.
     pub fn save(&mut self, payload: &[u8]) -> io::Result<()> {
         let mut bytes = format!("{} {} {}\n", self.magic, checksum(payload), payload.len()).into_bytes();
         bytes.extend_from_slice(payload);
@@ -149,7 +150,8 @@
         })
     }
 
-    /// Renames the file, as when its owner can't interpret the value. Returns the new name, if that was possible.
+    /// Renames a damaged file, or one with a value that the caller can't interpret. Returns the new path, if
+    /// that was possible.
     pub fn quarantine(&mut self) -> Option<PathBuf> {
         let quarantined = with_suffix(&self.path, ".damaged");
         self.files.rename(&self.path, &quarantined).is_ok().then_some(quarantined)
@@ -164,11 +166,11 @@
     let header = std::str::from_utf8(&bytes[..end]).map_err(|_| Damage::HeaderNotText)?;
     let payload = &bytes[end + 1..];
     let rest = header.strip_prefix(magic).ok_or(Damage::WrongMagic(magic))?;
-    let (expected_sum, length) = rest.trim_start().split_once(' ').ok_or(Damage::HeaderTooShort)?;
+    let (expected_checksum, length) = rest.trim_start().split_once(' ').ok_or(Damage::HeaderTooShort)?;
     if length.parse() != Ok(payload.len()) {
         return Err(Damage::WrongLength { actual: payload.len(), expected: length.to_owned() });
     }
-    if expected_sum != checksum(payload) {
+    if expected_checksum != checksum(payload) {
         return Err(Damage::WrongChecksum);
     }
     Ok(payload)
--- a/crates/control/src/latency.rs
+++ b/crates/control/src/latency.rs
@@ -1,30 +1,33 @@
-//! How long purges take from their numbering until they are known to be applied everywhere.
+//! The latency of purges: the time from the assignment of their numbers until they are known to be applied at
+//! all members.
 
 use crate::frame::PurgeLatency;
 use std::collections::VecDeque;
 
-/// How many purges are tracked at once, and how many of the latest durations are kept.
+/// Maximum number of pending purges that are tracked, and maximum number of recent durations that are
+/// retained.
 const MAX_TRACKED: usize = 16 << 10;
 const NANOS_PER_MICRO: u64 = 1000;
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// A purge that is not known to be applied everywhere yet.
+/// A purge that is not known to be applied at all members yet.
 struct PendingPurge {
     number: u64,
     numbered_at: u64,
 }
 
-/// Durations of recent purges.
+/// The durations of recent purges, by which operators see the latency.
 #[derive(Default)]
 pub(crate) struct LatencyTracker {
     pending: VecDeque<PendingPurge>,
     /// In microseconds.
     durations: VecDeque<u64>,
+    /// Number of purges without a duration: some members lagged, or too many purges were pending.
     incomplete: u64,
 }
 
 impl LatencyTracker {
-    /// The purges from `after + 1` up to `through` were numbered.
+    /// Starts tracking the purges from `after + 1` to `through`, which were numbered at `now`.
     pub fn numbered(&mut self, now: u64, after: u64, through: u64) {
         for number in after + 1..=through {
             if self.pending.len() >= MAX_TRACKED {
@@ -35,7 +38,8 @@
         }
     }
 
-    /// The purges up to `through` are applied everywhere, except at members that lag, if there are any.
+    /// Records that the purges up to `through` are applied at all members. If some members lag and were
+    /// excepted, the purges are counted as incomplete.
     pub fn applied(&mut self, now: u64, through: u64, has_lagging: bool) {
         while let Some(purge) = self.pending.pop_front_if(|purge| purge.number <= through) {
             if has_lagging {
@@ -49,12 +53,12 @@
         }
     }
 
-    /// Forgets purges that are not applied yet, as when a new epoch starts.
+    /// Stops tracking all pending purges, since their numbers have no meaning in a new epoch.
     pub fn forget_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// The distribution of the kept durations.
+    /// Returns the distribution of the retained durations.
     pub fn latency(&self) -> PurgeLatency {
         let mut sorted: Vec<u64> = self.durations.iter().copied().collect();
         sorted.sort_unstable();
--- a/crates/control/src/purge_log.rs
+++ b/crates/control/src/purge_log.rs
@@ -1,6 +1,10 @@
-//! The root's log of purges on disk: records with a checksum, synced before a publisher gets its response, in segments of
-//! which the oldest are removed. What is read again is what was synced. A torn end is cut off; any other damage means that
-//! the log is lost, and starts a new epoch. Nothing is appended behind what a failed write left: that is cut off first.
+//! The root's log of purges on disk, which consists of records with a checksum. A record is synced before the
+//! publishers get their responses. The log is split into segments, and the oldest segments are removed.
+//!
+//! Opening the log writes and syncs the last segment again, so that all records that were read are on disk. An
+//! incomplete record at the end is truncated. With any other damage the log counts as lost, and a new epoch
+//! starts. After a failed write, the bytes that it may have left are truncated before anything else is
+//! appended.
 
 mod record;
 mod segment;
@@ -17,7 +21,7 @@
 /// Why the log can't be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum PurgeLogError {
-    /// A file or folder can't be read or written. The log may be intact, and is left as it is.
+    /// A file or folder can't be read or written. The log may be intact, and is not changed.
     #[error("{}: {source}", .path.display())]
     Io {
         /// The file or folder.
@@ -30,10 +34,10 @@
     Damaged {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The reason why it is not valid.
         reason: String,
     },
-    /// What an earlier failed write left can't be cut off yet.
+    /// The bytes that an earlier failed write left can't be truncated yet.
     #[error("{}: what a failed write left can't be cut off: {source}", .path.display())]
     TruncateFailed {
         /// The log's folder.
@@ -41,17 +45,17 @@
         /// The cause.
         source: io::Error,
     },
-    /// A write failed, and what it left can't be cut off yet.
+    /// A write failed, and the bytes that it left can't be truncated yet.
     #[error("{}: {source}; what the write left can't be cut off: {truncate_error}", .path.display())]
     WriteAndTruncateFailed {
         /// The log's folder.
         path: PathBuf,
         /// Why the write failed.
         source: io::Error,
-        /// Why what it left can't be cut off.
+        /// Why the file can't be truncated.
         truncate_error: io::Error,
     },
-    /// Its files were set aside, and the new epoch could not be started yet.
+    /// The files of the old epoch were renamed, and the new epoch could not be started yet.
     #[error("{}: the log is set aside, and its new epoch has not started yet", .0.display())]
     SetAside(PathBuf),
 }
@@ -72,7 +76,7 @@
     pub disk: PurgeLog,
     /// The retained entries, in memory.
     pub log: Log,
-    /// The requests that were numbered.
+    /// The last requests of each publisher, with the numbers of their entries.
     pub publishers: Publishers,
     /// Warnings for the operators.
     pub warnings: Vec<String>,
@@ -81,11 +85,12 @@
 /// Whether records can be appended.
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    /// They can.
+    /// Records can be appended.
     Intact,
-    /// A write or sync failed: the file may have bytes past its last complete record, which have to be cut off first.
+    /// A write or sync failed. The file may have bytes after its last complete record, which have to be
+    /// truncated first.
     Torn,
-    /// Its files are being set aside: a new epoch has to start first.
+    /// The files are being renamed for a new epoch, which has to start first.
     SetAside,
 }
 
@@ -93,23 +98,24 @@
 pub struct PurgeLog {
     folder: PathBuf,
     epoch: u64,
-    /// How many entries a segment has at least before the next one begins.
+    /// Minimum number of entries in a segment before the next one begins.
     segment_entries: u64,
     file: File,
     /// The length of the complete records in the file, in bytes.
     length: u64,
-    /// The number before the segment's first entry.
+    /// The number before the first entry of the current segment.
     after: u64,
     newest: u64,
     state: State,
 }
 
 impl PurgeLog {
-    /// Opens the log in a folder, or starts one under `new_epoch`, which is higher than any epoch before. At least the last
-    /// `min_entries` are retained, and at most twice as many and one batch.
+    /// Opens the log in a folder. If there is none, or it is damaged, a new one is started under `new_epoch`,
+    /// which has to be higher than any epoch before. The number of retained entries is at least
+    /// `min_entries`, and at most twice that and one batch.
     ///
     /// # Errors
-    /// If the folder or its files can't be read or written; what is there stays as it is then.
+    /// If the folder or its files can't be read or written. An existing log is not removed then.
     pub fn open(folder: &Path, min_entries: usize, new_epoch: u64) -> Result<OpenedLog, PurgeLogError> {
         std::fs::create_dir_all(folder).map_err(PurgeLogError::io(folder))?;
         let mut warnings = Vec::new();
@@ -118,7 +124,7 @@
             Ok(None) => {}
             Err(damaged @ PurgeLogError::Damaged { .. }) => {
                 warnings.push(format!(
-                    "the log of purges is damaged: {damaged}; a new epoch starts, and everyone is flushed"
+                    "the log of purges is damaged: {damaged}; a new epoch starts, and all caches are flushed"
                 ));
                 for after in segment::list(folder).map_err(PurgeLogError::io(folder))? {
                     let path = segment::path(folder, after);
@@ -133,7 +139,7 @@
         Ok(OpenedLog { disk, log, publishers: Publishers::default(), warnings })
     }
 
-    /// Opens the log that is in a folder, if there is one.
+    /// Opens the log in a folder, if there is one.
     fn open_existing(
         folder: &Path,
         min_entries: usize,
@@ -150,7 +156,7 @@
             let start = segment.start();
             let log = log.get_or_insert_with(|| Log::new(start, min_entries));
             if log.position() != start || start.through != *after {
-                return Err(PurgeLogError::damaged(&path, "it does not follow the one before it"));
+                return Err(PurgeLogError::damaged(&path, "it does not follow the segment before it"));
             }
             for request in &segment.requests {
                 request.keys.iter().for_each(|key| _ = log.append(*key));
@@ -178,12 +184,13 @@
         Ok(PurgeLog { folder, epoch, segment_entries, file, length, after, newest: after, state })
     }
 
-    /// Starts a new epoch, which is higher than any before. The files of the old one are set aside.
+    /// Starts a new epoch, which has to be higher than any before. The files of the old one are renamed.
     ///
     /// # Errors
-    /// If the folder or its files can't be written. Nothing can be appended then until a new epoch has started.
+    /// If the folder or its files can't be written. Nothing can be appended then until a new epoch has
+    /// started.
     pub fn start_epoch(&mut self, epoch: u64) -> Result<(), PurgeLogError> {
-        // Danger: the next start does not find what is appended to a file that was set aside.
+        // Prevents records from being appended to a renamed file, which the next start would not read.
         self.state = State::SetAside;
         let started = self.replace_files(epoch);
         started.map_err(|source| PurgeLogError::Io { path: self.folder.clone(), source })
@@ -197,11 +204,12 @@
         Ok(())
     }
 
-    /// Appends requests as one record, and syncs it.
+    /// Appends requests as one record, and syncs the file.
     ///
     /// # Errors
-    /// If they can't be stored. Then none of them is stored, or, where even that can't be ensured, nothing is appended until
-    /// it can: each further call tries that first.
+    /// If they can't be stored. The bytes that the failed write left are truncated, so that none of the
+    /// requests is stored. If that fails as well, each further call first tries to truncate them, and appends
+    /// nothing until that succeeds.
     pub fn append(&mut self, requests: &[PurgeRequest]) -> Result<(), PurgeLogError> {
         let path = || self.folder.clone();
         match self.state {
@@ -209,20 +217,20 @@
             State::SetAside => return Err(PurgeLogError::SetAside(path())),
             State::Torn => {
                 let path = path();
-                self.cut_off_torn().map_err(|source| PurgeLogError::TruncateFailed { path, source })?;
+                self.truncate_torn_end().map_err(|source| PurgeLogError::TruncateFailed { path, source })?;
             }
         }
         let Err(source) = self.write(requests) else { return Ok(()) };
         self.state = State::Torn;
         let path = self.folder.clone();
-        Err(match self.cut_off_torn() {
+        Err(match self.truncate_torn_end() {
             Ok(()) => PurgeLogError::Io { path, source },
             Err(truncate_error) => PurgeLogError::WriteAndTruncateFailed { path, source, truncate_error },
         })
     }
 
-    /// Cuts off what a failed write or sync has left behind the last complete record.
-    fn cut_off_torn(&mut self) -> io::Result<()> {
+    /// Truncates the bytes that a failed write or sync has left after the last complete record.
+    fn truncate_torn_end(&mut self) -> io::Result<()> {
         self.file.set_len(self.length)?;
         self.file.sync_all()?;
         self.state = State::Intact;
@@ -243,19 +251,21 @@
         Ok(())
     }
 
-    /// Removes old segments. Those that can't be removed now are removed later: no record is rejected because of that.
+    /// Removes old segments. Failures are ignored, so that no record is rejected because of them; the next
+    /// call tries again.
     fn remove_segments_before(&self, oldest: u64) {
         let all = segment::list(&self.folder).unwrap_or_default();
         for after in all.into_iter().filter(|after| *after < oldest) {
             if std::fs::remove_file(segment::path(&self.folder, after)).is_err() {
-                // Danger: without a later segment and with this one there would be a gap.
+                // If a later segment were removed and this one were not, the log would have a gap.
                 return;
             }
         }
     }
 }
 
-/// Reads a segment of a log. None where it is the last one and its header is torn: then it is removed.
+/// Reads a segment of a log. If the header of the last one is incomplete, the file is removed and the result
+/// is `None`.
 fn read_segment(
     path: &Path,
     is_last: bool,
@@ -265,12 +275,12 @@
     let torn_bytes = segment.as_ref().map(|segment| segment.torn_bytes);
     match torn_bytes {
         Some(0) => {}
-        _ if !is_last => return Err(PurgeLogError::damaged(path, "it is cut short")),
+        _ if !is_last => return Err(PurgeLogError::damaged(path, "it ends with an incomplete record")),
         Some(torn) => {
             warnings.push(format!("{}: {torn} bytes at its end are torn, and cut off", path.display()));
         }
         None => {
-            warnings.push(format!("{}: its header is torn, and it is removed", path.display()));
+            warnings.push(format!("{}: its header is incomplete, and it is removed", path.display()));
             std::fs::remove_file(path).map_err(PurgeLogError::io(path))?;
         }
     }
--- a/crates/control/src/purge_log/record.rs
+++ b/crates/control/src/purge_log/record.rs
@@ -1,14 +1,14 @@
-//! The format of the log's files: records of a length, a checksum and a payload. The first record of a segment is its
-//! header, each other one a batch of requests.
+//! The format of the log's files. A file consists of records, each with a length, a checksum and a payload.
+//! The first record of a segment is its header, and each other one is a batch of requests.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 const MAGIC: &[u8; 8] = b"ANPURGE1";
-/// A record begins with its length and its checksum.
+/// Size of the length at the start of a record; the checksum follows it.
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 8;
 const KEY_BYTES: usize = 8;
-/// The longest payload, in bytes.
+/// Maximum length of a payload.
 const MAX_RECORD_BYTES: usize = 16 << 20;
 
 /// A publisher's request to purge objects.
@@ -16,18 +16,18 @@
 pub struct PurgeRequest {
     /// The publisher's name.
     pub publisher: String,
-    /// The publisher's number of the request.
+    /// The publisher's own number of the request.
     pub sequence: u64,
     /// XXH3-64 of each object's key.
     pub keys: Vec<u64>,
 }
 
-/// How many entries requests add to the log.
+/// Number of entries that requests add to the log.
 pub fn entry_count(requests: &[PurgeRequest]) -> u64 {
     requests.iter().map(|request| request.keys.len() as u64).sum()
 }
 
-/// Why bytes are not records.
+/// Why bytes can't be decoded as records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     #[error("a record is too long")]
@@ -55,10 +55,11 @@
     bytes
 }
 
-/// The payload of a record, and the bytes behind it.
+/// The payload of a record, and the bytes after the record.
 type Split<'a> = (&'a [u8], &'a [u8]);
 
-/// Splits off the first record. None where the bytes end before the record does.
+/// Splits off the first record and checks its checksum. The result is `None` if the bytes end before the
+/// record does.
 fn split_record(bytes: &[u8]) -> Result<Option<Split<'_>>, RecordError> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let Some((checksum, rest)) = rest.split_first_chunk::<CHECKSUM_BYTES>() else { return Ok(None) };
@@ -96,14 +97,14 @@
     encode_record(&payload)
 }
 
-fn take_u64(bytes: &mut &[u8]) -> Option<u64> {
+fn read_u64(bytes: &mut &[u8]) -> Option<u64> {
     let (head, rest) = bytes.split_first_chunk::<8>()?;
     *bytes = rest;
     Some(u64::from_be_bytes(*head))
 }
 
-/// Takes a count and so many items of a size.
-fn take_items<'a>(bytes: &mut &'a [u8], item_bytes: usize) -> Option<&'a [u8]> {
+/// Reads a count, and returns the bytes of that many items of the given size.
+fn read_items<'a>(bytes: &mut &'a [u8], item_bytes: usize) -> Option<&'a [u8]> {
     let (count, rest) = bytes.split_first_chunk::<4>()?;
     let length = (u32::from_be_bytes(*count) as usize).checked_mul(item_bytes)?;
     let (items, rest) = rest.split_at_checked(length)?;
@@ -111,32 +112,32 @@
     Some(items)
 }
 
-fn take_request(bytes: &mut &[u8]) -> Option<PurgeRequest> {
-    let sequence = take_u64(bytes)?;
-    let publisher = String::from_utf8(take_items(bytes, 1)?.to_vec()).ok()?;
-    let mut keys = take_items(bytes, KEY_BYTES)?;
-    let keys = std::iter::from_fn(|| take_u64(&mut keys)).collect();
+fn read_request(bytes: &mut &[u8]) -> Option<PurgeRequest> {
+    let sequence = read_u64(bytes)?;
+    let publisher = String::from_utf8(read_items(bytes, 1)?.to_vec()).ok()?;
+    let mut keys = read_items(bytes, KEY_BYTES)?;
+    let keys = std::iter::from_fn(|| read_u64(&mut keys)).collect();
     Some(PurgeRequest { publisher, sequence, keys })
 }
 
-/// What the bytes of a segment hold.
+/// A decoded segment.
 pub struct DecodedSegment {
     pub header: SegmentHeader,
     pub requests: Vec<PurgeRequest>,
-    /// How many bytes at its end are not a complete record.
+    /// Number of bytes at the end that are not a complete record.
     pub torn_bytes: usize,
 }
 
-/// Decodes a segment; none where its header is not complete.
+/// Decodes a segment. The result is `None` if its header is incomplete.
 pub fn decode_segment(bytes: &[u8]) -> Result<Option<DecodedSegment>, RecordError> {
     let Some((payload, mut rest)) = split_record(bytes)? else { return Ok(None) };
     let mut fields = payload.strip_prefix(MAGIC.as_slice()).ok_or(RecordError::Header)?;
-    let numbers = take_u64(&mut fields).zip(take_u64(&mut fields));
+    let numbers = read_u64(&mut fields).zip(read_u64(&mut fields));
     let (epoch, after) = numbers.ok_or(RecordError::Header)?;
     let mut requests = Vec::new();
     while let Some((mut payload, next)) = split_record(rest)? {
         while !payload.is_empty() {
-            requests.push(take_request(&mut payload).ok_or(RecordError::Payload)?);
+            requests.push(read_request(&mut payload).ok_or(RecordError::Payload)?);
         }
         rest = next;
     }
--- a/crates/control/src/purge_log/tests.rs
+++ b/crates/control/src/purge_log/tests.rs
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn a_torn_end_is_cut_off_and_reported_and_earlier_records_stay() {
+fn an_incomplete_record_at_the_end_is_truncated_with_a_warning_and_earlier_records_stay() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
     opened.disk.append(&requests(1, 1)).expect("stored");
     let before = opened.disk.length as usize;
     opened.disk.append(&requests(2, 1)).expect("stored");
     let path = segment::path(folder.path(), 0);
-    let whole = std::fs::read(&path).expect("there");
-    for end in before + 1..whole.len() {
-        std::fs::write(&path, &whole[..end]).expect("written");
+    let complete = std::fs::read(&path).expect("there");
+    for end in before + 1..complete.len() {
+        std::fs::write(&path, &complete[..end]).expect("written");
         let mut again = reopened(folder.path(), 100);
         assert_eq!(
             (again.log.position(), again.warnings.len()),
@@ -44,7 +44,7 @@
             "{end}"
         );
         again.disk.append(&requests(2, 1)).expect("stored");
-        assert_eq!(std::fs::read(&path).expect("there"), whole);
+        assert_eq!(std::fs::read(&path).expect("there"), complete);
     }
 }
 
@@ -64,7 +64,8 @@
         bytes[at] ^= 0x10;
         std::fs::write(&path, bytes).expect("written");
         let again = reopened(folder.path(), 100);
-        // A length that grew past the end looks like a torn end; that loses entries, and shows when one below is ahead.
+        // A flipped bit in a length may point past the end of the file, which looks like an incomplete
+        // record. Entries are lost then, which is detected once a child turns out to be ahead of the root.
         let torn = again.log.position().epoch == 7 && again.log.newest() < 14;
         assert!(
             again.log.position() == Progress { epoch: 99, through: 0 } || torn,
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_record_that_can_not_be_stored_is_rejected_and_leaves_nothing() {
+fn a_record_that_can_not_be_stored_is_rejected_and_leaves_no_bytes() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
     opened.disk.append(&requests(1, 1)).expect("stored");
@@ -102,7 +103,8 @@
     assert_eq!(reopened(folder.path(), 100).log.newest(), 2);
 }
 
-/// Danger: with its files put aside, what was appended would be answered for, and not be found by the next start.
+/// Guards against lost purges: once the files are renamed for a new epoch, a record appended to one of them
+/// would be acknowledged, but the next start would not read it.
 #[test]
 fn a_log_whose_new_epoch_failed_accepts_nothing_until_it_has_started() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -111,27 +113,31 @@
     opened.disk.append(&requests(1, 1)).expect("stored");
     std::fs::rename(&dir, folder.path().join("gone")).expect("renamed");
     assert!(opened.disk.start_epoch(8).is_err());
-    assert!(opened.disk.append(&requests(2, 1)).is_err(), "it would be in a file that no start finds");
+    assert!(
+        opened.disk.append(&requests(2, 1)).is_err(),
+        "it would be in a renamed file, which no start reads"
+    );
     std::fs::create_dir(&dir).expect("made");
     opened.disk.start_epoch(9).expect("started");
     opened.disk.append(&requests(2, 1)).expect("stored");
     assert_eq!(reopened(&dir, 100).log.position(), Progress { epoch: 9, through: 2 });
 }
 
-/// Danger: what could not be cut off after a failed write must not have a record appended behind it.
+/// Guards against a damaged log: a record appended after bytes that a failed write left, and that could not
+/// be truncated at once, could not be read again.
 #[test]
-fn a_torn_end_that_could_not_be_cut_off_is_cut_off_before_the_next_record() {
+fn bytes_of_a_failed_write_that_could_not_be_truncated_are_truncated_before_the_next_record() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
     opened.disk.append(&requests(1, 1)).expect("stored");
     let path = segment::path(folder.path(), 0);
     opened.disk.file = File::open(&path).expect("opened to be read only");
-    assert!(opened.disk.append(&requests(2, 1)).is_err(), "neither written nor cut");
-    // Half a record is there.
-    let mut whole = OpenOptions::new().append(true).open(&path).expect("opened");
-    whole.write_all(&encode_batch(&requests(2, 1))[..9]).expect("written");
-    opened.disk.file = whole;
-    opened.disk.append(&requests(3, 1)).expect("the disk is back");
+    assert!(opened.disk.append(&requests(2, 1)).is_err(), "neither written nor truncated");
+    // The file ends with part of a record.
+    let mut complete = OpenOptions::new().append(true).open(&path).expect("opened");
+    complete.write_all(&encode_batch(&requests(2, 1))[..9]).expect("written");
+    opened.disk.file = complete;
+    opened.disk.append(&requests(3, 1)).expect("the file is writable again");
     let again = reopened(folder.path(), 100);
     assert_eq!((again.log.newest(), again.warnings.len()), (4, 0));
 }
--- a/crates/control/src/purge_queue.rs
+++ b/crates/control/src/purge_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of publishers' requests in front of the purge writer.
+//! The queue of purge requests that publishers have sent, which the purge writer consumes.
 
 use crate::frame::OperatorResponse;
 use crate::purge_log::PurgeRequest;
@@ -6,21 +6,21 @@
 use tokio::sync::{mpsc, oneshot};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many keys one request may have.
+/// Maximum number of keys in one request.
 const MAX_KEYS: usize = 10_000;
-/// How many requests wait in the queue, and how many are stored as one batch.
+/// Maximum number of requests in the queue, and in a batch that is stored as one record.
 pub(crate) const MAX_REQUESTS: usize = 64;
 
-/// A request that waits for its response.
+/// A request in the queue.
 pub(crate) struct PendingPurge {
     /// The request.
     pub request: PurgeRequest,
-    /// Where its response goes. The caller may have given up already.
+    /// The channel for its response. The receiving end may be closed already.
     pub response: oneshot::Sender<OperatorResponse>,
 }
 
 impl PendingPurge {
-    /// Responds that the request is rejected.
+    /// Rejects the request with this reason.
     pub fn reject(self, reason: String) {
         _ = self.response.send(OperatorResponse::Rejected { reason });
     }
@@ -30,14 +30,15 @@
 #[derive(Clone)]
 pub(crate) struct PurgeQueue(mpsc::Sender<PendingPurge>);
 
-/// A queue, and the receiving half of it.
+/// Creates a queue. Returns its sending and its receiving half.
 pub(crate) fn purge_queue() -> (PurgeQueue, mpsc::Receiver<PendingPurge>) {
     let (sender, receiver) = mpsc::channel(MAX_REQUESTS);
     (PurgeQueue(sender), receiver)
 }
 
 impl PurgeQueue {
-    /// Queues a request and waits until its purges are stored and numbered.
+    /// Queues a request and waits until its purges are stored and numbered. A request that is not valid, or
+    /// arrives while the queue is full, is rejected at once.
     pub async fn submit(&self, publisher: String, sequence: u64, keys: &[String]) -> OperatorResponse {
         let reject = |reason: String| OperatorResponse::Rejected { reason };
         if publisher.is_empty() || publisher.len() > MAX_NAME_BYTES {
--- a/crates/control/src/purge_writer.rs
+++ b/crates/control/src/purge_writer.rs
@@ -1,4 +1,5 @@
-//! Stores publishers' purges: requests within a batch are written to disk as one, then numbered, distributed and answered.
+//! Stores the purges of publishers. The requests of a batch are written to disk as one record. Then they are
+//! numbered, distributed and answered.
 
 use crate::clock::Clock;
 use crate::frame::OperatorResponse;
@@ -15,17 +16,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// How often it is checked whether the log was restored from an older state.
+/// Interval of the check whether the log was restored from an older state, if there are no requests.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The root's log on disk, and the requests that are in it.
+/// The writer of the root's log on disk.
 pub(crate) struct PurgeWriter {
     pub log: PurgeLog,
+    /// The last requests of each publisher, by which retries are recognized.
     pub publishers: Publishers,
-    /// How long requests are collected before they are written.
+    /// How long requests are collected before they are written as one record.
     pub batch: Duration,
     pub warn: fn(&str),
-    /// Why the last attempt to start a new epoch failed. It is logged once.
+    /// Why the last attempt to start a new epoch failed. Repeated failures for the same reason are logged
+    /// once.
     pub epoch_failure: Option<String>,
 }
 
@@ -38,16 +41,17 @@
     Log(PurgeLogError),
 }
 
-/// A batch without the requests that were numbered before.
+/// The requests of a batch that were not numbered before.
 #[derive(Default)]
 struct NewRequests {
     requests: Vec<PurgeRequest>,
-    /// Where each response goes, with the index of its request. A request that was retried within the batch has several.
+    /// The channels for the responses, each with the index of its request. A request that was retried within
+    /// the batch has several.
     responses: Vec<(oneshot::Sender<OperatorResponse>, usize)>,
 }
 
 impl PurgeWriter {
-    /// Stores requests, for good. `next_epoch` returns a higher number than any epoch before.
+    /// Stores requests forever. `next_epoch` has to return a higher number than any epoch before.
     pub async fn run<E: Display>(
         mut self,
         clock: Clock,
@@ -78,7 +82,8 @@
         }
     }
 
-    /// A child knows more than this log, which was therefore restored from an older state.
+    /// Starts a new epoch. It is called when a child has entries that are not in this log, which means that the
+    /// log was restored from an older state.
     fn start_epoch<E: Display>(
         &mut self,
         clock: Clock,
@@ -87,15 +92,15 @@
     ) -> Result<(), EpochFailure<E>> {
         let epoch = next_epoch().map_err(EpochFailure::Number)?;
         self.log.start_epoch(epoch).map_err(EpochFailure::Log)?;
-        let what = "the log of purges is older than what is known downstream";
-        (self.warn)(&format!("{what}: epoch {epoch} starts"));
+        let message = "the log of purges is older than what is known downstream";
+        (self.warn)(&format!("{message}: epoch {epoch} starts"));
         self.publishers = Publishers::default();
         purges.start_epoch(clock.now(), epoch);
         Ok(())
     }
 
-    /// Rejects a request while no new epoch could be started. Danger: the next numbers of the old log were assigned before,
-    /// and children would skip them.
+    /// Rejects a request, since a new epoch has to start and could not. If the request were numbered in the
+    /// old epoch, its numbers would have been assigned before, and children would skip the purges.
     fn reject_until_started(&mut self, request: Option<PendingPurge>, reason: String) {
         if self.epoch_failure.as_ref() != Some(&reason) {
             (self.warn)(&reason);
@@ -118,7 +123,7 @@
             (log, requests, result)
         });
         let Ok((log, requests, result)) = written.await else {
-            // The callers get no response, and retry when the log is opened again.
+            // The publishers get no response, and retry after a restart has opened the log again.
             warn("the thread that writes the log of purges has panicked: no purges are accepted until a restart");
             return std::future::pending().await;
         };
@@ -145,10 +150,11 @@
         self
     }
 
-    /// Answers requests that were numbered before, and merges those that are equal.
+    /// Answers requests that were numbered before, merges retries within the batch, and returns the remaining
+    /// requests.
     fn deduplicate(&self, batch: Vec<PendingPurge>, epoch: u64) -> NewRequests {
         let mut new = NewRequests::default();
-        // The index of each new request by its publisher and sequence.
+        // Index of each new request, by publisher and sequence.
         let mut indices: BTreeMap<(String, u64), usize> = BTreeMap::new();
         for pending in batch {
             let (publisher, sequence) = (&pending.request.publisher, pending.request.sequence);
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -1,7 +1,8 @@
 //! The last known good version on disk.
 //!
-//! redb was an alternative: it holds many values and survives crashes. But here is one value, written rarely and as a whole,
-//! and a file that operators can read and copy is worth more than a database.
+//! redb was an alternative, which stores many values and is crash-safe. But there is only one value here,
+//! which is rarely written and always completely, and a file has the advantage that operators can read and
+//! copy it.
 
 use crate::checksummed_file::{self, ChecksummedFile};
 use crate::version::{Version, VersionError};
@@ -11,7 +12,7 @@
 
 pub use crate::checksummed_file::{Disk, Files};
 
-/// The first words of the file, and the version of its format.
+/// The start of the file: what it stores, and the version of its format.
 const MAGIC: &str = "aniseyoke-version 1";
 
 /// A stored version.
@@ -19,23 +20,23 @@
 pub struct StoredVersion {
     /// The version.
     pub version: Version,
-    /// When it was stored, in milliseconds of Unix time. It is only reported, so that a wall clock that steps makes no version
-    /// too old or too new: versions are ordered by their stamps.
+    /// The time at which it was stored, in milliseconds of Unix time. It is only reported. Versions are
+    /// ordered by their stamps, so that steps of the wall clock do not matter.
     pub at_ms: u64,
 }
 
-/// What was loaded.
+/// The result of loading.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Loaded {
-    /// Nothing was ever saved.
+    /// There is no file.
     Missing,
     /// The saved version.
     Valid(StoredVersion),
     /// The file is damaged.
     Damaged {
-        /// What is wrong with it.
+        /// The reason why it is not valid.
         reason: String,
-        /// The name that it was renamed to, if that was possible.
+        /// The path that it was renamed to, if that was possible.
         quarantined: Option<PathBuf>,
     },
 }
@@ -48,7 +49,7 @@
     source: io::Error,
 }
 
-/// Why a file holds no version.
+/// Why the contents of a file are not a valid version.
 #[derive(Debug, thiserror::Error)]
 enum InvalidVersion {
     #[error("it can't be parsed: {0}")]
@@ -61,12 +62,12 @@
 pub struct Store<F>(ChecksummedFile<F>);
 
 impl<F: Files> Store<F> {
-    /// A store in the file of this path.
+    /// Creates a store in the file with this path, which need not exist.
     pub fn new(files: F, path: PathBuf) -> Self {
         Store(ChecksummedFile::new(files, path, MAGIC))
     }
 
-    /// The file's path.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         self.0.path()
     }
--- a/crates/control/src/version.rs
+++ b/crates/control/src/version.rs
@@ -1,4 +1,4 @@
-//! A version of the configuration: its stamp, its digest, its body, and the delta between two versions.
+//! Versions of the configuration, each with a stamp, a digest and a body, and deltas between them.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::Value;
@@ -6,10 +6,11 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Identifies a version. Stamps are ordered by epoch, then by number.
+/// The identifier of a version. Stamps are ordered by epoch, then by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Rises with each start of the service, be it from nothing, after a restart or from a backup.
+    /// The epoch of the service, which increases with each start: the first one, a restart, or one from a
+    /// backup.
     pub epoch: u64,
     /// The number of the version within the epoch, from 1.
     pub number: u64,
@@ -21,31 +22,34 @@
     }
 }
 
-/// JSON text in canonical form: no whitespace, keys in the order of their bytes. Danger: as a tree ten thousand routes
-/// take fifteen times as much memory, and a proxy has 32 MB for everything.
+/// JSON text in canonical form: without whitespace, and with keys in the order of their bytes.
+///
+/// A body is stored as text because a tree of values with ten thousand routes takes fifteen times as much
+/// memory, and a proxy has 32 MB for everything.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CanonicalJson(Arc<str>);
 
 impl CanonicalJson {
-    /// The canonical form of a value.
+    /// Converts a value to its canonical form.
     pub fn new(value: &Value) -> Self {
         let mut text = String::new();
         write_canonical(value, &mut text);
         CanonicalJson(text.into())
     }
 
-    /// The text.
+    /// Returns the text.
     pub fn text(&self) -> &str {
         &self.0
     }
 
-    /// The value as a tree.
+    /// Parses the text into a tree of values.
     pub fn value(&self) -> Value {
-        // The text was written from a value, so that it can be parsed.
+        // Parsing can't fail, since the text was written from a value.
         serde_json::from_str(&self.0).unwrap_or_default()
     }
 
-    /// The SHA-256 of the text, in hex. It does not depend on the order in which keys were written originally.
+    /// Returns the SHA-256 of the text, in hex. It does not depend on the order of the keys in the original
+    /// text.
     pub fn digest(&self) -> String {
         Sha256::digest(self.0.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
     }
@@ -63,7 +67,7 @@
     }
 }
 
-/// Writes a value with all keys in the order of their bytes.
+/// Appends the canonical form of a value to `text`.
 fn write_canonical(value: &Value, text: &mut String) {
     match value {
         Value::Object(members) => {
@@ -93,7 +97,7 @@
 /// A version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// Identifies it.
+    /// Its identifier.
     pub stamp: Stamp,
     /// The digest of its body ([`CanonicalJson::digest`]).
     pub digest: String,
@@ -107,10 +111,10 @@
     /// A delta can't be applied to its base.
     #[error("the patch can't be applied: {0}")]
     Patch(#[from] json_patch::PatchError),
-    /// The body is not the one that the digest was made of.
+    /// The digest does not match the body.
     #[error("the digest of the body is {actual}, and {expected} is expected")]
     Digest {
-        /// The digest that came with the version.
+        /// The digest in the version or the delta.
         expected: String,
         /// The digest of the body.
         actual: String,
@@ -118,16 +122,16 @@
 }
 
 impl Version {
-    /// A version with the digest of its body.
+    /// Creates a version with this body, and computes the digest.
     pub fn new(stamp: Stamp, body: &Value) -> Self {
         let body = CanonicalJson::new(body);
         Version { stamp, digest: body.digest(), body }
     }
 
-    /// Checks that the digest is that of the body.
+    /// Checks that the digest matches the body.
     ///
     /// # Errors
-    /// [`VersionError::Digest`] if it is not.
+    /// [`VersionError::Digest`] if it does not.
     pub fn verify(&self) -> Result<(), VersionError> {
         let actual = self.body.digest();
         if actual == self.digest {
@@ -137,15 +141,15 @@
         }
     }
 
-    /// The delta from this version to another, as a JSON Patch (RFC 6902).
+    /// Computes the delta from this version to another, as a JSON Patch (RFC 6902).
     pub fn delta(&self, to: &Version) -> json_patch::Patch {
         json_patch::diff(&self.body.value(), &to.body.value())
     }
 
-    /// Applies a delta to this version, which results in the version with this stamp and digest.
+    /// Applies a delta to this version. The result has the given stamp and digest.
     ///
     /// # Errors
-    /// If the delta can't be applied, or does not result in a body with that digest.
+    /// If the delta can't be applied, or the digest of the resulting body is another one.
     pub fn apply(
         &self,
         patch: &json_patch::Patch,
--- a/crates/control/src/version/tests.rs
+++ b/crates/control/src/version/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_delta_that_leads_to_another_version_is_an_error() {
+fn a_delta_that_results_in_another_digest_is_an_error() {
     let (one, two) = (Version::new(ONE, &json!({"a": [1, 2]})), Version::new(TWO, &json!({"a": [1, 3]})));
     let delta = one.delta(&two);
     assert_eq!(one.apply(&delta, TWO, &two.digest).ok(), Some(two.clone()));
