--- a/crates/control/src/measure.rs
+++ b/crates/control/src/measure.rs
@@ -1,4 +1,5 @@
-//! Measures how long a version takes from publishing to in force at emulated proxies, and what it costs the service.
+//! Measures the time from publishing a version until emulated proxies have received it, and the CPU time of
+//! the service.
 
 use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL};
 use aniseyoke_control::hosted::{Hosted, HostedError};
@@ -15,33 +16,35 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// If not all proxies have a version within this time, the measurement fails.
+/// The measurement fails if some proxies lack a version and no further proxy receives it within this time.
 const TIMEOUT: Duration = Duration::from_secs(120);
-/// Frames shorter than this carry no version here, in bytes.
+/// Frames shorter than this have no version, since all versions of the measurement are longer.
 const MIN_VERSION_BYTES: usize = 200;
-/// File descriptors besides connections: standard streams, listeners, those of the runtimes.
+/// Number of file descriptors for other purposes than connections: standard streams, listeners, those of the
+/// runtimes.
 const OTHER_DESCRIPTORS: u64 = 64;
-/// So many proxies connect without a pause. Danger: connections beyond the listener's queue are retried a second later.
+/// Number of proxies that connect without a pause. Connections that exceed the listener's queue would be
+/// retried by the kernel only a second later.
 const CONNECT_BURST: usize = 50;
 const CONNECT_PAUSE: Duration = Duration::from_millis(5);
-/// By then all proxies are connected.
+/// Time that is allowed for all proxies to connect.
 const CONNECT_TIME: Duration = Duration::from_secs(3);
-/// By then the service has read all acknowledgements of a version.
+/// Time that is allowed for the service to read all acknowledgements of a version.
 const ACK_TIME: Duration = Duration::from_millis(500);
 const READ_BYTES: usize = 16 << 10;
-/// The significant digits of measured times.
-const DIGITS: u8 = 3;
+/// Number of significant digits of measured times.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Arguments of `measure`.
 #[derive(clap::Args)]
 pub struct Measure {
-    /// Emulated proxies.
+    /// Number of emulated proxies.
     #[arg(long, default_value_t = 5000)]
     proxies: usize,
-    /// Versions that are published after the first, each with one route changed.
+    /// Number of versions that are published after the first one, each with one changed route.
     #[arg(long, default_value_t = 5)]
     versions: u64,
-    /// Routes in each version.
+    /// Number of routes in each version.
     #[arg(long, default_value_t = 1000)]
     routes: u64,
 }
@@ -55,15 +58,15 @@
          process may have {limit}: {short} short; raise the limit (ulimit -n), or ask for at most {possible} proxies"
     )]
     Descriptors {
-        /// Emulated proxies.
+        /// Number of emulated proxies.
         proxies: usize,
-        /// The descriptors that they need.
+        /// Number of descriptors that they need.
         need: u64,
         /// The limit.
         limit: u64,
-        /// How many are missing.
+        /// Number of descriptors by which the limit is too low.
         short: u64,
-        /// How many proxies the limit allows.
+        /// Maximum number of proxies that the limit allows.
         possible: u64,
     },
     /// The limit of file descriptors can't be read or raised.
@@ -75,7 +78,7 @@
     /// A version can't be published.
     #[error(transparent)]
     Publish(#[from] HostedError),
-    /// Proxies lack a version after the time limit.
+    /// A version was not received within the time limit. Holds the number of proxies that have it.
     #[error("only {0} proxies have the version after {TIMEOUT:?}")]
     Timeout(usize),
     /// The histogram can't be created.
@@ -83,7 +86,7 @@
     Histogram(#[from] hdrhistogram::CreationError),
 }
 
-/// A proxy has received a version.
+/// Reports that a proxy has received a version.
 struct Received {
     at: Instant,
     bytes: usize,
@@ -100,8 +103,8 @@
     json!({ "pools": pools, "routes": (0..routes).map(route).collect::<Vec<_>>() })
 }
 
-/// A proxy as the service sees it. It acknowledges each version as soon as its last byte is there, and does not parse it,
-/// since a thousand parsers on one machine would be measured instead.
+/// Emulates a proxy. It acknowledges each version as soon as its last byte has arrived, and does not parse
+/// it, because otherwise the measurement would mostly show the time of a thousand parsers on one machine.
 async fn emulate(n: usize, addr: SocketAddr, received: Sender<Received>) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(addr).await?;
     let frame = |message: ProxyMessage| encode(&message).map_err(std::io::Error::other);
@@ -120,23 +123,23 @@
         let mut header = [0; HEADER_BYTES];
         stream.read_exact(&mut header).await?;
         let bytes = u32::from_be_bytes(header) as usize;
-        let mut left = bytes;
-        while left > 0 {
-            let size = left.min(chunk.len());
-            left -= stream.read_exact(&mut chunk[..size]).await?;
+        let mut remaining = bytes;
+        while remaining > 0 {
+            let size = remaining.min(chunk.len());
+            remaining -= stream.read_exact(&mut chunk[..size]).await?;
         }
         if bytes < MIN_VERSION_BYTES {
             stream.write_all(&frame(ProxyMessage::Heartbeat)?).await?;
             continue;
         }
         number += 1;
-        // The receiver ends only with the measurement.
+        // Sending fails only when the measurement is over.
         let _ = received.send(Received { at: Instant::now(), bytes });
         stream.write_all(&frame(ProxyMessage::Ack { stamp: Stamp { epoch: 1, number } })?).await?;
     }
 }
 
-/// Connects all proxies, and serves them for good.
+/// Connects all proxies and runs them forever.
 async fn emulate_all(proxies: usize, addr: SocketAddr, received: Sender<Received>) {
     for n in 0..proxies {
         let received = received.clone();
@@ -152,7 +155,8 @@
     std::future::pending::<()>().await;
 }
 
-/// Raises the limit of file descriptors as far as possible. Both ends of each connection are in this process.
+/// Raises the limit of file descriptors as far as possible, and checks that it suffices. Each connection
+/// needs two descriptors, since both of its ends are in this process.
 fn raise_descriptor_limit(proxies: usize) -> Result<(), MeasureError> {
     let (_, limit) = getrlimit(Resource::RLIMIT_NOFILE)?;
     setrlimit(Resource::RLIMIT_NOFILE, limit, limit)?;
@@ -184,7 +188,7 @@
     Ok(())
 }
 
-/// Publishes one version and waits until all proxies have it; the result as a line.
+/// Publishes one version and waits until all proxies have received it. Returns a line with the result.
 fn measure_version(
     m: &Measure,
     n: u64,
@@ -193,11 +197,11 @@
 ) -> Result<String, MeasureError> {
     let before = service.cpu();
     let (_, published) = service.publish(body(m.routes, n), Plan::default())?;
-    let mut times = Histogram::<u64>::new_with_max(TIMEOUT.as_micros() as u64, DIGITS)?;
+    let mut times = Histogram::<u64>::new_with_max(TIMEOUT.as_micros() as u64, SIGNIFICANT_DIGITS)?;
     let mut total = 0;
-    for have in 0..m.proxies {
+    for count in 0..m.proxies {
         let Received { at, bytes } =
-            received.recv_timeout(TIMEOUT).map_err(|_| MeasureError::Timeout(have))?;
+            received.recv_timeout(TIMEOUT).map_err(|_| MeasureError::Timeout(count))?;
         times.saturating_record(at.saturating_duration_since(published).as_micros() as u64);
         total += bytes;
     }
@@ -205,9 +209,9 @@
     let cpu = service.cpu().saturating_sub(before).as_secs_f64() * 1000.0;
     let ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1000.0;
     let (p50, p99, all) = (ms(0.5), ms(0.99), times.max() as f64 / 1000.0);
-    let what = if n == 0 { "whole".to_owned() } else { format!("delta {n}") };
+    let label = if n == 0 { "whole".to_owned() } else { format!("delta {n}") };
     Ok(format!(
-        "{what}: taken after {p50:.1} ms (p50), {p99:.1} ms (p99), {all:.1} ms (all); {total} bytes, CPU of the \
+        "{label}: taken after {p50:.1} ms (p50), {p99:.1} ms (p99), {all:.1} ms (all); {total} bytes, CPU of the \
          service {cpu:.0} ms"
     ))
 }
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,5 +1,6 @@
-//! A service's side of the protocol: the history of versions, which proxy runs which, and who is sent what. No I/O, no
-//! clock.
+//! A service's side of the protocol: keeps the history of versions, tracks which proxy runs which version,
+//! and decides which version each proxy is sent. Does no I/O and reads no clock: the caller passes messages
+//! and the time, and sends the resulting frames.
 
 mod subscriber;
 
@@ -19,15 +20,16 @@
 type Nanos = u64;
 
 const SECOND: Nanos = 1_000_000_000;
-/// How many versions are kept, as bases of deltas and for roll-backs.
-const MAX_HISTORY: usize = 64;
-/// How large all of their frames may be, in bytes; the newest version is kept whatever its size.
+/// Maximum number of versions in the history, which are the bases of deltas and can be rolled back to.
+const MAX_HISTORY_VERSIONS: usize = 64;
+/// Maximum size of the snapshots of all versions in the history. Two versions are retained whatever their
+/// size.
 const MAX_HISTORY_BYTES: usize = 128 << 20;
-/// How many proxies are served; others are rejected.
+/// Maximum number of connected proxies. Further ones are rejected.
 const MAX_SUBSCRIBERS: usize = 20_000;
-/// A proxy that sends nothing for so long is considered dead.
+/// The connection of a proxy is closed if nothing is received from it for this long.
 const IDLE_TIMEOUT: Nanos = 20 * SECOND;
-/// A heartbeat is sent to a proxy if nothing else was for so long.
+/// A heartbeat is sent to a proxy if nothing else was sent to it for this long.
 const HEARTBEAT_INTERVAL: Nanos = 5 * SECOND;
 
 /// Why a version can't be published.
@@ -36,7 +38,7 @@
     /// The plan of its rollout is not valid.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// Its frame can't be encoded.
+    /// Its snapshot can't be encoded as a frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// It can't be stored.
@@ -45,7 +47,7 @@
     /// The version to roll back to is not in the history.
     #[error("version {0} is not in the history any more")]
     Unknown(Stamp),
-    /// It is not newer than the newest version.
+    /// It is not newer than the newest published version.
     #[error("version {stamp} does not follow {newest}, which was published before")]
     Outdated {
         /// The version.
@@ -57,42 +59,44 @@
 
 struct HistoryEntry {
     version: Version,
-    /// The size of its frame.
+    /// The size of its snapshot's frame.
     bytes: usize,
     published_at: Nanos,
 }
 
-/// A version that can be published.
+/// A version that is ready to be published: its plan is valid and its snapshot is encoded.
 pub struct PreparedVersion {
     version: Version,
-    /// Its snapshot.
+    /// The frame of its snapshot.
     bytes: Arc<[u8]>,
     plan: Plan,
 }
 
 impl PreparedVersion {
-    /// The version.
+    /// Returns the version.
     pub fn version(&self) -> &Version {
         &self.version
     }
 }
 
-/// A service's state.
+/// The state of a service: its versions, its connected proxies, and the rollout of the newest version.
 pub struct Publisher {
     epoch: u64,
     history: VecDeque<HistoryEntry>,
     subscribers: FxHashMap<Id, Subscriber>,
-    /// The last version whose rollout was complete: what those run who do not get the newest yet.
+    /// The last version before the newest whose rollout was complete. Proxies that do not get the newest
+    /// version yet should run this one.
     baseline: Option<Stamp>,
     rollout: Option<Rollout>,
-    /// Frames that are sent to many, by the base of the delta, none for a snapshot, and the version.
+    /// Encoded frames, which are shared by all proxies that are sent them. The key is the base of the delta,
+    /// or `None` for a snapshot, and the version.
     encoded: FxHashMap<(Option<Stamp>, Stamp), Arc<[u8]>>,
     request_counts: RequestCounts,
 }
 
 impl Publisher {
-    /// A service without versions. Danger: one that is restored from a backup under its old epoch would assign numbers
-    /// twice; whoever starts it has to raise the epoch.
+    /// Creates a service without versions. The epoch has to be higher than in any start before: a service
+    /// that is restored from a backup would otherwise assign the same stamps again.
     pub fn new(epoch: u64) -> Self {
         Publisher {
             epoch,
@@ -105,17 +109,17 @@
         }
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub fn newest(&self) -> Option<&Version> {
         self.history.back().map(|entry| &entry.version)
     }
 
-    /// The state of the newest version's rollout.
+    /// Returns the state of the newest version's rollout.
     pub fn rollout(&self) -> Option<&RolloutState> {
         self.rollout.as_ref().map(Rollout::state)
     }
 
-    /// All connected proxies, in the order of their names.
+    /// Returns the statuses of all connected proxies, in the order of their names.
     pub fn statuses(&self) -> Vec<ProxyStatus> {
         let statuses = self.subscribers.values().map(|s| s.status(self.wanted(s)));
         let mut all: Vec<ProxyStatus> = statuses.collect();
@@ -131,10 +135,11 @@
         self.history.iter().find(|entry| entry.version.stamp == stamp)
     }
 
-    /// Publishes a body as the newest version and starts its rollout. The rollout of the version before goes no further.
+    /// Publishes a body as the newest version and starts its rollout. The rollout of the previous version
+    /// ends.
     ///
     /// # Errors
-    /// If the plan is not valid, or the body is too long to be sent.
+    /// If the plan is not valid, or the body is too long for a frame.
     pub fn publish(
         &mut self,
         now: Nanos,
@@ -146,7 +151,8 @@
         Ok(self.publish_prepared(now, prepared, out))
     }
 
-    /// Checks a body and assigns it the stamp under which it is published, unless another version is published before.
+    /// Prepares a version with this body. Its stamp is the next one, so that it can only be published if no
+    /// other version is published before.
     ///
     /// # Errors
     /// As [`Self::publish`].
@@ -158,7 +164,8 @@
         Ok(PreparedVersion { version, bytes, plan })
     }
 
-    /// Publishes the version that was prepared last, and returns its stamp.
+    /// Publishes a prepared version and returns its stamp. No other version may have been published since it
+    /// was prepared.
     pub fn publish_prepared(
         &mut self,
         now: Nanos,
@@ -170,7 +177,7 @@
         stamp
     }
 
-    /// The body of a version in the history.
+    /// Returns the body of a version in the history.
     ///
     /// # Errors
     /// If the version is not in the history any more.
@@ -197,20 +204,23 @@
     fn trim_history(&mut self) {
         let is_full = |history: &VecDeque<HistoryEntry>| {
             let bytes: usize = history.iter().map(|entry| entry.bytes).sum();
-            history.len() > MAX_HISTORY || history.len() > 2 && bytes > MAX_HISTORY_BYTES
+            history.len() > MAX_HISTORY_VERSIONS || history.len() > 2 && bytes > MAX_HISTORY_BYTES
         };
         while is_full(&self.history) {
-            // The baseline stays, or there would be nothing to return to from a halted rollout.
+            // The baseline is retained, since proxies run it while the rollout of the newest version is
+            // halted.
             let oldest = self.history.front().map(|entry| entry.version.stamp);
             let index = usize::from(oldest == self.baseline);
             self.history.remove(index);
         }
     }
 
-    /// Forwards a version that an upstream published to everyone, under its own stamp.
+    /// Publishes a version of an upstream to all proxies, with the upstream's stamp. Does nothing if it is
+    /// the newest version already.
     ///
     /// # Errors
-    /// If it is older than the newest, is another one under the same stamp, or is too long to be sent.
+    /// If it is older than the newest version, has the same stamp with another digest, or is too long for a
+    /// frame.
     pub fn adopt(
         &mut self,
         now: Nanos,
@@ -230,12 +240,12 @@
         Ok(())
     }
 
-    /// How many proxies were sent a version and have not answered.
+    /// Returns the number of connected proxies that were sent a version and have not answered it.
     pub fn pending(&self, stamp: Stamp) -> usize {
         self.subscribers.values().filter(|s| s.in_flight == Some(stamp)).count()
     }
 
-    /// Counts of requests that proxies reported since the last call.
+    /// Returns the counts of requests that proxies reported since the last call.
     pub fn take_request_counts(&mut self) -> RequestCounts {
         std::mem::take(&mut self.request_counts)
     }
@@ -260,13 +270,14 @@
         self.rollout.iter_mut().for_each(|rollout| rollout.halt(reason));
     }
 
-    /// The version that a proxy should run; none where it keeps what it has.
+    /// Returns the version that a proxy should run, or `None` if it should not change its version.
     fn wanted(&self, s: &Subscriber) -> Option<Stamp> {
         let rollout = self.rollout.as_ref()?;
         if rollout.includes(&s.instance, &s.labels) {
             return Some(rollout.stamp());
         }
-        // A proxy that has the newest version keeps it while its rollout is halted; a roll-back is a new version.
+        // A proxy that runs the newest version does not return to the baseline when the rollout is halted.
+        // For that, an operator has to roll back, which publishes a new version.
         let has_newest = s.running.as_ref().is_some_and(|(stamp, _)| *stamp == rollout.stamp());
         if has_newest {
             Some(rollout.stamp())
@@ -275,7 +286,7 @@
         }
     }
 
-    /// Handles a message of a proxy. What is to be sent is appended to `out`.
+    /// Handles a message of a proxy. Frames to be sent are appended to `out`.
     pub fn receive(&mut self, now: Nanos, id: Id, message: ProxyMessage, out: &mut Vec<OutgoingFrame>) {
         if let ProxyMessage::Hello { protocol, instance, boot, labels, max_frame_bytes, running, .. } =
             message
@@ -337,7 +348,7 @@
             rollout.nacked(&s.instance, &reasons.join("; "));
         }
         s.rejected = Some((stamp, reasons));
-        // A newer version may have been published meanwhile.
+        // A newer version may have been published since this one was sent.
         self.send_wanted(now, id, false, out);
     }
 
@@ -384,7 +395,8 @@
         None
     }
 
-    /// Sends a proxy the version that it should run, unless it runs it, was sent it, or has rejected it.
+    /// Sends a proxy the version that it should run, unless it runs that version already, has not answered it
+    /// yet, or has rejected it. It is sent as a delta if possible, unless `as_snapshot` is set.
     fn send_wanted(&mut self, now: Nanos, id: Id, as_snapshot: bool, out: &mut Vec<OutgoingFrame>) {
         let Some(s) = self.subscribers.get(&id) else { return };
         let Some(wanted) = self.wanted(s) else { return };
@@ -392,7 +404,8 @@
         if s.runs(version) || s.has_rejected(wanted) || s.in_flight == Some(wanted) {
             return;
         }
-        // A delta only from what the proxy surely has: the same stamp with the same digest.
+        // The base of a delta has to be exactly the version that the proxy runs: the same stamp with the same
+        // digest.
         let base = s.running.as_ref().filter(|_| !as_snapshot && s.in_flight.is_none());
         let base = base.and_then(|(stamp, digest)| self.version(*stamp).filter(|v| v.digest == *digest));
         let key = (base.map(|base| base.stamp), wanted);
@@ -405,7 +418,8 @@
             }
         };
         let Some(s) = self.subscribers.get_mut(&id) else { return };
-        // Danger: a proxy with little memory would close the connection because of it, again and again.
+        // A proxy with little memory would close the connection because of a frame that is too long,
+        // reconnect, and get the same frame again.
         if bytes.len() > s.max_frame_bytes.saturating_add(HEADER_BYTES) {
             let size = bytes.len() - HEADER_BYTES;
             let reason = format!("{size} bytes are more than the {} that it reads", s.max_frame_bytes);
@@ -427,16 +441,17 @@
         ids.into_iter().for_each(|id| self.send_wanted(now, id, false, out));
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn disconnected(&mut self, id: Id) {
         self.subscribers.remove(&id);
     }
 
-    /// Lets time pass. To be called about once a second.
+    /// Closes idle connections, sends heartbeats and advances the rollout. Has to be called about once a
+    /// second.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<OutgoingFrame>) {
-        let is_dead = |s: &Subscriber| now.saturating_sub(s.last_received) > IDLE_TIMEOUT;
-        let dead: Vec<Id> = self.subscribers.iter().filter(|(_, s)| is_dead(s)).map(|(id, _)| *id).collect();
-        for id in dead {
+        let is_idle = |s: &Subscriber| now.saturating_sub(s.last_received) > IDLE_TIMEOUT;
+        let idle: Vec<Id> = self.subscribers.iter().filter(|(_, s)| is_idle(s)).map(|(id, _)| *id).collect();
+        for id in idle {
             self.subscribers.remove(&id);
             goodbye(id, "nothing was received for too long", out);
         }
--- a/crates/control/src/publisher/subscriber.rs
+++ b/crates/control/src/publisher/subscriber.rs
@@ -1,15 +1,17 @@
-//! A proxy as the publisher knows it.
+//! The publisher's state of a connected proxy.
 
 use super::Nanos;
 use crate::frame::ProxyStatus;
 use crate::version::{Stamp, Version};
 use std::collections::BTreeMap;
 
-/// How many reasons of a rejection are kept, and the longest of them in bytes.
+/// Maximum number of reasons of a rejection that are stored. Further ones are dropped.
 const MAX_REASONS: usize = 20;
+/// Maximum length of a stored reason. Longer ones are truncated.
 const MAX_REASON_BYTES: usize = 500;
-/// The longest name or label of a proxy, in bytes, and how many labels it may have.
+/// Maximum length of a proxy's name, and of the name and the value of a label.
 const MAX_NAME_BYTES: usize = 256;
+/// Maximum number of labels of a proxy.
 const MAX_LABELS: usize = 32;
 
 /// A connected proxy.
@@ -20,8 +22,10 @@
     pub max_frame_bytes: usize,
     /// The version that it runs, and its digest.
     pub running: Option<(Stamp, String)>,
+    /// Time from publishing the version that it runs until its acknowledgement; `None` if it already ran that
+    /// version when it connected.
     pub ack_latency: Option<Nanos>,
-    /// The version that it was sent and has not answered yet.
+    /// The version that it was sent last and has not answered yet.
     pub in_flight: Option<Stamp>,
     /// The last version that it rejected, and the reasons.
     pub rejected: Option<(Stamp, Vec<String>)>,
@@ -30,7 +34,7 @@
 }
 
 impl Subscriber {
-    /// What operators see of it. `wanted`: the version that it should run.
+    /// Returns its status for operators. `wanted` is the version that it should run.
     pub fn status(&self, wanted: Option<Stamp>) -> ProxyStatus {
         ProxyStatus {
             instance: self.instance.clone(),
@@ -42,18 +46,18 @@
         }
     }
 
-    /// Whether it runs this version.
+    /// Returns whether it runs this version.
     pub fn runs(&self, version: &Version) -> bool {
         let running = self.running.as_ref();
         running.is_some_and(|(stamp, digest)| *stamp == version.stamp && *digest == version.digest)
     }
 
-    /// Whether the last version that it rejected is this one.
+    /// Returns whether this is the last version that it rejected.
     pub fn has_rejected(&self, stamp: Stamp) -> bool {
         self.rejected.as_ref().is_some_and(|(rejected, _)| *rejected == stamp)
     }
 
-    /// What is wrong with its name and labels, if anything is.
+    /// Returns why its name or its labels are not valid, or `None` if they are.
     pub fn invalid_identity(&self) -> Option<&'static str> {
         let is_long = |text: &str| text.len() > MAX_NAME_BYTES;
         if self.instance.is_empty() || is_long(&self.instance) {
--- a/crates/control/src/publisher/tests.rs
+++ b/crates/control/src/publisher/tests.rs
@@ -49,14 +49,15 @@
         net
     }
 
-    /// A follower's connection ends, and is established again after the follower's backoff.
+    /// Closes a follower's connection, and advances the time until the follower has reconnected after its
+    /// backoff.
     fn reconnect(&mut self, n: usize) {
         self.publisher.disconnected(n as Id);
         self.followers[n].disconnected(self.now);
         (0..3).for_each(|_| self.tick());
     }
 
-    /// Carries out the actions of a follower, and those that result.
+    /// Carries out the actions of a follower, and those that result from them.
     fn perform(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -195,9 +196,10 @@
     assert_eq!(net.count_running(2), first, "no other proxy gets it, and those that have it keep it");
 }
 
-/// Danger: a proxy that connects while a bad version is halted would get it, as the newest.
+/// Guards against a halted version that spreads further: a proxy that connects after the halt would get it,
+/// since it is the newest version.
 #[test]
-fn a_proxy_that_connects_while_a_rollout_is_halted_gets_the_version_before() {
+fn a_proxy_that_connects_while_a_rollout_is_halted_gets_the_previous_version() {
     let mut net = Net::new(50);
     net.publish(1, Plan::default());
     net.bad = Some(2);
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn invalid_and_silent_proxies_are_disconnected() {
+fn invalid_and_idle_proxies_are_disconnected() {
     let mut publisher = Publisher::new(1);
     let mut out = Vec::new();
     publisher.receive(0, 1, ProxyMessage::Heartbeat, &mut out);
@@ -237,9 +239,10 @@
     assert_eq!(publisher.statuses(), []);
 }
 
-/// Danger: a version of 10 MB for a proxy that has 32 MB of memory.
+/// Guards against a proxy that runs out of memory or reconnects in a loop, as with a version of 10 MB for a
+/// proxy with 32 MB of memory.
 #[test]
-fn a_version_too_long_for_a_proxy_is_not_sent_and_halts_the_rollout() {
+fn a_version_that_is_too_long_for_a_proxy_is_not_sent_and_halts_the_rollout() {
     let mut net = Net::new(1);
     net.publish(1, Plan::default());
     let identity =
@@ -260,33 +263,34 @@
     let mut net = Net::new(1);
     let baseline = net.publish(0, Plan::default());
     (1..=200).for_each(|n| _ = net.publish(n, staged(&[0])));
-    assert!(net.publisher.history.len() <= MAX_HISTORY);
+    assert!(net.publisher.history.len() <= MAX_HISTORY_VERSIONS);
     assert!(net.publisher.version(baseline).is_some(), "every proxy still runs it");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whatever is published and whichever connection ends, every proxy ends with the newest version, and none goes back.
+    /// With any sequence of published versions and closed connections, every proxy runs the newest version in
+    /// the end, and none returns to an earlier one.
     #[test]
     fn all_proxies_end_with_the_newest_version(steps in prop::collection::vec((0u8..4, 0usize..5), 1..40)) {
         let mut net = Net::new(5);
         let mut newest = 0;
         let mut seen = [0u64; 5];
-        for (what, who) in steps {
-            match what {
+        for (operation, follower) in steps {
+            match operation {
                 0 | 1 => {
                     newest += 1;
                     net.publish(newest, Plan::default());
                 }
                 2 => {
-                    net.reconnect(who);
+                    net.reconnect(follower);
                 }
                 _ => net.tick(),
             }
             for (n, running) in net.running().into_iter().enumerate() {
                 let running = running.unwrap_or(0);
-                prop_assert!(running >= seen[n], "{n} went back");
+                prop_assert!(running >= seen[n], "proxy {n} returned to an earlier version");
                 seen[n] = running;
             }
         }
--- a/crates/control/src/purge_queue.rs
+++ b/crates/control/src/purge_queue.rs
@@ -13,7 +13,6 @@
 
 /// A request in the queue.
 pub(crate) struct PendingPurge {
-    /// The request.
     pub request: PurgeRequest,
     /// The channel for its response. The receiving end may be closed already.
     pub response: oneshot::Sender<OperatorResponse>,
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -1,4 +1,5 @@
-//! Drives a [`Relay`] on the service's connections: passes messages and time in, and carries out its actions.
+//! Drives a [`Relay`] on the connections of a service: passes messages and the time to it, and carries out
+//! its actions.
 
 use crate::client::UpstreamMessage;
 use crate::clock::Clock;
@@ -17,41 +18,42 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// The size of a frame of purges without its keys, in bytes, and of each key.
-const FRAME_BYTES: usize = 200;
+/// Size of a frame of purges without its keys.
+const FRAME_OVERHEAD_BYTES: usize = 200;
+/// Size of each key in such a frame.
 const KEY_BYTES: usize = 11;
-/// Changes within this time are handled together. Danger: otherwise each of thousands of acknowledgements would cause a
-/// pass over all children.
-const COALESCE: Duration = Duration::from_millis(1);
-/// The longest name of a child, in bytes.
+/// Changes within this time are handled together. Otherwise each of thousands of acknowledgements would cause
+/// an iteration over all children.
+const COALESCE_DELAY: Duration = Duration::from_millis(1);
+/// Maximum length of a child's name.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What has to be sent upstream: `hello` once, and the latest report.
+/// The messages to be sent upstream: a `hello`, if one is due, and the latest report.
 #[derive(Default)]
 struct UpstreamQueue {
     hello: bool,
     report: Option<Report>,
 }
 
-/// The relay of a service, or of a relay process, and what connects it to sockets.
+/// The [`Relay`] of a root or of a relay process, with the state that connects it to sockets.
 pub struct PurgeDriver {
     relay: RefCell<Relay>,
     latency: RefCell<LatencyTracker>,
     upstream: RefCell<UpstreamQueue>,
-    /// Notified when the relay may have to act earlier than planned.
+    /// Notified when the next tick of the relay may have become due earlier.
     changed: Notify,
-    /// Notified when something has to be sent upstream.
+    /// Notified when a message to the upstream is queued.
     upstream_ready: Notify,
     warn: fn(&str),
 }
 
 impl PurgeDriver {
-    /// The driver of the root, with its log.
+    /// Creates the driver of a root with this log.
     pub fn root(name: &str, settings: Settings, log: Log, warn: fn(&str)) -> Self {
         Self::new(Relay::root(name, settings, log, 0), warn)
     }
 
-    /// The driver of a relay with a log of this capacity.
+    /// Creates the driver of a relay with a log of this capacity.
     pub fn relay(name: &str, settings: Settings, log_capacity: usize, warn: fn(&str)) -> Self {
         Self::new(Relay::new(name, settings, log_capacity, 0), warn)
     }
@@ -67,12 +69,12 @@
         }
     }
 
-    /// Reads something from the relay.
+    /// Calls a function with the relay and returns its result.
     pub fn with_relay<T>(&self, read: impl FnOnce(&Relay) -> T) -> T {
         read(&self.relay.borrow())
     }
 
-    /// Handles a message of a child. False: its connection has to be closed.
+    /// Handles a message of a child. If the result is false, the connection has to be closed.
     #[must_use]
     pub(crate) fn receive_downstream(&self, now: u64, id: Id, message: &ProxyMessage) -> bool {
         let mut relay = self.relay.borrow_mut();
@@ -83,7 +85,7 @@
                     name: instance,
                     boot: *boot,
                     position: *position,
-                    max_frame_entries: max_frame_bytes.saturating_sub(FRAME_BYTES) / KEY_BYTES,
+                    max_frame_entries: max_frame_bytes.saturating_sub(FRAME_OVERHEAD_BYTES) / KEY_BYTES,
                 };
                 if !is_named || !relay.child_connected(now, id, hello) {
                     return false;
@@ -99,13 +101,13 @@
         true
     }
 
-    /// A child's connection has ended.
+    /// Handles the end of a child's connection.
     pub(crate) fn child_disconnected(&self, now: u64, id: Id) {
         self.relay.borrow_mut().child_disconnected(now, id);
         self.changed.notify_one();
     }
 
-    /// Appends purges that are stored to the root's log.
+    /// Appends purges, which are stored on disk already, to the root's log in memory.
     pub(crate) fn append(&self, now: u64, keys: &[u64]) -> Progress {
         let mut relay = self.relay.borrow_mut();
         let after = relay.log().newest();
@@ -115,14 +117,14 @@
         position
     }
 
-    /// The root starts a new epoch.
+    /// Starts a new epoch of the root.
     pub(crate) fn start_epoch(&self, now: u64, epoch: u64) {
         self.relay.borrow_mut().start_epoch(now, epoch);
         self.latency.borrow_mut().forget_pending();
         self.changed.notify_one();
     }
 
-    /// The connection to the upstream is established.
+    /// Handles a new connection to the upstream.
     pub(crate) fn upstream_connected(&self, now: u64) {
         self.relay.borrow_mut().upstream_connected(now);
         *self.upstream.borrow_mut() = UpstreamQueue::default();
@@ -152,7 +154,7 @@
         self.upstream_ready.notify_one();
     }
 
-    /// Waits for something to be sent upstream.
+    /// Waits for the next message to the upstream.
     pub(crate) async fn next_upstream(&self) -> UpstreamMessage {
         loop {
             if let Some(next) = self.take_upstream() {
@@ -172,7 +174,7 @@
         Some(UpstreamMessage::Send(ProxyMessage::PurgeAck { epoch, through, lagging, names }))
     }
 
-    /// How far purges have been applied, for operators.
+    /// Returns how far purges have been applied, as a response for operators.
     pub(crate) fn status(&self) -> OperatorResponse {
         let relay = self.relay.borrow();
         let Report { position, lagging, names } = relay.last_report().clone();
@@ -186,14 +188,14 @@
         }
     }
 
-    /// Lets time pass for the relay and carries out its actions, for good.
+    /// Calls the relay's ticks when they are due and carries out its actions, forever.
     pub(crate) async fn run(self: Rc<Self>, connections: Rc<Connections>, clock: Clock) -> Infallible {
         loop {
             let now = clock.now();
             let wait = Duration::from_nanos(self.relay.borrow().next_tick(now).saturating_sub(now));
-            // After a change the next tick may be due earlier.
+            // A change may make the next tick due earlier.
             if timeout(wait, self.changed.notified()).await.is_ok() {
-                sleep(COALESCE).await;
+                sleep(COALESCE_DELAY).await;
                 let now = clock.now();
                 if self.relay.borrow().next_tick(now) > now {
                     continue;
@@ -206,7 +208,7 @@
     }
 
     fn perform(&self, connections: &Connections, now: u64, actions: Vec<RelayAction>) {
-        // A child whose queue is full gets nothing of what follows.
+        // A child whose queue is full gets no further purges, since it would miss some in between.
         let mut full: FxHashSet<Id> = FxHashSet::default();
         for action in actions {
             match action {
@@ -233,7 +235,7 @@
                     (self.warn)(&reason);
                     connections.close(id);
                 }
-                RelayAction::Warn(what) => (self.warn)(&what),
+                RelayAction::Warn(message) => (self.warn)(&message),
             }
         }
     }
@@ -247,7 +249,8 @@
     }
 }
 
-/// Sends a message to many connections; returns those whose queue has become full with it.
+/// Sends a message to all connections in `to`, except those in `full`. Returns the connections whose queue
+/// had no capacity for it, and adds them to `full`.
 fn multicast(
     connections: &Connections,
     to: Vec<Id>,
@@ -261,7 +264,7 @@
         if full.contains(&id) {
             continue;
         }
-        // Half of a queue is reserved for versions of the configuration.
+        // Half of each queue is reserved for versions of the configuration.
         let has_capacity = connections.queue_capacity(id) > QUEUE_FRAMES / 2;
         let frame = OutgoingFrame { to: id, bytes: bytes.clone(), close_after: false };
         if !has_capacity || !connections.send(frame) {
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,4 +1,5 @@
-//! Starts a root that accepts purges, and a relay: a follower of its upstreams, and a service to its children.
+//! Starts roots and relays. A root is a service that accepts purges from publishers. A relay follows
+//! its upstreams, and is a service for its children.
 
 use crate::client::{follow, Host, UpstreamMessage};
 use crate::follower::{Follower, Identity, Rejection, RequestCounts, Times};
@@ -25,28 +26,28 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// A version that not all children have answered within this time is rejected.
+/// A relay rejects a version that not all children have answered within this time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often unanswered children are checked although none has answered.
+/// Interval of the checks for pending children while no answers arrive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How many reasons of a rejection are forwarded.
+/// Maximum number of reasons in a rejection that is forwarded upstream.
 const MAX_REASONS: usize = 20;
 
-/// What a root needs besides its publisher.
+/// The configuration of a root.
 pub struct RootConfig {
     /// Times and limits of its relay.
     pub settings: Settings,
-    /// How many purges are retained at least.
+    /// Minimum number of purges that the log retains.
     pub log_capacity: usize,
-    /// How long requests are collected before they are stored and sent as one.
+    /// How long requests are collected before they are stored and distributed as one batch.
     pub batch: Duration,
-    /// A number higher than any epoch before.
+    /// The epoch of a new log, which has to be higher than any before.
     pub epoch: u64,
     /// Writes a warning to the log.
     pub warn: fn(&str),
 }
 
-/// A service that accepts purges, with its log in a folder.
+/// A service that accepts purges and stores them in a log on disk.
 pub struct Root {
     /// The service.
     pub service: Rc<Service>,
@@ -55,15 +56,15 @@
 }
 
 impl Root {
-    /// A root around a publisher.
+    /// Creates a root that publishes the versions of `publisher`, with its log of purges in `folder`.
     ///
     /// # Errors
     /// As [`PurgeLog::open`].
     pub fn open(publisher: Publisher, folder: &Path, config: RootConfig) -> Result<Self, PurgeLogError> {
         let RootConfig { settings, log_capacity, batch, epoch, warn } = config;
         let OpenedLog { disk, log, publishers, warnings } = PurgeLog::open(folder, log_capacity, epoch)?;
-        warnings.iter().for_each(|what| warn(what));
-        // What the writer has collected is sent at once.
+        warnings.iter().for_each(|message| warn(message));
+        // The writer has collected a batch already, so that the relay sends it at once.
         let settings = Settings { batch: 0, ..settings };
         let purges = Rc::new(PurgeDriver::root("root", settings, log, warn));
         let service = Service::with_purges(publisher, Some(purges.clone()), false);
@@ -71,7 +72,7 @@
         Ok(Root { service, purges, writer })
     }
 
-    /// Accepts purges, for good. `next_epoch` returns a number higher than any epoch before.
+    /// Accepts purges forever. `next_epoch` has to return a number higher than any epoch before.
     pub async fn run<E: Display>(self, next_epoch: impl Fn() -> Result<u64, E>) -> Infallible {
         let (queue, requests) = purge_queue();
         self.service.accept_purges(queue);
@@ -79,33 +80,35 @@
     }
 }
 
-/// What a relay needs.
+/// The configuration of a relay.
 pub struct RelayConfig {
-    /// Its name, the same after a restart, and the first part of the names of everyone below it.
+    /// Its name, which stays the same after a restart. The names of all members below it begin with it.
     pub name: String,
-    /// The services or relays that it follows, in turn.
+    /// The services or relays that it follows. It connects to one at a time, and to the next one
+    /// after a failure.
     pub upstream: Vec<SocketAddr>,
     /// Times and limits of its relay.
     pub settings: Settings,
-    /// How many purges are retained.
+    /// Number of purges that the log retains.
     pub log_capacity: usize,
-    /// A number drawn when its process started.
+    /// A number that was drawn when its process started, and identifies that start.
     pub boot: u64,
     /// Writes a warning to the log.
     pub warn: fn(&str),
 }
 
-/// Runs a relay, for good. Operators are served if there is a listener for them.
+/// Runs a relay forever. `proxies` is the listener for its children. Operators are served if there is a
+/// listener for them.
 pub async fn run(config: RelayConfig, proxies: TcpListener, operators: Option<TcpListener>) -> Infallible {
-    let (service, follows) = relay_parts(config);
+    let (service, follow_upstream) = relay_parts(config);
     tokio::task::spawn_local(service.clone().serve(proxies));
     if let Some(operators) = operators {
         tokio::task::spawn_local(operators::serve(service, operators));
     }
-    follows.await
+    follow_upstream.await
 }
 
-/// A relay's service for its children, and the future that follows the upstream for good.
+/// Creates a relay. Returns its service for the children, and a future that follows the upstreams forever.
 pub(crate) fn relay_parts(config: RelayConfig) -> (Rc<Service>, impl Future<Output = Infallible>) {
     let RelayConfig { name, upstream, settings, log_capacity, boot, warn } = config;
     let purges = Rc::new(PurgeDriver::relay(&name, settings, log_capacity, warn));
@@ -123,18 +126,19 @@
     (service, follow(follower, upstream, MAX_FRAME_BYTES, downstream))
 }
 
-/// A relay's children, as the host of the follower that is connected to the upstream.
+/// The children of a relay. As the host of the relay's follower, it applies the upstream's versions and
+/// purges to them.
 struct Downstream {
     service: Rc<Service>,
     purges: Rc<PurgeDriver>,
     warn: fn(&str),
     newer_queued: Notify,
-    /// Whether a newer version waits for the one that children are answering.
+    /// Whether a newer version is queued behind the one that children are answering.
     superseded: Cell<bool>,
 }
 
 impl Downstream {
-    /// Why children have rejected a version.
+    /// Returns the reasons why children have rejected a version.
     fn rejections(&self, stamp: Stamp) -> Vec<String> {
         let statuses = self.service.with_publisher(Publisher::statuses);
         let rejections = statuses.into_iter().filter_map(|status| {
@@ -144,7 +148,7 @@
         rejections.take(MAX_REASONS).collect()
     }
 
-    /// Which children have not answered a version.
+    /// Returns a reason for each child that has not answered a version.
     fn unanswered(&self, stamp: Stamp) -> Vec<String> {
         let statuses = self.service.with_publisher(Publisher::statuses);
         let unanswered = statuses.into_iter().filter(|status| status.running != Some(stamp));
@@ -156,7 +160,7 @@
 }
 
 impl Host for Downstream {
-    /// A version is in force at a relay once it is in force at all connected children.
+    /// Applies a version. It is in force at a relay once it is in force at all connected children.
     async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         self.superseded.set(false);
@@ -182,8 +186,8 @@
 
     fn persist(&self, _version: Version) {}
 
-    fn warn(&self, what: &str) {
-        (self.warn)(what);
+    fn warn(&self, message: &str) {
+        (self.warn)(message);
     }
 
     fn take_request_counts(&self) -> RequestCounts {
