--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -192,7 +192,7 @@
                     self.host.receive_purges(message.clone());
                 }
                 self.follower.receive(now, message, actions);
-                if self.follower.has_newer() {
+                if self.follower.has_newer_version() {
                     self.host.newer_queued();
                 }
             }
--- a/crates/control/src/connections.rs
+++ b/crates/control/src/connections.rs
@@ -1,6 +1,6 @@
 //! The queues to the service's open connections.
 
-use crate::outgoing::{Id, OutgoingFrame};
+use crate::outgoing::{ConnectionId, OutgoingFrame};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 /// The receiving half of a connection's queue, for the task that serves the connection.
 pub(crate) struct ConnectionQueue {
     /// The connection.
-    pub id: Id,
+    pub id: ConnectionId,
     /// Frames to be written.
     pub frames: mpsc::Receiver<OutgoingFrame>,
     /// Notified when the connection has to be closed.
@@ -28,8 +28,8 @@
 /// All open connections.
 #[derive(Default)]
 pub(crate) struct Connections {
-    open: RefCell<FxHashMap<Id, Connection>>,
-    last_id: Cell<Id>,
+    open: RefCell<FxHashMap<ConnectionId, Connection>>,
+    last_id: Cell<ConnectionId>,
 }
 
 impl Connections {
@@ -44,7 +44,7 @@
     }
 
     /// How many more frames a connection's queue accepts.
-    pub fn queue_capacity(&self, id: Id) -> usize {
+    pub fn queue_capacity(&self, id: ConnectionId) -> usize {
         self.open.borrow().get(&id).map_or(0, |connection| connection.queue.capacity())
     }
 
@@ -64,14 +64,14 @@
     }
 
     /// Closes a connection at once.
-    pub fn close(&self, id: Id) {
+    pub fn close(&self, id: ConnectionId) {
         if let Some(connection) = self.open.borrow_mut().remove(&id) {
             connection.closed.notify_one();
         }
     }
 
     /// Removes a connection. Its queue ends after the frames that are in it.
-    pub fn forget(&self, id: Id) {
+    pub fn forget(&self, id: ConnectionId) {
         self.open.borrow_mut().remove(&id);
     }
 }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,7 +1,7 @@
 //! A proxy's side of the protocol: which service it is connected to, which versions it accepts, and what it answers. No
 //! I/O, no clock.
 
-use crate::frame::{ProxyMessage, ServiceMessage, PROTOCOL};
+use crate::frame::{ProxyMessage, ServiceMessage, PROTOCOL_VERSION};
 use crate::version::{Stamp, Version};
 use aniseyoke_fanout::Progress;
 use rand::rngs::SmallRng;
@@ -213,7 +213,7 @@
     pub fn send_hello(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let Identity { instance, boot, labels, max_frame_bytes } = self.identity.clone();
         let hello = ProxyMessage::Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             instance,
             boot,
             labels,
@@ -237,7 +237,7 @@
     }
 
     /// Whether a newer version waits for the one that is being put in force.
-    pub fn has_newer(&self) -> bool {
+    pub fn has_newer_version(&self) -> bool {
         self.queued.is_some()
     }
 
--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The version of this protocol.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest text of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 /// The size of the length in front of each text, in bytes; it is big-endian.
--- a/crates/control/src/hosted.rs
+++ b/crates/control/src/hosted.rs
@@ -24,7 +24,7 @@
 
 /// Why a version was not published.
 #[derive(Debug, thiserror::Error)]
-pub enum HostedError {
+pub enum ServiceThreadError {
     /// The publisher has rejected it.
     #[error(transparent)]
     Publish(#[from] PublishError),
@@ -39,18 +39,18 @@
 enum Command {
     Publish { body: Value, plan: Box<Plan>, reply: Sender<PublishResult> },
     Statuses(Sender<Vec<ProxyStatus>>),
-    Cpu(Sender<Duration>),
+    CpuTime(Sender<Duration>),
 }
 
 /// A service that runs until this is dropped.
-pub struct Hosted {
+pub struct ServiceThread {
     /// Where proxies connect.
     pub addr: SocketAddr,
     /// Each caller waits for its reply, so that there are no more commands than callers.
     commands: mpsc::UnboundedSender<Command>,
 }
 
-impl Hosted {
+impl ServiceThread {
     /// Starts a service on any free port of loopback.
     ///
     /// # Errors
@@ -100,7 +100,7 @@
         };
         std::thread::Builder::new().name("service".into()).spawn(run)?;
         let addr = addr.recv().map_err(|_| io::Error::other("the service did not start"))??;
-        Ok(Hosted { addr, commands })
+        Ok(ServiceThread { addr, commands })
     }
 
     fn request<T>(&self, command: impl FnOnce(Sender<T>) -> Command) -> Option<T> {
@@ -113,9 +113,9 @@
     ///
     /// # Errors
     /// As [`Publisher::publish`], or if the service has ended.
-    pub fn publish(&self, body: Value, plan: Plan) -> Result<(Stamp, Instant), HostedError> {
+    pub fn publish(&self, body: Value, plan: Plan) -> Result<(Stamp, Instant), ServiceThreadError> {
         let result = self.request(|reply| Command::Publish { body, plan: Box::new(plan), reply });
-        Ok(result.ok_or(HostedError::Ended)??)
+        Ok(result.ok_or(ServiceThreadError::Ended)??)
     }
 
     /// What each connected proxy runs; none where the service has ended.
@@ -124,8 +124,8 @@
     }
 
     /// The CPU time that the service's thread has used.
-    pub fn cpu(&self) -> Duration {
-        self.request(Command::Cpu).unwrap_or_default()
+    pub fn cpu_time(&self) -> Duration {
+        self.request(Command::CpuTime).unwrap_or_default()
     }
 }
 
@@ -143,13 +143,13 @@
                 _ = reply.send(service.publish(body, *plan).map(|stamp| (stamp, at)));
             }
             Command::Statuses(reply) => _ = reply.send(service.with_publisher(Publisher::statuses)),
-            Command::Cpu(reply) => _ = reply.send(thread_cpu()),
+            Command::CpuTime(reply) => _ = reply.send(thread_cpu_time()),
         }
     }
 }
 
 /// The CPU time of this thread; zero where the system does not provide it.
-fn thread_cpu() -> Duration {
+fn thread_cpu_time() -> Duration {
     let used = getrusage(UsageWho::RUSAGE_THREAD).map(|usage| usage.user_time() + usage.system_time());
     Duration::from_micros(used.map_or(0, |used| u64::try_from(used.num_microseconds()).unwrap_or(0)))
 }
--- a/crates/control/src/measure.rs
+++ b/crates/control/src/measure.rs
@@ -1,7 +1,7 @@
 //! Measures how long a version takes from publishing to in force at emulated proxies, and what it costs the service.
 
-use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL};
-use aniseyoke_control::hosted::{Hosted, HostedError};
+use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL_VERSION};
+use aniseyoke_control::hosted::{ServiceThread, ServiceThreadError};
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
 use hdrhistogram::Histogram;
@@ -74,7 +74,7 @@
     Start(#[from] std::io::Error),
     /// A version can't be published.
     #[error(transparent)]
-    Publish(#[from] HostedError),
+    Publish(#[from] ServiceThreadError),
     /// Proxies lack a version after the time limit.
     #[error("only {0} proxies have the version after {TIMEOUT:?}")]
     Timeout(usize),
@@ -106,7 +106,7 @@
     let mut stream = TcpStream::connect(addr).await?;
     let frame = |message: ProxyMessage| encode(&message).map_err(std::io::Error::other);
     let hello = ProxyMessage::Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         instance: format!("proxy-{n}"),
         boot: 1,
         labels: BTreeMap::new(),
@@ -169,7 +169,7 @@
 /// Runs the measurement and prints its results.
 pub fn run(m: &Measure) -> Result<(), MeasureError> {
     raise_descriptor_limit(m.proxies)?;
-    let service = Hosted::start(1)?;
+    let service = ServiceThread::start(1)?;
     let addr = service.addr;
     let (sender, received) = channel();
     let proxies = m.proxies;
@@ -188,10 +188,10 @@
 fn measure_version(
     m: &Measure,
     n: u64,
-    service: &Hosted,
+    service: &ServiceThread,
     received: &Receiver<Received>,
 ) -> Result<String, MeasureError> {
-    let before = service.cpu();
+    let before = service.cpu_time();
     let (_, published) = service.publish(body(m.routes, n), Plan::default())?;
     let mut times = Histogram::<u64>::new_with_max(TIMEOUT.as_micros() as u64, DIGITS)?;
     let mut total = 0;
@@ -202,7 +202,7 @@
         total += bytes;
     }
     std::thread::sleep(ACK_TIME);
-    let cpu = service.cpu().saturating_sub(before).as_secs_f64() * 1000.0;
+    let cpu = service.cpu_time().saturating_sub(before).as_secs_f64() * 1000.0;
     let ms = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1000.0;
     let (p50, p99, all) = (ms(0.5), ms(0.99), times.max() as f64 / 1000.0);
     let what = if n == 0 { "whole".to_owned() } else { format!("delta {n}") };
--- a/crates/control/src/outgoing.rs
+++ b/crates/control/src/outgoing.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 
 /// A connection.
-pub type Id = u64;
+pub type ConnectionId = u64;
 
 /// A frame to be sent, encoded once for all who get the same.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingFrame {
     /// The connection.
-    pub to: Id,
+    pub to: ConnectionId,
     /// The encoded frame.
     pub bytes: Arc<[u8]>,
     /// Whether the connection is closed after this frame.
@@ -33,12 +33,12 @@
 }
 
 /// A frame for one connection.
-pub(crate) fn unicast(to: Id, message: &ServiceMessage) -> Option<OutgoingFrame> {
+pub(crate) fn unicast(to: ConnectionId, message: &ServiceMessage) -> Option<OutgoingFrame> {
     encode(message).ok().map(|bytes| OutgoingFrame { to, bytes: bytes.into(), close_after: false })
 }
 
 /// Appends a `goodbye` that closes its connection.
-pub(crate) fn goodbye(to: Id, reason: &str, out: &mut Vec<OutgoingFrame>) {
+pub(crate) fn goodbye(to: ConnectionId, reason: &str, out: &mut Vec<OutgoingFrame>) {
     let frame = unicast(to, &ServiceMessage::Goodbye { reason: reason.to_owned() });
     out.extend(frame.map(|frame| OutgoingFrame { close_after: true, ..frame }));
 }
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -4,8 +4,8 @@
 mod subscriber;
 
 use crate::follower::RequestCounts;
-use crate::frame::{FrameError, ProxyMessage, ProxyStatus, ServiceMessage, HEADER_BYTES, PROTOCOL};
-use crate::outgoing::{encode_update, goodbye, unicast, Id, OutgoingFrame};
+use crate::frame::{FrameError, ProxyMessage, ProxyStatus, ServiceMessage, HEADER_BYTES, PROTOCOL_VERSION};
+use crate::outgoing::{encode_update, goodbye, unicast, ConnectionId, OutgoingFrame};
 use crate::rollout::{Plan, PlanError, ResponseCounts, Rollout, RolloutState};
 use crate::store::StoreError;
 use crate::version::{Stamp, Version};
@@ -81,7 +81,7 @@
 pub struct Publisher {
     epoch: u64,
     history: VecDeque<HistoryEntry>,
-    subscribers: FxHashMap<Id, Subscriber>,
+    subscribers: FxHashMap<ConnectionId, Subscriber>,
     /// The last version whose rollout was complete: what those run who do not get the newest yet.
     baseline: Option<Stamp>,
     rollout: Option<Rollout>,
@@ -276,7 +276,13 @@
     }
 
     /// Handles a message of a proxy. What is to be sent is appended to `out`.
-    pub fn receive(&mut self, now: Nanos, id: Id, message: ProxyMessage, out: &mut Vec<OutgoingFrame>) {
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        message: ProxyMessage,
+        out: &mut Vec<OutgoingFrame>,
+    ) {
         if let ProxyMessage::Hello { protocol, instance, boot, labels, max_frame_bytes, running, .. } =
             message
         {
@@ -312,7 +318,7 @@
         }
     }
 
-    fn receive_ack(&mut self, now: Nanos, id: Id, stamp: Stamp, out: &mut Vec<OutgoingFrame>) {
+    fn receive_ack(&mut self, now: Nanos, id: ConnectionId, stamp: Stamp, out: &mut Vec<OutgoingFrame>) {
         let acked = self.entry(stamp).map(|entry| (entry.version.digest.clone(), entry.published_at));
         let Some(s) = self.subscribers.get_mut(&id) else { return };
         s.in_flight = s.in_flight.filter(|in_flight| *in_flight != stamp);
@@ -325,7 +331,7 @@
     fn receive_nack(
         &mut self,
         now: Nanos,
-        id: Id,
+        id: ConnectionId,
         stamp: Stamp,
         mut reasons: Vec<String>,
         out: &mut Vec<OutgoingFrame>,
@@ -353,7 +359,7 @@
     fn receive_hello(
         &mut self,
         now: Nanos,
-        id: Id,
+        id: ConnectionId,
         protocol: u32,
         s: Subscriber,
         out: &mut Vec<OutgoingFrame>,
@@ -371,9 +377,11 @@
         }
     }
 
-    fn reason_to_reject(&self, id: Id, protocol: u32, s: &Subscriber) -> Option<String> {
-        if protocol != PROTOCOL {
-            return Some(format!("this service speaks version {PROTOCOL} of the protocol, not {protocol}"));
+    fn reason_to_reject(&self, id: ConnectionId, protocol: u32, s: &Subscriber) -> Option<String> {
+        if protocol != PROTOCOL_VERSION {
+            return Some(format!(
+                "this service speaks version {PROTOCOL_VERSION} of the protocol, not {protocol}"
+            ));
         }
         if let Some(reason) = s.invalid_identity() {
             return Some(reason.to_owned());
@@ -385,7 +393,7 @@
     }
 
     /// Sends a proxy the version that it should run, unless it runs it, was sent it, or has rejected it.
-    fn send_wanted(&mut self, now: Nanos, id: Id, as_snapshot: bool, out: &mut Vec<OutgoingFrame>) {
+    fn send_wanted(&mut self, now: Nanos, id: ConnectionId, as_snapshot: bool, out: &mut Vec<OutgoingFrame>) {
         let Some(s) = self.subscribers.get(&id) else { return };
         let Some(wanted) = self.wanted(s) else { return };
         let Some(version) = self.version(wanted) else { return };
@@ -422,20 +430,21 @@
 
     /// Sends every proxy the version that it should run.
     fn send_to_all(&mut self, now: Nanos, out: &mut Vec<OutgoingFrame>) {
-        let mut ids: Vec<Id> = self.subscribers.keys().copied().collect();
+        let mut ids: Vec<ConnectionId> = self.subscribers.keys().copied().collect();
         ids.sort_unstable();
         ids.into_iter().for_each(|id| self.send_wanted(now, id, false, out));
     }
 
     /// A connection has ended.
-    pub fn disconnected(&mut self, id: Id) {
+    pub fn disconnected(&mut self, id: ConnectionId) {
         self.subscribers.remove(&id);
     }
 
     /// Lets time pass. To be called about once a second.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<OutgoingFrame>) {
         let is_dead = |s: &Subscriber| now.saturating_sub(s.last_received) > IDLE_TIMEOUT;
-        let dead: Vec<Id> = self.subscribers.iter().filter(|(_, s)| is_dead(s)).map(|(id, _)| *id).collect();
+        let dead: Vec<ConnectionId> =
+            self.subscribers.iter().filter(|(_, s)| is_dead(s)).map(|(id, _)| *id).collect();
         for id in dead {
             self.subscribers.remove(&id);
             goodbye(id, "nothing was received for too long", out);
--- a/crates/control/src/publisher/tests.rs
+++ b/crates/control/src/publisher/tests.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-fn decoded(out: &[OutgoingFrame]) -> Vec<(Id, ServiceMessage)> {
+fn decoded(out: &[OutgoingFrame]) -> Vec<(ConnectionId, ServiceMessage)> {
     let one = |o: &OutgoingFrame| {
         (o.to, decode(&mut o.bytes.to_vec(), MAX_FRAME_BYTES).expect("valid").expect("complete"))
     };
@@ -51,7 +51,7 @@
 
     /// A follower's connection ends, and is established again after the follower's backoff.
     fn reconnect(&mut self, n: usize) {
-        self.publisher.disconnected(n as Id);
+        self.publisher.disconnected(n as ConnectionId);
         self.followers[n].disconnected(self.now);
         (0..3).for_each(|_| self.tick());
     }
@@ -62,7 +62,7 @@
             match action {
                 Action::Send(message) => {
                     let mut out = Vec::new();
-                    self.publisher.receive(self.now, n as Id, message, &mut out);
+                    self.publisher.receive(self.now, n as ConnectionId, message, &mut out);
                     self.deliver(out);
                 }
                 Action::Apply(version) => {
@@ -77,7 +77,7 @@
                     self.followers[n].connected(self.now, &mut actions);
                     self.perform(n, actions);
                 }
-                Action::Disconnect => self.publisher.disconnected(n as Id),
+                Action::Disconnect => self.publisher.disconnected(n as ConnectionId),
                 Action::Persist(_) | Action::Warn(_) => {}
             }
         }
@@ -229,10 +229,10 @@
         purges: None,
     };
     publisher.receive(0, 2, hello(9, "a"), &mut out);
-    publisher.receive(0, 3, hello(PROTOCOL, ""), &mut out);
-    publisher.receive(0, 4, hello(PROTOCOL, "a"), &mut out);
+    publisher.receive(0, 3, hello(PROTOCOL_VERSION, ""), &mut out);
+    publisher.receive(0, 4, hello(PROTOCOL_VERSION, "a"), &mut out);
     publisher.tick(IDLE_TIMEOUT + 1, &mut out);
-    let closed: Vec<Id> = out.iter().filter(|o| o.close_after).map(|o| o.to).collect();
+    let closed: Vec<ConnectionId> = out.iter().filter(|o| o.close_after).map(|o| o.to).collect();
     assert_eq!(closed, [1, 2, 3, 4]);
     assert_eq!(publisher.statuses(), []);
 }
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -5,7 +5,7 @@
 use crate::connections::{Connections, QUEUE_FRAMES};
 use crate::frame::{encode, OperatorResponse, ProxyMessage, ServiceMessage};
 use crate::latency::LatencyTracker;
-use crate::outgoing::{Id, OutgoingFrame};
+use crate::outgoing::{ConnectionId, OutgoingFrame};
 use aniseyoke_fanout::relay::{ChildHello, Report};
 use aniseyoke_fanout::{Keys, Log, Progress, Relay, RelayAction, Settings};
 use rustc_hash::FxHashSet;
@@ -74,7 +74,7 @@
 
     /// Handles a message of a child. False: its connection has to be closed.
     #[must_use]
-    pub(crate) fn receive_downstream(&self, now: u64, id: Id, message: &ProxyMessage) -> bool {
+    pub(crate) fn receive_downstream(&self, now: u64, id: ConnectionId, message: &ProxyMessage) -> bool {
         let mut relay = self.relay.borrow_mut();
         match message {
             ProxyMessage::Hello { purges: Some(position), instance, boot, max_frame_bytes, .. } => {
@@ -100,7 +100,7 @@
     }
 
     /// A child's connection has ended.
-    pub(crate) fn child_disconnected(&self, now: u64, id: Id) {
+    pub(crate) fn child_disconnected(&self, now: u64, id: ConnectionId) {
         self.relay.borrow_mut().child_disconnected(now, id);
         self.changed.notify_one();
     }
@@ -207,7 +207,7 @@
 
     fn perform(&self, connections: &Connections, now: u64, actions: Vec<RelayAction>) {
         // A child whose queue is full gets nothing of what follows.
-        let mut full: FxHashSet<Id> = FxHashSet::default();
+        let mut full: FxHashSet<ConnectionId> = FxHashSet::default();
         for action in actions {
             match action {
                 RelayAction::Purges { to, epoch, after, keys } => {
@@ -250,10 +250,10 @@
 /// Sends a message to many connections; returns those whose queue has become full with it.
 fn multicast(
     connections: &Connections,
-    to: Vec<Id>,
+    to: Vec<ConnectionId>,
     message: &ServiceMessage,
-    full: &mut FxHashSet<Id>,
-) -> Vec<Id> {
+    full: &mut FxHashSet<ConnectionId>,
+) -> Vec<ConnectionId> {
     let Ok(bytes) = encode(message) else { return Vec::new() };
     let bytes: Arc<[u8]> = bytes.into();
     let mut failed = Vec::new();
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -4,7 +4,7 @@
 use crate::connections::{ConnectionQueue, Connections};
 use crate::follower::RequestCounts;
 use crate::frame::{decode, OperatorResponse, ProxyMessage};
-use crate::outgoing::{Id, OutgoingFrame};
+use crate::outgoing::{ConnectionId, OutgoingFrame};
 use crate::publisher::{PublishError, Publisher};
 use crate::purge_queue::PurgeQueue;
 use crate::purges::PurgeDriver;
@@ -217,7 +217,7 @@
     }
 
     /// Reads a connection until it ends or an invalid frame arrives.
-    async fn read_messages(&self, id: Id, mut reader: Uninterrupted<OwnedReadHalf>) {
+    async fn read_messages(&self, id: ConnectionId, mut reader: Uninterrupted<OwnedReadHalf>) {
         let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
             match decode::<ProxyMessage>(&mut buffer, MAX_PROXY_FRAME_BYTES) {
@@ -231,7 +231,7 @@
         }
     }
 
-    fn receive(&self, id: Id, message: ProxyMessage) {
+    fn receive(&self, id: ConnectionId, message: ProxyMessage) {
         let now = self.clock.now();
         let is_accepted =
             self.purges.as_ref().is_none_or(|purges| purges.receive_downstream(now, id, &message));
--- a/crates/control/tests/fanout/leaf.rs
+++ b/crates/control/tests/fanout/leaf.rs
@@ -1,7 +1,9 @@
 //! A leaf with a small store: it holds objects, drops those that are purged, and serves none as fresh that it may have
 //! missed a purge of.
 
-use aniseyoke_control::frame::{decode, encode, ProxyMessage, ServiceMessage, MAX_FRAME_BYTES, PROTOCOL};
+use aniseyoke_control::frame::{
+    decode, encode, ProxyMessage, ServiceMessage, MAX_FRAME_BYTES, PROTOCOL_VERSION,
+};
 use aniseyoke_control::Stamp;
 use aniseyoke_fanout::{Member, MemberAction, Progress};
 use std::collections::{BTreeMap, BTreeSet};
@@ -146,7 +148,7 @@
 
 fn send_hello(leaf: &Shared, name: &str, stream: &mut TcpStream) -> std::io::Result<()> {
     let hello = ProxyMessage::Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         instance: name.into(),
         boot: leaf.boot,
         labels: BTreeMap::new(),
--- a/crates/lab-capacity/src/slopes/emulated_proxy.rs
+++ b/crates/lab-capacity/src/slopes/emulated_proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy as the control service sees it: it takes each version as soon as its last byte has arrived and parses none of
 //! it, since thousands of parsers on one machine would be measured instead.
 
-use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL};
+use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL_VERSION};
 use aniseyoke_control::Stamp;
 use std::collections::BTreeMap;
 use std::io;
@@ -52,7 +52,7 @@
         let mut stream = TcpStream::connect(self.service).await?;
         stream.set_nodelay(true)?;
         let hello = ProxyMessage::Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             instance: format!("proxy-{}", self.index),
             boot: 1,
             labels: BTreeMap::new(),
--- a/crates/lab-capacity/src/slopes/proxy.rs
+++ b/crates/lab-capacity/src/slopes/proxy.rs
@@ -4,7 +4,7 @@
 use super::list_server::EndpointListServer;
 use super::{Family, Quantity, Setup};
 use crate::MeasureError;
-use aniseyoke_control::hosted::Hosted;
+use aniseyoke_control::hosted::ServiceThread;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
 use aniseyoke_lab_day::{proxy_config, Day, FileError};
@@ -152,7 +152,7 @@
 /// A proxy between counting relays, with its list, its nodes and its control service.
 struct ProxyTestbed {
     day: Day,
-    service: Hosted,
+    service: ServiceThread,
     proxy: Box<dyn RunningProxy>,
     list_server: Arc<ByteCounter>,
     control: Arc<ByteCounter>,
@@ -190,7 +190,7 @@
         day.site.proxy.count = 1;
         day.site.proxy.memory_mb = MEMORY_MB;
         let kinds: Vec<String> = day.site.cache.kinds.iter().map(|k| k.name.clone()).collect();
-        let service = Hosted::start(1).map_err(MeasureError::Service)?;
+        let service = ServiceThread::start(1).map_err(MeasureError::Service)?;
         let (stop, stopped) = oneshot::channel::<()>();
         let (send_opened, opened_receiver) = channel();
         let at = service.addr;
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -5,7 +5,7 @@
 use super::plan::Role;
 use super::tally::CompletionTally;
 use aniseyoke_control::follower::{Action, Identity, Times};
-use aniseyoke_control::frame::{decode, encode, ProxyMessage, ServiceMessage, PROTOCOL};
+use aniseyoke_control::frame::{decode, encode, ProxyMessage, ServiceMessage, PROTOCOL_VERSION};
 use aniseyoke_control::Follower;
 use aniseyoke_fanout::{Member, MemberAction, Progress};
 use aniseyoke_lab_day::clock::mix;
@@ -324,7 +324,7 @@
     fn hello(&self) -> ProxyMessage {
         let Identity { instance, boot, labels, max_frame_bytes } = self.identity.clone();
         ProxyMessage::Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             instance,
             boot,
             labels,
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -2,7 +2,7 @@
 //! the swap blocks each one's serving thread, and the latency that a client of one of them observes.
 
 use aniseyoke_control::frame::ProxyStatus;
-use aniseyoke_control::hosted::Hosted;
+use aniseyoke_control::hosted::ServiceThread;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::Stamp;
 use aniseyoke_lab_audit::Recorder;
@@ -247,7 +247,7 @@
 
 /// Waits until every proxy runs a version; how long each took.
 fn wait_until_running(
-    service: &Hosted,
+    service: &ServiceThread,
     stamp: Stamp,
     proxies: usize,
 ) -> Result<Histogram<u64>, VersionsError> {
@@ -280,7 +280,7 @@
     day.site.proxy.memory_mb = MEMORY_MB;
     let clock = Clock::start();
     let site = Site::open(&day, clock, move || Recorder::discarding(clock)).map_err(VersionsError::Site)?;
-    let service = Hosted::start(1).map_err(VersionsError::Service)?;
+    let service = ServiceThread::start(1).map_err(VersionsError::Service)?;
     let folder = tempfile::tempdir().map_err(VersionsError::Folder)?;
     let mut proxies = start_proxies(&day, &site, &service, program, folder.path())?;
     wait_until_connected(&service, size.proxies)?;
@@ -314,7 +314,7 @@
 fn start_proxies(
     day: &Day,
     site: &Site,
-    service: &Hosted,
+    service: &ServiceThread,
     program: &Path,
     folder: &Path,
 ) -> Result<Vec<Box<dyn RunningProxy>>, VersionsError> {
@@ -331,7 +331,7 @@
     Ok(proxies)
 }
 
-fn wait_until_connected(service: &Hosted, proxies: usize) -> Result<(), VersionsError> {
+fn wait_until_connected(service: &ServiceThread, proxies: usize) -> Result<(), VersionsError> {
     let until = Instant::now() + WITHIN;
     while service.statuses().len() < proxies {
         if Instant::now() > until {
@@ -343,15 +343,19 @@
 }
 
 /// Publishes the first version and those after it, each once the one before is in force everywhere.
-fn publish_all(service: &Hosted, day: &Day, size: FleetSize) -> Result<Vec<VersionTiming>, VersionsError> {
+fn publish_all(
+    service: &ServiceThread,
+    day: &Day,
+    size: FleetSize,
+) -> Result<Vec<VersionTiming>, VersionsError> {
     let mut versions = Vec::new();
     for n in 0..=size.versions {
-        let cpu = service.cpu();
+        let cpu = service.cpu_time();
         let body = version_body(day, size.routes, n);
         let published = service.publish(body, Plan::default());
         let (stamp, _) = published.map_err(|e| VersionsError::Publish(e.to_string()))?;
         let in_force = Percentiles::from(&wait_until_running(service, stamp, size.proxies)?);
-        let service_ms = (service.cpu() - cpu).as_secs_f64() * 1e3;
+        let service_ms = (service.cpu_time() - cpu).as_secs_f64() * 1e3;
         versions.push(VersionTiming { in_force, service_ms });
     }
     Ok(versions)
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use aniseyoke_control::hosted::Hosted;
+use aniseyoke_control::hosted::ServiceThread;
 use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
 use rig::*;
 use serde_json::json;
@@ -366,7 +366,7 @@
 fn admin_endpoint_and_control_service_work_despite_interrupted_calls() {
     const CALLS: usize = 60;
     const VERSIONS: usize = 5;
-    let service = Hosted::start(1).expect("started");
+    let service = ServiceThread::start(1).expect("started");
     let (node, discovery, folder) =
         (node(AfterAnswer::Keep), Server::new(), tempfile::tempdir().expect("a folder"));
     let file = folder.path().join("operator.toml");
--- a/crates/proxy/tests/stored.rs
+++ b/crates/proxy/tests/stored.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use aniseyoke_control::hosted::Hosted;
+use aniseyoke_control::hosted::ServiceThread;
 use aniseyoke_control::rollout::Plan as Rollout;
 use aniseyoke_control::store::{Disk, Loaded, Store};
 use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
@@ -247,7 +247,7 @@
 #[test]
 fn a_version_that_could_not_be_written_is_written_once_the_disk_works_and_survives_a_kill() {
     for call in [Call::Write, Call::Fsync, Call::Rename] {
-        let (site, service) = (Site::new(), Hosted::start(1).expect("started"));
+        let (site, service) = (Site::new(), ServiceThread::start(1).expect("started"));
         let folder = site.state.path().display();
         let settings =
             format!("[control]\nservices = [\"{}\"]\ninstance = \"p0\"\ndir = \"{folder}\"\n", service.addr);
--- a/crates/proxy/tests/versions.rs
+++ b/crates/proxy/tests/versions.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use aniseyoke_control::frame::ProxyStatus;
-use aniseyoke_control::hosted::Hosted;
+use aniseyoke_control::hosted::ServiceThread;
 use aniseyoke_control::rollout::Plan;
 use aniseyoke_control::store::{Disk, Store, StoredVersion};
 use aniseyoke_control::{Stamp, Version};
@@ -13,10 +13,10 @@
 use std::path::PathBuf;
 
 /// A control service in a thread of its own that ends with the test.
-struct Control(Hosted);
+struct Control(ServiceThread);
 
 fn control(epoch: u64) -> Control {
-    Control(Hosted::start(epoch).expect("started"))
+    Control(ServiceThread::start(epoch).expect("started"))
 }
 
 impl Control {
@@ -85,7 +85,7 @@
 #[test]
 fn a_proxy_follows_a_relay_as_it_follows_a_service() {
     let (site, control) = (Site::new(), control(1));
-    let relay = Hosted::relay("site", vec![control.addr()]).expect("started");
+    let relay = ServiceThread::relay("site", vec![control.addr()]).expect("started");
     let mut proxy = site.start(&[relay.addr]);
     let admin_addr = proxy.admin_addr();
     let first = control.publish(json!({}));
