--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,4 +1,5 @@
-//! Drives a [`Follower`] on sockets: connects, reads, writes and lets time pass.
+//! Runs a [`Follower`] on TCP sockets: performs its actions, and passes it messages, the time and the
+//! results.
 
 use crate::clock::Clock;
 use crate::follower::{Action, Follower, Rejection, RequestCounts};
@@ -18,63 +19,64 @@
 use tokio::task::AbortHandle;
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
-const TICK: Duration = Duration::from_millis(100);
-/// The time between two reports of request counts.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between reports of request counts.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// The time limit of a write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How many events of connections wait to be handled.
-const EVENT_QUEUE: usize = 4;
-/// How much is read at once, in bytes.
-const READ_BYTES: usize = 16 << 10;
+/// Capacity of the queue of connection events. Reading pauses while the queue is full.
+const MAX_QUEUED_EVENTS: usize = 4;
+/// Size of the read buffer.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// What the owner of a follower provides.
+/// The operations that the owner of a follower provides.
 pub trait Host {
-    /// Checks a version and puts it in force. On an error the version before stays in force.
+    /// Checks a version and puts it in force. On an error the previous version stays in force.
     fn apply(&self, version: Version) -> impl Future<Output = Result<(), Rejection>>;
 
     /// Stores a version that is in force as the last known good one.
     fn persist(&self, version: Version);
 
     /// Writes a warning to the log.
-    fn warn(&self, what: &str);
+    fn warn(&self, message: &str);
 
-    /// Counts of requests since the last call.
+    /// Returns the numbers of requests since the last call.
     fn take_request_counts(&self) -> RequestCounts;
 
-    /// The position in the log of purges; none where the owner does not subscribe to purges.
+    /// Returns the position in the purge log, or `None` if the owner does not subscribe to purges.
     fn purge_progress(&self) -> Option<Progress> {
         None
     }
 
-    /// A connection is established, and `hello` was sent on it.
+    /// Called when a connection is established, after `hello` was queued for it.
     fn connected(&self) {}
 
-    /// A message about purges has arrived.
+    /// Called when a message about purges has arrived.
     fn receive_purges(&self, _message: ServiceMessage) {}
 
-    /// Waits for something about purges to be sent upstream. Cancellation loses nothing.
+    /// Waits for the next message about purges that is to be sent upstream. Must be cancel safe: a cancelled
+    /// call loses no message.
     fn next_upstream(&self) -> impl Future<Output = UpstreamMessage> {
         std::future::pending()
     }
 
-    /// A newer version waits for the one that is being put in force.
+    /// Called when a newer version arrives while another one is being put in force.
     fn newer_queued(&self) {}
 }
 
-/// What is sent upstream about purges.
+/// A message about purges to be sent upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpstreamMessage {
-    /// `hello` again, since purges are missing.
+    /// Another `hello`, which requests missing purges.
     Hello,
-    /// This message.
+    /// The given message.
     Send(ProxyMessage),
 }
 
-/// A version that is being put in force.
+/// The pending result of putting a version in force.
 type Applying<'a> = Pin<Box<dyn Future<Output = Result<(), Rejection>> + 'a>>;
 
-/// What happened on a connection.
+/// An event on a connection.
 enum ConnectionEvent {
     Connected(TcpStream),
     ConnectFailed,
@@ -83,10 +85,10 @@
     Closed,
 }
 
-/// An event, with the number of the connection that it happened on.
+/// An event and the number of the connection on which it occurred.
 type NumberedEvent = (u64, ConnectionEvent);
 
-/// The current connection. Events of any other are ignored.
+/// The current connection. Events of earlier connections are ignored, which their numbers identify.
 #[derive(Default)]
 struct Connection {
     number: u64,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Writes a message; false if that fails.
+    /// Writes a message. Returns false if the write fails or times out.
     async fn write(&mut self, message: &ProxyMessage) -> bool {
         let Some(writer) = self.writer.as_mut() else { return true };
         let bytes = encode(message).unwrap_or_default();
@@ -111,7 +113,7 @@
     }
 }
 
-/// A follower with its connection and its host.
+/// A follower, its connection and its host.
 struct Client<'a, H> {
     host: &'a H,
     follower: Follower,
@@ -119,20 +121,21 @@
     max_frame_bytes: usize,
     connection: Connection,
     events: mpsc::Sender<NumberedEvent>,
-    /// Messages are read meanwhile, so that of a flood of versions only the newest counts.
+    /// Messages are read while a version is being put in force, so that older queued versions can be
+    /// superseded by newer ones.
     applying: Option<Applying<'a>>,
     clock: Clock,
     last_report: Instant,
 }
 
-/// Follows the services, for good. `max_frame_bytes`: a longer frame is not read.
+/// Follows the services and never returns. Frames longer than `max_frame_bytes` are rejected.
 pub async fn follow(
     follower: Follower,
     services: Vec<SocketAddr>,
     max_frame_bytes: usize,
     host: impl Host,
 ) -> Infallible {
-    let (events, mut incoming) = mpsc::channel::<NumberedEvent>(EVENT_QUEUE);
+    let (events, mut incoming) = mpsc::channel::<NumberedEvent>(MAX_QUEUED_EVENTS);
     let mut client = Client {
         host: &host,
         follower,
@@ -144,7 +147,7 @@
         clock: Clock::start(),
         last_report: Instant::now(),
     };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut actions = Vec::new();
@@ -165,7 +168,8 @@
     }
 }
 
-/// Waits for the version that is being put in force; none if there is none.
+/// Waits until the version has been put in force or rejected. Returns `None` at once if no version is
+/// pending.
 async fn outcome_of(applying: &mut Option<Applying<'_>>) -> Option<Result<(), Rejection>> {
     match applying.as_mut() {
         Some(applying) => Some(applying.await),
@@ -243,7 +247,7 @@
                 }
                 Action::Apply(version) => self.applying = Some(Box::pin(self.host.apply(version))),
                 Action::Persist(version) => self.host.persist(version),
-                Action::Warn(what) => self.host.warn(&what),
+                Action::Warn(message) => self.host.warn(&message),
             }
         }
     }
@@ -255,21 +259,22 @@
         let task = tokio::task::spawn_local(async move {
             let event = match connect(addr, || ()).await {
                 Ok(stream) => {
-                    // Danger: a short frame would wait for the acknowledgement of the one before it, at each relay on
-                    // the way. Where it fails that only costs time.
+                    // Without TCP_NODELAY a short frame would be delayed until the previous one is
+                    // acknowledged (Nagle's algorithm), at each relay on the path. A failure only increases
+                    // latency.
                     let _ = stream.set_nodelay(true);
                     ConnectionEvent::Connected(stream)
                 }
                 Err(_) => ConnectionEvent::ConnectFailed,
             };
-            // The receiver ends only with the process.
+            // The receiver exists until the process ends.
             let _ = events.send((number, event)).await;
         });
         self.connection.task = Some(task.abort_handle());
     }
 }
 
-/// Reads a connection until it ends or an invalid frame arrives.
+/// Reads messages from a connection until it closes or an invalid frame arrives.
 async fn read(
     number: u64,
     reader: OwnedReadHalf,
@@ -277,7 +282,7 @@
     events: mpsc::Sender<NumberedEvent>,
 ) {
     let mut reader = Uninterrupted(reader);
-    let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
+    let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
         let event = match decode::<ServiceMessage>(&mut buffer, max_frame_bytes) {
             Ok(Some(message)) => ConnectionEvent::Message(message),
@@ -292,7 +297,7 @@
         };
         let is_last = !matches!(event, ConnectionEvent::Message(_));
         if buffer.is_empty() {
-            // Releases the memory of a long frame.
+            // Releases the memory that a long frame required.
             buffer = Vec::new();
         }
         if events.send((number, event)).await.is_err() || is_last {
--- a/crates/control/src/connections.rs
+++ b/crates/control/src/connections.rs
@@ -1,4 +1,4 @@
-//! The queues to the service's open connections.
+//! The outgoing queues of the service's open connections.
 
 use crate::outgoing::{ConnectionId, OutgoingFrame};
 use rustc_hash::FxHashMap;
@@ -6,8 +6,9 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
-/// How many frames wait for a proxy to read them; a proxy that leaves more unread is disconnected.
-pub(crate) const QUEUE_FRAMES: usize = 16;
+/// Capacity of a connection's queue of outgoing frames. A proxy that reads too slowly to keep it from
+/// overflowing is disconnected.
+pub(crate) const MAX_QUEUED_FRAMES: usize = 16;
 
 /// The sending half of a connection's queue.
 struct Connection {
@@ -17,15 +18,15 @@
 
 /// The receiving half of a connection's queue, for the task that serves the connection.
 pub(crate) struct ConnectionQueue {
-    /// The connection.
+    /// The id of the connection.
     pub id: ConnectionId,
-    /// Frames to be written.
+    /// The frames to be written.
     pub frames: mpsc::Receiver<OutgoingFrame>,
-    /// Notified when the connection has to be closed.
+    /// Notified when the connection has to be closed without writing the queued frames.
     pub closed: Rc<Notify>,
 }
 
-/// All open connections.
+/// The open connections of a service.
 #[derive(Default)]
 pub(crate) struct Connections {
     open: RefCell<FxHashMap<ConnectionId, Connection>>,
@@ -33,29 +34,30 @@
 }
 
 impl Connections {
-    /// Adds a connection under a new id.
+    /// Registers a connection under a new id, and returns the receiving half of its queue.
     pub fn open(&self) -> ConnectionQueue {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
-        let (queue, frames) = mpsc::channel(QUEUE_FRAMES);
+        let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let closed = Rc::new(Notify::new());
         self.open.borrow_mut().insert(id, Connection { queue, closed: closed.clone() });
         ConnectionQueue { id, frames, closed }
     }
 
-    /// How many more frames a connection's queue accepts.
+    /// The number of frames that fit into a connection's queue now; 0 if there is no such connection.
     pub fn queue_capacity(&self, id: ConnectionId) -> usize {
         self.open.borrow().get(&id).map_or(0, |connection| connection.queue.capacity())
     }
 
-    /// Puts a frame into its connection's queue. False if there is no such connection, or its queue is full.
+    /// Queues a frame for its connection. Returns false if there is no such connection or its queue is full.
     pub fn send(&self, frame: OutgoingFrame) -> bool {
         let open = self.open.borrow();
         open.get(&frame.to).is_some_and(|connection| connection.queue.try_send(frame).is_ok())
     }
 
-    /// Puts a frame into its connection's queue. Where that is full the connection ends once the queue is written.
-    /// Danger: a proxy that reads nothing would otherwise hold the frames that all others have read.
+    /// Queues a frame for its connection. If the queue is full, removes the connection, which closes it once
+    /// the queued frames are written. Otherwise a proxy that reads nothing would keep frames in memory that
+    /// all other proxies have read.
     pub fn send_or_close(&self, frame: OutgoingFrame) {
         let to = frame.to;
         if !self.send(frame) {
@@ -63,14 +65,14 @@
         }
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately, without writing its queued frames.
     pub fn close(&self, id: ConnectionId) {
         if let Some(connection) = self.open.borrow_mut().remove(&id) {
             connection.closed.notify_one();
         }
     }
 
-    /// Removes a connection. Its queue ends after the frames that are in it.
+    /// Removes a connection. Frames that are queued already are still written.
     pub fn forget(&self, id: ConnectionId) {
         self.open.borrow_mut().remove(&id);
     }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,5 +1,6 @@
-//! A proxy's side of the protocol: which service it is connected to, which versions it accepts, and what it answers. No
-//! I/O, no clock.
+//! The client side of the control protocol, used by proxies and relays: selects the service to connect to,
+//! accepts or rejects versions, and acknowledges them. Does no I/O and reads no clock: the caller passes the
+//! time and performs the returned actions.
 
 use crate::frame::{ProxyMessage, ServiceMessage, PROTOCOL_VERSION};
 use crate::version::{Stamp, Version};
@@ -8,53 +9,53 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Nanoseconds since an arbitrary fixed point.
+/// Nanoseconds since an arbitrary fixed point on the caller's monotonic clock.
 pub type Nanos = u64;
 
-const SECOND: Nanos = 1_000_000_000;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// How a proxy identifies itself to services.
+/// The identity of a proxy, which it sends to services.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
-    /// Its name, the same after a restart.
+    /// The proxy's name, which stays the same across restarts.
     pub instance: String,
-    /// A number drawn when its process started.
+    /// Identifies the process: a number drawn when it started.
     pub boot: u64,
-    /// Labels by which operators select it in rollouts.
+    /// Labels by which rollout plans select the proxy.
     pub labels: BTreeMap<String, String>,
-    /// The longest frame that it reads, in bytes.
+    /// Maximum length of a frame that the proxy accepts, in bytes.
     pub max_frame_bytes: usize,
 }
 
-/// Times of a follower.
+/// Timeouts and intervals of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// The first wait before a reconnect, and the longest; it doubles between them.
+    /// The initial and the maximum delay before a reconnect. The delay doubles with each failure.
     pub backoff: (Nanos, Nanos),
-    /// The time limit of a connection attempt.
+    /// The timeout of a connection attempt.
     pub connect: Nanos,
-    /// A service that sends nothing for so long is considered dead.
+    /// A connection on which nothing arrives for this long is closed.
     pub idle_timeout: Nanos,
-    /// A heartbeat is sent if nothing else was for so long.
+    /// A heartbeat is sent after nothing else was sent for this long.
     pub heartbeat: Nanos,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Times {
-            backoff: (SECOND / 2, 30 * SECOND),
-            connect: 3 * SECOND,
-            idle_timeout: 15 * SECOND,
-            heartbeat: 5 * SECOND,
+            backoff: (NANOS_PER_SECOND / 2, 30 * NANOS_PER_SECOND),
+            connect: 3 * NANOS_PER_SECOND,
+            idle_timeout: 15 * NANOS_PER_SECOND,
+            heartbeat: 5 * NANOS_PER_SECOND,
         }
     }
 }
 
-/// Why a version was not put in force.
+/// The reasons for which a version was not put in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .reasons.join("; "))]
 pub struct Rejection {
-    /// The reasons, a line each.
+    /// The reasons, each on a line of its own.
     pub reasons: Vec<String>,
 }
 
@@ -70,14 +71,14 @@
     }
 }
 
-/// Counts of requests since the last report.
+/// Numbers of requests since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests served.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
 }
 
@@ -89,22 +90,24 @@
         self.failed = self.failed.saturating_add(other.failed);
     }
 
-    /// Whether nothing was counted.
+    /// Whether all counts are zero.
     pub fn is_empty(&self) -> bool {
         *self == RequestCounts::default()
     }
 }
 
-/// What a follower asks its owner to do.
+/// An action that the follower's owner has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect to the service with this index, then call [`Follower::connected`] or [`Follower::disconnected`].
+    /// Connect to the service with this index, then call [`Follower::connected`] or
+    /// [`Follower::disconnected`].
     Connect(usize),
-    /// Close the connection, and ignore anything that still arrives on it.
+    /// Close the connection, and ignore messages that still arrive on it.
     Disconnect,
     /// Send a message.
     Send(ProxyMessage),
-    /// Check a version and put it in force, then call [`Follower::applied`]. There is only one at a time.
+    /// Check a version and put it in force, then call [`Follower::applied`]. At most one version at a time is
+    /// being applied.
     Apply(Version),
     /// Store a version as the last known good one.
     Persist(Version),
@@ -112,46 +115,48 @@
     Warn(String),
 }
 
+/// The state of the connection.
 enum Link {
-    /// Not connected; the next attempt is due at this time.
+    /// Not connected. The next connection attempt is made at this time.
     Down { retry_at: Nanos },
-    /// A connection attempt has been going on since this time.
+    /// Connecting since this time.
     Connecting { since: Nanos },
-    /// Connected: when something was last received, and last sent.
+    /// Connected. The times are those of the last message that was received and sent.
     Up { last_received: Nanos, last_sent: Nanos },
 }
 
-/// The last version that was rejected, so that it is not applied again when it is sent again.
+/// The last rejected version, kept so that it is rejected again without being applied when it is resent.
 struct RejectedVersion {
     stamp: Stamp,
     digest: String,
     reasons: Vec<String>,
 }
 
-/// A proxy's state.
+/// The state of the client side of the protocol.
 pub struct Follower {
     identity: Identity,
     times: Times,
     random: SmallRng,
     service_count: usize,
-    /// The index of the current service, or of the next one.
+    /// The index of the service that is connected, or to be connected next.
     service: usize,
     link: Link,
-    /// Connections that failed in a row.
+    /// The number of consecutive failures: connections that could not be established, or that ended before
+    /// the service sent anything but a goodbye.
     failures: u32,
     running: Option<Version>,
-    /// The version that is being put in force.
+    /// The version that is being applied.
     applying: Option<Version>,
-    /// The newest of those that arrived meanwhile. Danger: a queue of versions would grow without limit where they arrive
-    /// faster than they are applied; only the newest counts.
+    /// The newest version that arrived while another one was being applied. Only the newest is stored: a
+    /// queue of all versions would grow without bound if they arrive faster than they are applied.
     queued: Option<Version>,
     rejected: Option<RejectedVersion>,
     purge_progress: Option<Progress>,
 }
 
 impl Follower {
-    /// A follower of so many services. `running`: the version that it ran last, if that is known. `seed` decides the
-    /// jitter of reconnects.
+    /// Creates a follower of `service_count` services. `running` is the last version that it ran, if known.
+    /// `seed` determines the jitter of reconnects.
     pub fn new(
         identity: Identity,
         service_count: usize,
@@ -175,12 +180,12 @@
         }
     }
 
-    /// The version that runs, if a service published it.
+    /// The version in force, if a service published it.
     pub fn running(&self) -> Option<&Version> {
         self.running.as_ref()
     }
 
-    /// Lets time pass. To be called several times a second.
+    /// Handles timeouts, reconnects and heartbeats that are due. Has to be called several times a second.
     pub fn tick(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         match self.link {
             Link::Down { retry_at } if now >= retry_at => {
@@ -193,7 +198,7 @@
             }
             Link::Up { last_received, .. } if now.saturating_sub(last_received) > self.times.idle_timeout => {
                 actions.push(Action::Disconnect);
-                self.warn("does not respond any more", actions);
+                self.warn("does not respond: the connection timed out", actions);
                 self.schedule_reconnect(now);
             }
             Link::Up { last_sent, .. } if now.saturating_sub(last_sent) >= self.times.heartbeat => {
@@ -203,13 +208,13 @@
         }
     }
 
-    /// Sets the position in the log of purges that `hello` announces; none, the initial value, where the owner does not
-    /// subscribe to purges.
+    /// Sets the position in the purge log that `hello` contains. `None`, the initial value, means that the
+    /// owner does not subscribe to purges.
     pub fn set_purge_progress(&mut self, progress: Option<Progress>) {
         self.purge_progress = progress;
     }
 
-    /// Sends `hello`, also again on the same connection where purges are missing.
+    /// Sends `hello`. Used again on the same connection to request missing purges.
     pub fn send_hello(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let Identity { instance, boot, labels, max_frame_bytes } = self.identity.clone();
         let hello = ProxyMessage::Hello {
@@ -224,7 +229,7 @@
         self.send(now, hello, actions);
     }
 
-    /// Sends a message, if there is a connection.
+    /// Sends a message if a connection is established, and otherwise discards it.
     pub fn send(&mut self, now: Nanos, message: ProxyMessage, actions: &mut Vec<Action>) {
         if let Link::Up { last_sent, .. } = &mut self.link {
             *last_sent = now;
@@ -232,16 +237,16 @@
         }
     }
 
-    fn warn(&self, what: &str, actions: &mut Vec<Action>) {
-        actions.push(Action::Warn(format!("control service {} {what}", self.service)));
+    fn warn(&self, message: &str, actions: &mut Vec<Action>) {
+        actions.push(Action::Warn(format!("control service {} {message}", self.service)));
     }
 
-    /// Whether a newer version waits for the one that is being put in force.
+    /// Whether a newer version is queued behind the one that is being applied.
     pub fn has_newer_version(&self) -> bool {
         self.queued.is_some()
     }
 
-    /// The connection is established.
+    /// Handles an established connection.
     pub fn connected(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         if !matches!(self.link, Link::Connecting { .. }) {
             actions.push(Action::Disconnect);
@@ -251,14 +256,14 @@
         self.send_hello(now, actions);
     }
 
-    /// The connection could not be established, or has ended.
+    /// Handles a connection that could not be established, or was closed.
     pub fn disconnected(&mut self, now: Nanos) {
         if !matches!(self.link, Link::Down { .. }) {
             self.schedule_reconnect(now);
         }
     }
 
-    /// Bytes arrived that are not a frame: nothing behind them can be decoded.
+    /// Handles invalid bytes: closes the connection, since the bytes after them can't be decoded.
     pub fn malformed(&mut self, now: Nanos, error: &str, actions: &mut Vec<Action>) {
         if matches!(self.link, Link::Up { .. }) {
             self.warn(&format!("sent an invalid message: {error}"), actions);
@@ -267,8 +272,8 @@
         }
     }
 
-    /// Connects to the next service after a backoff. Its jitter keeps a fleet that lost its service from reconnecting all
-    /// at once.
+    /// Schedules a connection to the next service after an exponential backoff. Its jitter keeps all proxies
+    /// of a failed service from reconnecting at the same time.
     fn schedule_reconnect(&mut self, now: Nanos) {
         let (first, max) = self.times.backoff;
         let wait = first.saturating_mul(1 << self.failures.min(16)).min(max);
@@ -278,11 +283,13 @@
         self.link = Link::Down { retry_at: now.saturating_add(jittered) };
     }
 
-    /// A message has arrived. The owner passes messages about purges to the relay or member that they are for.
+    /// Handles a message. Messages about purges are ignored here; the owner passes them to its purge relay or
+    /// member.
     pub fn receive(&mut self, now: Nanos, message: ServiceMessage, actions: &mut Vec<Action>) {
         let Link::Up { last_received, .. } = &mut self.link else { return };
         *last_received = now;
-        // Only a service that has sent something useful ends the backoff.
+        // A goodbye does not reset the backoff: a service that rejects connections would be reconnected too
+        // fast.
         if !matches!(message, ServiceMessage::Goodbye { .. }) {
             self.failures = 0;
         }
@@ -290,7 +297,7 @@
             ServiceMessage::Heartbeat | ServiceMessage::UpToDate { .. } => {}
             ServiceMessage::Purges { .. } | ServiceMessage::Flush { .. } => {}
             ServiceMessage::Goodbye { reason } => {
-                self.warn(&format!("closes the connection: {reason}"), actions);
+                self.warn(&format!("closed the connection: {reason}"), actions);
                 actions.push(Action::Disconnect);
                 self.schedule_reconnect(now);
             }
@@ -304,7 +311,8 @@
             ServiceMessage::Delta { base, stamp, digest, patch } => {
                 let known = [&self.queued, &self.applying, &self.running];
                 let base = known.into_iter().flatten().find(|v| v.stamp == base);
-                // Danger: after a gap a delta may result in another version than it was made for.
+                // After a missed version a delta may result in another body than intended; `Version::apply`
+                // checks the digest.
                 match base.map(|base| base.apply(&patch, stamp, &digest)) {
                     Some(Ok(version)) => self.receive_version(now, version, actions),
                     Some(Err(_)) | None => self.send(now, ProxyMessage::SnapshotRequest, actions),
@@ -313,7 +321,7 @@
         }
     }
 
-    /// A valid version has arrived, by a snapshot or a delta.
+    /// Handles a valid version, received as a snapshot or as a delta.
     fn receive_version(&mut self, now: Nanos, version: Version, actions: &mut Vec<Action>) {
         let stamp = version.stamp;
         if let Some(rejected) = &self.rejected {
@@ -325,7 +333,7 @@
         let newest = [&self.queued, &self.applying, &self.running].into_iter().flatten().next();
         if let Some(newest) = newest {
             if newest.stamp == stamp && newest.digest != version.digest {
-                // Danger: to follow two services that disagree would alternate between their versions for ever.
+                // Following two services that disagree would alternate between their versions indefinitely.
                 let reason = format!("version {stamp} has another body here: two services disagree");
                 self.warn(&format!("sent a conflicting version: {reason}"), actions);
                 return self.nack(now, stamp, vec![reason], actions);
@@ -335,7 +343,7 @@
                 return self.nack(now, stamp, vec![reason], actions);
             }
             if newest.stamp == stamp {
-                // A duplicate. One that is still being applied is answered when it is in force.
+                // A duplicate. If it is still being applied, it is acknowledged once it is in force.
                 if self.applying.is_none() {
                     self.send(now, ProxyMessage::Ack { stamp }, actions);
                 }
@@ -358,7 +366,8 @@
         self.send(now, ProxyMessage::Nack { stamp, reasons }, actions);
     }
 
-    /// The version that was to be applied is in force, or was rejected and the one before stays in force.
+    /// Handles the outcome of [`Action::Apply`]: the version is in force, or was rejected and the previous
+    /// one stays in force.
     pub fn applied(&mut self, now: Nanos, outcome: Result<(), Rejection>, actions: &mut Vec<Action>) {
         let Some(version) = self.applying.take() else { return };
         let stamp = version.stamp;
@@ -370,7 +379,7 @@
                 self.send(now, ProxyMessage::Ack { stamp }, actions);
             }
             Err(rejection) => {
-                actions.push(Action::Warn(format!("version {stamp} is rejected: {rejection}")));
+                actions.push(Action::Warn(format!("version {stamp} was rejected: {rejection}")));
                 let reasons = rejection.reasons;
                 self.rejected =
                     Some(RejectedVersion { stamp, digest: version.digest, reasons: reasons.clone() });
@@ -382,7 +391,7 @@
         }
     }
 
-    /// Reports counts of requests, if there are any.
+    /// Sends a report of request counts, unless all are zero or no version runs.
     pub fn report(&mut self, now: Nanos, counts: RequestCounts, actions: &mut Vec<Action>) {
         let Some(stamp) = self.running.as_ref().map(|v| v.stamp) else { return };
         if !counts.is_empty() {
--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -1,4 +1,4 @@
-//! The wire format: frames of a length and a JSON text, and all messages.
+//! The wire format of the control protocol: its messages, and their encoding as length-prefixed JSON frames.
 
 use crate::rollout::Plan;
 use crate::version::{CanonicalJson, Stamp};
@@ -8,142 +8,146 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The version of this protocol.
+/// The version of the protocol that this code implements.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest text of a frame, in bytes.
+/// Maximum length of a frame's JSON text, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// The size of the length in front of each text, in bytes; it is big-endian.
+/// Size of the length prefix, in bytes. The prefix is a big-endian integer and does not count itself.
 pub const HEADER_BYTES: usize = 4;
-/// How many names of lagging members one message lists.
+/// Maximum number of lagging members that one message names.
 pub const MAX_NAMES: usize = 16;
 
 fn is_zero(number: &u64) -> bool {
     *number == 0
 }
 
-/// A message from a proxy, or from a relay to its upstream.
+/// A message from a proxy to a service, or from a relay to its upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ProxyMessage {
-    /// The first message of a connection: who the proxy is and what it runs.
+    /// The first message of a connection: identifies the proxy and the version that it runs. It is sent again
+    /// on the same connection to request missing purges.
     Hello {
-        /// The version of this protocol.
+        /// The protocol version that the sender implements.
         protocol: u32,
-        /// The proxy's name, the same after a restart.
+        /// The proxy's name, which stays the same across restarts.
         instance: String,
-        /// A number drawn when its process started.
+        /// Identifies the process: a number drawn when it started.
         boot: u64,
-        /// Labels by which operators select it in rollouts.
+        /// Labels by which rollout plans select the proxy.
         labels: BTreeMap<String, String>,
-        /// The longest frame that it reads, in bytes.
+        /// Maximum length of a frame that the proxy accepts, in bytes.
         #[serde(rename = "frame_most")]
         max_frame_bytes: usize,
-        /// The stamp and the digest of the version that it runs, if it got that from a service.
+        /// The stamp and the digest of the version that the proxy runs, if a service published it.
         running: Option<(Stamp, String)>,
-        /// Its position in the log of purges; none where it does not subscribe to purges.
+        /// The proxy's position in the purge log; absent if it does not subscribe to purges.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         purges: Option<Progress>,
     },
-    /// Acknowledges purges: the sender and everyone below it has applied the log up to a number, except those that lag.
+    /// Acknowledges purges: the sender and all members downstream of it, except those that lag, have applied
+    /// the log up to `through`.
     #[serde(rename = "purged")]
     PurgeAck {
         /// The log's epoch.
         epoch: u64,
-        /// Up to which number.
+        /// The number of the last entry that is acknowledged.
         through: u64,
-        /// How many lag behind it.
+        /// The number of members that lag behind `through`.
         #[serde(default, rename = "lacking", skip_serializing_if = "is_zero")]
         lagging: u64,
-        /// Some of them, as `name@number` with their own positions; at most [`MAX_NAMES`] are considered.
+        /// Some of these members, as `name@number` with the number of the last entry that each has applied;
+        /// at most [`MAX_NAMES`] are considered.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         names: Vec<String>,
     },
-    /// A version is in force.
+    /// Acknowledges a version: it is in force at the proxy.
     #[serde(rename = "taken")]
     Ack {
-        /// The version.
+        /// The stamp of the version.
         stamp: Stamp,
     },
-    /// A version was rejected; the one before stays in force.
+    /// Rejects a version; the previous one stays in force.
     #[serde(rename = "refused")]
     Nack {
-        /// The version.
+        /// The stamp of the version.
         stamp: Stamp,
-        /// The reasons, a line each.
+        /// The reasons, each on a line of its own.
         reasons: Vec<String>,
     },
-    /// A delta can't be applied; a snapshot is needed.
+    /// Requests a snapshot, because a delta could not be applied.
     #[serde(rename = "whole")]
     SnapshotRequest,
-    /// Counts of requests since the last report, under the version that runs.
+    /// Numbers of requests that the proxy handled since its last report.
     Report {
-        /// The version that runs.
+        /// The stamp of the version that the proxy runs.
         stamp: Stamp,
-        /// Requests served.
+        /// Requests that were served.
         served: u64,
-        /// Requests rejected.
+        /// Requests that were rejected.
         #[serde(rename = "refused")]
         rejected: u64,
-        /// Requests failed.
+        /// Requests that failed.
         failed: u64,
     },
-    /// The proxy is alive.
+    /// Keeps the connection from timing out while nothing else is sent.
     #[serde(rename = "alive")]
     Heartbeat,
 }
 
-/// A message from a service, or from a relay to its children.
+/// A message from a service to a proxy, or from a relay to its children.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ServiceMessage {
-    /// A complete version.
+    /// A version with its complete body.
     #[serde(rename = "full")]
     Snapshot {
         /// The version's stamp.
         stamp: Stamp,
-        /// The digest of its body.
+        /// The digest of the body.
         digest: String,
-        /// Its body.
+        /// The body.
         body: CanonicalJson,
     },
-    /// The change from one version to another.
+    /// A version as the difference from an earlier one.
     Delta {
-        /// The version that it applies to.
+        /// The stamp of the version that the patch applies to.
         base: Stamp,
-        /// The version that it results in.
+        /// The stamp of the version that results.
         stamp: Stamp,
         /// The digest of the resulting body.
         digest: String,
-        /// A JSON Patch (RFC 6902).
+        /// The difference between the two bodies, as a JSON Patch (RFC 6902).
         patch: json_patch::Patch,
     },
-    /// The proxy runs the version that it should run.
+    /// The proxy already runs the version that it is to run.
     #[serde(rename = "current")]
     UpToDate {
-        /// That version.
+        /// The stamp of that version.
         stamp: Stamp,
     },
-    /// Entries of the log of purges. Without keys it is a heartbeat: when the root sent it, nothing newer than `after`
-    /// was known.
+    /// Entries of the purge log. Without keys the message is a heartbeat: the log had no entry after `after`
+    /// when the root sent it.
     Purges {
         /// The log's epoch.
         epoch: u64,
-        /// The number before the first entry.
+        /// The number of the entry before the first one.
         after: u64,
-        /// The keys of the entries from `after + 1` on.
+        /// The keys of the entries, which are numbered from `after + 1`.
         keys: Keys,
     },
-    /// The log no longer has the entries that the receiver lacks: it has to drop every object, and is at `through` then.
+    /// The log no longer contains all entries that the receiver is missing. The receiver has to drop every
+    /// object, and continues from `through`.
     Flush {
         /// The log's epoch.
         epoch: u64,
-        /// The receiver's position afterwards.
+        /// The receiver's position in the log after the flush.
         through: u64,
     },
-    /// The service is alive.
+    /// Keeps the connection from timing out while nothing else is sent.
     #[serde(rename = "alive")]
     Heartbeat,
-    /// The service closes the connection.
+    /// The last message of a connection that the service closes.
     Goodbye {
         /// The reason.
         #[serde(rename = "why")]
@@ -151,128 +155,129 @@
     },
 }
 
-/// A request of an operator's tool, one a connection.
+/// A request from an operator's tool; each connection carries one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum OperatorRequest {
-    /// Publish a body as the newest version.
+    /// Publishes a body as the newest version.
     Publish {
-        /// The operator's file as JSON.
+        /// The operator's configuration file, converted to JSON.
         body: Value,
-        /// How it is rolled out.
+        /// The plan by which the version is rolled out.
         #[serde(default)]
         plan: Plan,
     },
-    /// Publish the body of an earlier version as the newest version.
+    /// Publishes the body of an earlier version as the newest version.
     RollBack {
-        /// The earlier version.
+        /// The stamp of the earlier version.
         to: Stamp,
-        /// How it is rolled out.
+        /// The plan by which the version is rolled out.
         #[serde(default)]
         plan: Plan,
     },
-    /// Stop the rollout of the newest version.
+    /// Halts the rollout of the newest version.
     Halt {
         /// The reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Report which proxy runs what.
+    /// Requests the version that each connected proxy runs.
     Status,
-    /// Purge objects everywhere.
+    /// Purges objects from all caches.
     Purge {
-        /// The publisher's name, the same after a restart.
+        /// The publisher's name, which stays the same across restarts.
         publisher: String,
-        /// The publisher's own number of this request, rising. A request that is retried under the same number gets the
-        /// same answer, and its purges are not numbered again.
+        /// The number that the publisher gave this request; it increases with each new request and serves as
+        /// idempotency key. A retry under the same number gets the same response, and its purges are not
+        /// added to the log again.
         sequence: u64,
-        /// The objects' keys; XXH3-64 of each is what is distributed.
+        /// The objects' keys. The XXH3-64 hash of each is distributed.
         keys: Vec<String>,
     },
-    /// Report how far purges have been applied.
+    /// Requests the progress of purges.
     #[serde(rename = "purges")]
     PurgeStatus,
 }
 
-/// A service's response to an operator.
+/// A response to an operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum OperatorResponse {
     /// The version is published.
     Published {
-        /// Its stamp.
+        /// The stamp of the version.
         stamp: Stamp,
     },
-    /// The request was rejected, and changed nothing.
+    /// The request was rejected and had no effect.
     #[serde(rename = "no")]
     Rejected {
         /// The reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Which proxy runs what.
+    /// The version that each connected proxy runs.
     Status {
-        /// The newest version.
+        /// The stamp of the newest version.
         newest: Option<Stamp>,
-        /// The state of its rollout.
+        /// The state of that version's rollout.
         rollout: Option<String>,
-        /// All connected proxies.
+        /// The status of each connected proxy.
         proxies: Vec<ProxyStatus>,
     },
-    /// The purges are numbered and stored, and are being distributed.
+    /// The purges were added to the log and stored; their distribution has begun.
     #[serde(rename = "purging")]
     PurgeAccepted {
         /// The log's epoch.
         epoch: u64,
-        /// The number of the last of them.
+        /// The number of the last of these purges.
         through: u64,
     },
-    /// How far purges have been applied.
+    /// The progress of purges.
     #[serde(rename = "purges")]
     PurgeStatus {
         /// The log's epoch.
         epoch: u64,
-        /// The newest number.
+        /// The number of the newest entry.
         newest: u64,
-        /// Everyone has applied everything up to this number, except those that lag.
+        /// All members, except those that lag, have applied the log up to this number.
         #[serde(rename = "done")]
         applied: u64,
-        /// Those that lag, as `name@number` with their own positions.
+        /// Members that lag, as `name@number` with the number of the last entry that each has applied.
         #[serde(rename = "lacking")]
         lagging: Vec<String>,
-        /// How many lag besides those that are listed.
+        /// The number of lagging members that `lagging` does not list.
         unnamed: u64,
-        /// How long purges took from their numbering until they were known to be applied everywhere.
+        /// The time from when purges were added to the log until they were acknowledged by all members.
         #[serde(rename = "took")]
         latency: PurgeLatency,
     },
 }
 
-/// What a proxy runs, as operators see it.
+/// The status of a connected proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyStatus {
-    /// Its name.
+    /// The proxy's name.
     pub instance: String,
-    /// A number drawn when its process started.
+    /// Identifies the process: a number drawn when it started.
     pub boot: u64,
-    /// The version that it runs.
+    /// The stamp of the version that the proxy runs.
     pub running: Option<Stamp>,
-    /// The version that it should run.
+    /// The stamp of the version that the proxy is to run.
     pub wanted: Option<Stamp>,
-    /// How long after the version was published the proxy acknowledged it, in nanoseconds; none where it ran it when it
-    /// connected.
+    /// The time from the publication of the version until the proxy acknowledged it, in nanoseconds; absent
+    /// if the proxy already ran the version when it connected.
     #[serde(default, rename = "took")]
     pub ack_latency: Option<u64>,
-    /// The last version that it rejected, and the reasons.
+    /// The stamp of the last version that the proxy rejected, and the reasons.
     #[serde(rename = "refused")]
     pub rejected: Option<(Stamp, Vec<String>)>,
 }
 
-/// How long recent purges took, in milliseconds.
+/// Latency of recent purges, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PurgeLatency {
-    /// How many are counted.
+    /// The number of purges that the percentiles and the maximum cover.
     pub count: u64,
     /// The median.
     pub p50: f64,
@@ -281,18 +286,19 @@
     /// The maximum.
     #[serde(rename = "most")]
     pub max: f64,
-    /// How many others were not applied everywhere, since some members lagged.
+    /// The number of other purges, whose latency is unknown because some members lagged or too many purges
+    /// were pending.
     #[serde(rename = "short")]
     pub incomplete: u64,
 }
 
-/// Why a message can't be encoded, or bytes are not a frame.
+/// An error in encoding a message or decoding a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than [`MAX_FRAME_BYTES`], or than the reader's own limit.
+    /// The text is longer than [`MAX_FRAME_BYTES`] or than the reader's limit. Contains its length in bytes.
     #[error("a frame of {0} bytes is too long")]
     TooLong(usize),
-    /// Not the JSON of a known message.
+    /// The text is not the JSON of a known message.
     #[error("a frame is not valid: {0}")]
     Json(#[from] serde_json::Error),
 }
@@ -300,7 +306,7 @@
 /// Encodes a message as a frame.
 ///
 /// # Errors
-/// If it is too long.
+/// If the text would be longer than [`MAX_FRAME_BYTES`], or the message has no JSON form.
 pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, FrameError> {
     let text = serde_json::to_vec(message)?;
     if text.len() > MAX_FRAME_BYTES {
@@ -311,12 +317,12 @@
     Ok(bytes)
 }
 
-/// Decodes the first frame of a buffer and removes it from there; none if it is not complete yet. `limit`: the longest
-/// text that is accepted, in bytes.
+/// Decodes the first frame of a buffer and removes it from the buffer. Returns `None` if the frame is
+/// incomplete. `limit` is the maximum length of the text, in bytes.
 ///
 /// # Errors
-/// If the buffer can't begin with a valid frame; nothing behind it can be decoded then. The length is checked before
-/// more bytes are waited for.
+/// If the text is too long, or is not the JSON of a `T`. The rest of the buffer can't be decoded after an
+/// error. The length is checked as soon as the prefix has arrived, before the text is complete.
 pub fn decode<T: DeserializeOwned>(buffer: &mut Vec<u8>, limit: usize) -> Result<Option<T>, FrameError> {
     let Some(header) = buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*header) as usize;
--- a/crates/control/src/frame/tests.rs
+++ b/crates/control/src/frame/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn messages_are_decoded_however_their_bytes_are_split() {
+fn messages_are_decoded_from_chunks_of_any_size() {
     let all: Vec<u8> = messages().iter().flat_map(|m| encode(m).expect("short")).collect();
     for size in [1, 3, 7, all.len()] {
         let (mut buffer, mut read) = (Vec::new(), Vec::new());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn hello_without_purges_has_the_form_from_before_purges_existed() {
+fn hello_without_purges_has_the_same_form_as_before_purges_were_introduced() {
     let before = json!({ "type": "hello", "protocol": 1, "instance": "a", "boot": 2, "labels": {},
         "frame_most": 3, "running": null });
     let read: ProxyMessage = serde_json::from_value(before.clone()).expect("read");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn frames_of_purges_are_as_short_as_the_design_assumes() {
+fn frames_of_purges_do_not_exceed_the_sizes_that_the_design_assumes() {
     let (epoch, through) = (1_764_646_000, 1_234_567);
     let purges = ServiceMessage::Purges { epoch, after: through, keys: Keys(vec![u64::MAX; 13]) };
     assert!(encode(&purges).expect("short").len() <= 66 + 140);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_length_over_the_limit_is_rejected_before_more_is_read() {
+fn a_length_over_the_limit_is_rejected_before_the_text_arrives() {
     let mut buffer = u32::MAX.to_be_bytes().to_vec();
     const LONGEST: usize = u32::MAX as usize;
     assert!(matches!(decode::<ServiceMessage>(&mut buffer, 100), Err(FrameError::TooLong(LONGEST))));
@@ -60,7 +60,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_cause_a_panic(mut buffer in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(mut buffer in prop::collection::vec(any::<u8>(), 0..200)) {
         while let Ok(Some(_)) = decode::<ProxyMessage>(&mut buffer, 1000) {}
     }
 }
--- a/crates/control/src/outgoing.rs
+++ b/crates/control/src/outgoing.rs
@@ -1,24 +1,25 @@
-//! Frames on their way to proxies.
+//! Encoded frames that a service sends to proxies.
 
 use crate::frame::{encode, FrameError, ServiceMessage};
 use crate::version::Version;
 use std::sync::Arc;
 
-/// A connection.
+/// Identifies a connection of a service.
 pub type ConnectionId = u64;
 
-/// A frame to be sent, encoded once for all who get the same.
+/// An encoded frame to be sent. The bytes are shared between all connections that get the same message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingFrame {
-    /// The connection.
+    /// The connection to send it on.
     pub to: ConnectionId,
     /// The encoded frame.
     pub bytes: Arc<[u8]>,
-    /// Whether the connection is closed after this frame.
+    /// Whether the connection is closed after this frame is written.
     pub close_after: bool,
 }
 
-/// The frame that leads to a version: a delta where there is a base and that is shorter, or a snapshot.
+/// Encodes an update to a version: a delta from `base` if there is one and the delta is shorter, or else a
+/// snapshot.
 pub(crate) fn encode_update(base: Option<&Version>, version: &Version) -> Result<Arc<[u8]>, FrameError> {
     let Version { stamp, digest, body } = version.clone();
     let snapshot = encode(&ServiceMessage::Snapshot { stamp, digest: digest.clone(), body })?;
@@ -32,12 +33,12 @@
     })
 }
 
-/// A frame for one connection.
+/// Encodes a message for one connection. Returns `None` if it is too long.
 pub(crate) fn unicast(to: ConnectionId, message: &ServiceMessage) -> Option<OutgoingFrame> {
     encode(message).ok().map(|bytes| OutgoingFrame { to, bytes: bytes.into(), close_after: false })
 }
 
-/// Appends a `goodbye` that closes its connection.
+/// Appends a `goodbye` message after which the connection is closed.
 pub(crate) fn goodbye(to: ConnectionId, reason: &str, out: &mut Vec<OutgoingFrame>) {
     let frame = unicast(to, &ServiceMessage::Goodbye { reason: reason.to_owned() });
     out.extend(frame.map(|frame| OutgoingFrame { close_after: true, ..frame }));
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -2,7 +2,7 @@
 
 use crate::client::UpstreamMessage;
 use crate::clock::Clock;
-use crate::connections::{Connections, QUEUE_FRAMES};
+use crate::connections::{Connections, MAX_QUEUED_FRAMES};
 use crate::frame::{encode, OperatorResponse, ProxyMessage, ServiceMessage};
 use crate::latency::LatencyTracker;
 use crate::outgoing::{ConnectionId, OutgoingFrame};
@@ -262,7 +262,7 @@
             continue;
         }
         // Half of a queue is reserved for versions of the configuration.
-        let has_capacity = connections.queue_capacity(id) > QUEUE_FRAMES / 2;
+        let has_capacity = connections.queue_capacity(id) > MAX_QUEUED_FRAMES / 2;
         let frame = OutgoingFrame { to: id, bytes: bytes.clone(), close_after: false };
         if !has_capacity || !connections.send(frame) {
             full.insert(id);
