--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -19,69 +19,73 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve proxies and operators.
+    /// Run a control service, which publishes versions to proxies and accepts operators' requests.
     Serve(ServeArgs),
-    /// Follow a service or another relay, and forward versions and purges to children.
+    /// Run a relay, which follows a service or another relay and forwards versions and purges to its
+    /// children.
     Relay(RelayArgs),
-    /// Purge objects everywhere. A call that is retried under the same sequence is numbered once.
+    /// Purge objects from all caches. A retry with the same publisher and sequence is not added to the log
+    /// again.
     Purge {
         #[command(flatten)]
         operators: OperatorsAddr,
         /// The publisher's name.
         #[arg(long)]
         publisher: String,
-        /// The publisher's own number of this call, rising.
+        /// The publisher's number of this request, which increases with each new request. Serves as
+        /// idempotency key.
         #[arg(long)]
         sequence: u64,
-        /// The objects' keys.
+        /// The keys of the objects.
         #[arg(required = true)]
         keys: Vec<String>,
     },
-    /// Print how far purges have been applied, as JSON.
+    /// Print the progress of purges as JSON.
     Purges {
         #[command(flatten)]
         operators: OperatorsAddr,
     },
-    /// Publish an operator's file as the newest version.
+    /// Publish a configuration file as the newest version.
     Publish {
         #[command(flatten)]
         operators: OperatorsAddr,
-        /// The operator's file, in TOML.
+        /// The configuration file, in TOML.
         file: PathBuf,
-        /// How it is rolled out: a plan in TOML. Without it every proxy gets it at once.
+        /// The rollout plan, a TOML file. Without it every proxy gets the version at once.
         #[arg(long)]
         plan: Option<PathBuf>,
     },
-    /// Publish the content of an earlier version as the newest version.
+    /// Publish the body of an earlier version as the newest version.
     RollBack {
         #[command(flatten)]
         operators: OperatorsAddr,
         /// The epoch of the earlier version.
         epoch: u64,
-        /// Its number.
+        /// The number of the earlier version within its epoch.
         number: u64,
     },
-    /// Stop the rollout of the newest version.
+    /// Halt the rollout of the newest version.
     Halt {
         #[command(flatten)]
         operators: OperatorsAddr,
-        /// The reason.
+        /// The reason, which `status` prints.
         #[arg(value_name = "WHY")]
         reason: String,
     },
-    /// Print which proxy runs what, as JSON.
+    /// Print the newest version, its rollout and the version that each connected proxy runs, as JSON.
     Status {
         #[command(flatten)]
         operators: OperatorsAddr,
     },
-    /// Measure the time from publishing to in force with emulated proxies on loopback.
+    /// Measure the time from the publication of a version until it is in force, with emulated proxies on
+    /// loopback.
     Measure(Measure),
 }
 
-/// The address of a service for operators.
+/// The option for a service's operator address.
 #[derive(Args)]
 pub struct OperatorsAddr {
-    /// Where the service accepts operators' calls.
+    /// The address at which the service accepts operators' requests.
     #[arg(long = "door", value_name = "DOOR")]
     pub addr: SocketAddr,
 }
@@ -89,25 +93,26 @@
 /// Arguments of `serve`.
 #[derive(Args)]
 pub struct ServeArgs {
-    /// Where proxies connect.
+    /// The address at which to accept proxies.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// The address at which to accept operators' requests.
     #[arg(long = "door", value_name = "DOOR")]
     pub operators: SocketAddr,
-    /// The folder that holds the newest version, the epoch and the log of purges over restarts.
+    /// The directory that stores the newest version, the epoch and the purge log across restarts.
     #[arg(long = "dir", value_name = "DIR")]
-    pub folder: PathBuf,
-    /// Accept purges, store them in a log, and distribute them.
+    pub dir: PathBuf,
+    /// Accept purges, store them in the purge log and distribute them.
     #[arg(long)]
     pub purges: bool,
     /// Purges that arrive within this time are stored and sent as one batch.
     #[arg(long, default_value = "20ms", value_parser = parse_duration)]
     pub batch: Duration,
-    /// A child that lags for longer is not waited for before purges count as applied, but named.
+    /// How long purges wait for a child that lags. After that they count as applied without it, and the child
+    /// is listed as lagging.
     #[arg(long, default_value = "4s", value_parser = parse_duration)]
     pub grace: Duration,
-    /// How long a child that has disconnected is named among those that lag.
+    /// How long a disconnected child is listed as lagging.
     #[arg(long, default_value = "2h", value_parser = parse_duration)]
     pub forget: Duration,
     #[command(flatten)]
@@ -117,51 +122,52 @@
 /// Arguments of `relay`.
 #[derive(Args)]
 pub struct RelayArgs {
-    /// Where proxies and other relays connect.
+    /// The address at which to accept proxies and other relays.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// The services or relays to follow: the first, and the next in turn where that one can't be reached.
+    /// The services or relays to follow, tried in turn: one that can't be reached is followed by the next.
     #[arg(long, value_delimiter = ',', required = true)]
     pub upstream: Vec<SocketAddr>,
-    /// The relay's name, the same after a restart.
+    /// The relay's name, which has to stay the same across restarts.
     #[arg(long)]
     pub name: String,
-    /// Where operators ask how far purges and versions are below it.
+    /// The address at which to accept operators' requests for the progress of purges and versions downstream.
     #[arg(long = "door", value_name = "DOOR")]
     pub operators: Option<SocketAddr>,
     /// Purges that arrive within this time are sent as one batch.
     #[arg(long, default_value = "100ms", value_parser = parse_duration)]
     pub batch: Duration,
-    /// A child that lags for longer is not waited for before purges are reported as applied, but named. Shorter than the
-    /// upstream's.
+    /// How long purges wait for a child that lags. After that they are reported as applied without it, and
+    /// the child is listed as lagging. Has to be shorter than the upstream's.
     #[arg(long, default_value = "2s", value_parser = parse_duration)]
     pub grace: Duration,
-    /// How long a child that has disconnected is named among those that lag. At least the lease.
+    /// How long a disconnected child is listed as lagging. Must not be shorter than the lease.
     #[arg(long, default_value = "1m", value_parser = parse_duration)]
     pub forget: Duration,
     #[command(flatten)]
     pub fanout: FanoutArgs,
 }
 
-/// Arguments that a root and a relay have in common.
+/// Arguments for the distribution of purges that `serve` and `relay` share.
 #[derive(Args)]
 pub struct FanoutArgs {
-    /// How many purges the log retains at least, of eight bytes of memory each. A child that lacks older ones is flushed.
+    /// The minimum number of purges that the log retains, at 8 bytes of memory each. A child that is missing
+    /// older ones is flushed.
     #[arg(long, default_value_t = 1 << 20)]
     pub log_entries: usize,
-    /// How long a member may claim to be fresh after a heartbeat.
+    /// How long a member may consider its cache up to date after a heartbeat.
     #[arg(long, default_value = "5s", value_parser = parse_duration)]
     pub lease: Duration,
-    /// Flushes of children are spread over this time.
+    /// The time over which flushes of children are spread.
     #[arg(long, default_value = "10s", value_parser = parse_duration)]
     pub spread: Duration,
-    /// A child that acknowledges none of its purges for so long is disconnected.
+    /// A child that acknowledges none of its purges for this long is disconnected.
     #[arg(long, default_value = "10s", value_parser = parse_duration)]
     pub stuck: Duration,
 }
 
 impl FanoutArgs {
-    /// The settings of a relay, with the times that a root and a relay have different defaults for.
+    /// Combines these arguments with those whose defaults differ between a root and a relay.
     pub fn settings(
         &self,
         batch: Duration,
--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,20 +1,20 @@
-//! A steady clock in the units of the state machines.
+//! A monotonic clock in nanoseconds, the unit of the state machines' times.
 
 use tokio::time::Instant;
 
-/// Counts nanoseconds from its creation.
+/// A monotonic clock whose zero is its creation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero now.
     pub fn start() -> Self {
         Clock { start: Instant::now() }
     }
 
-    /// Nanoseconds since the start.
+    /// Nanoseconds since the clock's creation.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64
     }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! The errors of the program's commands.
 
 use crate::measure::MeasureError;
 use aniseyoke_control::epoch::EpochError;
@@ -8,51 +8,51 @@
 use aniseyoke_control::store::StoreError;
 use std::fmt::Display;
 
-/// Why a command fails.
+/// An error of a command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// An argument contradicts another one.
-    #[error("--forget: it may not be shorter than --lease")]
+    /// `--forget` is shorter than `--lease`.
+    #[error("--forget: must not be shorter than --lease")]
     ForgetShorterThanLease,
-    /// An argument is out of its range.
-    #[error("--log-entries: at least one is kept")]
+    /// `--log-entries` is 0.
+    #[error("--log-entries: must be at least 1")]
     NoLogEntries,
-    /// Something failed at a file, a folder or an address.
+    /// An operation failed on a file, a directory or an address, or on the response.
     #[error("{place}: {source}")]
     At {
-        /// The file, folder or address.
+        /// The file, directory or address, or `the response`.
         place: String,
         /// The cause.
         source: Box<dyn std::error::Error>,
     },
-    /// The runtime can't be started.
+    /// The Tokio runtime can't be started.
     #[error("the runtime can't be started: {0}")]
     Runtime(std::io::Error),
-    /// The log of purges can't be opened.
+    /// The purge log can't be opened.
     #[error(transparent)]
     PurgeLog(#[from] PurgeLogError),
     /// The stored version can't be read.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// No epoch can be started.
+    /// No new epoch can be started.
     #[error(transparent)]
     Epoch(#[from] EpochError),
     /// The stored version can't be published again.
     #[error(transparent)]
     Publish(#[from] PublishError),
-    /// The service can't be called.
+    /// The request got no valid response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The service has rejected the call.
+    /// The service rejected the request, for this reason.
     #[error("{0}")]
     Rejected(String),
-    /// The measurement has failed.
+    /// The measurement failed.
     #[error(transparent)]
     Measure(#[from] MeasureError),
 }
 
 impl CommandError {
-    /// Names the place at which something failed.
+    /// Returns a function that converts an error at `place` to [`CommandError::At`].
     pub fn at<E: Into<Box<dyn std::error::Error>>>(place: impl Display) -> impl FnOnce(E) -> CommandError {
         move |error| CommandError::At { place: place.to_string(), source: error.into() }
     }
--- a/crates/control/src/hosted.rs
+++ b/crates/control/src/hosted.rs
@@ -1,4 +1,4 @@
-//! A service on a thread of its own, for measurements and for tests of proxies.
+//! Runs a service on a separate thread, for measurements and for tests of proxies.
 
 use crate::frame::ProxyStatus;
 use crate::publisher::{PublishError, Publisher};
@@ -19,13 +19,13 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// How many purges a hosted relay retains.
+/// Capacity of a relay's purge log, in entries.
 const RELAY_LOG_CAPACITY: usize = 1024;
 
-/// Why a version was not published.
+/// An error of [`ServiceThread::publish`].
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceThreadError {
-    /// The publisher has rejected it.
+    /// The publisher rejected the version.
     #[error(transparent)]
     Publish(#[from] PublishError),
     /// The service's thread has ended.
@@ -33,36 +33,38 @@
     Ended,
 }
 
-/// The stamp of a published version, and the time right before it was published.
+/// The stamp of a published version, and the time immediately before it was published.
 type PublishResult = Result<(Stamp, Instant), PublishError>;
 
+/// A command to the service's thread.
 enum Command {
     Publish { body: Value, plan: Box<Plan>, reply: Sender<PublishResult> },
     Statuses(Sender<Vec<ProxyStatus>>),
     CpuTime(Sender<Duration>),
 }
 
-/// A service that runs until this is dropped.
+/// A service on a separate thread, which runs until this is dropped.
 pub struct ServiceThread {
-    /// Where proxies connect.
+    /// The address at which the service accepts proxies.
     pub addr: SocketAddr,
-    /// Each caller waits for its reply, so that there are no more commands than callers.
+    /// The channel needs no bound: each caller waits for its reply, so there are at most as many commands as
+    /// callers.
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl ServiceThread {
-    /// Starts a service on any free port of loopback.
+    /// Starts a service on a free port of the loopback address.
     ///
     /// # Errors
-    /// If the system lacks threads, descriptors or ports.
+    /// If a thread, a file descriptor or a port can't be allocated.
     pub fn start(epoch: u64) -> io::Result<Self> {
         Self::spawn(move || Service::new(Publisher::new(epoch)))
     }
 
-    /// Starts a relay of these upstreams on any free port of loopback. It can't publish.
+    /// Starts a relay that follows these upstreams, on a free port of the loopback address. It can't publish.
     ///
     /// # Errors
-    /// If the system lacks threads, descriptors or ports.
+    /// If a thread, a file descriptor or a port can't be allocated.
     pub fn relay(name: &str, upstream: Vec<SocketAddr>) -> io::Result<Self> {
         let config = RelayConfig {
             name: name.to_owned(),
@@ -73,8 +75,8 @@
             warn: |_| (),
         };
         Self::spawn(move || {
-            let (service, follows) = relay_parts(config);
-            tokio::task::spawn_local(follows);
+            let (service, follow_upstream) = relay_parts(config);
+            tokio::task::spawn_local(follow_upstream);
             service
         })
     }
@@ -91,7 +93,7 @@
                     Ok((addr, listener)) => (Ok(addr), Some(listener)),
                     Err(error) => (Err(error), None),
                 };
-                // The starting thread waits for this.
+                // The thread in `spawn` waits for this result.
                 let _ = bound.send(addr);
                 if let Some(listener) = listener {
                     execute(service(), listener, received).await;
@@ -109,7 +111,8 @@
         received.recv().ok()
     }
 
-    /// Publishes a body as the newest version. Returns its stamp, and the time right before it was published.
+    /// Publishes a body as the newest version. Returns its stamp, and the time immediately before it was
+    /// published.
     ///
     /// # Errors
     /// As [`Publisher::publish`], or if the service has ended.
@@ -118,17 +121,18 @@
         Ok(result.ok_or(ServiceThreadError::Ended)??)
     }
 
-    /// What each connected proxy runs; none where the service has ended.
+    /// The status of each connected proxy; empty if the service has ended.
     pub fn statuses(&self) -> Vec<ProxyStatus> {
         self.request(Command::Statuses).unwrap_or_default()
     }
 
-    /// The CPU time that the service's thread has used.
+    /// The CPU time that the service's thread has used so far; zero if the service has ended.
     pub fn cpu_time(&self) -> Duration {
         self.request(Command::CpuTime).unwrap_or_default()
     }
 }
 
+/// Serves proxies and executes commands until the sender of the commands is dropped.
 async fn execute(
     service: Rc<Service>,
     listener: TcpListener,
@@ -136,7 +140,7 @@
 ) {
     tokio::task::spawn_local(service.clone().serve(listener));
     while let Some(command) = commands.recv().await {
-        // The caller may have given up.
+        // A reply can't be sent if its caller no longer exists, which is not an error.
         match command {
             Command::Publish { body, plan, reply } => {
                 let at = Instant::now();
@@ -148,7 +152,7 @@
     }
 }
 
-/// The CPU time of this thread; zero where the system does not provide it.
+/// The CPU time of this thread; zero if the system does not provide it.
 fn thread_cpu_time() -> Duration {
     let used = getrusage(UsageWho::RUSAGE_THREAD).map(|usage| usage.user_time() + usage.system_time());
     Duration::from_micros(used.map_or(0, |used| u64::try_from(used.num_microseconds()).unwrap_or(0)))
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
 //! Distribution of the configuration as numbered versions.
 //!
-//! A [`publisher`] keeps the history of versions and knows which proxy runs which; a [`follower`] at each proxy has the
-//! newest version checked and put in force, and acknowledges or rejects it; a [`rollout`] decides which proxies get a new
-//! version when, and halts where responses get worse; the [`store`] holds the last known good version on disk. The first
-//! three do no I/O and read no clock: messages and times go in, frames and actions come out. [`service`], [`operators`]
-//! and [`client`] drive them on sockets. A [`relay`] is a client of its upstream and a service to its children, and
-//! forwards versions and purges. [`commit`] holds the protocol by which a version is put in force everywhere or nowhere.
-//! `docs/control-protocol.md` specifies the wire protocol.
+//! A [`publisher`] keeps the history of versions and tracks which version each proxy runs. A [`follower`] at
+//! each proxy has the newest version checked and put in force, and acknowledges or rejects it. A [`rollout`]
+//! determines which proxies get a new version at which stage, and halts if responses get worse. These three
+//! do no I/O and read no clock: the caller passes messages and the time, and gets frames and actions back.
+//! [`service`], [`operators`] and [`client`] run them on TCP sockets. The [`store`] keeps the last known good
+//! version on disk. A [`relay`] is a client of its upstream and a service to its children, and forwards
+//! versions and purges. [`commit`] implements a protocol by which a version is put in force either everywhere
+//! or nowhere. `docs/control-protocol.md` specifies the wire protocol.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,5 @@
-//! The configuration service as a program: serves proxies and operators, makes operators' calls, and measures itself.
+//! The `aniseyoke-control` program: runs a control service or a relay, sends operators' requests to one, and
+//! measures the latency of publishing.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -18,9 +19,9 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Writes a line to standard error.
-fn warn(what: &str) {
-    eprintln!("aniseyoke-control: {what}");
+/// Writes a line to standard error, with the program's name as prefix.
+fn warn(message: &str) {
+    eprintln!("aniseyoke-control: {message}");
 }
 
 fn main() -> ExitCode {
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,8 +1,8 @@
-//! Requests of operators, one a connection: the service's side, and the client of the command line.
+//! Operators' requests, one per connection: the server that handles them, and the client of the command line.
 
 use crate::frame::{decode, encode, FrameError, OperatorRequest, OperatorResponse, MAX_FRAME_BYTES};
 use crate::publisher::{PublishError, Publisher};
-use crate::service::{Service, ACCEPT_PAUSE, READ_BYTES};
+use crate::service::{Service, ACCEPT_RETRY_DELAY, READ_BUFFER_BYTES};
 use crate::version::Stamp;
 use aniseyoke_sockets::{classify_accept_error, connect, AcceptError, ConnectError, Uninterrupted};
 use serde::de::DeserializeOwned;
@@ -16,28 +16,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// The time limit of a request with its response.
+/// The timeout of a request, including its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// How many operators are served at once.
-const MAX_OPERATORS: usize = 32;
+/// Maximum number of concurrent operator connections. Further ones are closed without a response.
+const MAX_CONNECTIONS: usize = 32;
 
-/// Serves operators, for good.
+/// Serves operators and never returns.
 pub async fn serve(service: Rc<Service>, listener: TcpListener) -> Infallible {
     let active = Rc::new(Cell::new(0));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if active.get() < MAX_OPERATORS => {
+            Ok((stream, _)) if active.get() < MAX_CONNECTIONS => {
                 active.set(active.get() + 1);
                 let (service, active) = (service.clone(), active.clone());
                 tokio::task::spawn_local(async move {
-                    // An operator that goes away needs no response.
+                    // After a failure or a timeout the connection is closed, and nobody waits for the
+                    // response.
                     let _ = timeout(REQUEST_TIMEOUT, serve_operator(&service, stream)).await;
                     active.set(active.get() - 1);
                 });
             }
             Ok(_) => {}
             Err(e) if classify_accept_error(&e) == AcceptError::Transient => {}
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -56,7 +57,7 @@
     stream.shutdown().await
 }
 
-/// Handles every request but a purge, which waits for the log.
+/// Handles all requests except purges, whose responses have to wait until they are written to the log.
 fn respond(service: &Service, request: OperatorRequest) -> OperatorResponse {
     match request {
         OperatorRequest::Publish { .. } | OperatorRequest::RollBack { .. } | OperatorRequest::Halt { .. }
@@ -97,11 +98,11 @@
     OperatorResponse::Rejected { reason: reason.to_owned() }
 }
 
-/// Reads one message. The outer error is one of the connection.
+/// Reads one message. The outer error is an I/O error of the connection, the inner one an invalid frame.
 async fn receive<T: DeserializeOwned>(
     stream: &mut Uninterrupted<TcpStream>,
 ) -> io::Result<Result<T, FrameError>> {
-    let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
+    let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
         match decode(&mut buffer, MAX_FRAME_BYTES) {
             Ok(Some(message)) => return Ok(Ok(message)),
@@ -114,21 +115,21 @@
     }
 }
 
-/// Why a request has got no response.
+/// An error of [`call`].
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connection could not be established.
     #[error("the control service at {addr}: {source}")]
     Unreached {
-        /// The service's address for operators.
+        /// The address at which the service accepts operators' requests.
         addr: SocketAddr,
         /// The cause.
         source: ConnectError,
     },
-    /// The connection has failed.
+    /// The connection failed before the response was complete.
     #[error("the control service at {addr}: {source}")]
     Connection {
-        /// The service's address for operators.
+        /// The address at which the service accepts operators' requests.
         addr: SocketAddr,
         /// The cause.
         source: io::Error,
@@ -136,23 +137,23 @@
     /// The request or the response is not a valid frame.
     #[error("the control service at {addr}: {source}")]
     Frame {
-        /// The service's address for operators.
+        /// The address at which the service accepts operators' requests.
         addr: SocketAddr,
         /// The cause.
         source: FrameError,
     },
 }
 
-/// Sends a request to a service and waits for the response.
+/// Sends a request to a service and returns the response.
 ///
 /// # Errors
-/// If the service can't be reached, or does not send a valid response.
+/// If the connection can't be established or fails, or if the request or the response is not a valid frame.
 pub async fn call(addr: SocketAddr, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
-    let unreached = |source| CallError::Unreached { addr, source };
-    let connection = |source| CallError::Connection { addr, source };
-    let frame = |source| CallError::Frame { addr, source };
-    let mut stream = Uninterrupted(connect(addr, || ()).await.map_err(unreached)?);
-    let bytes = encode(request).map_err(frame)?;
-    stream.write_all(&bytes).await.map_err(connection)?;
-    receive(&mut stream).await.map_err(connection)?.map_err(frame)
+    let to_unreached = |source| CallError::Unreached { addr, source };
+    let to_connection_error = |source| CallError::Connection { addr, source };
+    let to_frame_error = |source| CallError::Frame { addr, source };
+    let mut stream = Uninterrupted(connect(addr, || ()).await.map_err(to_unreached)?);
+    let bytes = encode(request).map_err(to_frame_error)?;
+    stream.write_all(&bytes).await.map_err(to_connection_error)?;
+    receive(&mut stream).await.map_err(to_connection_error)?.map_err(to_frame_error)
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a service or a relay.
+//! The commands that run a service or a relay.
 
 use crate::cli::{RelayArgs, ServeArgs};
 use crate::error::CommandError;
@@ -18,19 +18,19 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// The file of the newest version, in the service's folder.
-const NEWEST: &str = "newest";
-/// After a version that could not be stored, the newest one is stored again at this interval.
-const STORE_RETRY: Duration = Duration::from_secs(1);
-/// The folder of the log of purges, in the service's folder.
-const PURGES: &str = "purges";
+/// The name of the file that stores the newest version, in the service's directory.
+const NEWEST_VERSION_FILE: &str = "newest";
+/// If a version could not be stored, the newest one is stored again at this interval until it succeeds.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The name of the purge log's directory, in the service's directory.
+const PURGE_LOG_DIR: &str = "purges";
 
 fn since_unix_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-fn next_epoch(folder: &Path) -> Result<u64, EpochError> {
-    epoch::raise(&mut Disk, folder, since_unix_epoch().as_secs())
+fn next_epoch(dir: &Path) -> Result<u64, EpochError> {
+    epoch::raise(&mut Disk, dir, since_unix_epoch().as_secs())
 }
 
 async fn bind(purpose: &str, addr: SocketAddr) -> Result<TcpListener, CommandError> {
@@ -40,7 +40,7 @@
     Ok(listener)
 }
 
-/// Runs a relay, for good.
+/// Runs a relay. Returns only on an error.
 pub fn relay(args: RelayArgs) -> Result<Infallible, CommandError> {
     let settings = args.fanout.settings(args.batch, args.grace, args.forget)?;
     let config = RelayConfig {
@@ -61,22 +61,22 @@
     })
 }
 
-/// Runs a service, for good.
+/// Runs a service. Returns only on an error.
 pub fn serve(args: ServeArgs) -> Result<Infallible, CommandError> {
     let settings = match args.purges {
         true => Some(args.fanout.settings(args.batch, args.grace, args.forget)?),
         false => None,
     };
-    let folder: Rc<Path> = args.folder.into();
-    std::fs::create_dir_all(&folder).map_err(CommandError::at(folder.display()))?;
-    let mut store = Store::new(Disk, folder.join(NEWEST));
-    let first_epoch = next_epoch(&folder)?;
+    let dir: Rc<Path> = args.dir.into();
+    std::fs::create_dir_all(&dir).map_err(CommandError::at(dir.display()))?;
+    let mut store = Store::new(Disk, dir.join(NEWEST_VERSION_FILE));
+    let first_epoch = next_epoch(&dir)?;
     let publisher = Publisher::new(first_epoch);
     let (service, root) = match settings {
         Some(settings) => {
             let log_capacity = args.fanout.log_entries;
             let config = RootConfig { settings, log_capacity, batch: args.batch, epoch: first_epoch, warn };
-            let root = Root::open(publisher, &folder.join(PURGES), config)?;
+            let root = Root::open(publisher, &dir.join(PURGE_LOG_DIR), config)?;
             (root.service.clone(), Some(root))
         }
         None => (Service::new(publisher), None),
@@ -86,33 +86,35 @@
         let at_ms = since_unix_epoch().as_millis() as u64;
         store.save(&StoredVersion { version: version.clone(), at_ms })
     });
-    publish_loaded(&service, loaded)?;
+    republish_loaded(&service, loaded)?;
     LocalSet::new().block_on(&runtime()?, async move {
         let proxies = bind("proxies connect at", args.listen).await?;
         let operators = bind("operators call at", args.operators).await?;
         if let Some(root) = root {
-            let folder = folder.clone();
-            tokio::task::spawn_local(root.run(move || next_epoch(&folder)));
+            let dir = dir.clone();
+            tokio::task::spawn_local(root.run(move || next_epoch(&dir)));
         }
         tokio::task::spawn_local(service.clone().serve(proxies));
         tokio::task::spawn_local(operators::serve(service.clone(), operators));
         loop {
-            sleep(STORE_RETRY).await;
+            sleep(STORE_RETRY_INTERVAL).await;
             service.repair_store();
         }
     })
 }
 
-/// Publishes the version from disk, under a new stamp.
-fn publish_loaded(service: &Service, loaded: Loaded) -> Result<(), CommandError> {
+/// Publishes the version that was loaded from disk under a new stamp.
+fn republish_loaded(service: &Service, loaded: Loaded) -> Result<(), CommandError> {
     match loaded {
         Loaded::Valid(stored) => {
             let before = stored.version.stamp;
             let stamp = service.publish(stored.version.body.value(), Plan::default())?;
-            warn(&format!("version {before} from disk is published as version {stamp}"));
+            warn(&format!("republished version {before} from disk as version {stamp}"));
         }
         Loaded::Damaged { reason, quarantined } => {
-            warn(&format!("the newest version on disk was damaged: {reason}; it is at {quarantined:?}"));
+            warn(&format!(
+                "the newest version on disk is damaged: {reason}; quarantine file: {quarantined:?}"
+            ));
         }
         Loaded::Missing => {}
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,4 +1,5 @@
-//! Drives a [`Publisher`] on sockets, with a task for each proxy. A relay is a service that publishes nothing of its own.
+//! Runs a [`Publisher`] on TCP sockets, with a task for each proxy. A relay is a service that only forwards
+//! the versions of its upstream.
 
 use crate::clock::Clock;
 use crate::connections::{ConnectionQueue, Connections};
@@ -23,43 +24,45 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, timeout};
 
-/// The time limit of a write.
+/// The timeout of a write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest frame of a proxy that is read, in bytes.
+/// Maximum length of a frame that is accepted from a proxy.
 const MAX_PROXY_FRAME_BYTES: usize = 64 << 10;
-const TICK: Duration = Duration::from_secs(1);
-/// The pause after a connection could not be accepted. Danger: without descriptors `accept` fails at once, and again.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How much is read at once, and up to which size short frames are written as one, in bytes.
-pub(crate) const READ_BYTES: usize = 16 << 10;
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
+/// The delay before the next `accept` after one failed. Without free file descriptors it fails immediately on
+/// each call, so retrying without a delay would be a busy loop.
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Size of the read buffer. Queued frames are also combined into one write until they reach this size.
+pub(crate) const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Stores a version on disk.
+/// A function that stores a version on disk.
 type StoreVersion = Box<dyn FnMut(&Version) -> Result<(), StoreError>>;
 
-/// A running service.
+/// A service that distributes versions, and optionally purges, to proxies.
 pub struct Service {
     publisher: RefCell<Publisher>,
     connections: Rc<Connections>,
     clock: Clock,
-    /// Notified when a proxy has answered a version, or has disconnected.
+    /// Notified when a proxy has acknowledged or rejected a version, or has disconnected.
     pub(crate) answered: Notify,
     purges: Option<Rc<PurgeDriver>>,
     purge_queue: RefCell<Option<PurgeQueue>>,
-    /// Stores each version before it is published.
+    /// Called with each version before it is published.
     store: RefCell<Option<StoreVersion>>,
-    /// Whether a version could not be stored: the disk may hold it nevertheless, in place of the newest one.
+    /// Whether storing a version failed. The disk may nevertheless contain that version instead of the newest
+    /// one.
     is_store_stale: Cell<bool>,
     is_relay: bool,
 }
 
 impl Service {
-    /// A service that distributes no purges.
+    /// Creates a service that distributes no purges.
     pub fn new(publisher: Publisher) -> Rc<Self> {
         Self::with_purges(publisher, None, false)
     }
 
-    /// A service that also distributes purges, if there is a driver for them. `is_relay`: its versions come from an
-    /// upstream, and operators can't publish any.
+    /// Creates a service that also distributes purges if there is a driver for them. If `is_relay`, it gets
+    /// its versions from an upstream, and operators can't publish any.
     pub fn with_purges(publisher: Publisher, purges: Option<Rc<PurgeDriver>>, is_relay: bool) -> Rc<Self> {
         Rc::new(Service {
             publisher: RefCell::new(publisher),
@@ -74,17 +77,17 @@
         })
     }
 
-    /// The clock of all times that the service and its purges use.
+    /// The clock that the service and its purges use.
     pub(crate) fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Whether versions come from an upstream.
+    /// Whether the service gets its versions from an upstream.
     pub(crate) fn is_relay(&self) -> bool {
         self.is_relay
     }
 
-    /// Reads something from the publisher.
+    /// Calls a function with the publisher and returns its result.
     pub fn with_publisher<T>(&self, read: impl FnOnce(&Publisher) -> T) -> T {
         read(&self.publisher.borrow())
     }
@@ -94,27 +97,27 @@
         self.with_publisher(|p| p.newest().cloned())
     }
 
-    /// Accepts publishers' purges from now on.
+    /// Starts to accept purges, which are passed to this queue.
     pub(crate) fn accept_purges(&self, queue: PurgeQueue) {
         *self.purge_queue.borrow_mut() = Some(queue);
     }
 
-    /// Where publishers' purges are queued, if they are accepted.
+    /// The queue that accepted purges are passed to, if purges are accepted.
     pub(crate) fn purge_queue(&self) -> Option<PurgeQueue> {
         self.purge_queue.borrow().clone()
     }
 
-    /// How far purges have been applied; none where none are distributed.
+    /// The progress of purges; `None` if the service distributes none.
     pub(crate) fn purge_status(&self) -> Option<OperatorResponse> {
         self.purges.as_ref().map(|purges| purges.status())
     }
 
-    /// Counts of requests that proxies reported since the last call.
+    /// Returns the numbers of requests that proxies have reported since the last call.
     pub(crate) fn take_request_counts(&self) -> RequestCounts {
         self.publisher.borrow_mut().take_request_counts()
     }
 
-    /// Forwards a version of the upstream under its own stamp.
+    /// Forwards a version of the upstream under its original stamp.
     ///
     /// # Errors
     /// As [`Publisher::adopt`].
@@ -122,7 +125,7 @@
         self.update(|p, now, out| p.adopt(now, version, out))
     }
 
-    /// Stores each version from now on, before it is published.
+    /// Sets the function that stores each version before it is published.
     pub fn store_with(&self, store: impl FnMut(&Version) -> Result<(), StoreError> + 'static) {
         *self.store.borrow_mut() = Some(Box::new(store));
     }
@@ -131,8 +134,8 @@
         self.store.borrow_mut().as_mut().map_or(Ok(()), |store| store(version))
     }
 
-    /// After a version that could not be stored, stores the newest one again, so that a restart finds it. True once it is
-    /// stored, or where nothing has to be done.
+    /// Stores the newest version again if storing a later one failed, so that a restart loads the newest
+    /// version. Returns false if the version on disk may still be another one.
     pub fn repair_store(&self) -> bool {
         if self.is_store_stale.get() {
             let is_stored = self.newest().is_none_or(|newest| self.store(&newest).is_ok());
@@ -141,8 +144,8 @@
         !self.is_store_stale.get()
     }
 
-    /// Publishes a version, once it is stored. Danger: a service that is killed after its response would otherwise restart
-    /// with the version before, to which all proxies would return.
+    /// Stores a version and then publishes it. If it were stored later, a service that is killed after its
+    /// response could restart with the previous version, and all proxies would revert to that.
     ///
     /// # Errors
     /// As [`Publisher::publish`], and if it can't be stored.
@@ -168,7 +171,7 @@
         self.publisher.borrow_mut().halt(reason);
     }
 
-    /// Changes the publisher, and sends what results.
+    /// Applies a change to the publisher, and sends the resulting frames.
     fn update<T>(&self, change: impl FnOnce(&mut Publisher, u64, &mut Vec<OutgoingFrame>) -> T) -> T {
         let mut out = Vec::new();
         let result = change(&mut self.publisher.borrow_mut(), self.clock.now(), &mut out);
@@ -176,13 +179,13 @@
         result
     }
 
-    /// Serves proxies, for good.
+    /// Serves proxies and never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> Infallible {
-        let ticking = self.clone();
+        let ticked_service = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                sleep(TICK).await;
-                ticking.update(|p, now, out| p.tick(now, out));
+                sleep(TICK_INTERVAL).await;
+                ticked_service.update(|p, now, out| p.tick(now, out));
             }
         });
         if let Some(purges) = self.purges.clone() {
@@ -192,14 +195,14 @@
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().serve_proxy(stream))),
                 Err(e) if classify_accept_error(&e) == AcceptError::Transient => {}
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
     async fn serve_proxy(self: Rc<Self>, stream: TcpStream) {
         let ConnectionQueue { id, frames, closed } = self.connections.open();
-        // Where it fails that only costs time.
+        // A failure only increases latency.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         let (reader, writer) = (Uninterrupted(reader), Uninterrupted(writer));
@@ -216,9 +219,9 @@
         self.answered.notify_one();
     }
 
-    /// Reads a connection until it ends or an invalid frame arrives.
+    /// Reads messages from a connection until it closes or an invalid frame arrives.
     async fn read_messages(&self, id: ConnectionId, mut reader: Uninterrupted<OwnedReadHalf>) {
-        let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
+        let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
         loop {
             match decode::<ProxyMessage>(&mut buffer, MAX_PROXY_FRAME_BYTES) {
                 Ok(Some(message)) => self.receive(id, message),
@@ -246,11 +249,11 @@
     }
 }
 
-/// Writes frames until the queue ends, a write fails, or a frame closes the connection.
+/// Writes frames until the queue is closed, a write fails, or a frame with `close_after` is written.
 async fn write_frames(mut frames: mpsc::Receiver<OutgoingFrame>, mut writer: Uninterrupted<OwnedWriteHalf>) {
     while let Some(OutgoingFrame { mut bytes, mut close_after, .. }) = frames.recv().await {
-        // Short frames that wait together are sent in one segment: otherwise headers would be half of the traffic.
-        while !close_after && bytes.len() < READ_BYTES {
+        // Short queued frames are sent in one segment: sent separately, headers would be half of the traffic.
+        while !close_after && bytes.len() < READ_BUFFER_BYTES {
             let Ok(next) = frames.try_recv() else { break };
             bytes = [&bytes[..], &next.bytes[..]].concat().into();
             close_after = next.close_after;
