--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -88,7 +88,7 @@
 /// An event and the number of the connection on which it occurred.
 type NumberedEvent = (u64, ConnectionEvent);
 
-/// The current connection. Events of earlier connections are ignored, which their numbers identify.
+/// The current connection. Events of earlier connections, identified by their numbers, are ignored.
 #[derive(Default)]
 struct Connection {
     number: u64,
--- a/crates/control/src/connections.rs
+++ b/crates/control/src/connections.rs
@@ -56,7 +56,7 @@
     }
 
     /// Queues a frame for its connection. If the queue is full, removes the connection, which closes it once
-    /// the queued frames are written. Otherwise a proxy that reads nothing would keep frames in memory that
+    /// the queued frames are written. A proxy that reads nothing would otherwise keep frames in memory that
     /// all other proxies have read.
     pub fn send_or_close(&self, frame: OutgoingFrame) {
         let to = frame.to;
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -141,8 +141,7 @@
     /// The index of the service that is connected, or to be connected next.
     service: usize,
     link: Link,
-    /// The number of consecutive failures: connections that could not be established, or that ended before
-    /// the service sent anything but a goodbye.
+    /// The number of reconnects since a service last sent a message other than a goodbye.
     failures: u32,
     running: Option<Version>,
     /// The version that is being applied.
