--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -3,10 +3,10 @@
 
 use crate::client::UpstreamMessage;
 use crate::clock::Clock;
-use crate::connections::{Connections, QUEUE_FRAMES};
+use crate::connections::{Connections, MAX_QUEUED_FRAMES};
 use crate::frame::{encode, OperatorResponse, ProxyMessage, ServiceMessage};
 use crate::latency::LatencyTracker;
-use crate::outgoing::{Id, OutgoingFrame};
+use crate::outgoing::{ConnectionId, OutgoingFrame};
 use aniseyoke_fanout::relay::{ChildHello, Report};
 use aniseyoke_fanout::{Keys, Log, Progress, Relay, RelayAction, Settings};
 use rustc_hash::FxHashSet;
@@ -76,7 +76,7 @@
 
     /// Handles a message of a child. If the result is false, the connection has to be closed.
     #[must_use]
-    pub(crate) fn receive_downstream(&self, now: u64, id: Id, message: &ProxyMessage) -> bool {
+    pub(crate) fn receive_downstream(&self, now: u64, id: ConnectionId, message: &ProxyMessage) -> bool {
         let mut relay = self.relay.borrow_mut();
         match message {
             ProxyMessage::Hello { purges: Some(position), instance, boot, max_frame_bytes, .. } => {
@@ -102,7 +102,7 @@
     }
 
     /// Handles the end of a child's connection.
-    pub(crate) fn child_disconnected(&self, now: u64, id: Id) {
+    pub(crate) fn child_disconnected(&self, now: u64, id: ConnectionId) {
         self.relay.borrow_mut().child_disconnected(now, id);
         self.changed.notify_one();
     }
@@ -209,7 +209,7 @@
 
     fn perform(&self, connections: &Connections, now: u64, actions: Vec<RelayAction>) {
         // A child whose queue is full gets no further purges, since it would miss some in between.
-        let mut full: FxHashSet<Id> = FxHashSet::default();
+        let mut full: FxHashSet<ConnectionId> = FxHashSet::default();
         for action in actions {
             match action {
                 RelayAction::Purges { to, epoch, after, keys } => {
@@ -253,10 +253,10 @@
 /// had no capacity for it, and adds them to `full`.
 fn multicast(
     connections: &Connections,
-    to: Vec<Id>,
+    to: Vec<ConnectionId>,
     message: &ServiceMessage,
-    full: &mut FxHashSet<Id>,
-) -> Vec<Id> {
+    full: &mut FxHashSet<ConnectionId>,
+) -> Vec<ConnectionId> {
     let Ok(bytes) = encode(message) else { return Vec::new() };
     let bytes: Arc<[u8]> = bytes.into();
     let mut failed = Vec::new();
@@ -265,7 +265,7 @@
             continue;
         }
         // Half of each queue is reserved for versions of the configuration.
-        let has_capacity = connections.queue_capacity(id) > QUEUE_FRAMES / 2;
+        let has_capacity = connections.queue_capacity(id) > MAX_QUEUED_FRAMES / 2;
         let frame = OutgoingFrame { to: id, bytes: bytes.clone(), close_after: false };
         if !has_capacity || !connections.send(frame) {
             full.insert(id);
