--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,9 +1,9 @@
-//! One replica of the control service's log. Three or five of them agree on one order of records; the loss of a minority
-//! loses no record and stops no agreement.
+//! A replica of the control service's log. A group of three or five replicas agrees on one order of records; the failure
+//! of a minority loses no record and does not stop new records from being committed.
 //!
-//! [`Replica`] combines the state machine of the `raft` crate with a [`Store`] on disk. It has no clock and no sockets: its
-//! owner lets time pass, carries messages, and gets the committed records. What is written to the store is on disk before
-//! anything that depends on it leaves the replica. `docs/design-commit.md` explains the design.
+//! [`Replica`] combines the state machine of the `raft` crate with a [`Store`] on disk. It has no clock and no sockets: the
+//! caller drives its ticks, transfers its messages and receives the committed records. Data is synced to disk before any
+//! message that depends on it is sent. `docs/design-commit.md` explains the design.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,97 +1,100 @@
-//! A replica: the raft state machine, its store, and what results from driving both.
+//! A replica: the Raft state machine, its store, and the output of each step.
 
 use super::store::{Store, StoreError};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType};
 use raft::{Config, RawNode, ReadOnlyOption, StateRole};
 
-/// Ticks without a heartbeat after which another leader is elected, and ticks between two heartbeats.
+/// Ticks without a heartbeat after which a follower starts an election.
 const ELECTION_TICKS: usize = 10;
+/// Ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// The size of the records in one message, in bytes.
+/// The maximum size of the records in one message.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
-/// How many messages to one replica may be in flight.
+/// The maximum number of messages in flight to one replica.
 const MAX_IN_FLIGHT: usize = 64;
-/// The longest record, in bytes.
+/// The maximum size of a record.
 const MAX_RECORD_BYTES: usize = 20 << 20;
-/// The size of the records that are not committed yet, in bytes; beyond it new ones are rejected.
+/// The maximum total size of uncommitted records; further proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 64 << 20;
 
-/// What has happened at a replica.
+/// An event at a replica, reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A record is committed: its index and its content. In order and without gaps, once for each start of the replica.
+    /// A record is committed: its index and its content. Records are delivered in order and without gaps, once for each
+    /// start of the replica.
     Committed(u64, Vec<u8>),
-    /// A snapshot, in place of all records up to this index.
+    /// A snapshot replaces all records up to this index.
     Snapshot(u64, Vec<u8>),
-    /// A majority has confirmed that this replica leads, since confirmation was requested with this number.
+    /// A majority has confirmed, after the request with this number, that this replica is the leader.
     LeadershipConfirmed(u64),
-    /// This replica has become the leader of this term; or, if none, is not the leader any more.
+    /// This replica has become the leader in this term, or has stopped being the leader (`None`).
     LeadershipChanged(Option<u64>),
 }
 
-/// What is to be done after a replica was driven.
+/// The result of a step: messages to send and events to process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// Messages, each with the replica that it is for. Any of them may be lost.
+    /// Messages, each with the id of the destination replica. Raft tolerates the loss of any of them.
     pub messages: Vec<(u64, Vec<u8>)>,
-    /// What has happened, in order.
+    /// Events in order of occurrence.
     pub events: Vec<Event>,
 }
 
-/// Why a replica can't continue.
+/// A fatal error of a replica.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Its store can't be read or written. The replica has ended: every further call fails, since memory may be ahead of the
-    /// disk.
-    #[error("the log's store: {0}")]
+    /// The store can't be read or written. Every further call to the replica fails, because its state in memory may be ahead
+    /// of the disk.
+    #[error("log store failed: {0}")]
     Store(StoreError),
-    /// The raft state machine has failed.
-    #[error("the log: {0}")]
+    /// The Raft state machine has failed.
+    #[error("Raft failed: {0}")]
     Raft(#[from] raft::Error),
 }
 
-/// Why a replica did not accept something. It has changed nothing.
+/// The reason for rejecting a call. A rejected call changes no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejected {
-    /// The replica is not the leader. If it knows the leader, this is its id.
+    /// The replica is not the leader; contains the id of the leader if known.
     #[error("{}", match .0 {
-        Some(leader) => format!("replica {leader} leads"),
-        None => "no replica leads, as far as this one knows".to_owned(),
+        Some(leader) => format!("replica {leader} is the leader"),
+        None => "no leader is known to this replica".to_owned(),
     })]
     NotLeader(Option<u64>),
-    /// The record is too long; this is its size in bytes.
+    /// The record is too long; contains its size in bytes.
     #[error("a record of {0} bytes is longer than {MAX_RECORD_BYTES}")]
     TooLong(usize),
-    /// Too many records are not committed yet.
-    #[error("too many records wait to be committed")]
+    /// The limit of uncommitted records is reached.
+    #[error("there are too many uncommitted records")]
     Full,
-    /// The bytes are not a message of a replica of this group.
-    #[error("the bytes are not a message of a replica")]
+    /// The bytes are not a message of a replica in this group.
+    #[error("the bytes are not a message of a replica in this group")]
     InvalidMessage,
 }
 
-/// The outer error ends the replica; the inner one is a rejection, after which it continues.
+/// The outer error is fatal to the replica; the inner one is a rejection, after which it continues.
 pub type Outcome = Result<Result<Output, Rejected>, Error>;
 
-/// One replica.
+/// A replica in a Raft group.
 pub struct Replica {
     node: RawNode<Store>,
-    /// The term in which it leads.
+    /// The term in which this replica is the leader.
     leading_term: Option<u64>,
-    /// The index of the last record that was handed out.
+    /// The index of the last record that was delivered to the caller.
     applied: u64,
-    /// Events from the start: a snapshot from the store.
+    /// Events of the next output: the snapshot that the store had at startup.
     initial_events: Vec<Event>,
-    /// The error that ended it.
+    /// The fatal error, after which every call fails.
     failure: Option<String>,
 }
 
 impl Replica {
-    /// Starts replica `id` on its store. All records that are committed are handed out again, as raft finds that they are.
+    /// Starts replica `id` on its store. All committed records are delivered again, once Raft has established that they are
+    /// committed.
     ///
     /// # Errors
-    /// If the store does not fit, as when `id` is not one of its members.
+    /// If the store does not match, for example because `id` is not one of its members.
     pub fn start(id: u64, store: Store) -> Result<Self, Error> {
         let members = &store.members().voters;
         if !members.contains(&id) {
@@ -110,7 +113,7 @@
             max_size_per_msg: MAX_MESSAGE_BYTES,
             max_inflight_msgs: MAX_IN_FLIGHT,
             max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
-            // A leader without a majority steps down, and one that reconnects does not unseat another.
+            // A leader without a majority steps down, and a replica that reconnects does not force an election.
             check_quorum: true,
             pre_vote: true,
             read_only_option: ReadOnlyOption::Safe,
@@ -121,47 +124,47 @@
         Ok(Replica { node, leading_term: None, applied, initial_events, failure: None })
     }
 
-    /// Its id.
+    /// The id of this replica.
     pub fn id(&self) -> u64 {
         self.node.raft.id
     }
 
-    /// The id of the leader, if this replica knows it.
+    /// The id of the leader, if known to this replica.
     pub fn leader(&self) -> Option<u64> {
         Some(self.node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// The term in which this replica leads.
+    /// The term in which this replica is the leader; `None` if it is not the leader.
     pub fn leading_term(&self) -> Option<u64> {
         self.leading_term
     }
 
-    /// The index of the last record that was handed out.
+    /// The index of the last record that was delivered to the caller.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// How many records the store holds besides its snapshot.
+    /// The number of log entries in the store that its snapshot does not cover.
     pub fn retained(&self) -> usize {
         self.node.store().len()
     }
 
-    /// Lets time pass: a tenth of the time after which a silent leader is replaced.
+    /// Advances the logical clock by one tick: a tenth of the election timeout.
     ///
     /// # Errors
-    /// If the replica can't continue.
+    /// If the replica has failed.
     pub fn tick(&mut self) -> Result<Output, Error> {
-        self.drive(|replica| {
+        self.run_step(|replica| {
             replica.node.tick();
-            replica.drain()
+            replica.process_ready()
         })
     }
 
-    /// Makes a step unless an error has ended the replica. Danger: after an error memory is ahead of the disk, and nothing of
-    /// it may be sent, even once the disk works again.
-    fn drive<T>(&mut self, step: impl FnOnce(&mut Self) -> Result<T, Error>) -> Result<T, Error> {
+    /// Runs a step unless the replica has failed. After an error the state in memory may be ahead of the disk, so nothing
+    /// derived from it may be sent, even if the disk works again.
+    fn run_step<T>(&mut self, step: impl FnOnce(&mut Self) -> Result<T, Error>) -> Result<T, Error> {
         if let Some(failure) = &self.failure {
-            return Err(Error::Store(format!("the replica has ended: {failure}").into()));
+            return Err(Error::Store(format!("the replica has failed: {failure}").into()));
         }
         let result = step(self);
         if let Err(error) = &result {
@@ -170,12 +173,12 @@
         result
     }
 
-    /// A message of another replica has arrived.
+    /// Processes a message from another replica.
     ///
     /// # Errors
-    /// [`Error`]; the inner one if it is not a message of this group.
+    /// [`Error`]; the inner error if it is not a message of this group.
     pub fn receive(&mut self, bytes: &[u8]) -> Outcome {
-        self.drive(|replica| replica.handle(bytes))
+        self.run_step(|replica| replica.handle(bytes))
     }
 
     fn handle(&mut self, bytes: &[u8]) -> Outcome {
@@ -187,14 +190,14 @@
         }
         self.check_not_behind(&message)?;
         match self.node.step(message) {
-            // Late responses to requests of this replica as a leader or candidate.
+            // Late responses to requests that this replica sent as a leader or candidate.
             Ok(()) | Err(raft::Error::StepPeerNotFound | raft::Error::ProposalDropped) => {}
             Err(e) => return Err(e.into()),
         }
-        self.drain().map(Ok)
+        self.process_ready().map(Ok)
     }
 
-    /// Checks that this replica still has what the leader knows it to have stored. Danger: raft itself panics otherwise.
+    /// Checks that this replica still has the records that it acknowledged to the leader. Raft itself panics otherwise.
     fn check_not_behind(&self, message: &Message) -> Result<(), Error> {
         let last = raft::Storage::last_index(self.node.store())?;
         if message.get_msg_type() != MessageType::MsgHeartbeat || message.commit <= last {
@@ -202,15 +205,15 @@
         }
         let (stored, id) = (message.commit, self.id());
         let reason =
-            format!("it ends at {last}, and replica {id} had {stored} records: its disk has lost some");
+            format!("the log ends at record {last}, but replica {id} has acknowledged {stored} records: its disk has lost some");
         Err(Error::Store(reason.into()))
     }
 
-    /// Proposes a record. It may be committed later, or never; [`Event::Committed`] tells. A record that was proposed in one
-    /// term is never committed after a record of a later term is.
+    /// Proposes a record. It may be committed later, reported by [`Event::Committed`], or never. A record that was proposed
+    /// in one term is never committed after a record of a later term.
     ///
     /// # Errors
-    /// [`Error`]; the inner one says why the record was rejected, and will not be committed.
+    /// [`Error`]; the inner error gives the reason why the record is rejected. A rejected record is never committed.
     pub fn propose(&mut self, record: Vec<u8>) -> Outcome {
         if record.len() > MAX_RECORD_BYTES {
             return Ok(Err(Rejected::TooLong(record.len())));
@@ -218,41 +221,41 @@
         if self.leading_term.is_none() {
             return Ok(Err(Rejected::NotLeader(self.leader())));
         }
-        self.drive(|replica| match replica.node.propose(Vec::new(), record) {
-            Ok(()) => replica.drain().map(Ok),
+        self.run_step(|replica| match replica.node.propose(Vec::new(), record) {
+            Ok(()) => replica.process_ready().map(Ok),
             Err(raft::Error::ProposalDropped) => Ok(Err(Rejected::Full)),
             Err(e) => Err(e.into()),
         })
     }
 
-    /// Requests that a majority confirms that this replica leads. [`Event::LeadershipConfirmed`] with the same number tells
-    /// that it does; there is no event if it does not.
+    /// Requests that a majority confirms that this replica is the leader. [`Event::LeadershipConfirmed`] with the same
+    /// number reports success; there is no event on failure.
     ///
     /// # Errors
-    /// [`Error`]; the inner one says that it does not lead.
+    /// [`Error`]; the inner error if this replica is not the leader.
     pub fn confirm_leadership(&mut self, number: u64) -> Outcome {
         if self.leading_term.is_none() {
             return Ok(Err(Rejected::NotLeader(self.leader())));
         }
-        self.drive(|replica| {
+        self.run_step(|replica| {
             replica.node.read_index(number.to_be_bytes().to_vec());
-            replica.drain().map(Ok)
+            replica.process_ready().map(Ok)
         })
     }
 
-    /// Replaces the records up to one that was handed out by a snapshot, which is what replicas that lack them get.
+    /// Replaces the records up to a delivered record by a snapshot. Replicas that lack these records receive the snapshot.
     ///
     /// # Errors
-    /// If the store fails, or that record was not handed out.
+    /// If the store fails, or the record was not delivered.
     pub fn compact(&mut self, index: u64, snapshot: Vec<u8>) -> Result<(), Error> {
         if index > self.applied {
-            return Err(Error::Store(format!("record {index} was not handed out yet").into()));
+            return Err(Error::Store(format!("record {index} has not been delivered yet").into()));
         }
-        self.drive(|replica| replica.node.mut_store().compact(index, snapshot).map_err(Error::Store))
+        self.run_step(|replica| replica.node.mut_store().compact(index, snapshot).map_err(Error::Store))
     }
 
-    /// Carries out what the raft state machine requests: first to disk, then to the network.
-    fn drain(&mut self) -> Result<Output, Error> {
+    /// Performs the actions that the Raft state machine requests: writes to disk first, then sends messages.
+    fn process_ready(&mut self) -> Result<Output, Error> {
         let events = std::mem::take(&mut self.initial_events);
         let mut output = Output { messages: Vec::new(), events };
         while self.node.has_ready() {
@@ -272,11 +275,11 @@
                 self.applied = index;
                 self.node.mut_store().replace(snapshot).map_err(Error::Store)?;
             }
-            self.hand_out(&mut output, ready.take_committed_entries());
+            self.deliver_committed(&mut output, ready.take_committed_entries());
             let hard = ready.hs().cloned();
             let entries = ready.take_entries();
             self.node.mut_store().write(&entries, hard.as_ref()).map_err(Error::Store)?;
-            // Danger: votes and acknowledgements must not be sent before what they promise is on disk.
+            // Votes and acknowledgements must not be sent before the state that they confirm is on disk.
             send(&mut output, ready.take_persisted_messages())?;
             push_confirmations(&mut output, ready.take_read_states());
             let mut light = self.node.advance(ready);
@@ -284,16 +287,16 @@
                 self.node.mut_store().committed(index);
             }
             send(&mut output, light.take_messages())?;
-            self.hand_out(&mut output, light.take_committed_entries());
+            self.deliver_committed(&mut output, light.take_committed_entries());
             self.node.advance_apply();
         }
         Ok(output)
     }
 
-    fn hand_out(&mut self, output: &mut Output, entries: Vec<Entry>) {
+    fn deliver_committed(&mut self, output: &mut Output, entries: Vec<Entry>) {
         for entry in entries {
             self.applied = self.applied.max(entry.index);
-            // The first entry of a leader is empty, and the members of a group do not change.
+            // The first entry of a leader is empty. There are no membership changes, thus no entries of other types.
             if entry.get_entry_type() == EntryType::EntryNormal && !entry.get_data().is_empty() {
                 output.events.push(Event::Committed(entry.index, entry.get_data().to_vec()));
             }
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -1,4 +1,4 @@
-//! The log on disk, in redb, with a copy in memory that raft reads.
+//! The log on disk, in redb, with a copy in memory that Raft reads.
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -8,30 +8,30 @@
 use std::fs::{File, OpenOptions};
 use std::path::Path;
 
-/// Entries by index.
+/// Log entries by index.
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-/// The hard state and the snapshot, by name.
+/// The hard state and the snapshot, by key.
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const HARD_STATE: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
 
-/// Why the store can't be read or written: an error of redb, of the file system, of raft, or of the data.
+/// An error of redb, the file system or Raft, or invalid data.
 pub type StoreError = Box<dyn std::error::Error + Send + Sync>;
 
-/// How many bytes are rewritten at once.
-const REWRITE_BYTES: usize = 1 << 20;
+/// The size of a chunk that is rewritten at once.
+const REWRITE_CHUNK_BYTES: usize = 1 << 20;
 
-/// Writes every byte again, and syncs them. Danger: what is read may be in the page cache only, if its sync failed in a
-/// process that has ended since; a later sync would not report that.
+/// Rewrites the whole file and syncs it. If a sync failed in a process that has ended since, the data that is read may
+/// exist in the page cache only, and a later sync without a rewrite would not report that.
 fn rewrite(backend: &impl StorageBackend) -> std::io::Result<()> {
     let length = backend.len()?;
-    let mut chunk = vec![0; REWRITE_BYTES];
-    let mut at = 0;
-    while at < length {
-        let size = usize::try_from(length - at).unwrap_or(REWRITE_BYTES).min(REWRITE_BYTES);
-        backend.read(at, &mut chunk[..size])?;
-        backend.write(at, &chunk[..size])?;
-        at += size as u64;
+    let mut chunk = vec![0; REWRITE_CHUNK_BYTES];
+    let mut position = 0;
+    while position < length {
+        let size = usize::try_from(length - position).unwrap_or(REWRITE_CHUNK_BYTES).min(REWRITE_CHUNK_BYTES);
+        backend.read(position, &mut chunk[..size])?;
+        backend.write(position, &chunk[..size])?;
+        position += size as u64;
     }
     if length > 0 {
         backend.sync_data()?;
@@ -43,17 +43,17 @@
 pub struct Store {
     disk: Database,
     hard: HardState,
-    /// Replaces the entries before the first one; at the start it holds only the members.
+    /// Replaces the entries before `entries`; in a new log it contains only the members.
     snapshot: Snapshot,
     /// The entries after the snapshot.
     entries: Vec<Entry>,
 }
 
 impl Store {
-    /// Opens the log in a file, or creates one there with these members.
+    /// Opens the log in a file, or creates a log with these members if the file does not exist.
     ///
     /// # Errors
-    /// If the file can't be opened, is not a log, or is the log of other members.
+    /// If the file can't be opened, is not a log, or is the log of a group with other members.
     pub fn open(path: &Path, members: &[u64]) -> Result<Self, StoreError> {
         if !path.exists() {
             Self::create(path, members)?;
@@ -62,8 +62,9 @@
         Self::open_on(FileBackend::new(file)?, members)
     }
 
-    /// Creates a log under a temporary name, which is renamed once it is complete. Danger: a log whose creation was interrupted
-    /// could never be opened; and one whose name is not synced is gone after a power loss, with every vote in it.
+    /// Creates a log under a temporary name and renames it once it is complete. Otherwise a log whose creation was
+    /// interrupted could never be opened. Without the sync of the directory a power failure could remove the log, with every
+    /// vote in it.
     fn create(path: &Path, members: &[u64]) -> Result<(), StoreError> {
         let mut new = path.as_os_str().to_owned();
         new.push(".new");
@@ -71,8 +72,8 @@
         drop(Self::open_on(FileBackend::new(file)?, members)?);
         File::open(&new)?.sync_all()?;
         std::fs::rename(&new, path)?;
-        let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
-        File::open(folder.unwrap_or(Path::new(".")))?.sync_all()?;
+        let directory = path.parent().filter(|directory| !directory.as_os_str().is_empty());
+        File::open(directory.unwrap_or(Path::new(".")))?.sync_all()?;
         Ok(())
     }
 
@@ -103,7 +104,7 @@
         }
         let snapshot = match snapshot {
             Some(snapshot) => snapshot,
-            None if !entries.is_empty() => return Err("it has records without their members".into()),
+            None if !entries.is_empty() => return Err("it has records but no list of members".into()),
             None => {
                 let mut first = Snapshot::default();
                 first.mut_metadata().mut_conf_state().voters = members.to_vec();
@@ -113,14 +114,14 @@
                 first
             }
         };
-        // Danger: with other members there could be two majorities that do not know of each other.
+        // With a different member list there could be two disjoint majorities.
         let sorted = |ids: &[u64]| ids.iter().copied().collect::<std::collections::BTreeSet<u64>>();
         let stored = sorted(&snapshot.get_metadata().get_conf_state().voters);
         if stored != sorted(members) {
             return Err(format!("it is a log of members {stored:?}, and not of {members:?}").into());
         }
         let mut store = Store { disk, hard, snapshot, entries };
-        // Entries that the snapshot covers stay on disk until the next write, and are ignored.
+        // Entries that the snapshot covers stay on disk until the next write; they are ignored here.
         let snapshot_index = store.snapshot_index();
         store.entries.retain(|e| e.index > snapshot_index);
         let contiguous =
@@ -140,17 +141,17 @@
         usize::try_from(index.checked_sub(self.snapshot_index() + 1)?).ok()
     }
 
-    /// How many entries it holds.
+    /// The number of entries that the snapshot does not cover.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether it holds no entries.
+    /// Whether there are no entries besides the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The snapshot that replaces earlier entries.
+    /// The data of the snapshot that replaces earlier entries.
     pub fn snapshot_data(&self) -> &[u8] {
         self.snapshot.get_data()
     }
@@ -160,11 +161,11 @@
         self.snapshot.get_metadata().get_conf_state()
     }
 
-    /// Writes what raft requires on disk in one transaction: entries, which replace any from their first one on, and the hard
-    /// state.
+    /// Writes entries and the hard state in one transaction. The entries replace all existing ones from the index of the
+    /// first entry.
     ///
     /// # Errors
-    /// If it is not on disk; memory is unchanged.
+    /// If the transaction fails; the state in memory is unchanged.
     pub(crate) fn write(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
         if entries.is_empty() && hard.is_none() {
             return Ok(());
@@ -196,19 +197,19 @@
         Ok(())
     }
 
-    /// The commit index has moved; that alone need not be on disk.
+    /// Updates the commit index in memory only: Raft does not require that it is persisted on its own.
     pub(crate) fn committed(&mut self, index: u64) {
         self.hard.commit = index;
     }
 
-    /// Replaces everything by a snapshot of another replica.
+    /// Replaces the log by a snapshot of another replica.
     ///
     /// # Errors
     /// As [`Self::write`].
     pub(crate) fn replace(&mut self, snapshot: Snapshot) -> Result<(), StoreError> {
         let index = snapshot.get_metadata().index;
         if index < self.snapshot_index() {
-            return Err("the snapshot is older than the one in the store".into());
+            return Err("the snapshot is older than the current one".into());
         }
         let mut hard = self.hard.clone();
         hard.term = hard.term.max(snapshot.get_metadata().term);
@@ -216,10 +217,10 @@
         self.install_snapshot(snapshot, hard, |_| false)
     }
 
-    /// Replaces the entries up to a committed and applied one by a snapshot.
+    /// Replaces the entries up to a committed and applied index by a snapshot.
     ///
     /// # Errors
-    /// As [`Self::write`], and if that entry is not in the store.
+    /// As [`Self::write`], and if the entry at this index is not in the store.
     pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), StoreError> {
         if index <= self.snapshot_index() {
             return Ok(());
@@ -275,8 +276,8 @@
         if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        let at = self.offset(index).ok_or(Raft::Store(StorageError::Compacted))?;
-        self.entries.get(at).map(|e| e.term).ok_or(Raft::Store(StorageError::Unavailable))
+        let position = self.offset(index).ok_or(Raft::Store(StorageError::Compacted))?;
+        self.entries.get(position).map(|e| e.term).ok_or(Raft::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
--- a/crates/replica/tests/group.rs
+++ b/crates/replica/tests/group.rs
@@ -1,5 +1,5 @@
-//! Groups of replicas on real stores with a simulated network: loss of a minority, isolated leaders, restarts from disk,
-//! snapshots.
+//! Tests of replica groups on real stores with a simulated network: failure of a minority, isolated leaders, restarts from
+//! disk, snapshots.
 
 use aniseyoke_replica::{Event, Output, Rejected, Replica, Store};
 use rand::rngs::SmallRng;
@@ -7,17 +7,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::PathBuf;
 
-/// Far more ticks than any election takes.
+/// More ticks than any election takes.
 const MANY_TICKS: usize = 400;
 
 struct Group {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     members: Vec<u64>,
     up: BTreeMap<u64, Replica>,
     /// Links that are cut, in both directions.
     cut: BTreeSet<(u64, u64)>,
-    net: VecDeque<(u64, u64, Vec<u8>)>,
-    /// The records that each replica has handed out since its last start, by index.
+    in_flight: VecDeque<(u64, u64, Vec<u8>)>,
+    /// The records that each replica has delivered since its last start, by index.
     committed: BTreeMap<u64, BTreeMap<u64, Vec<u8>>>,
     confirmed: BTreeSet<(u64, u64)>,
     snapshots: u64,
@@ -26,13 +26,13 @@
 impl Group {
     fn new(size: u64) -> Self {
         let members: Vec<u64> = (1..=size).collect();
-        let folder = tempfile::tempdir().expect("a folder");
+        let directory = tempfile::tempdir().expect("a folder");
         let mut group = Group {
-            folder,
+            directory,
             members: members.clone(),
             up: BTreeMap::new(),
             cut: BTreeSet::new(),
-            net: VecDeque::new(),
+            in_flight: VecDeque::new(),
             committed: BTreeMap::new(),
             confirmed: BTreeSet::new(),
             snapshots: 0,
@@ -42,7 +42,7 @@
     }
 
     fn path(&self, id: u64) -> PathBuf {
-        self.folder.path().join(format!("log-{id}"))
+        self.directory.path().join(format!("log-{id}"))
     }
 
     fn start(&mut self, id: u64) {
@@ -65,11 +65,11 @@
     }
 
     fn collect(&mut self, id: u64, output: Output) {
-        self.net.extend(output.messages.into_iter().map(|(to, bytes)| (id, to, bytes)));
+        self.in_flight.extend(output.messages.into_iter().map(|(to, bytes)| (id, to, bytes)));
         for event in output.events {
             match event {
                 Event::Committed(index, record) => {
-                    // All replicas hand out the same record at an index.
+                    // All replicas deliver the same record at an index.
                     for other in self.committed.values() {
                         assert!(other.get(&index).is_none_or(|r| *r == record), "two records at {index}");
                     }
@@ -83,7 +83,7 @@
     }
 
     fn deliver(&mut self) {
-        while let Some((from, to, bytes)) = self.net.pop_front() {
+        while let Some((from, to, bytes)) = self.in_flight.pop_front() {
             if self.cut.contains(&(from.min(to), from.max(to))) {
                 continue;
             }
@@ -103,7 +103,7 @@
         self.deliver();
     }
 
-    /// Waits for a leader that is connected to a majority.
+    /// Ticks until there is a leader that is connected to a majority, and returns its id.
     fn leader(&mut self) -> u64 {
         for _ in 0..MANY_TICKS {
             self.tick();
@@ -122,7 +122,7 @@
                 return leader;
             }
         }
-        panic!("no replica leads");
+        panic!("no leader was elected");
     }
 
     fn propose(&mut self, id: u64, record: &str) -> Result<(), Rejected> {
@@ -145,26 +145,26 @@
         self.committed[&id].values().map(|r| String::from_utf8_lossy(r).into_owned()).collect()
     }
 
-    fn until_all_have(&mut self, wanted: &[&str]) {
+    fn until_all_have(&mut self, expected: &[&str]) {
         for _ in 0..MANY_TICKS {
             self.tick();
-            if self.up.keys().all(|id| self.texts(*id) == wanted) {
+            if self.up.keys().all(|id| self.texts(*id) == expected) {
                 return;
             }
         }
-        let has: Vec<_> = self.up.keys().map(|id| (*id, self.texts(*id))).collect();
-        panic!("wanted {wanted:?}, and there is {has:?}");
+        let actual: Vec<_> = self.up.keys().map(|id| (*id, self.texts(*id))).collect();
+        panic!("expected {expected:?}, found {actual:?}");
     }
 }
 
 #[test]
-fn the_loss_of_a_minority_stops_and_loses_nothing() {
+fn a_failed_minority_stops_no_commits_and_loses_no_records() {
     for size in [3, 5] {
         let mut group = Group::new(size);
         let leader = group.leader();
         group.propose(leader, "one").expect("accepted");
         group.until_all_have(&["one"]);
-        // The leader fails, and as many others as make a minority.
+        // The leader and followers that make up a minority fail.
         let lost: Vec<u64> = std::iter::once(leader)
             .chain((1..=size).filter(|id| *id != leader))
             .take(size as usize / 2)
@@ -173,7 +173,7 @@
         let leader = group.leader();
         group.propose(leader, "two").expect("accepted");
         group.until_all_have(&["one", "two"]);
-        // They restart from their disks and catch up.
+        // The failed replicas restart from their disks and catch up.
         lost.iter().for_each(|id| group.start(*id));
         group.until_all_have(&["one", "two"]);
     }
@@ -200,26 +200,26 @@
     group.confirm(old, 1);
     assert!(group.confirmed.contains(&(old, 1)));
     group.isolate(old);
-    // It does not know yet that it is isolated.
+    // The isolated leader has not detected the partition yet.
     group.propose(old, "lost").expect("accepted");
     group.confirm(old, 2);
     let new = group.leader();
     assert_ne!(new, old);
     group.propose(new, "won").expect("accepted");
     assert!(!group.confirmed.contains(&(old, 2)), "no majority was reached");
-    // It steps down by itself.
+    // The isolated leader steps down after an election timeout without a majority.
     for _ in 0..MANY_TICKS {
         group.tick();
     }
     assert!(group.up[&old].leading_term().is_none());
-    let rejected = group.propose(old, "late").expect_err("it does not lead any more");
+    let rejected = group.propose(old, "late").expect_err("it is no longer the leader");
     assert!(matches!(rejected, Rejected::NotLeader(_)), "{rejected}");
     group.reconnect();
     group.until_all_have(&["won"]);
 }
 
 #[test]
-fn the_loss_of_a_majority_stops_commits_until_it_is_back() {
+fn a_failed_majority_stops_commits_until_it_recovers() {
     let mut group = Group::new(3);
     let leader = group.leader();
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
@@ -251,7 +251,7 @@
         let last = replica.applied();
         replica.compact(last, b"twenty".to_vec()).expect("compacted");
         assert_eq!(replica.retained(), 0);
-        assert!(replica.compact(last + 1, Vec::new()).is_err(), "it was not handed out yet");
+        assert!(replica.compact(last + 1, Vec::new()).is_err(), "it has not been delivered yet");
     }
     group.start(absent);
     let leader = group.leader();
@@ -259,7 +259,7 @@
     (0..MANY_TICKS / 10).for_each(|_| group.tick());
     assert!(group.snapshots > 0);
     assert_eq!(group.texts(absent), ["behind"]);
-    // From its own disk as well: the snapshot first, then the record.
+    // The same after a restart from its own disk: first the snapshot, then the record.
     group.kill(absent);
     let before = group.snapshots;
     group.start(absent);
@@ -268,20 +268,20 @@
 }
 
 #[test]
-fn a_replica_whose_disk_lost_its_records_ends_with_an_error_and_no_panic() {
+fn a_replica_whose_disk_lost_its_records_fails_with_an_error_and_does_not_panic() {
     let mut group = Group::new(3);
     let leader = group.leader();
     group.propose(leader, "one").expect("accepted");
     group.until_all_have(&["one"]);
-    let wiped = (1..=3).find(|id| *id != leader).expect("another");
-    group.kill(wiped);
-    std::fs::remove_file(group.path(wiped)).expect("removed");
-    group.start(wiped);
+    let erased = (1..=3).find(|id| *id != leader).expect("another");
+    group.kill(erased);
+    std::fs::remove_file(group.path(erased)).expect("removed");
+    group.start(erased);
     let mut ended = None;
     for _ in 0..MANY_TICKS {
         let out = group.up.get_mut(&leader).expect("up").tick().expect("no fatal error");
-        for (_, bytes) in out.messages.iter().filter(|(to, _)| *to == wiped) {
-            ended = ended.or(group.up.get_mut(&wiped).expect("up").receive(bytes).err());
+        for (_, bytes) in out.messages.iter().filter(|(to, _)| *to == erased) {
+            ended = ended.or(group.up.get_mut(&erased).expect("up").receive(bytes).err());
         }
         if ended.is_some() {
             break;
@@ -292,11 +292,11 @@
 }
 
 #[test]
-fn a_log_of_other_members_is_not_opened() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("log");
+fn a_log_of_a_group_with_other_members_is_not_opened() {
+    let directory = tempfile::tempdir().expect("a folder");
+    let path = directory.path().join("log");
     drop(Store::open(&path, &[1, 2, 3]).expect("made"));
-    drop(Store::open(&path, &[3, 2, 1]).expect("the same ones"));
+    drop(Store::open(&path, &[3, 2, 1]).expect("the same members"));
     let error = Store::open(&path, &[1, 2, 3, 4, 5]).err().expect("others").to_string();
     assert!(error.contains("members {1, 2, 3}, and not of [1, 2, 3, 4, 5]"), "{error}");
 }
@@ -309,17 +309,16 @@
     let replica = group.up.get_mut(&leader).expect("up");
     for length in 0..300 {
         let noise: Vec<u8> = (0..length).map(|_| random.random()).collect();
-        if let Ok(out) = replica.receive(&noise).expect("no failure of its own") {
-            assert!(out.messages.is_empty(), "noise was accepted as a message");
+        if let Ok(out) = replica.receive(&noise).expect("no fatal error") {
+            assert!(out.messages.is_empty(), "random bytes were accepted as a message");
         }
     }
-    assert!(
-        Replica::start(9, Store::open(&group.folder.path().join("new"), &[1, 2, 3]).expect("made")).is_err()
-    );
+    assert!(Replica::start(9, Store::open(&group.directory.path().join("new"), &[1, 2, 3]).expect("made"))
+        .is_err());
 }
 
-/// Under any faults no two replicas hand out different records at one index (`Group::collect`), and once all are back all
-/// have the same records.
+/// Under any faults no two replicas deliver different records at one index (checked in `Group::collect`), and after all
+/// replicas have recovered all have the same records.
 #[test]
 fn logs_never_diverge_under_random_faults() {
     for seed in 0..12 {
--- a/crates/replica/tests/storage.rs
+++ b/crates/replica/tests/storage.rs
@@ -1,4 +1,4 @@
-//! A replica on a disk that fails for a while, on a machine that loses its power: what it answered for is still there.
+//! Tests of a replica on a disk with transient faults and after power failures: all acknowledged records and votes survive.
 
 use aniseyoke_replica::{Event, Output, Replica, Store};
 use protobuf::Message as _;
@@ -10,57 +10,59 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-const PAGE: usize = 4096;
-/// Steps on the disk that a play takes, at least: each is made to fail once.
-const STEPS: u64 = 120;
-/// Far more ticks than an election takes.
-const LONG: usize = 100;
+/// The size of a page of the simulated page cache.
+const PAGE_BYTES: usize = 4096;
+/// The minimum number of disk operations in a run: each of them fails in one run.
+const MIN_DISK_OPERATIONS: u64 = 120;
+/// More ticks than an election takes.
+const MANY_TICKS: usize = 100;
 
-/// A file as the kernel has it: what processes read, what the disk has, and the pages in which they differ. A sync that
-/// fails leaves pages that count as clean and are not on disk, as Linux does.
+/// A file in a simulated kernel: the content of the page cache, the content on disk, and the dirty pages. As on Linux, a
+/// failed sync marks pages as clean although they are not on disk.
 #[derive(Debug, Default)]
-struct Pages {
+struct SimulatedFile {
     cache: Vec<u8>,
-    disk: Vec<u8>,
+    durable: Vec<u8>,
     dirty: BTreeSet<usize>,
-    /// Steps that were made, and those that fail.
-    steps: u64,
+    /// The number of disk operations so far.
+    operations: u64,
+    /// The numbers of the operations that fail.
     fails: std::ops::Range<u64>,
     failed: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Machine(Arc<Mutex<Pages>>);
+struct SimulatedDisk(Arc<Mutex<SimulatedFile>>);
 
-impl Machine {
-    /// A machine with a log that is begun, of which these steps fail from now on.
+impl SimulatedDisk {
+    /// Creates a disk with a new log. The disk operations with these numbers fail, counted from 1 after the creation.
     fn failing(fails: std::ops::Range<u64>, members: &[u64]) -> Self {
-        let machine = Machine::default();
-        drop(Store::open_on(machine.clone(), members).expect("begun"));
+        let disk = SimulatedDisk::default();
+        drop(Store::open_on(disk.clone(), members).expect("begun"));
         {
-            let mut pages = machine.pages();
-            (pages.steps, pages.fails) = (0, fails);
+            let mut file = disk.file();
+            (file.operations, file.fails) = (0, fails);
         }
-        machine
+        disk
     }
 
-    fn pages(&self) -> MutexGuard<'_, Pages> {
+    fn file(&self) -> MutexGuard<'_, SimulatedFile> {
         self.0.lock().expect("whole")
     }
 
-    /// Any of the pages that are not synced may have reached the disk, the others are lost.
-    fn lose_power(&self, chance: &mut SmallRng) {
-        let mut pages = self.pages();
-        let dirty: Vec<usize> = std::mem::take(&mut pages.dirty).into_iter().collect();
-        dirty.into_iter().filter(|_| chance.random()).for_each(|page| pages.flush(page));
-        pages.cache = pages.disk.clone();
+    /// Simulates a power failure: a random subset of the dirty pages has reached the disk, the others are lost.
+    fn fail_power(&self, rng: &mut SmallRng) {
+        let mut file = self.file();
+        let dirty: Vec<usize> = std::mem::take(&mut file.dirty).into_iter().collect();
+        dirty.into_iter().filter(|_| rng.random()).for_each(|page| file.flush(page));
+        file.cache = file.durable.clone();
     }
 }
 
-impl Pages {
-    fn step(&mut self, number: i32) -> io::Result<()> {
-        self.steps += 1;
-        if self.fails.contains(&self.steps) {
+impl SimulatedFile {
+    fn operation(&mut self, number: i32) -> io::Result<()> {
+        self.operations += 1;
+        if self.fails.contains(&self.operations) {
             self.failed += 1;
             return Err(io::Error::from_raw_os_error(number));
         }
@@ -68,75 +70,75 @@
     }
 
     fn flush(&mut self, page: usize) {
-        let range = page * PAGE..((page + 1) * PAGE).min(self.cache.len());
-        if self.disk.len() < range.end {
-            self.disk.resize(range.end, 0);
+        let range = page * PAGE_BYTES..((page + 1) * PAGE_BYTES).min(self.cache.len());
+        if self.durable.len() < range.end {
+            self.durable.resize(range.end, 0);
         }
-        self.disk[range.clone()].copy_from_slice(&self.cache[range]);
+        self.durable[range.clone()].copy_from_slice(&self.cache[range]);
     }
 }
 
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
-impl StorageBackend for Machine {
+impl StorageBackend for SimulatedDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.pages().cache.len() as u64)
+        Ok(self.file().cache.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let at = offset as usize;
-        out.copy_from_slice(&self.pages().cache[at..at + out.len()]);
+        out.copy_from_slice(&self.file().cache[at..at + out.len()]);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut pages = self.pages();
-        pages.step(ENOSPC)?;
-        pages.cache.resize(len as usize, 0);
-        let end = (len as usize).div_ceil(PAGE);
-        pages.dirty.retain(|page| *page < end);
+        let mut file = self.file();
+        file.operation(ENOSPC)?;
+        file.cache.resize(len as usize, 0);
+        let end = (len as usize).div_ceil(PAGE_BYTES);
+        file.dirty.retain(|page| *page < end);
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        let mut pages = self.pages();
-        let dirty = std::mem::take(&mut pages.dirty);
-        pages.step(EIO)?;
-        let length = pages.cache.len();
-        pages.disk.resize(length, 0);
-        dirty.into_iter().for_each(|page| pages.flush(page));
+        let mut file = self.file();
+        let dirty = std::mem::take(&mut file.dirty);
+        file.operation(EIO)?;
+        let length = file.cache.len();
+        file.durable.resize(length, 0);
+        dirty.into_iter().for_each(|page| file.flush(page));
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut pages = self.pages();
-        let done = pages.step(ENOSPC);
-        // Half of a write that fails is there.
-        let length = if done.is_ok() { data.len() } else { data.len() / 2 };
+        let mut file = self.file();
+        let result = file.operation(ENOSPC);
+        // A failed write stores half of its data.
+        let length = if result.is_ok() { data.len() } else { data.len() / 2 };
         let at = offset as usize;
-        pages.cache[at..at + length].copy_from_slice(&data[..length]);
-        pages.dirty.extend(at / PAGE..(at + length).div_ceil(PAGE));
-        done
+        file.cache[at..at + length].copy_from_slice(&data[..length]);
+        file.dirty.extend(at / PAGE_BYTES..(at + length).div_ceil(PAGE_BYTES));
+        result
     }
 }
 
-fn replica(machine: &Machine, id: u64, members: &[u64]) -> Result<Replica, String> {
-    let store = Store::open_on(machine.clone(), members).map_err(|e| e.to_string())?;
+fn replica(disk: &SimulatedDisk, id: u64, members: &[u64]) -> Result<Replica, String> {
+    let store = Store::open_on(disk.clone(), members).map_err(|e| e.to_string())?;
     Replica::start(id, store).map_err(|e| e.to_string())
 }
 
-/// Opens it as often as it takes until the disk is back; how often that failed.
-fn started(machine: &Machine, id: u64, members: &[u64]) -> Replica {
+/// Retries the start of a replica until the disk works again.
+fn start_with_retries(disk: &SimulatedDisk, id: u64, members: &[u64]) -> Replica {
     for _ in 0..50 {
-        if let Ok(replica) = replica(machine, id, members) {
+        if let Ok(replica) = replica(disk, id, members) {
             return replica;
         }
     }
-    panic!("it never started: {:?}", replica(machine, id, members).err());
+    panic!("the replica failed to start: {:?}", replica(disk, id, members).err());
 }
 
-fn agreed(out: &Output, into: &mut Vec<String>) {
+fn collect_committed(out: &Output, into: &mut Vec<String>) {
     for event in &out.events {
         if let Event::Committed(_, record) = event {
             into.push(String::from_utf8_lossy(record).into_owned());
@@ -144,78 +146,85 @@
     }
 }
 
-/// A group of one until it leads, and what it hands out. None: its disk failed.
-fn lead(replica: &mut Replica, into: &mut Vec<String>) -> Option<()> {
-    for _ in 0..LONG {
-        agreed(&replica.tick().ok()?, into);
+/// Ticks the only replica of a group until it is the leader, and collects the records that it delivers; `None` if its disk
+/// fails.
+fn tick_until_leader(replica: &mut Replica, into: &mut Vec<String>) -> Option<()> {
+    for _ in 0..MANY_TICKS {
+        collect_committed(&replica.tick().ok()?, into);
         if replica.leading_term().is_some() {
             return Some(());
         }
     }
-    panic!("it does not lead");
+    panic!("the replica was not elected");
 }
 
-/// After an error a replica says nothing more, also once the disk is back: what it said last may not be on disk.
-fn says_nothing_more(replica: &mut Replica) {
-    for _ in 0..LONG {
+/// Asserts that a replica has no output after an error, even if the disk works again: its state may not be on disk.
+fn assert_no_output(replica: &mut Replica) {
+    for _ in 0..MANY_TICKS {
         match replica.tick() {
             Ok(out) => {
-                assert_eq!((out.messages.len(), out.events.len()), (0, 0), "it goes on after an error")
+                assert_eq!(
+                    (out.messages.len(), out.events.len()),
+                    (0, 0),
+                    "the replica has output after an error"
+                )
             }
             Err(_) => continue,
         }
     }
 }
 
-/// Has records agreed on while the disk fails; then the power goes. All that was agreed on has to be there, in order.
-fn play(fails: std::ops::Range<u64>, seed: u64) -> Result<u64, String> {
-    let (machine, mut chance) = (Machine::failing(fails.clone(), &[1]), SmallRng::seed_from_u64(seed));
+/// Commits records while disk operations fail, then simulates a power failure. All committed records must be recovered.
+/// Returns the number of failed operations.
+fn run_with_faults(fails: std::ops::Range<u64>, seed: u64) -> Result<u64, String> {
+    let (disk, mut rng) = (SimulatedDisk::failing(fails.clone(), &[1]), SmallRng::seed_from_u64(seed));
     let mut acknowledged: Vec<String> = Vec::new();
     let mut number = 0;
     while number < 12 {
-        let mut one = started(&machine, 1, &[1]);
-        let mut again = Vec::new();
-        if lead(&mut one, &mut again).is_none() {
-            says_nothing_more(&mut one);
+        let mut leader = start_with_retries(&disk, 1, &[1]);
+        let mut replayed = Vec::new();
+        if tick_until_leader(&mut leader, &mut replayed).is_none() {
+            assert_no_output(&mut leader);
             continue;
         }
         while number < 12 {
             number += 1;
-            match one.propose(format!("record {number}").into_bytes()) {
-                Ok(out) => agreed(&out.expect("it leads"), &mut acknowledged),
+            match leader.propose(format!("record {number}").into_bytes()) {
+                Ok(out) => collect_committed(&out.expect("it is the leader"), &mut acknowledged),
                 Err(_) => {
-                    says_nothing_more(&mut one);
+                    assert_no_output(&mut leader);
                     break;
                 }
             }
             if number % 5 == 0 {
-                let upto = one.applied();
-                if one.compact(upto, acknowledged.join(",").into_bytes()).is_err() {
-                    says_nothing_more(&mut one);
+                let applied_index = leader.applied();
+                if leader.compact(applied_index, acknowledged.join(",").into_bytes()).is_err() {
+                    assert_no_output(&mut leader);
                     break;
                 }
             }
         }
     }
-    let failed = machine.pages().failed;
-    machine.lose_power(&mut chance);
-    machine.pages().fails = 0..0;
-    let mut one = replica(&machine, 1, &[1]).map_err(|e| format!("{fails:?}: it can't be opened: {e}"))?;
+    let failed = disk.file().failed;
+    disk.fail_power(&mut rng);
+    disk.file().fails = 0..0;
+    let mut leader =
+        replica(&disk, 1, &[1]).map_err(|e| format!("{fails:?}: the log can't be opened: {e}"))?;
     let mut found = Vec::new();
-    for _ in 0..LONG {
-        let out = one.tick().map_err(|e| e.to_string())?;
+    for _ in 0..MANY_TICKS {
+        let out = leader.tick().map_err(|e| e.to_string())?;
         for event in &out.events {
             if let Event::Snapshot(_, data) = event {
                 let data = String::from_utf8_lossy(data).into_owned();
                 found.extend(data.split(',').filter(|r| !r.is_empty()).map(str::to_owned));
             }
         }
-        agreed(&out, &mut found);
+        collect_committed(&out, &mut found);
     }
     let lost: Vec<&String> = acknowledged.iter().filter(|r| !found.contains(r)).collect();
     if !lost.is_empty() {
         return Err(format!(
-            "{fails:?}: of {} acknowledged records {} are gone",
+            "{fails:?}: of {} acknowledged records {} are lost",
             acknowledged.len(),
             lost.len()
         ));
@@ -223,34 +232,35 @@
     Ok(failed)
 }
 
-fn all_plays(windows: &[u64]) {
-    let mut wrong = Vec::new();
-    let (mut plays, mut struck) = (0, 0);
+fn run_all_fault_windows(windows: &[u64]) {
+    let mut failures = Vec::new();
+    let (mut runs, mut faulted) = (0, 0);
     for window in windows {
-        for from in 1..=STEPS {
-            plays += 1;
-            match play(from..from + window, from * 31 + window) {
-                Ok(failed) => struck += u64::from(failed > 0),
-                Err(why) => wrong.push(why),
+        for from in 1..=MIN_DISK_OPERATIONS {
+            runs += 1;
+            match run_with_faults(from..from + window, from * 31 + window) {
+                Ok(failed) => faulted += u64::from(failed > 0),
+                Err(error) => failures.push(error),
             }
         }
     }
-    assert!(wrong.is_empty(), "{} of {plays} plays: {wrong:#?}", wrong.len());
-    assert!(struck * 10 > plays * 6, "only {struck} of {plays} were struck by a fault");
+    assert!(failures.is_empty(), "{} of {runs} runs failed: {failures:#?}", failures.len());
+    assert!(faulted * 10 > runs * 6, "only {faulted} of {runs} runs had a fault");
 }
 
-/// Danger: a sync that fails leaves pages that count as clean; the next process finds them, and counts them as on disk.
+/// Guards against lost records: a failed sync marks pages as clean, so that the next process finds their data in the page
+/// cache and treats it as durable.
 #[test]
-fn what_was_agreed_on_survives_any_step_that_fails_a_kill_and_a_power_loss() {
-    all_plays(&[1]);
+fn committed_records_survive_any_single_disk_fault_and_a_power_failure() {
+    run_all_fault_windows(&[1]);
 }
 
 #[test]
-fn so_it_does_where_the_disk_fails_for_a_while() {
-    all_plays(&[2, 7]);
+fn committed_records_survive_consecutive_disk_faults_and_a_power_failure() {
+    run_all_fault_windows(&[2, 7]);
 }
 
-fn vote_wanted(from: u64, to: u64, term: u64) -> Vec<u8> {
+fn request_vote(from: u64, to: u64, term: u64) -> Vec<u8> {
     let mut message = Message::default();
     message.set_msg_type(MessageType::MsgRequestVote);
     (message.from, message.to, message.term) = (from, to, term);
@@ -258,8 +268,8 @@
     message.write_to_bytes().expect("encoded")
 }
 
-/// Who is given a vote.
-fn granted(out: &Output) -> impl Iterator<Item = u64> + '_ {
+/// The candidates that the output grants a vote.
+fn votes_granted(out: &Output) -> impl Iterator<Item = u64> + '_ {
     out.messages.iter().filter_map(|(to, bytes)| {
         let message = Message::parse_from_bytes(bytes).expect("a message");
         let vote = message.get_msg_type() == MessageType::MsgRequestVoteResponse && !message.reject;
@@ -267,38 +277,43 @@
     })
 }
 
-/// Two candidates ask in turn, in each of some terms, and the voter is killed between, or its machine loses its power.
-fn votes(machine: &Machine, chance: &mut SmallRng, given: &mut u64) {
+/// In each of several terms two candidates request votes in turn. Between the requests the voter restarts, randomly after a
+/// power failure. At most one candidate per term may get a vote.
+fn request_votes_with_faults(disk: &SimulatedDisk, rng: &mut SmallRng, granted_votes: &mut u64) {
     for term in 2..8 {
         let mut voted = BTreeSet::new();
         for candidate in [1, 3, 1, 3] {
-            let mut two = started(machine, 2, &[1, 2, 3]);
-            for asks in [candidate, 4 - candidate] {
-                match two.receive(&vote_wanted(asks, 2, term)) {
-                    Ok(out) => voted.extend(granted(&out.expect("a message"))),
-                    Err(_) => says_nothing_more(&mut two),
+            let mut voter = start_with_retries(disk, 2, &[1, 2, 3]);
+            for candidate_id in [candidate, 4 - candidate] {
+                match voter.receive(&request_vote(candidate_id, 2, term)) {
+                    Ok(out) => voted.extend(votes_granted(&out.expect("a message"))),
+                    Err(_) => assert_no_output(&mut voter),
                 }
             }
-            drop(two);
-            if chance.random() {
-                machine.lose_power(chance);
+            drop(voter);
+            if rng.random() {
+                disk.fail_power(rng);
             }
         }
         assert!(voted.len() <= 1, "two votes in term {term}: {voted:?}");
-        *given += voted.len() as u64;
+        *granted_votes += voted.len() as u64;
     }
 }
 
-/// Danger: a vote that is not on disk is given to another after a restart, and two lead in one term.
+/// Guards against two leaders in one term: a voter that restarts without its vote on disk would vote for a second
+/// candidate.
 #[test]
-fn no_two_votes_leave_in_one_term_whatever_step_fails_and_however_it_ends() {
-    let (mut given, mut struck) = (0, 0);
-    for from in (1..=STEPS).step_by(3) {
+fn a_replica_grants_one_vote_per_term_despite_disk_faults_and_restarts() {
+    let (mut granted_votes, mut faulted) = (0, 0);
+    for from in (1..=MIN_DISK_OPERATIONS).step_by(3) {
         for window in [1, 3] {
-            let machine = Machine::failing(from..from + window, &[1, 2, 3]);
-            votes(&machine, &mut SmallRng::seed_from_u64(from), &mut given);
-            struck += u64::from(machine.pages().failed > 0);
+            let disk = SimulatedDisk::failing(from..from + window, &[1, 2, 3]);
+            request_votes_with_faults(&disk, &mut SmallRng::seed_from_u64(from), &mut granted_votes);
+            faulted += u64::from(disk.file().failed > 0);
         }
     }
-    assert!(given > 300 && struck > STEPS / 3, "{given} votes given, {struck} plays were struck by a fault");
+    assert!(
+        granted_votes > 300 && faulted > MIN_DISK_OPERATIONS / 3,
+        "{granted_votes} votes were granted, {faulted} runs had a fault"
+    );
 }
