--- a/crates/control/tests/commit/main.rs
+++ b/crates/control/tests/commit/main.rs
@@ -1,5 +1,5 @@
-//! The commit protocol under every order of messages, losses, crashes and changes of leader at a small size, in the model
-//! checker stateright; and at a larger size under random schedules that end with a recovery.
+//! Tests of the commit protocol: a check of small groups with the model checker stateright up to a depth (every order of
+//! messages, losses, crashes and changes of leader), and random schedules of larger groups that end with a recovery.
 
 mod world;
 
@@ -25,7 +25,7 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
-        // The leases of earlier leaders are over: the random schedules cover the time before.
+        // The leases of earlier leaders have expired. The random schedules cover the time before.
         let mut state = State::new(self.proxies);
         (0..TIMES.lease_with_margin()).for_each(|_| state.apply(Event::Tick));
         vec![state]
@@ -38,14 +38,14 @@
                 events.push(Event::Restart(n));
                 continue;
             }
-            // One request for a lease at a time, as on a connection.
-            let out = |f: &InFlight| match f {
+            // At most one lease request is in flight per proxy, as on a connection.
+            let is_lease_request = |f: &InFlight| match f {
                 InFlight::ToLeader { from, message: MemberMessage::Heartbeat { .. }, .. } => *from == n,
                 InFlight::ToMember { to, message: LeaderMessage::Lease { .. } } => *to == n,
-                InFlight::Confirm { who, .. } => *who == n,
+                InFlight::Confirm { requester, .. } => *requester == n,
                 _ => false,
             };
-            if !state.net.iter().any(out) {
+            if !state.net.iter().any(is_lease_request) {
                 events.push(Event::Heartbeat(n));
             }
             if proxy.validating.is_some() {
@@ -71,12 +71,12 @@
     fn next_state(&self, last: &State, event: Event) -> Option<State> {
         let mut state = last.clone();
         state.apply(event);
-        // Messages to an earlier leader have no effect, and only multiply states.
+        // Messages to an earlier leader have no effect. Removing them reduces the number of states.
         let term = state.term;
         state.net.retain(|f| match f {
-            InFlight::ToLeader { term: then, .. }
-            | InFlight::Append { term: then, .. }
-            | InFlight::Confirm { term: then, .. } => *then == term,
+            InFlight::ToLeader { term: message_term, .. }
+            | InFlight::Append { term: message_term, .. }
+            | InFlight::Confirm { term: message_term, .. } => *message_term == term,
             InFlight::ToMember { .. } => true,
         });
         (state != *last).then_some(state)
@@ -95,15 +95,16 @@
     }
 }
 
-/// So many steps deeper than in CI, for a longer run (`docs/design-commit.md`).
-const DEEPER: &str = "COMMIT_MODEL_DEEPER";
+/// An environment variable with the number of steps to search deeper than in CI (`docs/design-commit.md`).
+const EXTRA_DEPTH_VARIABLE: &str = "COMMIT_MODEL_DEEPER";
 
-fn checked(bounds: Bounds, depth: usize) {
-    let deeper = std::env::var(DEEPER).map_or(0, |more| more.parse().expect("a number of steps"));
-    let depth = depth + deeper;
+fn check_model(bounds: Bounds, depth: usize) {
+    let extra_depth =
+        std::env::var(EXTRA_DEPTH_VARIABLE).map_or(0, |more| more.parse().expect("a number of steps"));
+    let depth = depth + extra_depth;
     let checker = bounds.checker().threads(2).target_max_depth(depth).spawn_bfs().join();
-    let (all, apart) = (checker.state_count(), checker.unique_state_count());
-    println!("{all} states, {apart} of them apart, depth {}", checker.max_depth());
+    let (all, unique) = (checker.state_count(), checker.unique_state_count());
+    println!("{all} states, {unique} of them unique, depth {}", checker.max_depth());
     if let Some(path) = checker.discovery("everywhere or nowhere") {
         let (last, events) = (path.last_state().clone(), path.into_actions());
         panic!("{:?} after {events:#?}", last.violation());
@@ -113,29 +114,32 @@
 
 #[test]
 fn every_order_of_a_change_at_two_proxies_one_of_which_crashes_or_rejects_it() {
-    checked(Bounds { proxies: 2, until: 6, crashes: 1, elections: 0, changes: 1, rejecting: Some(1) }, 14);
+    check_model(
+        Bounds { proxies: 2, until: 6, crashes: 1, elections: 0, changes: 1, rejecting: Some(1) },
+        14,
+    );
 }
 
 #[test]
 fn every_order_of_a_change_at_a_proxy_that_crashes_with_another_leader() {
-    checked(Bounds { proxies: 1, until: 9, crashes: 1, elections: 1, changes: 2, rejecting: None }, 16);
+    check_model(Bounds { proxies: 1, until: 9, crashes: 1, elections: 1, changes: 2, rejecting: None }, 16);
 }
 
-/// Messages that are lost, duplicated and late, crashes, changes of leader, one change after the other. Then the network
-/// recovers, and the committed change has to reach every proxy.
+/// Random schedules lose, duplicate and delay messages, crash proxies, change the leader and publish changes one after the
+/// other. Then the network recovers, and the committed change must reach every proxy.
 #[test]
 fn random_schedules_keep_the_invariants_and_recover() {
     let (mut commits, mut aborts) = (0, 0);
     for seed in 0..3000 {
-        let mut chance = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         let mut state = State::new(4);
         for _ in 0..150 {
-            let n = chance.random_range(0..state.proxies.len());
+            let n = rng.random_range(0..state.proxies.len());
             let in_flight = match state.net.len() {
                 0 => None,
-                some => state.net.iter().nth(chance.random_range(0..some)).cloned(),
+                some => state.net.iter().nth(rng.random_range(0..some)).cloned(),
             };
-            let event = match chance.random_range(0..100) {
+            let event = match rng.random_range(0..100) {
                 0..40 => in_flight.map(Event::Deliver),
                 40..45 => in_flight.map(Event::Duplicate),
                 45..50 => {
@@ -143,11 +147,11 @@
                     None
                 }
                 50..70 => Some(Event::Heartbeat(n)).filter(|_| state.proxies[n].up),
-                70..82 => Some(Event::Validated(n, chance.random_range(0..20) > 0)),
+                70..82 => Some(Event::Validated(n, rng.random_range(0..20) > 0)),
                 82..84 => Some(Event::Crash(n)).filter(|_| state.proxies[n].up),
                 84..87 => Some(Event::Restart(n)).filter(|_| !state.proxies[n].up),
                 87 => {
-                    let appended = state.pending().next().filter(|_| chance.random_range(0..2) == 0);
+                    let appended = state.pending().next().filter(|_| rng.random_range(0..2) == 0);
                     Some(Event::Elect(appended))
                 }
                 88..91 => Some(Event::Publish),
@@ -156,18 +160,18 @@
             event.into_iter().for_each(|event| state.apply(event));
             assert_eq!(state.violation(), None, "seed {seed}");
         }
-        recover(&mut state, seed);
+        assert_recovery(&mut state, seed);
         commits += u32::from(state.committed.is_some());
         aborts += u32::from(!state.aborted.is_empty());
     }
     println!("{commits} schedules with a commit, {aborts} with an abort");
     assert!(
         commits > 500 && aborts > 50,
-        "{commits} committed, {aborts} aborted: the schedules cover too little"
+        "{commits} schedules with a commit, {aborts} with an abort: the coverage is too low"
     );
 }
 
-fn recover(state: &mut State, seed: u64) {
+fn assert_recovery(state: &mut State, seed: u64) {
     for n in 0..state.proxies.len() {
         if !state.proxies[n].up {
             state.apply(Event::Restart(n));
@@ -184,7 +188,7 @@
     }
     let log = state.log();
     assert_eq!(log.pending(), None, "seed {seed}: nothing is pending");
-    // Leases were granted before the last tick; none was requested since.
+    // Leases were granted before the last tick; none has been requested since then.
     for (n, proxy) in state.proxies.iter().enumerate() {
         assert_eq!(proxy.member.running(), log.committed(), "seed {seed}, proxy {n}: {proxy:?}");
         assert!(state.serves(n), "seed {seed}: proxy {n} serves again");
--- a/crates/control/tests/commit/world.rs
+++ b/crates/control/tests/commit/world.rs
@@ -1,5 +1,5 @@
-//! A leader, proxies and the network between them; the caller decides which event happens next. The code under test is
-//! the code that runs in production.
+//! A model of a leader, proxies and the network between them, in which the caller selects the next event. The code under
+//! test is the production code of the protocol.
 
 use aniseyoke_control::commit::{
     Change, Leader, LeaderAction, LeaderMessage, Log, Member, MemberAction, MemberMessage, Name, Nanos,
@@ -8,7 +8,7 @@
 use aniseyoke_control::Stamp;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Times in ticks of the model.
+/// The times of the protocol, in ticks of the model.
 pub const TIMES: Times = Times { lease: 2, margin: 1, prepare: 4 };
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,15 +22,15 @@
         to: usize,
         message: LeaderMessage,
     },
-    /// A record that a leader wants appended.
+    /// A record that a leader has requested to append.
     Append {
         term: u8,
         record: Record,
     },
-    /// A request that a majority confirms the leader.
+    /// A request that a majority confirms the leadership.
     Confirm {
         term: u8,
-        who: usize,
+        requester: usize,
         requested_at: Nanos,
     },
 }
@@ -39,7 +39,7 @@
 pub struct Proxy {
     pub up: bool,
     pub member: Member,
-    /// The version that it ran and the change that it had prepared, on its disk.
+    /// The running version and the prepared change, as stored on disk.
     disk: (Option<Change>, Option<Change>),
     pub validating: Option<Change>,
 }
@@ -65,13 +65,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     Deliver(InFlight),
-    /// Delivers it, and leaves it in flight.
+    /// Delivers the message and leaves it in flight.
     Duplicate(InFlight),
     Heartbeat(usize),
     Validated(usize, bool),
     Crash(usize),
     Restart(usize),
-    /// Another leader, whose log has the record that the old one wanted appended, or not.
+    /// Another leader is elected. Its log contains this record that the previous leader has requested to append, if any.
     Elect(Option<Record>),
     Publish,
     Tick,
@@ -113,7 +113,7 @@
     pub fn log(&self) -> Log {
         let mut log = Log::default();
         for record in &self.log {
-            // A record that is not accepted has no effect, at any service.
+            // A record that is not accepted has no effect on any replica.
             let _ = log.apply(record.clone());
         }
         log
@@ -137,8 +137,8 @@
         self.net.extend(actions.into_iter().map(|action| match action {
             LeaderAction::Send(to, message) => InFlight::ToMember { to: number(&to), message },
             LeaderAction::Append(record) => InFlight::Append { term, record },
-            LeaderAction::ConfirmLeadership(who, requested_at) => {
-                InFlight::Confirm { term, who: number(&who), requested_at }
+            LeaderAction::ConfirmLeadership(requester, requested_at) => {
+                InFlight::Confirm { term, requester: number(&requester), requested_at }
             }
         }));
     }
@@ -160,8 +160,8 @@
                 }
                 MemberAction::Activate(change) => proxy.disk = (Some(change), None),
                 MemberAction::Discard(stamp) => {
-                    proxy.disk.1.take_if(|held| held.stamp == stamp);
-                    proxy.validating.take_if(|held| held.stamp == stamp);
+                    proxy.disk.1.take_if(|stored| stored.stamp == stamp);
+                    proxy.validating.take_if(|stored| stored.stamp == stamp);
                 }
                 MemberAction::Warn(_) => {}
             }
@@ -175,13 +175,13 @@
             match &record {
                 Record::Commit { .. } => {
                     let pending = before.pending().cloned().expect("one is pending");
-                    let behind = |n: usize| {
+                    let is_unprepared = |n: usize| {
                         let member = &self.proxies[n].member;
                         self.serves(n)
                             && member.running() != Some(&pending)
                             && member.prepared() != Some(&pending)
                     };
-                    self.unprepared |= (0..self.proxies.len()).any(behind);
+                    self.unprepared |= (0..self.proxies.len()).any(is_unprepared);
                     self.committed = Some((pending, self.now));
                 }
                 Record::Abort { stamp, .. } => {
@@ -204,23 +204,23 @@
                     self.perform_member(to, actions);
                 }
             }
-            // What was sent to an earlier leader is lost with its connections.
-            InFlight::ToLeader { term: then, from, message } if then == term => {
+            // Messages to an earlier leader are lost with its connections.
+            InFlight::ToLeader { term: message_term, from, message } if message_term == term => {
                 self.leader.receive(now, &name(from), message, &mut actions);
             }
-            InFlight::Append { term: then, record } if then == term => {
+            InFlight::Append { term: message_term, record } if message_term == term => {
                 self.append(record.clone());
                 self.leader.record_committed(now, record, &mut actions);
             }
-            InFlight::Confirm { term: then, who, requested_at } if then == term => {
-                self.leader.leadership_confirmed(now, &name(who), requested_at, &mut actions);
+            InFlight::Confirm { term: message_term, requester, requested_at } if message_term == term => {
+                self.leader.leadership_confirmed(now, &name(requester), requested_at, &mut actions);
             }
             InFlight::ToLeader { .. } | InFlight::Append { .. } | InFlight::Confirm { .. } => {}
         }
         self.perform_leader(actions);
     }
 
-    /// The network loses something. The leader is notified of a record that will never be appended.
+    /// Drops a message. The leader is notified if it is a record that will never be appended.
     pub fn lose(&mut self, in_flight: &InFlight) {
         self.net.remove(in_flight);
         if matches!(in_flight, InFlight::Append { term, .. } if *term == self.term) {
@@ -241,10 +241,10 @@
                 self.proxies[n].member.heartbeat(now, &mut actions);
                 self.perform_member(n, actions);
             }
-            Event::Validated(n, fits) => {
+            Event::Validated(n, valid) => {
                 let Some(change) = self.proxies[n].validating.take() else { return };
                 let (mut actions, outcome) =
-                    (Vec::new(), if fits { Ok(()) } else { Err(PrepareError("unfit".to_owned())) });
+                    (Vec::new(), if valid { Ok(()) } else { Err(PrepareError("unfit".to_owned())) });
                 self.proxies[n].member.validated(change.stamp, outcome, &mut actions);
                 self.perform_member(n, actions);
             }
@@ -264,9 +264,9 @@
             }
             Event::Publish => {
                 let mut actions = Vec::new();
-                // One that may not begin yet is published again later.
-                let begun = self.leader.publish(now, change(self.published + 1), &mut actions);
-                self.published += u64::from(begun.is_ok());
+                // A change that may not begin yet is published again later.
+                let publish_result = self.leader.publish(now, change(self.published + 1), &mut actions);
+                self.published += u64::from(publish_result.is_ok());
                 self.perform_leader(actions);
             }
             Event::Tick => {
--- a/crates/control/tests/fanout/leaf.rs
+++ b/crates/control/tests/fanout/leaf.rs
@@ -1,5 +1,5 @@
-//! A leaf with a small store: it holds objects, drops those that are purged, and serves none as fresh that it may have
-//! missed a purge of.
+//! A leaf with a small object store. It removes purged objects, and serves no object as fresh whose purge it may have
+//! missed.
 
 use aniseyoke_control::frame::{decode, encode, ProxyMessage, ServiceMessage, MAX_FRAME_BYTES, PROTOCOL};
 use aniseyoke_control::Stamp;
@@ -14,30 +14,31 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-static BOOTS: AtomicU64 = AtomicU64::new(1);
-const POLL: Duration = Duration::from_millis(20);
+static NEXT_BOOT: AtomicU64 = AtomicU64::new(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(4);
 
 /// The state of a leaf, shared with the test.
 pub struct Shared {
     pub member: Mutex<Member>,
     pub store: Mutex<BTreeSet<u64>>,
-    /// How many keys were invalidated one by one, and how often everything was.
+    /// The number of keys that were invalidated individually.
     pub invalidated: AtomicU64,
+    /// The number of flushes of all objects.
     pub flushes: AtomicU64,
     pub acked: Mutex<Option<Stamp>>,
-    /// Bytes received and sent, and how many reads and writes they took.
+    /// Bytes received and sent, and the number of reads and writes.
     pub received: AtomicU64,
     pub sent: AtomicU64,
     pub reads: AtomicU64,
     pub writes: AtomicU64,
-    /// It reads nothing while this is set.
+    /// While set, the leaf reads nothing.
     pub is_paused: AtomicBool,
-    /// It acknowledges nothing while this is set.
-    pub is_mute: AtomicBool,
-    rejects: bool,
+    /// While set, the leaf acknowledges no purges.
+    pub withholds_acks: AtomicBool,
+    rejects_versions: bool,
     boot: u64,
-    end: AtomicBool,
+    is_stopping: AtomicBool,
     start: Instant,
 }
 
@@ -50,7 +51,7 @@
         self.member.lock().expect("not poisoned").progress()
     }
 
-    /// Whether it serves this object as fresh.
+    /// Whether the leaf serves this object as fresh.
     pub fn serves(&self, key: &str) -> bool {
         let fresh = self.member.lock().expect("not poisoned").is_fresh(self.now());
         fresh && self.store.lock().expect("not poisoned").contains(&xxh3_64(key.as_bytes()))
@@ -73,7 +74,7 @@
     }
 }
 
-/// A leaf on a thread of its own.
+/// A leaf on its own thread.
 pub struct Leaf {
     pub shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -87,13 +88,14 @@
 }
 
 impl Leaf {
-    /// A leaf that follows these in turn. `lease`: how long it claims to be fresh.
+    /// Starts a leaf that connects to these upstreams in turn. `lease` is the time for which its objects are fresh without
+    /// confirmation.
     pub fn start(name: &str, upstream: &[SocketAddr], lease: Duration) -> Self {
-        Self::with(name, upstream, lease, false)
+        Self::start_with(name, upstream, lease, false)
     }
 
-    /// `rejects`: it rejects every version.
-    pub fn with(name: &str, upstream: &[SocketAddr], lease: Duration, rejects: bool) -> Self {
+    /// As [`Self::start`]; with `rejects_versions` the leaf rejects every version.
+    pub fn start_with(name: &str, upstream: &[SocketAddr], lease: Duration, rejects_versions: bool) -> Self {
         let shared = Arc::new(Shared {
             member: Mutex::new(Member::new(Progress::default(), lease.as_nanos() as u64)),
             store: Mutex::default(),
@@ -105,23 +107,23 @@
             reads: AtomicU64::new(0),
             writes: AtomicU64::new(0),
             is_paused: AtomicBool::new(false),
-            is_mute: AtomicBool::new(false),
-            rejects,
-            boot: BOOTS.fetch_add(1, Ordering::Relaxed),
-            end: AtomicBool::new(false),
+            withholds_acks: AtomicBool::new(false),
+            rejects_versions,
+            boot: NEXT_BOOT.fetch_add(1, Ordering::Relaxed),
+            is_stopping: AtomicBool::new(false),
             start: Instant::now(),
         });
         let (leaf, name, upstream) = (shared.clone(), name.to_owned(), upstream.to_vec());
         let thread = std::thread::spawn(move || {
             for addr in upstream.iter().cycle() {
-                if leaf.end.load(Ordering::Relaxed) {
+                if leaf.is_stopping.load(Ordering::Relaxed) {
                     return;
                 }
                 if let Ok(stream) = TcpStream::connect_timeout(addr, Duration::from_secs(1)) {
-                    // Whatever the error was, the next one is tried.
+                    // After any error the next upstream is tried.
                     let _ = follow(&leaf, &name, stream);
                 }
-                std::thread::sleep(POLL);
+                std::thread::sleep(POLL_INTERVAL);
             }
         });
         Leaf { shared, thread: Some(thread) }
@@ -130,7 +132,7 @@
 
 impl Drop for Leaf {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.is_stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.join().expect("a leaf did not panic");
         }
@@ -159,7 +161,7 @@
 }
 
 fn send_ack(leaf: &Shared, stream: &mut TcpStream) -> std::io::Result<()> {
-    if leaf.is_mute.load(Ordering::Relaxed) {
+    if leaf.withholds_acks.load(Ordering::Relaxed) {
         return Ok(());
     }
     let Progress { epoch, through } = leaf.progress();
@@ -167,13 +169,13 @@
 }
 
 fn follow(leaf: &Shared, name: &str, mut stream: TcpStream) -> std::io::Result<()> {
-    stream.set_read_timeout(Some(POLL))?;
+    stream.set_read_timeout(Some(POLL_INTERVAL))?;
     stream.set_nodelay(true)?;
     send_hello(leaf, name, &mut stream)?;
     let (mut buffer, mut chunk, mut last_heartbeat) = (Vec::new(), vec![0; 64 << 10], Instant::now());
-    while !leaf.end.load(Ordering::Relaxed) {
+    while !leaf.is_stopping.load(Ordering::Relaxed) {
         if leaf.is_paused.load(Ordering::Relaxed) {
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         }
         if last_heartbeat.elapsed() > HEARTBEAT_INTERVAL {
@@ -203,7 +205,7 @@
     Ok(())
 }
 
-/// Handles one message; a break ends the connection.
+/// Handles a message; `Break` closes the connection.
 fn handle(
     leaf: &Shared,
     name: &str,
@@ -233,7 +235,9 @@
                 leaf.flushes.fetch_add(1, Ordering::Relaxed);
             }
         }
-        ServiceMessage::Snapshot { stamp, .. } | ServiceMessage::Delta { stamp, .. } if leaf.rejects => {
+        ServiceMessage::Snapshot { stamp, .. } | ServiceMessage::Delta { stamp, .. }
+            if leaf.rejects_versions =>
+        {
             send(leaf, stream, &ProxyMessage::Nack { stamp, reasons: vec!["not here".into()] })?;
         }
         ServiceMessage::Snapshot { stamp, .. } | ServiceMessage::Delta { stamp, .. } => {
--- a/crates/control/tests/fanout/link.rs
+++ b/crates/control/tests/fanout/link.rs
@@ -1,4 +1,4 @@
-//! A network link between two processes that can be cut, or lose the traffic of one direction.
+//! A network link between two processes that can be disconnected or lose the traffic of either direction.
 
 use std::io::{Read as _, Write as _};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,14 +10,15 @@
 #[derive(Default)]
 struct State {
     cut: AtomicBool,
-    /// Whether traffic to the upstream end, and from it, is lost.
+    /// Whether traffic to the upstream is lost.
     lost_up: AtomicBool,
+    /// Whether traffic from the upstream is lost.
     lost_down: AtomicBool,
-    end: AtomicBool,
+    is_stopping: AtomicBool,
     streams: Mutex<Vec<TcpStream>>,
 }
 
-/// Forwards connections to an address.
+/// A TCP proxy that forwards connections to an address.
 pub struct Link {
     pub addr: SocketAddr,
     state: Arc<State>,
@@ -29,37 +30,37 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         let addr = listener.local_addr().expect("an address");
         let state = Arc::new(State::default());
-        let inner = state.clone();
+        let shared = state.clone();
         let thread = std::thread::spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                if inner.end.load(Ordering::Relaxed) {
+            for client in listener.incoming().map_while(Result::ok) {
+                if shared.is_stopping.load(Ordering::Relaxed) {
                     return;
                 }
-                // A connection during a cut is closed at once.
-                if inner.cut.load(Ordering::Relaxed) {
+                // A connection during a disconnection is closed at once.
+                if shared.cut.load(Ordering::Relaxed) {
                     continue;
                 }
-                let Ok(far) = TcpStream::connect(upstream) else { continue };
-                forward(&inner, &near, &far, true);
-                forward(&inner, &far, &near, false);
-                inner.streams.lock().expect("not poisoned").extend([near, far]);
+                let Ok(server) = TcpStream::connect(upstream) else { continue };
+                forward(&shared, &client, &server, true);
+                forward(&shared, &server, &client, false);
+                shared.streams.lock().expect("not poisoned").extend([client, server]);
             }
         });
         Link { addr, state, thread: Some(thread) }
     }
 
-    /// Closes all connections and accepts none, or accepts them again.
+    /// Closes all connections and closes new ones at once, or accepts connections again.
     pub fn cut(&self, cut: bool) {
         self.state.cut.store(cut, Ordering::Relaxed);
         if cut {
             for stream in self.state.streams.lock().expect("not poisoned").drain(..) {
-                // It may have ended.
+                // The connection may be closed already.
                 let _ = stream.shutdown(Shutdown::Both);
             }
         }
     }
 
-    /// Sets whether traffic to the upstream, and from it, is lost.
+    /// Sets whether traffic to the upstream (`up`) and from it (`down`) is lost.
     pub fn lose(&self, up: bool, down: bool) {
         self.state.lost_up.store(up, Ordering::Relaxed);
         self.state.lost_down.store(down, Ordering::Relaxed);
@@ -67,8 +68,8 @@
 }
 
 fn forward(state: &Arc<State>, from: &TcpStream, to: &TcpStream, up: bool) {
-    let (state, copies) = (state.clone(), (from.try_clone(), to.try_clone()));
-    let (Ok(mut from), Ok(mut to)) = copies else { return };
+    let (state, clones) = (state.clone(), (from.try_clone(), to.try_clone()));
+    let (Ok(mut from), Ok(mut to)) = clones else { return };
     std::thread::spawn(move || {
         let mut chunk = vec![0; 64 << 10];
         while let Ok(n @ 1..) = from.read(&mut chunk) {
@@ -84,8 +85,8 @@
 impl Drop for Link {
     fn drop(&mut self) {
         self.cut(true);
-        self.state.end.store(true, Ordering::Relaxed);
-        // The thread waits for one more connection.
+        self.state.is_stopping.store(true, Ordering::Relaxed);
+        // Wakes up the thread, which is blocked in accept.
         let _ = TcpStream::connect_timeout(&self.addr, Duration::from_secs(1));
         if let Some(thread) = self.thread.take() {
             thread.join().expect("the link did not panic");
--- a/crates/control/tests/fanout/main.rs
+++ b/crates/control/tests/fanout/main.rs
@@ -1,4 +1,5 @@
-//! Purges and versions through a tree of real processes: the program as root and relays, with leaves in the test.
+//! Tests of the distribution of purges and versions through a tree of processes: the root and the relays are processes of
+//! the program, and the leaves run in the test.
 
 mod faults;
 mod leaf;
--- a/crates/control/tests/fanout/path.rs
+++ b/crates/control/tests/fanout/path.rs
@@ -1,4 +1,4 @@
-//! One path through root, region, site and leaf.
+//! Tests of the path from the root through a region and a site to the leaves.
 
 use crate::leaf::Leaf;
 use crate::tree::{until, Process};
@@ -7,17 +7,21 @@
 use std::time::Duration;
 
 const LEASE: Duration = Duration::from_secs(3);
-/// Arguments by which relays wait only shortly for the children that they had before.
-pub const QUICK: [&str; 4] = ["--lease", "1s", "--grace", "1s"];
+/// Arguments by which relays wait only briefly for children of previous connections.
+pub const SHORT_TIMEOUTS: [&str; 4] = ["--lease", "1s", "--grace", "1s"];
 
 #[test]
-fn a_purge_reaches_all_leaves_and_the_root_knows_it() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let root = Process::root(dir.path(), None, &QUICK);
-    let region =
-        Process::relay("region", None, &[root.proxies], &[&QUICK[..], &["--batch", "50ms"]].concat());
+fn a_purge_reaches_all_leaves_and_the_root_reports_it_as_applied() {
+    let directory = tempfile::tempdir().expect("a folder");
+    let root = Process::root(directory.path(), None, &SHORT_TIMEOUTS);
+    let region = Process::relay(
+        "region",
+        None,
+        &[root.proxies],
+        &[&SHORT_TIMEOUTS[..], &["--batch", "50ms"]].concat(),
+    );
     let sites = ["site-1", "site-2"].map(|name| {
-        Process::relay(name, None, &[region.proxies], &[&QUICK[..], &["--batch", "100ms"]].concat())
+        Process::relay(name, None, &[region.proxies], &[&SHORT_TIMEOUTS[..], &["--batch", "100ms"]].concat())
     });
     let leaves: Vec<Leaf> =
         (0..6).map(|n| Leaf::start(&format!("leaf-{n}"), &[sites[n % 2].proxies], LEASE)).collect();
@@ -26,7 +30,7 @@
         leaf.store_object("b");
         until("fresh", || leaf.is_fresh());
     }
-    // Each was flushed once, before its position was known.
+    // Each leaf was flushed once at its connection, before its position was known.
     leaves.iter().for_each(|leaf| ["a", "b"].iter().for_each(|key| leaf.store_object(key)));
     root.wait_applied(0);
     let (_, through) = root.purge("p", 1, &["a"]);
@@ -36,13 +40,13 @@
         assert!(leaf.serves("b") && !leaf.serves("a"));
         assert_eq!(leaf.progress().through, 1);
     }
-    // A retried call gets the same answer, and nothing is sent.
+    // A retried request gets the same response, and no purge is sent.
     assert_eq!(root.purge("p", 1, &["a"]).1, 1);
     assert_eq!(root.purge("q", 1, &["b"]).1, 2);
     root.wait_applied(2);
     assert!(leaves.iter().all(|leaf| leaf.invalidated() == 2 && !leaf.serves("b")));
     let Ok(OperatorResponse::PurgeStatus { latency, .. }) = root.call(&OperatorRequest::PurgeStatus) else {
-        panic!("no answer")
+        panic!("no response")
     };
     assert_eq!((latency.count, latency.incomplete), (2, 0), "{latency:?}");
     assert!(latency.max < 5000.0, "{latency:?}");
@@ -50,10 +54,10 @@
 
 #[test]
 fn a_version_reaches_all_leaves_under_its_own_stamp_and_rejections_are_reported_at_the_root() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let root = Process::root(dir.path(), None, &QUICK);
-    let region = Process::relay("region", None, &[root.proxies], &QUICK);
-    let site = Process::relay("site", None, &[region.proxies], &QUICK);
+    let directory = tempfile::tempdir().expect("a folder");
+    let root = Process::root(directory.path(), None, &SHORT_TIMEOUTS);
+    let region = Process::relay("region", None, &[root.proxies], &SHORT_TIMEOUTS);
+    let site = Process::relay("site", None, &[region.proxies], &SHORT_TIMEOUTS);
     let leaves = ["a", "b"].map(|name| Leaf::start(name, &[site.proxies], LEASE));
     let publish = |n: u64| match root
         .call(&OperatorRequest::Publish { body: json!({ "n": n }), plan: Default::default() })
@@ -75,7 +79,7 @@
         until("acknowledged by the whole subtree", || status().is_some_and(|s| s.running == Some(stamp)));
         assert!(leaves.iter().all(|leaf| *leaf.acked.lock().expect("not poisoned") == Some(stamp)));
     }
-    let _rejecting = Leaf::with("c", &[site.proxies], LEASE, true);
+    let _rejecting = Leaf::start_with("c", &[site.proxies], LEASE, true);
     until("c is connected", || has_children(3));
     let stamp = publish(9);
     until("rejected", || status().is_some_and(|s| s.rejected.is_some()));
--- a/crates/control/tests/fanout/tree.rs
+++ b/crates/control/tests/fanout/tree.rs
@@ -1,4 +1,4 @@
-//! A root and relays as child processes on ports of their own.
+//! A root and relays as child processes on separate ports.
 
 use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
 use aniseyoke_control::operators::{call, CallError};
@@ -14,15 +14,15 @@
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until a condition holds.
-pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
+pub fn until(expected: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
+        assert!(start.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {expected}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A root or a relay. It is killed on drop.
+/// A process of a root or a relay. It is killed on drop.
 pub struct Process {
     child: Child,
     pub proxies: SocketAddr,
@@ -30,10 +30,10 @@
     logged: Arc<Mutex<Vec<String>>>,
 }
 
-fn addr(lines: &Receiver<String>, what: &str) -> SocketAddr {
+fn addr(lines: &Receiver<String>, expected: &str) -> SocketAddr {
     loop {
-        let line = lines.recv_timeout(TIMEOUT).unwrap_or_else(|e| panic!("{what}: {e}"));
-        if let Some((_, addr)) = line.split_once(what) {
+        let line = lines.recv_timeout(TIMEOUT).unwrap_or_else(|e| panic!("{expected}: {e}"));
+        if let Some((_, addr)) = line.split_once(expected) {
             return addr.trim().parse().expect("an address");
         }
     }
@@ -46,14 +46,14 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("started");
-        let (tell, lines) = channel();
+        let (sender, lines) = channel();
         let logged = Arc::new(Mutex::new(Vec::new()));
-        let (keep, err) = (logged.clone(), child.stderr.take().expect("its errors"));
+        let (lines_seen, stderr) = (logged.clone(), child.stderr.take().expect("its errors"));
         std::thread::spawn(move || {
-            for line in BufReader::new(err).lines().map_while(Result::ok) {
-                keep.lock().expect("not poisoned").push(line.clone());
-                // The receiver ends once the addresses are known.
-                let _ = tell.send(line);
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                lines_seen.lock().expect("not poisoned").push(line.clone());
+                // The receiver is dropped once the addresses are known.
+                let _ = sender.send(line);
             }
         });
         let proxies = addr(&lines, "proxies connect at");
@@ -61,41 +61,45 @@
         Process { child, proxies, operators, logged }
     }
 
-    /// A root with its log in this folder, and with further arguments.
-    pub fn root(dir: &Path, listen: Option<SocketAddr>, more: &[&str]) -> Self {
+    /// Starts a root with its log in this directory and with these additional arguments.
+    pub fn root(directory: &Path, listen: Option<SocketAddr>, extra_args: &[&str]) -> Self {
         let listen = listen.map_or("127.0.0.1:0".into(), |at| at.to_string());
-        let dir = dir.to_str().expect("text");
-        let args = ["serve", "--purges", "--listen", &listen, "--door", "127.0.0.1:0", "--dir", dir];
-        Self::start(&[&args, more].concat())
+        let directory = directory.to_str().expect("text");
+        let args = ["serve", "--purges", "--listen", &listen, "--door", "127.0.0.1:0", "--dir", directory];
+        Self::start(&[&args, extra_args].concat())
     }
 
-    /// A relay of these upstreams.
-    pub fn relay(name: &str, listen: Option<SocketAddr>, upstream: &[SocketAddr], more: &[&str]) -> Self {
+    /// Starts a relay of these upstreams.
+    pub fn relay(
+        name: &str,
+        listen: Option<SocketAddr>,
+        upstream: &[SocketAddr],
+        extra_args: &[&str],
+    ) -> Self {
         let listen = listen.map_or("127.0.0.1:0".into(), |at| at.to_string());
         let upstream: Vec<String> = upstream.iter().map(SocketAddr::to_string).collect();
         let upstream = upstream.join(",");
         let args = ["relay", "--name", name, "--listen", &listen, "--door", "127.0.0.1:0"];
-        Self::start(&[&args, &["--upstream", &upstream][..], more].concat())
+        Self::start(&[&args, &["--upstream", &upstream][..], extra_args].concat())
     }
 
-    /// Kills it.
     pub fn kill(&mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("ended");
     }
 
-    /// Whether it has logged this.
-    pub fn has_logged(&self, what: &str) -> bool {
-        self.logged.lock().expect("not poisoned").iter().any(|line| line.contains(what))
+    /// Whether the process has logged a line that contains this text.
+    pub fn has_logged(&self, expected: &str) -> bool {
+        self.logged.lock().expect("not poisoned").iter().any(|line| line.contains(expected))
     }
 
-    /// Sends an operator's request.
+    /// Sends an operator request.
     pub fn call(&self, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(call(self.operators, request))
     }
 
-    /// Purges objects; the position of the log afterwards.
+    /// Purges objects; returns the epoch and the position of the log afterwards.
     pub fn purge(&self, publisher: &str, sequence: u64, keys: &[&str]) -> (u64, u64) {
         let keys = keys.iter().map(|key| (*key).to_owned()).collect();
         let call = OperatorRequest::Purge { publisher: publisher.into(), sequence, keys };
@@ -105,7 +109,7 @@
         }
     }
 
-    /// How far purges have been applied, how many members lag, and their names.
+    /// The position up to which purges are applied, the number of lagging members, and the names of those that are named.
     pub fn purge_status(&self) -> (u64, u64, Vec<String>) {
         match self.call(&OperatorRequest::PurgeStatus) {
             Ok(OperatorResponse::PurgeStatus { applied, lagging, unnamed, .. }) => {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Waits until everyone has applied all purges up to this number.
+    /// Waits until all members have applied all purges up to this number.
     pub fn wait_applied(&self, through: u64) {
         until(&format!("{through} applied everywhere"), || {
             let (applied, lagging, _) = self.purge_status();
@@ -126,7 +130,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have been killed before.
+        // The process may have been killed before.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/control/tests/measure.rs
+++ b/crates/control/tests/measure.rs
@@ -1,8 +1,8 @@
-//! The measurement as a program: what is short is told before it starts.
+//! Tests of the `measure` command: it checks the limit of file descriptors before it starts.
 
 use std::process::{Command, Stdio};
 
-fn measure(limit: &str, proxies: &str) -> (bool, String, String) {
+fn run_measure(limit: &str, proxies: &str) -> (bool, String, String) {
     let program = env!("CARGO_BIN_EXE_aniseyoke-control");
     let script = format!("ulimit -n {limit} && exec \"$0\" \"$@\"");
     let mut command = Command::new("sh");
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn descriptors_that_are_short_are_one_clear_error() {
-    let (well, out, err) = measure("1024", "2500");
-    assert!(!well && out.is_empty(), "{out}");
+fn too_low_a_descriptor_limit_is_reported_in_one_error_line() {
+    let (succeeded, out, err) = run_measure("1024", "2500");
+    assert!(!succeeded && out.is_empty(), "{out}");
     assert_eq!(err.lines().count(), 1, "{err}");
     for part in ["2500 proxies need 5064 descriptors", "may have 1024", "4040 short", "at most 480 proxies"] {
         assert!(err.contains(part), "`{part}` is not in {err}");
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn as_many_proxies_as_it_names_are_measured() {
-    let (well, out, err) = measure("1024", "480");
-    assert!(well, "{err}");
+fn the_number_of_proxies_named_in_the_error_can_be_measured() {
+    let (succeeded, out, err) = run_measure("1024", "480");
+    assert!(succeeded, "{err}");
     assert!(out.starts_with("480 proxies"), "{out}");
     assert_eq!(err, "");
 }
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -1,4 +1,5 @@
-//! The epoch and the last known good version on files of which each step fails in turn: not done, done in part, or done.
+//! Tests of storing the epoch and the last known good version while each file operation fails in turn: without effect,
+//! after half of it, or after all of it.
 
 use aniseyoke_control::epoch::raise;
 use aniseyoke_control::store::{Files, Loaded, Store, StoredVersion};
@@ -8,30 +9,31 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// How much of a step that fails is done.
+/// How much of a failing operation takes effect.
 #[derive(Clone, Copy, PartialEq)]
-enum Done {
+enum Completed {
     Nothing,
     Half,
     All,
 }
 
-/// Files in memory, of which one step fails.
-struct Failing {
+/// An in-memory file system in which one operation fails.
+struct FailingFiles {
     files: BTreeMap<PathBuf, Vec<u8>>,
-    /// Steps until the one that fails; none if no other fails.
-    left: Option<usize>,
-    done: Done,
+    /// The number of operations before the one that fails; `None` if no further operation fails.
+    operations_left: Option<usize>,
+    completed: Completed,
 }
 
-impl Failing {
+impl FailingFiles {
     fn new() -> Self {
-        Failing { files: BTreeMap::new(), left: None, done: Done::Nothing }
+        FailingFiles { files: BTreeMap::new(), operations_left: None, completed: Completed::Nothing }
     }
 
     fn fails(&mut self) -> bool {
-        let fails = self.left == Some(0);
-        self.left = self.left.and_then(|left| left.checked_sub(1));
+        let fails = self.operations_left == Some(0);
+        self.operations_left =
+            self.operations_left.and_then(|operations_left| operations_left.checked_sub(1));
         fails
     }
 
@@ -43,48 +45,48 @@
     }
 }
 
-impl Files for &mut Failing {
+impl Files for &mut FailingFiles {
     fn read(&mut self, path: &Path) -> io::Result<Option<Vec<u8>>> {
         let fails = self.fails();
-        Failing::result(fails)?;
+        FailingFiles::result(fails)?;
         Ok(self.files.get(path).cloned())
     }
 
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let fails = self.fails();
-        let length = match self.done {
-            Done::Nothing if fails => return Failing::result(true),
-            Done::Half if fails => bytes.len() / 2,
+        let length = match self.completed {
+            Completed::Nothing if fails => return FailingFiles::result(true),
+            Completed::Half if fails => bytes.len() / 2,
             _ => bytes.len(),
         };
         self.files.insert(path.to_owned(), bytes[..length].to_vec());
-        Failing::result(fails)
+        FailingFiles::result(fails)
     }
 
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
         let fails = self.fails();
-        if !fails || self.done == Done::All {
+        if !fails || self.completed == Completed::All {
             let bytes = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
             self.files.insert(to.to_owned(), bytes);
         }
-        Failing::result(fails)
+        FailingFiles::result(fails)
     }
 }
 
-const ALL: [Done; 3] = [Done::Nothing, Done::Half, Done::All];
+const ALL_COMPLETED: [Completed; 3] = [Completed::Nothing, Completed::Half, Completed::All];
 
-/// Danger: under an epoch that is assigned twice the same numbers mean different things.
+/// Guards against an epoch that is assigned twice, under which the same numbers would identify different versions.
 #[test]
-fn no_epoch_is_assigned_twice_whichever_step_fails() {
-    for step in 0..3 {
-        for done in ALL {
-            let mut disk = Failing::new();
+fn no_epoch_is_assigned_twice_if_a_file_operation_fails() {
+    for operation in 0..3 {
+        for completed in ALL_COMPLETED {
+            let mut disk = FailingFiles::new();
             let first = raise(&mut &mut disk, Path::new("state"), 100).expect("the first");
-            (disk.left, disk.done) = (Some(step), done);
-            assert!(raise(&mut &mut disk, Path::new("state"), 90).is_err(), "step {step}");
-            // The clock has gone back meanwhile.
-            let next = raise(&mut &mut disk, Path::new("state"), 5).expect("the disk is back");
-            assert!(next > first, "step {step}: {next} after {first}");
+            (disk.operations_left, disk.completed) = (Some(operation), completed);
+            assert!(raise(&mut &mut disk, Path::new("state"), 90).is_err(), "operation {operation}");
+            // The clock has moved backwards meanwhile.
+            let next = raise(&mut &mut disk, Path::new("state"), 5).expect("the disk works again");
+            assert!(next > first, "operation {operation}: {next} after {first}");
         }
     }
 }
@@ -96,14 +98,14 @@
 
 #[test]
 fn a_failed_save_leaves_the_old_or_the_new_version_and_the_next_save_succeeds() {
-    for step in 0..2 {
-        for done in ALL {
-            let mut disk = Failing::new();
+    for operation in 0..2 {
+        for completed in ALL_COMPLETED {
+            let mut disk = FailingFiles::new();
             Store::new(&mut disk, "last".into()).save(&stored(1)).expect("saved");
-            (disk.left, disk.done) = (Some(step), done);
+            (disk.operations_left, disk.completed) = (Some(operation), completed);
             assert!(Store::new(&mut disk, "last".into()).save(&stored(2)).is_err());
             let loaded = Store::new(&mut disk, "last".into()).load().expect("read");
-            let renamed = step == 1 && done == Done::All;
+            let renamed = operation == 1 && completed == Completed::All;
             assert_eq!(loaded, Loaded::Valid(stored(if renamed { 2 } else { 1 })));
             let mut after = Store::new(&mut disk, "last".into());
             after.save(&stored(3)).expect("saved");
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -1,5 +1,5 @@
-//! What the service keeps on disk, while writes and syncs fail and when it is killed with a write half done: versions, the
-//! epoch, the log of purges.
+//! Tests of the data that the service stores on disk (versions, the epoch, the purge log) while writes and syncs fail and
+//! when the service is killed during a write.
 
 use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
 use aniseyoke_control::operators::{call, CallError};
@@ -14,24 +14,24 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Whatever is waited for comes within this time, or the test fails.
-const WITHIN: Duration = Duration::from_secs(30);
+/// The time limit of every wait.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn until(what: &str, mut so: impl FnMut() -> bool) {
+fn until(expected: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !so() {
-        assert!(start.elapsed() < WITHIN, "not within {WITHIN:?}: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {expected}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The service's folder, and one for the fault plan.
-struct Site {
+/// The state directory of the service, and a directory for the fault plan.
+struct TestDirectories {
     state: TempDir,
     faults: TempDir,
 }
 
-/// A running service; it is killed when this is dropped.
+/// A running service process. It is killed on drop.
 struct Service {
     child: Child,
     operators: SocketAddr,
@@ -39,16 +39,16 @@
 
 impl Drop for Service {
     fn drop(&mut self) {
-        // It may have ended.
+        // The process may have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Site {
+impl TestDirectories {
     fn new() -> Self {
-        let folder = || tempfile::tempdir().expect("a folder");
-        Site { state: folder(), faults: folder() }
+        let directory = || tempfile::tempdir().expect("a folder");
+        TestDirectories { state: directory(), faults: directory() }
     }
 
     fn command(&self, plan: &Plan) -> (Command, Armed) {
@@ -56,12 +56,12 @@
         command.args(["serve", "--purges", "--listen", "127.0.0.1:0", "--door", "127.0.0.1:0"]);
         command.args(["--batch", "0ms", "--log-entries", "30", "--dir"]).arg(self.state.path());
         command.stderr(Stdio::piped());
-        let armed = arm(&mut command, self.faults.path(), plan).expect("armed");
-        (command, armed)
+        let fault_plan = arm(&mut command, self.faults.path(), plan).expect("armed");
+        (command, fault_plan)
     }
 
     fn start(&self, plan: &Plan) -> (Service, Armed) {
-        let (mut command, armed) = self.command(plan);
+        let (mut command, fault_plan) = self.command(plan);
         let mut child = command.spawn().expect("started");
         let mut lines = BufReader::new(child.stderr.take().expect("its errors")).lines();
         let operators = loop {
@@ -70,21 +70,21 @@
                 break addr.trim().parse().expect("an address");
             }
         };
-        // It must not fill up.
+        // Reads on, since a full pipe would block the service.
         std::thread::spawn(move || lines.map_while(Result::ok).count());
-        (Service { child, operators }, armed)
+        (Service { child, operators }, fault_plan)
     }
 
-    /// Calls fail about files whose path in the folder begins so.
-    fn failing(&self, calls: &[Call], name: &str, effect: Effect) -> Rule {
-        // Without a name it is the folder itself, and all in it.
+    /// A rule by which these system calls fail on files whose path in the state directory begins with `name`.
+    fn fault_rule(&self, calls: &[Call], name: &str, effect: Effect) -> Rule {
+        // An empty name matches the directory itself and all files in it.
         let path = if name.is_empty() { self.state.path().into() } else { self.state.path().join(name) };
         Rule::new(&format!("at-{}", name.replace('/', "-")), calls, effect).about(About::Files(path))
     }
 
     fn segments(&self) -> Vec<PathBuf> {
-        let found = std::fs::read_dir(self.state.path().join("purges")).expect("the log");
-        let mut all: Vec<PathBuf> = found.map(|entry| entry.expect("an entry").path()).collect();
+        let entries = std::fs::read_dir(self.state.path().join("purges")).expect("the log");
+        let mut all: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry").path()).collect();
         all.sort();
         all
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Publishes a version that says this; the answer says whether it did.
+    /// Publishes a version that contains this number; the error is the reason of a rejection.
     fn publish(&self, number: u64) -> Result<(), String> {
         let body = json!({ "log": { "burst": number } });
         match self
@@ -132,9 +132,9 @@
         }
     }
 
-    fn kill_when_stopped(mut self) {
+    fn kill_once_stopped(mut self) {
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it has stopped", || {
+        until("the process is stopped", || {
             let stat = std::fs::read_to_string(&stat).expect("a state");
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
         });
@@ -143,76 +143,83 @@
     }
 }
 
-/// What the version on disk says.
-fn stored(site: &Site) -> Option<u64> {
+/// The number that the version on disk contains.
+fn stored(directories: &TestDirectories) -> Option<u64> {
     use aniseyoke_control::store::{Disk, Loaded, Store};
-    match Store::new(Disk, site.state.path().join("newest")).load().expect("read") {
+    match Store::new(Disk, directories.state.path().join("newest")).load().expect("read") {
         Loaded::Valid(stored) => stored.version.body.value()["log"]["burst"].as_u64(),
         Loaded::Missing => None,
         Loaded::Damaged { reason, .. } => panic!("{reason}"),
     }
 }
 
-/// Danger: a version that is answered for and not on disk is gone after a kill, and all proxies go back to the one before.
+/// Guards against lost versions: if a version were acknowledged before it is on disk, a kill would lose it and all proxies
+/// would return to the previous one.
 #[test]
-fn a_version_that_was_answered_for_is_on_disk_however_soon_the_service_is_killed() {
-    let (mut answered, mut lost) = (0, 0);
+fn a_published_version_is_on_disk_if_the_service_is_killed_right_after_the_response() {
+    let (mut acknowledged, mut lost) = (0, 0);
     for n in 1..=10 {
-        let site = Site::new();
-        let slow = site.failing(&[Call::Open], "newest.new", Effect::DelayBefore(200_000));
-        let (service, _armed) = site.start(&plan(&[slow]));
+        let directories = TestDirectories::new();
+        let slow = directories.fault_rule(&[Call::Open], "newest.new", Effect::DelayBefore(200_000));
+        let (service, _fault_plan) = directories.start(&plan(&[slow]));
         service.publish(n).expect("published");
         drop(service);
-        answered += 1;
-        lost += u64::from(stored(&site) != Some(n));
+        acknowledged += 1;
+        lost += u64::from(stored(&directories) != Some(n));
     }
-    assert_eq!(lost, 0, "of {answered} versions that were answered for {lost} are gone");
+    assert_eq!(lost, 0, "of {acknowledged} acknowledged versions {lost} are lost");
 }
 
 #[test]
-fn a_version_that_can_not_be_stored_is_refused_and_the_one_in_force_stays_over_a_restart() {
+fn a_version_that_cannot_be_stored_is_rejected_and_the_current_version_remains() {
     use Call::{Fsync, Open, Rename, Write};
     let steps = [
         (Open, "newest.new", Often::Always),
         (Write, "newest.new", Often::Always),
         (Fsync, "newest.new", Often::Always),
         (Rename, "newest", Often::Always),
-        // The folder's, behind the file's.
+        // The second sync is that of the directory, after that of the file.
         (Fsync, "", Often::Only(2)),
     ];
-    let (mut calls, mut claimed) = (0, Vec::new());
+    let (mut calls, mut false_successes) = (0, Vec::new());
     for number in [errno::ENOSPC, errno::EIO] {
         for (step, name, often) in steps {
-            let site = Site::new();
-            let (service, armed) = site.start(&Plan::default());
+            let directories = TestDirectories::new();
+            let (service, fault_plan) = directories.start(&Plan::default());
             service.publish(1).expect("published");
-            until("it is kept", || stored(&site) == Some(1));
-            let rule = site.failing(&[step], name, Effect::Fail(number)).often(often);
-            armed.change(&plan(&[rule])).expect("changed");
+            until("it is stored", || stored(&directories) == Some(1));
+            let rule = directories.fault_rule(&[step], name, Effect::Fail(number)).often(often);
+            fault_plan.change(&plan(&[rule])).expect("changed");
             calls += 1;
             match service.publish(2) {
-                Ok(()) => claimed.push(format!("{step:?} {name}: published, error {number}")),
-                Err(why) => assert!(why.contains("can't be stored"), "{why}"),
+                Ok(()) => false_successes.push(format!("{step:?} {name}: published despite error {number}")),
+                Err(error_text) => assert!(error_text.contains("can't be stored"), "{error_text}"),
             }
-            assert!(service.newest() == Some(1) || !claimed.is_empty());
-            armed.change(&Plan::default()).expect("changed");
-            until("what is in force is on disk", || stored(&site) == Some(1) || !claimed.is_empty());
-            service.publish(3).expect("the disk is back");
+            assert!(service.newest() == Some(1) || !false_successes.is_empty());
+            fault_plan.change(&Plan::default()).expect("changed");
+            until("the current version is on disk", || {
+                stored(&directories) == Some(1) || !false_successes.is_empty()
+            });
+            service.publish(3).expect("the disk works again");
             drop(service);
-            assert!(stored(&site) == Some(3) || !claimed.is_empty(), "{step:?} {name}");
+            assert!(stored(&directories) == Some(3) || !false_successes.is_empty(), "{step:?} {name}");
         }
     }
-    assert!(claimed.is_empty(), "{} of {calls} were answered with success: {claimed:#?}", claimed.len());
+    assert!(
+        false_successes.is_empty(),
+        "{} of {calls} requests succeeded: {false_successes:#?}",
+        false_successes.len()
+    );
 }
 
 #[test]
-fn a_service_killed_in_the_midst_of_storing_begins_with_the_version_before() {
+fn a_service_killed_while_storing_a_version_restarts_with_the_previous_one() {
     for bytes in [0, 20, 200] {
-        let site = Site::new();
-        let (service, armed) = site.start(&Plan::default());
+        let directories = TestDirectories::new();
+        let (service, fault_plan) = directories.start(&Plan::default());
         service.publish(1).expect("published");
-        let half = site.failing(&[Call::Write], "newest.new", Effect::StopAfter(bytes));
-        armed.change(&plan(&[half])).expect("changed");
+        let partial_write = directories.fault_rule(&[Call::Write], "newest.new", Effect::StopAfter(bytes));
+        fault_plan.change(&plan(&[partial_write])).expect("changed");
         let operators = service.operators;
         let caller = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -220,85 +227,101 @@
             let publish = OperatorRequest::Publish { body, plan: Rollout::default() };
             runtime.expect("a runtime").block_on(call(operators, &publish))
         });
-        service.kill_when_stopped();
-        assert!(caller.join().expect("no panic").is_err(), "nobody was answered");
-        let (service, _armed) = site.start(&Plan::default());
-        assert_eq!((stored(&site), service.newest()), (Some(1), Some(1)));
+        service.kill_once_stopped();
+        assert!(caller.join().expect("no panic").is_err(), "there was a response");
+        let (service, _fault_plan) = directories.start(&Plan::default());
+        assert_eq!((stored(&directories), service.newest()), (Some(1), Some(1)));
         service.publish(3).expect("published");
-        assert_eq!(stored(&site), Some(3));
+        assert_eq!(stored(&directories), Some(3));
     }
 }
 
-/// Danger: an epoch that could not be read or stored may be given out twice, and with it every number under it.
+/// Guards against reused numbers: an epoch that could not be read or stored could be assigned twice, and with it every
+/// number under it.
 #[test]
-fn a_service_whose_epoch_can_not_be_read_or_stored_does_not_start_and_says_why() {
+fn a_service_that_cannot_read_or_store_its_epoch_exits_with_an_error() {
     use Call::{Fsync, Open, Write};
     for (calls, name) in [(Open, "epoch"), (Write, "epoch.new"), (Fsync, "epoch.new")] {
-        let site = Site::new();
-        let (service, _armed) = site.start(&Plan::default());
+        let directories = TestDirectories::new();
+        let (service, _fault_plan) = directories.start(&Plan::default());
         let first = service.purge(1).expect("taken");
         drop(service);
-        let failing = site.failing(&[calls], name, Effect::Fail(errno::EIO));
-        let (mut command, _armed) = site.command(&plan(&[failing]));
+        let fault_rule = directories.fault_rule(&[calls], name, Effect::Fail(errno::EIO));
+        let (mut command, _fault_plan) = directories.command(&plan(&[fault_rule]));
         let mut child = command.spawn().expect("started");
-        let mut why = String::new();
+        let mut error_text = String::new();
         let mut errors = BufReader::new(child.stderr.take().expect("its errors"));
-        while !why.contains("epoch") && !why.contains("operators call at") {
-            assert!(errors.read_line(&mut why).expect("text") > 0, "it ended and said {why:?}");
+        while !error_text.contains("epoch") && !error_text.contains("operators call at") {
+            assert!(
+                errors.read_line(&mut error_text).expect("text") > 0,
+                "the service exited with {error_text:?}"
+            );
         }
-        let started = why.contains("operators call at");
+        let started = error_text.contains("operators call at");
         let _ = child.kill();
-        errors.read_to_string(&mut why).expect("text");
-        assert!(!child.wait().expect("ended").success() && !started, "{calls:?} {name}: it started: {why}");
-        let (service, _armed) = site.start(&Plan::default());
+        errors.read_to_string(&mut error_text).expect("text");
+        assert!(
+            !child.wait().expect("ended").success() && !started,
+            "{calls:?} {name}: the service started: {error_text}"
+        );
+        let (service, _fault_plan) = directories.start(&Plan::default());
         assert_eq!(service.purge(1).expect("known"), first);
     }
 }
 
-/// Makes calls of one publisher under a plan; the numbers of those that were answered for, by sequence.
-fn taken(service: &Service, sequences: std::ops::RangeInclusive<u64>) -> Vec<(u64, (u64, u64))> {
+/// Sends purge requests of one publisher; returns the numbers of the acknowledged ones, by sequence.
+fn acknowledged_purges(
+    service: &Service,
+    sequences: std::ops::RangeInclusive<u64>,
+) -> Vec<(u64, (u64, u64))> {
     sequences.filter_map(|sequence| Some((sequence, service.purge(sequence).ok()?))).collect()
 }
 
-/// All that was answered for has its number after a kill, and no number was given out twice.
-fn all_there(site: &Site, answered: &[(u64, (u64, u64))]) {
-    let numbers: BTreeSet<(u64, u64)> = answered.iter().map(|(_, number)| *number).collect();
-    assert_eq!(numbers.len(), answered.len(), "a number was given out twice: {answered:?}");
-    let (service, _armed) = site.start(&Plan::default());
-    let gone: Vec<u64> = answered
+/// Asserts that all acknowledged purges have their number after a restart, and that no number was assigned twice.
+fn assert_all_recovered(directories: &TestDirectories, acknowledged: &[(u64, (u64, u64))]) {
+    let numbers: BTreeSet<(u64, u64)> = acknowledged.iter().map(|(_, number)| *number).collect();
+    assert_eq!(numbers.len(), acknowledged.len(), "a number was assigned twice: {acknowledged:?}");
+    let (service, _fault_plan) = directories.start(&Plan::default());
+    let missing: Vec<u64> = acknowledged
         .iter()
         .filter(|(sequence, number)| service.purge(*sequence).as_ref() != Ok(number))
         .map(|(sequence, _)| *sequence)
         .collect();
-    assert!(gone.is_empty(), "of {} acknowledged purges {} are gone: {gone:?}", answered.len(), gone.len());
+    assert!(
+        missing.is_empty(),
+        "of {} acknowledged purges {} are lost: {missing:?}",
+        acknowledged.len(),
+        missing.len()
+    );
 }
 
-/// Danger: what a failed write left, a later one must not be appended behind; and one that was refused must not be counted.
+/// Guards against two faults of the purge log: a record that is appended after the remains of a failed write can't be read
+/// back, and a rejected purge must not get a number.
 #[test]
-fn purges_go_on_once_the_disk_is_back_and_none_that_was_answered_for_is_gone() {
+fn purges_resume_after_disk_faults_and_no_acknowledged_purge_is_lost() {
     use Call::{Fdatasync, Fsync, Ftruncate, Open, Write};
     let (full, broken) = (Effect::Fail(errno::ENOSPC), Effect::Fail(errno::EIO));
-    let of = |calls: &[Call], effect| (calls.to_vec(), effect);
+    let fault = |calls: &[Call], effect| (calls.to_vec(), effect);
     let faults: [Vec<(Vec<Call>, Effect)>; 7] = [
-        vec![of(&[Write], full)],
-        // Half a record, and then no room.
-        vec![of(&[Write], Effect::Short(9)), of(&[Write], full)],
-        vec![of(&[Write], Effect::Short(9)), of(&[Write], full), of(&[Ftruncate], broken)],
-        vec![of(&[Fdatasync], broken)],
-        vec![of(&[Fdatasync, Ftruncate], broken)],
-        vec![of(&[Fdatasync, Fsync], broken)],
-        vec![of(&[Open, Fsync], full)],
+        vec![fault(&[Write], full)],
+        // Part of a record, then no space on the disk.
+        vec![fault(&[Write], Effect::Short(9)), fault(&[Write], full)],
+        vec![fault(&[Write], Effect::Short(9)), fault(&[Write], full), fault(&[Ftruncate], broken)],
+        vec![fault(&[Fdatasync], broken)],
+        vec![fault(&[Fdatasync, Ftruncate], broken)],
+        vec![fault(&[Fdatasync, Fsync], broken)],
+        vec![fault(&[Open, Fsync], full)],
     ];
-    let (mut refused_after, mut calls_after) = (0, 0);
+    let (mut rejected_after_recovery, mut calls_after_recovery) = (0, 0);
     for rules in faults {
-        let site = Site::new();
-        let (service, armed) = site.start(&Plan::default());
-        // One more, and the next begins another segment.
-        let mut answered = taken(&service, 1..=29);
-        assert_eq!(answered.len(), 29);
+        let directories = TestDirectories::new();
+        let (service, fault_plan) = directories.start(&Plan::default());
+        // After one more record the next one begins a new segment.
+        let mut acknowledged = acknowledged_purges(&service, 1..=29);
+        assert_eq!(acknowledged.len(), 29);
         let mut short = Often::Only(1);
         let rule = |(calls, effect): &(Vec<Call>, Effect)| {
-            let rule = site.failing(calls, "purges/purges-", *effect);
+            let rule = directories.fault_rule(calls, "purges/purges-", *effect);
             if matches!(effect, Effect::Short(_)) {
                 rule.often(std::mem::take(&mut short))
             } else {
@@ -306,34 +329,35 @@
             }
         };
         let rules: Vec<Rule> = rules.iter().map(rule).collect();
-        armed.change(&plan(&rules)).expect("changed");
-        answered.extend(taken(&service, 30..=34));
+        fault_plan.change(&plan(&rules)).expect("changed");
+        acknowledged.extend(acknowledged_purges(&service, 30..=34));
         let before = if rules[0].calls.contains(&Open) { 30 } else { 29 };
-        assert_eq!(answered.len(), before, "{rules:?}: {answered:?}");
-        armed.change(&Plan::default()).expect("changed");
-        // Enough for another segment.
-        calls_after += 40;
-        let after = taken(&service, 35..=74);
-        refused_after += 40 - after.len();
-        answered.extend(after);
+        assert_eq!(acknowledged.len(), before, "{rules:?}: {acknowledged:?}");
+        fault_plan.change(&Plan::default()).expect("changed");
+        // Enough records for another segment.
+        calls_after_recovery += 40;
+        let after = acknowledged_purges(&service, 35..=74);
+        rejected_after_recovery += 40 - after.len();
+        acknowledged.extend(after);
         drop(service);
-        // Only the last ones are certain to be remembered with their numbers.
-        all_there(&site, &answered[answered.len().saturating_sub(25)..]);
+        // Only for the most recent requests the service is certain to have the numbers.
+        assert_all_recovered(&directories, &acknowledged[acknowledged.len().saturating_sub(25)..]);
     }
     assert_eq!(
-        refused_after, 0,
-        "of {calls_after} calls after the disk was back {refused_after} were refused"
+        rejected_after_recovery, 0,
+        "of {calls_after_recovery} requests after the disk had recovered {rejected_after_recovery} were rejected"
     );
 }
 
 #[test]
-fn a_service_killed_with_a_record_half_written_cuts_it_off_and_goes_on() {
+fn a_service_killed_while_writing_a_record_truncates_it_on_restart() {
     for bytes in [0, 1, 11, 12, 30] {
-        let site = Site::new();
-        let (service, armed) = site.start(&Plan::default());
-        let mut answered = taken(&service, 1..=5);
-        let half = site.failing(&[Call::Write], "purges/purges-", Effect::StopAfter(bytes));
-        armed.change(&plan(&[half])).expect("changed");
+        let directories = TestDirectories::new();
+        let (service, fault_plan) = directories.start(&Plan::default());
+        let mut acknowledged = acknowledged_purges(&service, 1..=5);
+        let partial_write =
+            directories.fault_rule(&[Call::Write], "purges/purges-", Effect::StopAfter(bytes));
+        fault_plan.change(&plan(&[partial_write])).expect("changed");
         let operators = service.operators;
         let caller = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -341,67 +365,78 @@
             let purge = OperatorRequest::Purge { publisher: "p".into(), sequence: 6, keys };
             runtime.expect("a runtime").block_on(call(operators, &purge))
         });
-        service.kill_when_stopped();
-        assert!(caller.join().expect("no panic").is_err(), "nobody was answered");
-        let (service, _armed) = site.start(&Plan::default());
-        answered.extend(taken(&service, 6..=8));
-        assert_eq!(answered.last().map(|(_, (_, through))| *through), Some(8));
+        service.kill_once_stopped();
+        assert!(caller.join().expect("no panic").is_err(), "there was a response");
+        let (service, _fault_plan) = directories.start(&Plan::default());
+        acknowledged.extend(acknowledged_purges(&service, 6..=8));
+        assert_eq!(acknowledged.last().map(|(_, (_, through))| *through), Some(8));
         drop(service);
-        all_there(&site, &answered);
+        assert_all_recovered(&directories, &acknowledged);
     }
 }
 
-/// Danger: what a sync did not take may be found in memory by the next process; a sync of the same file says nothing of it.
+/// Guards against data that exists in the page cache only: after a failed sync the next process still reads the data, and
+/// a sync of the same file succeeds without writing it.
 #[test]
-fn what_a_restart_finds_is_written_anew_before_it_counts() {
+fn records_read_at_startup_are_rewritten_before_they_are_acknowledged() {
     use std::os::unix::fs::MetadataExt as _;
-    let site = Site::new();
-    let (service, armed) = site.start(&Plan::default());
+    let directories = TestDirectories::new();
+    let (service, fault_plan) = directories.start(&Plan::default());
     let first = service.purge(1).expect("taken");
-    let broken = site.failing(
+    let broken = directories.fault_rule(
         &[Call::Fdatasync, Call::Fsync, Call::Ftruncate],
         "purges/purges-",
         Effect::Fail(errno::EIO),
     );
-    armed.change(&plan(&[broken])).expect("changed");
-    let why = service.purge(2).expect_err("it is not on disk");
-    assert!(why.contains("can't be stored"), "{why}");
+    fault_plan.change(&plan(&[broken])).expect("changed");
+    let error_text = service.purge(2).expect_err("it is not on disk");
+    assert!(error_text.contains("can't be stored"), "{error_text}");
     drop(service);
-    let inode = |site: &Site| std::fs::metadata(&site.segments()[0]).expect("there").ino();
-    let before = inode(&site);
-    let (service, _armed) = site.start(&Plan::default());
-    assert_ne!(inode(&site), before, "the segment is the same file, of which the disk may lack the end");
+    let inode =
+        |directories: &TestDirectories| std::fs::metadata(&directories.segments()[0]).expect("there").ino();
+    let before = inode(&directories);
+    let (service, _fault_plan) = directories.start(&Plan::default());
+    assert_ne!(
+        inode(&directories),
+        before,
+        "the segment is still the same file, whose end may not be on disk"
+    );
     assert_eq!(service.purge(1), Ok(first));
-    // The refused one is found, counts from now on, and is answered for once.
+    // The rejected purge is recovered, gets its number, and a repeated request gets the same number.
     let second = service.purge(2).expect("taken");
     assert_eq!((second, service.purge(2)), ((first.0, 2), Ok(second)));
 }
 
-/// Danger: a log that could not be read for a moment would be put aside as lost: every proxy drops all it holds, and numbers
-/// that publishers were told of mean nothing any more.
+/// Guards against a log that is discarded as lost after a transient read error: every proxy would drop its whole cache, and
+/// the numbers that publishers have received would become invalid.
 #[test]
-fn a_log_that_can_not_be_read_or_written_at_the_start_is_left_as_it_is() {
-    let mut wrong = Vec::new();
+fn a_log_that_cannot_be_read_or_written_at_startup_is_left_unchanged() {
+    let mut failures = Vec::new();
     for call in [Call::Open, Call::Read, Call::Fsync] {
-        let site = Site::new();
-        let (service, _armed) = site.start(&Plan::default());
-        let answered = taken(&service, 1..=10);
+        let directories = TestDirectories::new();
+        let (service, _fault_plan) = directories.start(&Plan::default());
+        let acknowledged = acknowledged_purges(&service, 1..=10);
         drop(service);
-        let before = site.segments();
-        let failing = site.failing(&[call], "purges/purges-", Effect::Fail(errno::EIO));
-        let (mut command, _armed) = site.command(&plan(&[failing]));
+        let before = directories.segments();
+        let fault_rule = directories.fault_rule(&[call], "purges/purges-", Effect::Fail(errno::EIO));
+        let (mut command, _fault_plan) = directories.command(&plan(&[fault_rule]));
         let mut child = command.spawn().expect("started");
         let mut errors = BufReader::new(child.stderr.take().expect("its errors"));
-        let mut said = String::new();
-        while !said.contains("operators call at") && errors.read_line(&mut said).expect("text") > 0 {}
+        let mut stderr_text = String::new();
+        while !stderr_text.contains("operators call at")
+            && errors.read_line(&mut stderr_text).expect("text") > 0
+        {}
         let _ = child.kill();
         child.wait().expect("ended");
-        let same = before.iter().all(|path| site.segments().contains(path));
-        if said.contains("operators call at") || !said.contains("purges-") || !same {
-            wrong.push(format!("{call:?}: {said}"));
+        let segments_unchanged = before.iter().all(|path| directories.segments().contains(path));
+        if stderr_text.contains("operators call at")
+            || !stderr_text.contains("purges-")
+            || !segments_unchanged
+        {
+            failures.push(format!("{call:?}: {stderr_text}"));
             continue;
         }
-        all_there(&site, &answered);
+        assert_all_recovered(&directories, &acknowledged);
     }
-    assert!(wrong.is_empty(), "{} of 3: {wrong:#?}", wrong.len());
+    assert!(failures.is_empty(), "{} of 3 failed: {failures:#?}", failures.len());
 }
--- a/crates/control/tests/wire_forms.rs
+++ b/crates/control/tests/wire_forms.rs
@@ -1,4 +1,4 @@
-//! The JSON text of every message and every stored value, byte for byte: names in the code may change, these may not.
+//! Tests of the exact JSON form of every message and stored value. It must not change when names in the code change.
 
 use aniseyoke_control::commit::{Change, LeaderMessage, MemberMessage, Record};
 use aniseyoke_control::frame::{
@@ -18,8 +18,8 @@
 
 const STAMP: Stamp = Stamp { epoch: 1, number: 2 };
 
-/// Asserts that a value is written as this text, and that the text is read as the value.
-fn pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+/// Asserts that a value serializes to this text, and that the text deserializes to the value.
+fn assert_json_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("JSON"), text);
     assert_eq!(&serde_json::from_str::<T>(text).expect("readable"), value);
 }
@@ -41,7 +41,7 @@
     r#"{"type":"hello","protocol":1,"instance":"a","boot":3,"labels":{},"frame_most":4,"running":null}"#;
 
 #[test]
-fn hello_is_pinned() {
+fn hello_keeps_its_json_form() {
     let hello = ProxyMessage::Hello {
         protocol: 1,
         instance: "a".into(),
@@ -51,7 +51,7 @@
         running: Some((STAMP, "d".into())),
         purges: Some(Progress { epoch: 5, through: 6 }),
     };
-    pinned(&hello, HELLO);
+    assert_json_form(&hello, HELLO);
     let hello = ProxyMessage::Hello {
         protocol: 1,
         instance: "a".into(),
@@ -61,83 +61,89 @@
         running: None,
         purges: None,
     };
-    pinned(&hello, HELLO_WITHOUT_PURGES);
+    assert_json_form(&hello, HELLO_WITHOUT_PURGES);
 }
 
 #[test]
-fn messages_of_a_proxy_are_pinned() {
+fn messages_of_a_proxy_keep_their_json_form() {
     let stamp = STAMP;
-    pinned(
+    assert_json_form(
         &ProxyMessage::PurgeAck { epoch: 1, through: 2, lagging: 3, names: vec!["a@1".into()] },
         r#"{"type":"purged","epoch":1,"through":2,"lacking":3,"names":["a@1"]}"#,
     );
-    pinned(
+    assert_json_form(
         &ProxyMessage::PurgeAck { epoch: 1, through: 2, lagging: 0, names: Vec::new() },
         r#"{"type":"purged","epoch":1,"through":2}"#,
     );
-    pinned(&ProxyMessage::Ack { stamp }, r#"{"type":"taken","stamp":{"epoch":1,"number":2}}"#);
-    pinned(
+    assert_json_form(&ProxyMessage::Ack { stamp }, r#"{"type":"taken","stamp":{"epoch":1,"number":2}}"#);
+    assert_json_form(
         &ProxyMessage::Nack { stamp, reasons: vec!["r".into()] },
         r#"{"type":"refused","stamp":{"epoch":1,"number":2},"reasons":["r"]}"#,
     );
-    pinned(&ProxyMessage::SnapshotRequest, r#"{"type":"whole"}"#);
-    pinned(
+    assert_json_form(&ProxyMessage::SnapshotRequest, r#"{"type":"whole"}"#);
+    assert_json_form(
         &ProxyMessage::Report { stamp, served: 3, rejected: 4, failed: 5 },
         r#"{"type":"report","stamp":{"epoch":1,"number":2},"served":3,"refused":4,"failed":5}"#,
     );
-    pinned(&ProxyMessage::Heartbeat, r#"{"type":"alive"}"#);
+    assert_json_form(&ProxyMessage::Heartbeat, r#"{"type":"alive"}"#);
 }
 
 #[test]
-fn messages_of_a_service_are_pinned() {
+fn messages_of_a_service_keep_their_json_form() {
     let stamp = STAMP;
     let body = CanonicalJson::new(&json!({"b": 1, "a": [true]}));
-    pinned(
+    assert_json_form(
         &ServiceMessage::Snapshot { stamp, digest: "d".into(), body },
         r#"{"type":"full","stamp":{"epoch":1,"number":2},"digest":"d","body":{"a":[true],"b":1}}"#,
     );
     let (base, patch) = (Stamp { epoch: 1, number: 1 }, json_patch::diff(&json!({"a": 1}), &json!({"a": 2})));
-    pinned(
+    assert_json_form(
         &ServiceMessage::Delta { base, stamp, digest: "d".into(), patch },
         r#"{"type":"delta","base":{"epoch":1,"number":1},"stamp":{"epoch":1,"number":2},"digest":"d","patch":[{"op":"replace","path":"/a","value":2}]}"#,
     );
-    pinned(&ServiceMessage::UpToDate { stamp }, r#"{"type":"current","stamp":{"epoch":1,"number":2}}"#);
-    pinned(
+    assert_json_form(
+        &ServiceMessage::UpToDate { stamp },
+        r#"{"type":"current","stamp":{"epoch":1,"number":2}}"#,
+    );
+    assert_json_form(
         &ServiceMessage::Purges { epoch: 1, after: 2, keys: Keys(vec![3]) },
         r#"{"type":"purges","epoch":1,"after":2,"keys":"AAAAAAAAAAM="}"#,
     );
-    pinned(&ServiceMessage::Flush { epoch: 1, through: 2 }, r#"{"type":"flush","epoch":1,"through":2}"#);
-    pinned(&ServiceMessage::Heartbeat, r#"{"type":"alive"}"#);
-    pinned(&ServiceMessage::Goodbye { reason: "w".into() }, r#"{"type":"goodbye","why":"w"}"#);
+    assert_json_form(
+        &ServiceMessage::Flush { epoch: 1, through: 2 },
+        r#"{"type":"flush","epoch":1,"through":2}"#,
+    );
+    assert_json_form(&ServiceMessage::Heartbeat, r#"{"type":"alive"}"#);
+    assert_json_form(&ServiceMessage::Goodbye { reason: "w".into() }, r#"{"type":"goodbye","why":"w"}"#);
 }
 
 #[test]
-fn calls_of_operators_are_pinned() {
+fn requests_of_operators_keep_their_json_form() {
     const PLAN: &str = r#"{"stages":[{"percent":5,"labels":{"site":"a"},"hold_ms":10}],"margin":0.02}"#;
-    pinned(
+    assert_json_form(
         &OperatorRequest::Publish { body: json!({"a": 1}), plan: plan() },
         &format!(r#"{{"type":"publish","body":{{"a":1}},"plan":{PLAN}}}"#),
     );
-    pinned(
+    assert_json_form(
         &OperatorRequest::RollBack { to: STAMP, plan: plan() },
         &format!(r#"{{"type":"roll-back","to":{{"epoch":1,"number":2}},"plan":{PLAN}}}"#),
     );
-    pinned(&OperatorRequest::Halt { reason: "w".into() }, r#"{"type":"halt","why":"w"}"#);
-    pinned(&OperatorRequest::Status, r#"{"type":"status"}"#);
-    pinned(
+    assert_json_form(&OperatorRequest::Halt { reason: "w".into() }, r#"{"type":"halt","why":"w"}"#);
+    assert_json_form(&OperatorRequest::Status, r#"{"type":"status"}"#);
+    assert_json_form(
         &OperatorRequest::Purge { publisher: "p".into(), sequence: 1, keys: vec!["k".into()] },
         r#"{"type":"purge","publisher":"p","sequence":1,"keys":["k"]}"#,
     );
-    pinned(&OperatorRequest::PurgeStatus, r#"{"type":"purges"}"#);
+    assert_json_form(&OperatorRequest::PurgeStatus, r#"{"type":"purges"}"#);
 }
 
 #[test]
-fn answers_to_operators_are_pinned() {
-    pinned(
+fn responses_to_operators_keep_their_json_form() {
+    assert_json_form(
         &OperatorResponse::Published { stamp: STAMP },
         r#"{"type":"published","stamp":{"epoch":1,"number":2}}"#,
     );
-    pinned(&OperatorResponse::Rejected { reason: "w".into() }, r#"{"type":"no","why":"w"}"#);
+    assert_json_form(&OperatorResponse::Rejected { reason: "w".into() }, r#"{"type":"no","why":"w"}"#);
     let status = ProxyStatus {
         instance: "a".into(),
         boot: 3,
@@ -146,7 +152,7 @@
         ack_latency: Some(4),
         rejected: Some((STAMP, vec!["r".into()])),
     };
-    pinned(
+    assert_json_form(
         &OperatorResponse::Status {
             newest: Some(STAMP),
             rollout: Some("stage 0".into()),
@@ -154,74 +160,80 @@
         },
         r#"{"type":"status","newest":{"epoch":1,"number":2},"rollout":"stage 0","proxies":[{"instance":"a","boot":3,"running":{"epoch":1,"number":2},"wanted":null,"took":4,"refused":[{"epoch":1,"number":2},["r"]]}]}"#,
     );
-    pinned(
+    assert_json_form(
         &OperatorResponse::PurgeAccepted { epoch: 1, through: 2 },
         r#"{"type":"purging","epoch":1,"through":2}"#,
     );
     let latency = PurgeLatency { count: 1, p50: 2.0, p99: 3.0, max: 4.0, incomplete: 5 };
     let lagging = vec!["a@1".to_owned()];
-    pinned(
+    assert_json_form(
         &OperatorResponse::PurgeStatus { epoch: 1, newest: 2, applied: 3, lagging, unnamed: 4, latency },
         r#"{"type":"purges","epoch":1,"newest":2,"done":3,"lacking":["a@1"],"unnamed":4,"took":{"count":1,"p50":2.0,"p99":3.0,"most":4.0,"short":5}}"#,
     );
 }
 
 #[test]
-fn messages_and_records_of_the_commit_protocol_are_pinned() {
+fn messages_and_records_of_the_commit_protocol_keep_their_json_form() {
     const CHANGE: &str = r#"{"stamp":{"epoch":1,"number":2},"digest":"d"}"#;
     const AT: &str = r#"{"epoch":1,"number":2}"#;
-    pinned(
+    assert_json_form(
         &MemberMessage::Heartbeat { sent_at: 3, running: Some(change()), prepared: None },
         &format!(r#"{{"type":"renew","asked":3,"runs":{CHANGE},"prepared":null}}"#),
     );
-    pinned(
+    assert_json_form(
         &MemberMessage::VoteCommit { change: change() },
         &format!(r#"{{"type":"prepared","change":{CHANGE}}}"#),
     );
-    pinned(
+    assert_json_form(
         &MemberMessage::VoteAbort { change: change(), reason: "w".into() },
         &format!(r#"{{"type":"refused","change":{CHANGE},"why":"w"}}"#),
     );
-    pinned(
+    assert_json_form(
         &LeaderMessage::Prepare { change: change() },
         &format!(r#"{{"type":"prepare","change":{CHANGE}}}"#),
     );
-    pinned(&LeaderMessage::Commit { change: change() }, &format!(r#"{{"type":"commit","change":{CHANGE}}}"#));
-    pinned(&LeaderMessage::Abort { stamp: STAMP }, &format!(r#"{{"type":"abort","stamp":{AT}}}"#));
-    pinned(
+    assert_json_form(
+        &LeaderMessage::Commit { change: change() },
+        &format!(r#"{{"type":"commit","change":{CHANGE}}}"#),
+    );
+    assert_json_form(&LeaderMessage::Abort { stamp: STAMP }, &format!(r#"{{"type":"abort","stamp":{AT}}}"#));
+    assert_json_form(
         &LeaderMessage::Lease { requested_at: 3, committed: Some(change()) },
         &format!(r#"{{"type":"granted","asked":3,"committed":{CHANGE}}}"#),
     );
-    pinned(&Record::Begin { change: change() }, &format!(r#"{{"type":"begin","change":{CHANGE}}}"#));
-    pinned(&Record::Commit { stamp: STAMP }, &format!(r#"{{"type":"commit","stamp":{AT}}}"#));
-    pinned(
+    assert_json_form(
+        &Record::Begin { change: change() },
+        &format!(r#"{{"type":"begin","change":{CHANGE}}}"#),
+    );
+    assert_json_form(&Record::Commit { stamp: STAMP }, &format!(r#"{{"type":"commit","stamp":{AT}}}"#));
+    assert_json_form(
         &Record::Abort { stamp: STAMP, reason: "w".into() },
         &format!(r#"{{"type":"abort","stamp":{AT},"why":"w"}}"#),
     );
 }
 
 #[test]
-fn a_stored_version_is_pinned() {
+fn a_stored_version_keeps_its_json_form() {
     let stored = StoredVersion { version: Version::new(STAMP, &json!({"a": 1})), at_ms: 7 };
-    pinned(
+    assert_json_form(
         &stored,
         r#"{"version":{"stamp":{"epoch":1,"number":2},"digest":"015abd7f5cc57a2dd94b7590f04ad8084273905ee33ec5cebeae62276a97f862","body":{"a":1}},"at_ms":7}"#,
     );
 }
 
 #[test]
-fn a_frame_is_its_length_and_its_text() {
+fn a_frame_is_a_length_prefix_and_json_text() {
     let bytes = encode(&ProxyMessage::Heartbeat).expect("short");
     assert_eq!(bytes, b"\x00\x00\x00\x10{\"type\":\"alive\"}");
     assert_eq!(HEADER_BYTES, 4);
 }
 
 #[test]
-fn the_bytes_of_a_purge_log_are_pinned() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let mut opened = PurgeLog::open(folder.path(), 100, 7).expect("opened");
+fn a_purge_log_segment_keeps_its_byte_format() {
+    let directory = tempfile::tempdir().expect("a folder");
+    let mut opened = PurgeLog::open(directory.path(), 100, 7).expect("opened");
     opened.disk.append(&[PurgeRequest { publisher: "p".into(), sequence: 1, keys: vec![2] }]).expect("kept");
-    let bytes = std::fs::read(folder.path().join("purges-00000000000000000000")).expect("there");
+    let bytes = std::fs::read(directory.path().join("purges-00000000000000000000")).expect("there");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, "00000018a1c8718b1b362fe6414e50555247453100000000000000070000000000000000000000192bc27ed07562bc9600000000000000010000000170000000010000000000000002");
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -204,8 +204,9 @@
             return Ok(());
         }
         let (stored, id) = (message.commit, self.id());
-        let reason =
-            format!("the log ends at record {last}, but replica {id} has acknowledged {stored} records: its disk has lost some");
+        let reason = format!(
+            "the log ends at record {last}, but replica {id} acknowledged {stored}: its disk has lost some"
+        );
         Err(Error::Store(reason.into()))
     }
 
