--- a/crates/lab-scale/src/report.rs
+++ b/crates/lab-scale/src/report.rs
@@ -32,8 +32,8 @@
     pub figures: Vec<Figure>,
 }
 
-/// A judged run.
-pub struct Judgement {
+/// The evaluation of a run against the limits of its plan.
+pub struct Evaluation {
     /// Whether everything due was published and in force everywhere, and no child crashed.
     pub complete: bool,
     /// Its figures.
@@ -44,8 +44,8 @@
     pub problems: Vec<String>,
 }
 
-/// Judges a run.
-pub fn judge(name: &str, file: &str, plan: &Plan, seed: u64, outcome: &Outcome) -> Judgement {
+/// Computes the figures of a run and whether it is complete.
+pub fn evaluate(name: &str, file: &str, plan: &Plan, seed: u64, outcome: &Outcome) -> Evaluation {
     let purges = times_taken(plan, outcome, &outcome.purges, plan.limits.purge.0, &|number| {
         outcome.hollow.purges.done(number)
     });
@@ -63,7 +63,7 @@
     let figures = figures(plan, outcome, complete, &times);
     let seconds = outcome.seconds;
     let scale = Scale { name: name.to_owned(), plan: file.to_owned(), seed, seconds, figures: figures.0 };
-    Judgement { complete, scale, times, problems: problems(outcome) }
+    Evaluation { complete, scale, times, problems: problems(outcome) }
 }
 
 /// How long each of what was published took to be in force everywhere; `done` says when it was.
@@ -179,9 +179,9 @@
 }
 
 /// The table that is printed at the end.
-pub fn table(judgement: &Judgement, outcome: &Outcome) -> String {
+pub fn table(evaluation: &Evaluation, outcome: &Outcome) -> String {
     let mut text = String::new();
-    let scale = &judgement.scale;
+    let scale = &evaluation.scale;
     // Writing to a string does not fail.
     let _ = writeln!(text, "{} ({}), seed {}, {:.1} s", scale.name, scale.plan, scale.seed, scale.seconds);
     for (at, what) in &outcome.played {
@@ -197,10 +197,10 @@
         let value = format!("{:.digits$}", figure.value);
         let _ = writeln!(text, "  {:<52}{value:>14} {:<6}{against}", figure.name, figure.unit);
     }
-    for problem in &judgement.problems {
+    for problem in &evaluation.problems {
         let _ = writeln!(text, "{problem}");
     }
-    let verdict = match judgement.complete {
+    let verdict = match evaluation.complete {
         true => "complete: everything due was made and in force everywhere, and no child ended by itself",
         false => {
             "NOT COMPLETE: something due was not made or not in force everywhere, or a child ended by itself"
@@ -214,7 +214,7 @@
 ///
 /// # Errors
 /// If it can't be drawn or written.
-pub fn plot(judgement: &Judgement, file: &Path) -> Result<(), ScaleError> {
+pub fn plot(evaluation: &Evaluation, file: &Path) -> Result<(), ScaleError> {
     let each_second = |times: &[TimeToInForce]| {
         let mut slowest: std::collections::BTreeMap<u64, f64> = std::collections::BTreeMap::new();
         for t in times {
@@ -226,14 +226,14 @@
         slowest.into_iter().map(|(s, ms)| (s as f64, ms)).collect::<Vec<_>>()
     };
     let series =
-        [("purges", each_second(&judgement.times[0])), ("changes", each_second(&judgement.times[1]))];
+        [("purges", each_second(&evaluation.times[0])), ("changes", each_second(&evaluation.times[1]))];
     let all = || series.iter().flat_map(|s| &s.1);
     let widest = all().map(|p| p.0).fold(1.0, f64::max) * 1.02;
     let highest = all().map(|p| p.1).fold(1.0, f64::max) * 1.15;
     let draw = || -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let root = SVGBackend::new(file, (860, 420)).into_drawing_area();
         root.fill(&WHITE)?;
-        let title = format!("{}: the longest in each second", judgement.scale.name);
+        let title = format!("{}: the longest in each second", evaluation.scale.name);
         let mut chart = ChartBuilder::on(&root)
             .caption(title, ("sans-serif", 18))
             .margin(12)
--- a/crates/lab-scale/src/report/tests.rs
+++ b/crates/lab-scale/src/report/tests.rs
@@ -47,25 +47,25 @@
     }
 }
 
-fn value(judgement: &Judgement, name: &str) -> f64 {
-    let found = judgement.scale.figures.iter().find(|f| f.name == name);
+fn value(evaluation: &Evaluation, name: &str) -> f64 {
+    let found = evaluation.scale.figures.iter().find(|f| f.name == name);
     found.unwrap_or_else(|| panic!("no figure {name}")).value
 }
 
 #[test]
 fn the_last_member_real_or_hollow_makes_the_time() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
-    let judgement = judge("a", "p.toml", &plan, 1, &outcome());
-    assert!(judgement.complete, "{:?}", judgement.problems);
-    assert_eq!(value(&judgement, "purge.done_everywhere.most"), 200.0);
-    assert_eq!(value(&judgement, "change.done_everywhere.p50"), 650.0);
-    assert_eq!(value(&judgement, "hollow_proxy.control.bytes.mean"), 100.0);
-    assert_eq!(value(&judgement, "hollow_proxy.control.bytes_with_headers_estimated.mean"), 152.0);
-    assert_eq!(value(&judgement, "hollow_member.core.mean"), 0.005);
-    let json = serde_json::to_value(&judgement.scale).expect("JSON");
+    let evaluation = evaluate("a", "p.toml", &plan, 1, &outcome());
+    assert!(evaluation.complete, "{:?}", evaluation.problems);
+    assert_eq!(value(&evaluation, "purge.done_everywhere.most"), 200.0);
+    assert_eq!(value(&evaluation, "change.done_everywhere.p50"), 650.0);
+    assert_eq!(value(&evaluation, "hollow_proxy.control.bytes.mean"), 100.0);
+    assert_eq!(value(&evaluation, "hollow_proxy.control.bytes_with_headers_estimated.mean"), 152.0);
+    assert_eq!(value(&evaluation, "hollow_member.core.mean"), 0.005);
+    let json = serde_json::to_value(&evaluation.scale).expect("JSON");
     assert_eq!(json["figures"][0]["name"], "run.complete");
     assert!(json["figures"][0].get("limit").is_none());
-    assert!(table(&judgement, &outcome()).contains("\ncomplete"));
+    assert!(table(&evaluation, &outcome()).contains("\ncomplete"));
 }
 
 #[test]
@@ -74,13 +74,13 @@
     let mut lacking = outcome();
     lacking.hollow.purges = CompletionTally::new(2);
     lacking.hollow.purges.reached(0, 1, 1);
-    let judgement = judge("a", "p.toml", &plan, 1, &lacking);
-    assert!(!judgement.complete);
-    assert_eq!(value(&judgement, "purge.not_done_everywhere"), 1.0);
-    assert!(judgement.problems.iter().any(|t| t.contains("hollow-1@0")), "{:?}", judgement.problems);
+    let evaluation = evaluate("a", "p.toml", &plan, 1, &lacking);
+    assert!(!evaluation.complete);
+    assert_eq!(value(&evaluation, "purge.not_done_everywhere"), 1.0);
+    assert!(evaluation.problems.iter().any(|t| t.contains("hollow-1@0")), "{:?}", evaluation.problems);
     let mut unmade = outcome();
     unmade.due.0 = 2;
-    assert!(!judge("a", "p.toml", &plan, 1, &unmade).complete);
+    assert!(!evaluate("a", "p.toml", &plan, 1, &unmade).complete);
 }
 
 #[test]
--- a/crates/lab/src/cli/scale.rs
+++ b/crates/lab/src/cli/scale.rs
@@ -68,7 +68,7 @@
     bar.finish_and_clear();
     let outcome = outcome?;
     let name = args.plan.file_stem().map_or_else(|| file.clone(), |name| name.to_string_lossy().into_owned());
-    let judged = report::judge(&name, &file, &plan, args.seed, &outcome);
+    let judged = report::evaluate(&name, &file, &plan, args.seed, &outcome);
     super::save_json(&judged.scale, Some(&out.join("scale.json")))?;
     report::plot(&judged, &out.join("scale.svg"))?;
     print!("{}", report::table(&judged, &outcome));
