--- a/crates/lab-scale/src/children.rs
+++ b/crates/lab-scale/src/children.rs
@@ -18,7 +18,7 @@
 /// Lines of a child that are kept, the last ones.
 const MAX_LAST_LINES: usize = 20;
 /// A child tells its addresses within this time.
-const ADDRESSES_WITHIN: Duration = Duration::from_secs(30);
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A line that a child wrote.
 pub struct Line {
@@ -42,9 +42,9 @@
     pub stdin: Option<ChildStdin>,
     starts: u32,
     /// Its last lines.
-    pub last: VecDeque<String>,
-    used: Usage,
-    past_cpu_s: f64,
+    pub last_lines: VecDeque<String>,
+    usage: Usage,
+    finished_cpu_s: f64,
     expected_down: bool,
 }
 
@@ -82,9 +82,9 @@
             process: None,
             stdin: None,
             starts: 0,
-            last: VecDeque::new(),
-            used: Usage::default(),
-            past_cpu_s: 0.0,
+            last_lines: VecDeque::new(),
+            usage: Usage::default(),
+            finished_cpu_s: 0.0,
             expected_down: false,
         });
         let n = self.all.len() - 1;
@@ -132,16 +132,16 @@
     }
 
     /// The next line of any child, if one comes within this time.
-    pub fn next(&mut self, within: Duration) -> Option<Line> {
+    pub fn next_line(&mut self, timeout: Duration) -> Option<Line> {
         use std::fmt::Write as _;
-        match self.lines.recv_timeout(within) {
+        match self.lines.recv_timeout(timeout) {
             Ok(line) => {
                 let child = &mut self.all[line.child];
                 // Messages of hosts on standard output are no log lines.
                 if !line.text.starts_with('{') {
-                    child.last.push_back(line.text.clone());
-                    if child.last.len() > MAX_LAST_LINES {
-                        child.last.pop_front();
+                    child.last_lines.push_back(line.text.clone());
+                    if child.last_lines.len() > MAX_LAST_LINES {
+                        child.last_lines.pop_front();
                     }
                     let mut text = String::new();
                     let at = line.at as f64 / 1e9;
@@ -159,31 +159,36 @@
     ///
     /// # Errors
     /// If a child wrote none in time or ended.
-    pub fn addrs(&mut self, of: &[usize], words: &[&str]) -> Result<Vec<Vec<SocketAddr>>, ScaleError> {
-        let mut found = vec![vec![None; words.len()]; of.len()];
-        let until = Instant::now() + ADDRESSES_WITHIN;
+    pub fn wait_for_addrs(
+        &mut self,
+        children: &[usize],
+        prefixes: &[&str],
+    ) -> Result<Vec<Vec<SocketAddr>>, ScaleError> {
+        let mut addrs = vec![vec![None; prefixes.len()]; children.len()];
+        let deadline = Instant::now() + ADDRESS_TIMEOUT;
         loop {
-            if found.iter().flatten().all(Option::is_some) {
-                return Ok(found.into_iter().map(|f| f.into_iter().flatten().collect()).collect());
+            if addrs.iter().flatten().all(Option::is_some) {
+                return Ok(addrs.into_iter().map(|f| f.into_iter().flatten().collect()).collect());
             }
-            if let Some(line) = self.next(Duration::from_millis(50)) {
-                let Some(n) = of.iter().position(|n| *n == line.child) else { continue };
-                for (word, found) in words.iter().zip(&mut found[n]) {
-                    let addr = line.text.split_once(word).and_then(|(_, addr)| addr.trim().parse().ok());
-                    *found = found.or(addr);
+            if let Some(line) = self.next_line(Duration::from_millis(50)) {
+                let Some(n) = children.iter().position(|n| *n == line.child) else { continue };
+                for (prefix, slot) in prefixes.iter().zip(&mut addrs[n]) {
+                    let addr = line.text.split_once(prefix).and_then(|(_, addr)| addr.trim().parse().ok());
+                    *slot = slot.or(addr);
                 }
             }
-            let lacks = of.iter().zip(&found).find(|(_, f)| f.iter().any(Option::is_none)).map(|(n, _)| *n);
-            if let Some(n) = lacks.filter(|n| Instant::now() > until || !self.runs(*n)) {
+            let missing =
+                children.iter().zip(&addrs).find(|(_, f)| f.iter().any(Option::is_none)).map(|(n, _)| *n);
+            if let Some(n) = missing.filter(|n| Instant::now() > deadline || !self.is_running(*n)) {
                 let child = &self.all[n];
-                let last_lines = child.last.iter().cloned().collect();
+                let last_lines = child.last_lines.iter().cloned().collect();
                 return Err(ScaleError::NoAddress { name: child.name.clone(), last_lines });
             }
         }
     }
 
     /// Whether a child runs.
-    pub fn runs(&mut self, n: usize) -> bool {
+    pub fn is_running(&mut self, n: usize) -> bool {
         self.all[n].process.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
@@ -192,8 +197,8 @@
         self.update_usage(n);
         let child = &mut self.all[n];
         child.expected_down = true;
-        child.past_cpu_s += child.used.cpu_s;
-        child.used.cpu_s = 0.0;
+        child.finished_cpu_s += child.usage.cpu_s;
+        child.usage.cpu_s = 0.0;
         if let Some(mut process) = child.process.take() {
             // One that has ended meanwhile needs no signal.
             let _ = (process.kill(), process.wait());
@@ -201,12 +206,12 @@
     }
 
     /// Children that have crashed since the last call, with their last lines.
-    pub fn ended(&mut self) -> Vec<String> {
+    pub fn take_crashed(&mut self) -> Vec<String> {
         let mut ended = Vec::new();
         for child in &mut self.all {
             let Some(process) = child.process.as_mut() else { continue };
             if let Ok(Some(status)) = process.try_wait() {
-                let last: Vec<&str> = child.last.iter().map(String::as_str).collect();
+                let last: Vec<&str> = child.last_lines.iter().map(String::as_str).collect();
                 ended.push(format!("{} ended by itself, {status}:\n  {}", child.name, last.join("\n  ")));
                 child.process = None;
             }
@@ -217,15 +222,15 @@
     fn update_usage(&mut self, n: usize) {
         let child = &mut self.all[n];
         if let Some(usage) = child.process.as_ref().and_then(|c| Usage::of_process(c.id())) {
-            child.used.merge(usage);
+            child.usage.merge(usage);
         }
     }
 
     /// The usage of a child so far, over all of its processes.
-    pub fn used(&mut self, n: usize) -> Usage {
+    pub fn usage(&mut self, n: usize) -> Usage {
         self.update_usage(n);
         let child = &self.all[n];
-        Usage { cpu_s: child.past_cpu_s + child.used.cpu_s, ..child.used }
+        Usage { cpu_s: child.finished_cpu_s + child.usage.cpu_s, ..child.usage }
     }
 
     /// The number of children.
--- a/crates/lab-scale/src/descriptors.rs
+++ b/crates/lab-scale/src/descriptors.rs
@@ -6,7 +6,7 @@
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 
 /// Descriptors of any process beside its connections: files, pipes, timers, listeners.
-const OWN: usize = 64;
+const BASE_DESCRIPTORS: usize = 64;
 
 /// Each kind of process, the descriptors that the largest of them needs, and what for.
 pub fn descriptor_needs(plan: &Plan, seed: u64) -> Vec<(&'static str, usize, String)> {
@@ -19,10 +19,15 @@
     let linked = layout::linked(plan, seed).iter().filter(|l| **l).count();
     let over_links = at_root * linked / plan.regions();
     let listed = *plan.listed.get_ref();
-    let asked = *plan.polled.get_ref();
-    let proxies = if asked > 0 { plan.count(Role::Proxy) } else { 0 };
-    let rig =
-        OWN + 3 * plan.processes() + 2 * over_links + listed + asked + proxies + plan.real() * (2 + listed);
+    let polled = *plan.polled.get_ref();
+    let proxies = if polled > 0 { plan.count(Role::Proxy) } else { 0 };
+    let rig = BASE_DESCRIPTORS
+        + 3 * plan.processes()
+        + 2 * over_links
+        + listed
+        + polled
+        + proxies
+        + plan.real() * (2 + listed);
     let mut descriptor_needs = vec![
         (
             "the rig",
@@ -31,14 +36,14 @@
                 "{over_links} connections of two ends over links, pipes of {} children, {} listed nodes with \
                  {} real proxies before them, {proxies} calls for lists",
                 plan.processes(),
-                listed + asked,
+                listed + polled,
                 plan.real()
             ),
         ),
-        ("the control service", OWN + at_root, format!("{at_root} connections")),
+        ("the control service", BASE_DESCRIPTORS + at_root, format!("{at_root} connections")),
         (
             "a host of hollow members",
-            OWN + plan.hollow().div_ceil(hosts) + proxies.div_ceil(hosts),
+            BASE_DESCRIPTORS + plan.hollow().div_ceil(hosts) + proxies.div_ceil(hosts),
             format!(
                 "{} members of {hosts} hosts, proxies with two connections",
                 plan.hollow().div_ceil(hosts)
@@ -46,25 +51,29 @@
         ),
     ];
     if plan.topology == Topology::Relays {
-        let most = sites.div_ceil(plan.regions()) + members.div_ceil(sites);
+        let at_relay = sites.div_ceil(plan.regions()) + members.div_ceil(sites);
         // Members whose site's relay is gone go to their region's.
-        let below = most + members.div_ceil(plan.regions());
-        descriptor_needs.push(("a relay", OWN + below, format!("up to {below} connections below")));
+        let downstream = at_relay + members.div_ceil(plan.regions());
+        descriptor_needs.push((
+            "a relay",
+            BASE_DESCRIPTORS + downstream,
+            format!("up to {downstream} connections below"),
+        ));
     }
     descriptor_needs
 }
 
 /// The kinds of processes that need more descriptors than `most`, each with what it needs and how much is missing.
-pub fn shortfalls(plan: &Plan, seed: u64, most: usize) -> Vec<String> {
-    let lacks = |(who, descriptors, why): &(&str, usize, String)| {
-        (*descriptors > most).then(|| {
+pub fn shortfalls(plan: &Plan, seed: u64, limit: usize) -> Vec<String> {
+    let shortfall = |(kind, descriptors, reason): &(&str, usize, String)| {
+        (*descriptors > limit).then(|| {
             format!(
-                "{who} needs {descriptors} descriptors ({why}) and may have {most}: {} short",
-                descriptors - most
+                "{kind} needs {descriptors} descriptors ({reason}) and may have {limit}: {} short",
+                descriptors - limit
             )
         })
     };
-    descriptor_needs(plan, seed).iter().filter_map(lacks).collect()
+    descriptor_needs(plan, seed).iter().filter_map(shortfall).collect()
 }
 
 /// Raises this process's limit, which its children inherit, as far as it may.
@@ -72,9 +81,9 @@
 /// # Errors
 /// If processes need more descriptors than they may have.
 pub fn raise_limit(plan: &Plan, seed: u64) -> Result<(), ScaleError> {
-    let (_, hard) = getrlimit(Resource::RLIMIT_NOFILE).map_err(ScaleError::Limit)?;
-    setrlimit(Resource::RLIMIT_NOFILE, hard, hard).map_err(ScaleError::Limit)?;
-    let shortfalls = shortfalls(plan, seed, usize::try_from(hard).unwrap_or(usize::MAX));
+    let (_, hard_limit) = getrlimit(Resource::RLIMIT_NOFILE).map_err(ScaleError::Limit)?;
+    setrlimit(Resource::RLIMIT_NOFILE, hard_limit, hard_limit).map_err(ScaleError::Limit)?;
+    let shortfalls = shortfalls(plan, seed, usize::try_from(hard_limit).unwrap_or(usize::MAX));
     match shortfalls.is_empty() {
         true => Ok(()),
         false => Err(ScaleError::Descriptors(shortfalls)),
--- a/crates/lab-scale/src/figures.rs
+++ b/crates/lab-scale/src/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of a run.
 
 use super::member::Traffic;
-use super::play::Used;
+use super::play::ChildUsage;
 use super::publish::Published;
 use serde::Serialize;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 /// How long something that was published took to be in force everywhere.
 #[derive(Clone, Copy, Debug)]
-pub struct TimeToInForce {
+pub struct PropagationTime {
     /// When it was due, from the start of the schedule, in seconds.
     pub due_s: f64,
     /// How long it took from when it was due, in milliseconds; none if it is not in force everywhere.
@@ -63,8 +63,8 @@
     /// Adds the figures of the times to in force everywhere, of purges or of versions.
     pub fn times(
         &mut self,
-        what: &str,
-        times: &[TimeToInForce],
+        prefix: &str,
+        times: &[PropagationTime],
         published: &[Published],
         due: usize,
         limit: Duration,
@@ -74,21 +74,21 @@
         }
         let limit = Some(limit.as_secs_f64() * 1e3);
         let not_done = times.iter().filter(|t| t.ms.is_none()).count();
-        self.add(format!("{what}.due"), Some(due as f64), "", None);
-        self.add(format!("{what}.made"), Some(published.len() as f64), "", None);
-        self.add(format!("{what}.not_done_everywhere"), Some(not_done as f64), "", None);
+        self.add(format!("{prefix}.due"), Some(due as f64), "", None);
+        self.add(format!("{prefix}.made"), Some(published.len() as f64), "", None);
+        self.add(format!("{prefix}.not_done_everywhere"), Some(not_done as f64), "", None);
         let called: Vec<f64> =
             published.iter().map(|m| m.called_at.saturating_sub(m.due_at) as f64 / 1e6).collect();
-        self.add(format!("{what}.called_late.p99"), quantile(&called, 0.99), "ms", None);
+        self.add(format!("{prefix}.called_late.p99"), quantile(&called, 0.99), "ms", None);
         let answered: Vec<f64> =
             published.iter().map(|m| m.answered_at.saturating_sub(m.called_at) as f64 / 1e6).collect();
-        self.add(format!("{what}.answered.p99"), quantile(&answered, 0.99), "ms", None);
+        self.add(format!("{prefix}.answered.p99"), quantile(&answered, 0.99), "ms", None);
         let faults = times.iter().any(|t| t.under_fault);
         let all = [("", None), (".no_fault", Some(false)), (".under_fault", Some(true))];
         for (kind, wanted) in all.into_iter().take(if faults { 3 } else { 1 }) {
-            let of = |t: &&TimeToInForce| wanted.is_none_or(|wanted| wanted == t.under_fault);
+            let of = |t: &&PropagationTime| wanted.is_none_or(|wanted| wanted == t.under_fault);
             let ms: Vec<f64> = times.iter().filter(of).filter_map(|t| t.ms).collect();
-            let name = format!("{what}.done_everywhere{kind}");
+            let name = format!("{prefix}.done_everywhere{kind}");
             self.add(format!("{name}.count"), Some(ms.len() as f64), "", None);
             for (tail, part) in [("p50", 0.5), ("p99", 0.99), ("most", 1.0)] {
                 self.add(format!("{name}.{tail}"), quantile(&ms, part), "ms", limit);
@@ -97,26 +97,38 @@
     }
 
     /// Adds the figures of the traffic of members.
-    pub fn traffic(&mut self, who: &str, all: &[Traffic], seconds: f64, limit: Option<f64>) {
-        let each =
+    pub fn traffic(&mut self, kind: &str, all: &[Traffic], seconds: f64, limit: Option<f64>) {
+        let per_second =
             |of: fn(&Traffic) -> u64| -> Vec<f64> { all.iter().map(|t| of(t) as f64 / seconds).collect() };
-        let (payload, whole) = (each(Traffic::payload), each(Traffic::with_headers));
-        let frames = each(|t| t.frames_in + t.frames_out);
-        self.add(format!("{who}.bytes.mean"), mean(&payload), "B/s", limit);
-        self.add(format!("{who}.bytes.most"), quantile(&payload, 1.0), "B/s", limit);
-        self.add(format!("{who}.bytes_with_headers_estimated.mean"), mean(&whole), "B/s", limit);
-        self.add(format!("{who}.bytes_with_headers_estimated.most"), quantile(&whole, 1.0), "B/s", limit);
-        self.add(format!("{who}.messages.mean"), mean(&frames), "1/s", None);
+        let (payload, with_headers) = (per_second(Traffic::payload), per_second(Traffic::with_headers));
+        let frames = per_second(|t| t.frames_in + t.frames_out);
+        self.add(format!("{kind}.bytes.mean"), mean(&payload), "B/s", limit);
+        self.add(format!("{kind}.bytes.most"), quantile(&payload, 1.0), "B/s", limit);
+        self.add(format!("{kind}.bytes_with_headers_estimated.mean"), mean(&with_headers), "B/s", limit);
+        self.add(
+            format!("{kind}.bytes_with_headers_estimated.most"),
+            quantile(&with_headers, 1.0),
+            "B/s",
+            limit,
+        );
+        self.add(format!("{kind}.messages.mean"), mean(&frames), "1/s", None);
     }
 
     /// Adds the figures of what children used.
-    pub fn used(&mut self, who: &str, used: &[Used], seconds: f64, core: Option<f64>, memory: Option<f64>) {
-        let cores: Vec<f64> = used.iter().map(|u| u.cpu_s / seconds).collect();
-        let memories: Vec<f64> = used.iter().map(|u| u.memory_mb).collect();
-        self.add(format!("{who}.count"), Some(used.len() as f64), "", None);
-        self.add(format!("{who}.core.mean"), mean(&cores), "cores", core);
-        self.add(format!("{who}.core.most"), quantile(&cores, 1.0), "cores", core);
-        self.add(format!("{who}.memory.mean"), mean(&memories), "MB", memory);
-        self.add(format!("{who}.memory.most"), quantile(&memories, 1.0), "MB", memory);
+    pub fn usage(
+        &mut self,
+        kind: &str,
+        usage: &[ChildUsage],
+        seconds: f64,
+        core: Option<f64>,
+        memory: Option<f64>,
+    ) {
+        let cores: Vec<f64> = usage.iter().map(|u| u.cpu_s / seconds).collect();
+        let memories: Vec<f64> = usage.iter().map(|u| u.memory_mb).collect();
+        self.add(format!("{kind}.count"), Some(usage.len() as f64), "", None);
+        self.add(format!("{kind}.core.mean"), mean(&cores), "cores", core);
+        self.add(format!("{kind}.core.most"), quantile(&cores, 1.0), "cores", core);
+        self.add(format!("{kind}.memory.mean"), mean(&memories), "MB", memory);
+        self.add(format!("{kind}.memory.most"), quantile(&memories, 1.0), "MB", memory);
     }
 }
--- a/crates/lab-scale/src/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -17,7 +17,7 @@
 /// How often a host tells its progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 /// Orders that may wait.
-const MAX_ORDERS: usize = 1024;
+const MAX_QUEUED_ORDERS: usize = 1024;
 
 /// The first line of a host's standard input: its members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -97,9 +97,9 @@
 
 impl MemberReport {
     /// Adds the report of another process.
-    pub fn join(&mut self, other: MemberReport) {
-        self.purges.join(other.purges);
-        self.versions.join(other.versions);
+    pub fn merge(&mut self, other: MemberReport) {
+        self.purges.merge(other.purges);
+        self.versions.merge(other.versions);
         self.members.extend(other.members);
         self.flushes += other.flushes;
         self.connects += other.connects;
@@ -122,7 +122,7 @@
     let mut first = String::new();
     std::io::stdin().read_line(&mut first).map_err(ScaleError::Stdio)?;
     let spec: HostSpec = serde_json::from_str(&first).map_err(ScaleError::FirstLine)?;
-    let (order_sender, orders) = mpsc::channel(MAX_ORDERS);
+    let (order_sender, orders) = mpsc::channel(MAX_QUEUED_ORDERS);
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             match serde_json::from_str::<HostOrder>(&line) {
@@ -140,10 +140,10 @@
     let (seed, join_ms, poll_interval) = (spec.seed, spec.join_ms, spec.poll_interval);
     let shared = Rc::new(SharedState::new(spec.members, seed, spec.purging));
     let count = shared.members.len();
-    let join = |n: usize| Duration::from_millis(join_ms).mul_f64(unit_fraction(mix(seed, 5, n as u64)));
+    let join_delay = |n: usize| Duration::from_millis(join_ms).mul_f64(unit_fraction(mix(seed, 5, n as u64)));
     let start =
-        |n: usize, starts: u64, after: Duration| start_member(&shared, n, starts, after, poll_interval);
-    let mut tasks: Vec<MemberTask> = (0..count).map(|n| start(n, 0, join(n))).collect();
+        |n: usize, starts: u64, delay: Duration| start_member(&shared, n, starts, delay, poll_interval);
+    let mut tasks: Vec<MemberTask> = (0..count).map(|n| start(n, 0, join_delay(n))).collect();
     let mut ticks = interval(PROGRESS_INTERVAL);
     loop {
         tokio::select! {
@@ -166,8 +166,8 @@
             },
             _ = ticks.tick() => send_message(&HostMessage::Progress {
                 up: shared.up.iter().filter(|up| up.get()).count(),
-                purges: shared.purges.borrow().everywhere(),
-                versions: shared.versions.borrow().everywhere(),
+                purges: shared.purges.borrow().reached_by_all(),
+                versions: shared.versions.borrow().reached_by_all(),
             })?,
         }
     }
@@ -184,12 +184,12 @@
     shared: &Rc<SharedState>,
     n: usize,
     starts: u64,
-    after: Duration,
+    delay: Duration,
     poll_interval: u64,
 ) -> MemberTask {
     let shared = shared.clone();
     let task = tokio::task::spawn_local(async move {
-        sleep(after).await;
+        sleep(delay).await;
         let (list, place) = (shared.members[n].list, shared.members[n].place);
         let polls = async {
             match list {
--- a/crates/lab-scale/src/layout.rs
+++ b/crates/lab-scale/src/layout.rs
@@ -62,8 +62,8 @@
 pub fn linked(plan: &Plan, seed: u64) -> Vec<bool> {
     let steps = plan.schedule(seed).steps;
     let cut = |region| steps.iter().any(|(_, step)| *step == Step::Cut(region));
-    let away = |region| !(delay(plan, seed, region) + jitter(plan, region)).is_zero();
-    (0..plan.regions()).map(|region| away(region) || cut(region)).collect()
+    let delayed = |region| !(delay(plan, seed, region) + jitter(plan, region)).is_zero();
+    (0..plan.regions()).map(|region| delayed(region) || cut(region)).collect()
 }
 
 #[cfg(test)]
--- a/crates/lab-scale/src/layout/tests.rs
+++ b/crates/lab-scale/src/layout/tests.rs
@@ -10,9 +10,9 @@
     (0..2500).for_each(|n| at[member(&plan, Role::Proxy, n).site] += 1);
     assert_eq!((at.iter().min(), at.iter().max()), (Some(&15), Some(&16)));
     for n in 0..plan.sites() {
-        let place = site(&plan, n);
-        assert_eq!((place.zone % 22, place.site), (place.region, n));
-        assert_eq!(member(&plan, Role::SiteRelay, n), place);
+        let location = site(&plan, n);
+        assert_eq!((location.zone % 22, location.site), (location.region, n));
+        assert_eq!(member(&plan, Role::SiteRelay, n), location);
     }
     let reals: std::collections::BTreeSet<usize> =
         (0..20).map(|n| member(&plan, Role::Real, n).site).collect();
--- a/crates/lab-scale/src/link.rs
+++ b/crates/lab-scale/src/link.rs
@@ -15,11 +15,11 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 /// The longest chunk, in bytes.
-const CHUNK: usize = 16 << 10;
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 /// Chunks of one direction in flight at once at most; past that the sender waits.
 const MAX_CHUNKS_IN_FLIGHT: usize = 1024;
 /// The far end is reached within this time.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The delay of a link, one way.
 #[derive(Clone, Copy, Debug, Default)]
@@ -47,8 +47,8 @@
         let handle = runtime.handle().clone();
         let (stop, stopped) = tokio::sync::oneshot::channel();
         // It ends when the sender is gone, which is no error here.
-        let carry = move || drop(runtime.block_on(stopped));
-        std::thread::Builder::new().name("links".into()).spawn(carry)?;
+        let run_links = move || drop(runtime.block_on(stopped));
+        std::thread::Builder::new().name("links".into()).spawn(run_links)?;
         Ok(LinkRuntime { handle, _stop: stop })
     }
 }
@@ -87,7 +87,13 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(carry(stream, target, link_delay, rng.random(), is_cut.clone()));
+                    tokio::spawn(forward_connection(
+                        stream,
+                        target,
+                        link_delay,
+                        rng.random(),
+                        is_cut.clone(),
+                    ));
                 }
                 Err(e) => {
                     tracing::warn!("link {addr}: {e}");
@@ -99,8 +105,8 @@
     Ok(Link { addr, cut })
 }
 
-async fn carry(
-    down: TcpStream,
+async fn forward_connection(
+    client: TcpStream,
     target: SocketAddr,
     link_delay: LinkDelay,
     seed: u64,
@@ -110,38 +116,39 @@
     if is_cut.wait_for(|cut| !cut).await.is_err() {
         return;
     }
-    let Ok(Ok(up)) = timeout(CONNECT_WITHIN, TcpStream::connect(target)).await else { return };
+    let Ok(Ok(server)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)).await else { return };
     // They only cost time.
-    let _ = (down.set_nodelay(true), up.set_nodelay(true));
-    let ((down_reads, down_writes), (up_reads, up_writes)) = (down.into_split(), up.into_split());
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let ((client_reader, client_writer), (server_reader, server_writer)) =
+        (client.into_split(), server.into_split());
     tokio::select! {
-        () = pump(down_reads, up_writes, link_delay, seed, is_cut.clone()) => {}
-        () = pump(up_reads, down_writes, link_delay, seed ^ 1, is_cut) => {}
+        () = forward_bytes(client_reader, server_writer, link_delay, seed, is_cut.clone()) => {}
+        () = forward_bytes(server_reader, client_writer, link_delay, seed ^ 1, is_cut) => {}
     }
 }
 
-async fn pump(
-    mut reads: OwnedReadHalf,
-    mut writes: OwnedWriteHalf,
+async fn forward_bytes(
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
     link_delay: LinkDelay,
     seed: u64,
     mut is_cut: watch::Receiver<bool>,
 ) {
-    let (send, mut sent) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
+    let (sender, mut receiver) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
     let read = async move {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let mut buffer = vec![0; CHUNK];
-        while let Ok(length @ 1..) = reads.read(&mut buffer).await {
+        let mut buffer = vec![0; MAX_CHUNK_BYTES];
+        while let Ok(length @ 1..) = reader.read(&mut buffer).await {
             let due = Instant::now() + link_delay.delay + link_delay.jitter.mul_f64(rng.random::<f64>());
-            if send.send((due, buffer[..length].to_vec())).await.is_err() {
+            if sender.send((due, buffer[..length].to_vec())).await.is_err() {
                 return;
             }
         }
     };
     let write = async move {
-        while let Some((due, bytes)) = sent.recv().await {
+        while let Some((due, bytes)) = receiver.recv().await {
             sleep_until(due).await;
-            if is_cut.wait_for(|cut| !cut).await.is_err() || writes.write_all(&bytes).await.is_err() {
+            if is_cut.wait_for(|cut| !cut).await.is_err() || writer.write_all(&bytes).await.is_err() {
                 return;
             }
         }
--- a/crates/lab-scale/src/list_polls.rs
+++ b/crates/lab-scale/src/list_polls.rs
@@ -19,9 +19,15 @@
 const MAX_HEAD_BYTES: usize = 4096;
 
 /// PollSchedule until its task is aborted; `place` is the proxy's number, and how many proxies there are.
-pub async fn poll_list(n: usize, place: (u32, u32), every: u64, addr: SocketAddr, shared: Rc<SharedState>) {
+pub async fn poll_list(
+    n: usize,
+    place: (u32, u32),
+    poll_interval: u64,
+    addr: SocketAddr,
+    shared: Rc<SharedState>,
+) {
     let rules = PollRules {
-        interval: every,
+        interval: poll_interval,
         max_backoff: 10 * SECOND,
         answer_timeout: SECOND,
         max_answer_timeout: 8 * SECOND,
@@ -36,9 +42,9 @@
         let at = now();
         polls.poll_started(at);
         let hold = version.map_or(0, |_| polls.watch_duration(at));
-        let within = Duration::from_nanos(polls.call_timeout(at, hold));
-        match timeout(within, call(stream.take(), addr, version, hold / 1_000_000)).await {
-            Ok(Ok(Polled { stream: open, version: polled, traffic })) => {
+        let call_timeout = Duration::from_nanos(polls.call_timeout(at, hold));
+        match timeout(call_timeout, fetch_list(stream.take(), addr, version, hold / 1_000_000)).await {
+            Ok(Ok(PollResponse { stream: open, version: polled, traffic })) => {
                 (stream, version) = (Some(open), polled.or(version));
                 polls.answered();
                 let mut sum = shared.list_polls[n].get();
@@ -52,19 +58,19 @@
 }
 
 /// The answer to a poll.
-struct Polled {
+struct PollResponse {
     stream: TcpStream,
     /// The version of the list, if it has one.
     version: Option<u64>,
     traffic: Traffic,
 }
 
-async fn call(
+async fn fetch_list(
     open: Option<TcpStream>,
     addr: SocketAddr,
     version: Option<u64>,
     hold_ms: u64,
-) -> io::Result<Polled> {
+) -> io::Result<PollResponse> {
     let mut stream = match open {
         Some(stream) => stream,
         None => TcpStream::connect(addr).await?,
@@ -76,21 +82,22 @@
     let request = format!("GET {path} HTTP/1.1\r\nhost: {addr}\r\n\r\n");
     let mut traffic = Traffic::default();
     stream.write_all(request.as_bytes()).await?;
-    traffic.frame(request.len(), true);
+    traffic.count(request.len(), true);
     let (mut received, mut buffer) = (Vec::new(), vec![0; 4096]);
-    let broken = |why: &str| io::Error::new(io::ErrorKind::InvalidData, why.to_owned());
+    let invalid_data = |why: &str| io::Error::new(io::ErrorKind::InvalidData, why.to_owned());
     let (head, length) = loop {
         if let Some(end) = received.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&received[..end]).to_ascii_lowercase();
             let length = head.lines().find_map(|l| l.strip_prefix("content-length:"));
-            let length: usize = length.and_then(|l| l.trim().parse().ok()).ok_or(broken("no length"))?;
+            let length: usize =
+                length.and_then(|l| l.trim().parse().ok()).ok_or(invalid_data("no length"))?;
             if !head.starts_with("http/1.1 200") || length > MAX_LIST_BYTES {
-                return Err(broken("refused"));
+                return Err(invalid_data("refused"));
             }
             break (end + 4, length);
         }
         if received.len() > MAX_HEAD_BYTES {
-            return Err(broken("a long head"));
+            return Err(invalid_data("a long head"));
         }
         match stream.read(&mut buffer).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
@@ -103,7 +110,7 @@
             n => received.extend_from_slice(&buffer[..n]),
         }
     }
-    traffic.frame(received.len(), false);
+    traffic.count(received.len(), false);
     let list: serde_json::Value = serde_json::from_slice(&received[head..head + length])?;
-    Ok(Polled { stream, version: list["version"].as_u64(), traffic })
+    Ok(PollResponse { stream, version: list["version"].as_u64(), traffic })
 }
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -20,20 +20,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-const TICK: Duration = Duration::from_millis(250);
-const CONNECT_WITHIN: Duration = Duration::from_secs(3);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Its relay accepts a frame within this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest frame that it reads, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Bytes read at once.
-const READ_SIZE: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 /// How long it may claim to be fresh after it was told that it has everything, in nanoseconds.
-const LEASE: u64 = 5_000_000_000;
+const LEASE_NS: u64 = 5_000_000_000;
 /// What a TCP segment carries at most on an Ethernet of today, in bytes, and its header of IP and TCP with timestamps.
-pub const SEGMENT: u64 = 1448;
+pub const SEGMENT_PAYLOAD_BYTES: u64 = 1448;
 /// See [`SEGMENT`].
-pub const HEADER: u64 = 52;
+pub const SEGMENT_HEADER_BYTES: u64 = 52;
 
 /// The specification of a hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -80,14 +80,14 @@
 
 impl Traffic {
     /// Counts a message.
-    pub fn frame(&mut self, length: usize, out: bool) {
+    pub fn count(&mut self, length: usize, out: bool) {
         let (bytes, frames) = match out {
             true => (&mut self.bytes_out, &mut self.frames_out),
             false => (&mut self.bytes_in, &mut self.frames_in),
         };
         *bytes += length as u64;
         *frames += 1;
-        self.segments += (length as u64).div_ceil(SEGMENT);
+        self.segments += (length as u64).div_ceil(SEGMENT_PAYLOAD_BYTES);
     }
 
     /// Adds other traffic.
@@ -106,7 +106,7 @@
 
     /// With an estimate of the headers of IP and TCP.
     pub fn with_headers(&self) -> u64 {
-        self.payload() + self.segments * HEADER
+        self.payload() + self.segments * SEGMENT_HEADER_BYTES
     }
 }
 
@@ -159,7 +159,7 @@
             flushes: Cell::new(0),
             connects: Cell::new(0),
             faults: Cell::new(0),
-            buffer: RefCell::new(vec![0; READ_SIZE]),
+            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             members,
             seed,
             purging,
@@ -177,7 +177,7 @@
     stream: Option<TcpStream>,
     received: Vec<u8>,
     /// It has not been told its place in the purge log since its start.
-    purges_unknown: bool,
+    purge_position_unknown: bool,
     /// It has not been told a version since it was started again.
     version_unknown: bool,
 }
@@ -193,7 +193,7 @@
         max_frame_bytes: MAX_FRAME_BYTES,
     };
     let follower = Follower::new(identity.clone(), spec.services.len(), None, Times::default(), seed);
-    let purges = shared.purging.then(|| Member::new(Progress::default(), LEASE));
+    let purges = shared.purging.then(|| Member::new(Progress::default(), LEASE_NS));
     let mut hollow = HollowMember {
         n,
         shared,
@@ -202,22 +202,22 @@
         purges,
         stream: None,
         received: Vec::new(),
-        purges_unknown: true,
+        purge_position_unknown: true,
         version_unknown: starts > 0,
     };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut actions = Vec::new();
         tokio::select! {
             received = readable(&hollow.stream) => {
                 if received.and_then(|()| hollow.read(&mut actions)).is_err() {
-                    hollow.lost();
+                    hollow.handle_disconnect();
                 }
             }
             _ = ticks.tick() => hollow.follower.tick(now(), &mut actions),
         }
-        hollow.carry_out(actions).await;
+        hollow.execute(actions).await;
     }
 }
 
@@ -229,16 +229,16 @@
 }
 
 impl HollowMember {
-    fn lost(&mut self) {
+    fn handle_disconnect(&mut self) {
         self.stream = None;
         self.received = Vec::new();
         self.shared.up[self.n].set(false);
         self.follower.disconnected(now());
     }
 
-    fn count(&self, length: usize, out: bool) {
+    fn count_traffic(&self, length: usize, out: bool) {
         let mut traffic = self.shared.traffic[self.n].get();
-        traffic.frame(length, out);
+        traffic.count(length, out);
         self.shared.traffic[self.n].set(traffic);
     }
 
@@ -258,12 +258,12 @@
             let before = self.received.len();
             match decode::<ServiceMessage>(&mut self.received, MAX_FRAME_BYTES) {
                 Ok(Some(frame)) => {
-                    self.count(before - self.received.len(), false);
-                    self.frame(frame, actions);
+                    self.count_traffic(before - self.received.len(), false);
+                    self.handle_frame(frame, actions);
                 }
                 Ok(None) => break,
                 Err(malformed) => {
-                    self.fault();
+                    self.count_fault();
                     self.follower.malformed(now(), &malformed.to_string(), actions);
                     break;
                 }
@@ -276,16 +276,18 @@
         Ok(())
     }
 
-    fn fault(&self) {
+    fn count_fault(&self) {
         self.shared.faults.set(self.shared.faults.get() + 1);
     }
 
-    fn frame(&mut self, frame: ServiceMessage, actions: &mut Vec<Action>) {
+    fn handle_frame(&mut self, frame: ServiceMessage, actions: &mut Vec<Action>) {
         let at = now();
         match (&frame, &mut self.purges) {
             (ServiceMessage::Purges { epoch, after, keys }, Some(member)) => {
                 match member.receive_purges(at, *epoch, *after, &keys.0) {
-                    MemberAction::Invalidate(_) | MemberAction::InvalidateAll => self.purged(false, actions),
+                    MemberAction::Invalidate(_) | MemberAction::InvalidateAll => {
+                        self.record_purges(false, actions)
+                    }
                     MemberAction::Resync => {
                         let hello = self.hello();
                         actions.push(Action::Send(hello));
@@ -296,7 +298,7 @@
             (ServiceMessage::Flush { epoch, through }, Some(member)) => {
                 let at = Progress { epoch: *epoch, through: *through };
                 if matches!(member.receive_flush(at), MemberAction::InvalidateAll) {
-                    self.purged(true, actions);
+                    self.record_purges(true, actions);
                 }
             }
             _ => {}
@@ -305,18 +307,18 @@
     }
 
     /// Every purge through its present place in the log is done.
-    fn purged(&mut self, flushed: bool, actions: &mut Vec<Action>) {
+    fn record_purges(&mut self, flushed: bool, actions: &mut Vec<Action>) {
         let Some(member) = &self.purges else { return };
         let Progress { epoch, through } = member.progress();
         let mut tally = self.shared.purges.borrow_mut();
         // A member that has just started has nothing cached that was purged before.
-        if flushed && self.purges_unknown {
-            tally.excused(self.n, through);
+        if flushed && self.purge_position_unknown {
+            tally.record_not_applicable(self.n, through);
         } else {
-            tally.reached(self.n, through, now());
+            tally.record(self.n, through, now());
             self.shared.flushes.set(self.shared.flushes.get() + u64::from(flushed));
         }
-        self.purges_unknown = false;
+        self.purge_position_unknown = false;
         self.shared.up[self.n].set(true);
         actions.push(Action::Send(ProxyMessage::PurgeAck { epoch, through, lagging: 0, names: Vec::new() }));
     }
@@ -334,24 +336,24 @@
         }
     }
 
-    async fn carry_out(&mut self, actions: Vec<Action>) {
-        let mut waiting = VecDeque::from(actions);
-        while let Some(action) = waiting.pop_front() {
+    async fn execute(&mut self, actions: Vec<Action>) {
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
             let mut more = Vec::new();
             match action {
                 Action::Connect(service) => {
                     let services = &self.shared.members[self.n].services;
                     let addr = services[service % services.len()];
-                    match timeout(CONNECT_WITHIN, TcpStream::connect(addr)).await {
+                    match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
                         Ok(Ok(stream)) => {
                             // It only costs time.
                             let _ = stream.set_nodelay(true);
                             self.stream = Some(stream);
                             self.shared.connects.set(self.shared.connects.get() + 1);
-                            self.shared.up[self.n].set(!self.shared.purging || !self.purges_unknown);
+                            self.shared.up[self.n].set(!self.shared.purging || !self.purge_position_unknown);
                             self.follower.connected(now(), &mut more);
                         }
-                        _ => self.lost(),
+                        _ => self.handle_disconnect(),
                     }
                 }
                 Action::Disconnect => {
@@ -368,20 +370,20 @@
                     if let Some(proxy) = self.shared.proxy[self.n] {
                         let mut tally = self.shared.versions.borrow_mut();
                         match std::mem::replace(&mut self.version_unknown, false) {
-                            true => tally.excused(proxy, version.stamp.number),
-                            false => tally.reached(proxy, version.stamp.number, now()),
+                            true => tally.record_not_applicable(proxy, version.stamp.number),
+                            false => tally.record(proxy, version.stamp.number, now()),
                         }
                     }
                     self.follower.applied(now(), Ok(()), &mut more);
                 }
                 Action::Warn(what) => {
                     if what.contains("is rejected") || what.contains("disagree") {
-                        self.fault();
+                        self.count_fault();
                     }
                 }
                 Action::Persist(_) => {}
             }
-            waiting.extend(more);
+            pending.extend(more);
         }
     }
 
@@ -389,8 +391,8 @@
         let Some(stream) = &mut self.stream else { return };
         let bytes = encode(frame).unwrap_or_default();
         match timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await {
-            Ok(Ok(())) => self.count(bytes.len(), true),
-            _ => self.lost(),
+            Ok(Ok(())) => self.count_traffic(bytes.len(), true),
+            _ => self.handle_disconnect(),
         }
     }
 }
--- a/crates/lab-scale/src/plan.rs
+++ b/crates/lab-scale/src/plan.rs
@@ -17,9 +17,9 @@
 /// Members of one run at most, real and hollow.
 pub const MAX_MEMBERS: usize = 20_000;
 /// Real proxies of one run at most.
-pub const MAX_REAL: usize = 64;
+pub const MAX_REAL_PROXIES: usize = 64;
 /// Nodes on the list at most: what a day of the stand-in site holds.
-pub const MAX_LISTED: usize = 512;
+pub const MAX_LISTED_NODES: usize = 512;
 /// Children of the rig at most.
 pub const MAX_PROCESSES: usize = 300;
 /// Purges of one run at most.
@@ -29,7 +29,7 @@
 /// Publishers of purges at most.
 const MAX_PUBLISHERS: usize = 7;
 /// Seconds of a day.
-const DAY_S: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// A length of time with a unit, as `250ms`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
@@ -413,7 +413,7 @@
         if per_day <= 0.0 {
             return Vec::new();
         }
-        let period = Duration::from_secs_f64(burst as f64 * DAY_S / per_day);
+        let period = Duration::from_secs_f64(burst as f64 * SECONDS_PER_DAY / per_day);
         // The first burst comes early, so that also a short run has one.
         let first = period.min(self.length()) / 4;
         let mut due = Vec::new();
@@ -426,7 +426,7 @@
     }
 
     /// Whether something due at `at` came while a fault was active, or within `around` before or after one.
-    pub fn under_fault(&self, schedule: &Schedule, at: Duration, around: Duration) -> bool {
+    pub fn under_fault(&self, schedule: &Schedule, at: Duration, margin: Duration) -> bool {
         let begins = |step: &Step| matches!(step, Step::Kill(..) | Step::Cut(_));
         let ends = |begun: &Step, step: &Step| match (begun, step) {
             (Step::Kill(role, n), Step::Start(other, m)) => (role, n) == (other, m),
@@ -435,7 +435,7 @@
         };
         schedule.steps.iter().enumerate().filter(|(_, (_, step))| begins(step)).any(|(n, (from, begun))| {
             let end = schedule.steps[n..].iter().find(|(_, step)| ends(begun, step)).map(|s| s.0);
-            at + around >= *from && end.is_none_or(|end| at <= end + around)
+            at + margin >= *from && end.is_none_or(|end| at <= end + margin)
         })
     }
 }
--- a/crates/lab-scale/src/plan/check.rs
+++ b/crates/lab-scale/src/plan/check.rs
@@ -28,9 +28,9 @@
     check_range("zones", &plan.zones, plan.regions(), MAX_MEMBERS);
     check_range("sites", &plan.sites, plan.zones(), MAX_MEMBERS);
     check_range("proxies", &plan.proxies, 1, MAX_MEMBERS.saturating_sub(plan.nodes));
-    check_range("real", &plan.real, 0, MAX_REAL);
-    check_range("listed", &plan.listed, 1, MAX_LISTED);
-    check_range("asked", &plan.polled, 0, MAX_LISTED);
+    check_range("real", &plan.real, 0, MAX_REAL_PROXIES);
+    check_range("listed", &plan.listed, 1, MAX_LISTED_NODES);
+    check_range("asked", &plan.polled, 0, MAX_LISTED_NODES);
     check_range("hosts", &plan.hosts, 1, MAX_HOSTS);
     let processes = plan.processes();
     if processes > MAX_PROCESSES {
@@ -48,7 +48,8 @@
     if !(1..=MAX_PUBLISHERS).contains(&purges.publishers) {
         report(0, format!("purges.publishers: from 1 to {MAX_PUBLISHERS}"));
     }
-    if bad(changes.per_day) || changes.per_day > DAY_S || changes.burst == 0 || changes.burst > 1000 {
+    if bad(changes.per_day) || changes.per_day > SECONDS_PER_DAY || changes.burst == 0 || changes.burst > 1000
+    {
         report(0, "changes: at most one a second, in bursts of 1 to 1000".into());
     }
     if changes.routes > 100_000 {
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -27,11 +27,11 @@
 use std::time::{Duration, Instant};
 
 /// All members are up and have the first version within this time of the last start.
-const UP_WITHIN: Duration = Duration::from_secs(60);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Nothing happens for this long before the schedule starts.
 const QUIET_TIME: Duration = Duration::from_secs(2);
 /// A host reports within this time.
-const REPORTS_WITHIN: Duration = Duration::from_secs(60);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Routes of a version at least.
 const MIN_ROUTES: u64 = 1;
@@ -49,7 +49,7 @@
 
 /// What a child used over the schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
+pub struct ChildUsage {
     /// Processor time, in seconds.
     pub cpu_s: f64,
     /// The most memory over its run, in MB.
@@ -75,7 +75,7 @@
     /// Calls that failed and were retried, and the last reason.
     pub retries: (usize, String),
     /// What each child used, by kind.
-    pub used: BTreeMap<&'static str, Vec<Used>>,
+    pub usage: BTreeMap<&'static str, Vec<ChildUsage>>,
     /// Faults as they were played, with seconds from the start of the schedule.
     pub played: Vec<(f64, String)>,
     /// Children that crashed, and what else went wrong.
@@ -116,7 +116,7 @@
 }
 
 /// The number of a version that a proxy's line says is in force.
-pub fn in_force(line: &str) -> Option<u64> {
+pub fn version_in_force(line: &str) -> Option<u64> {
     let (_, rest) = line.split_once("version ")?;
     let (stamp, _) = rest.split_once(" is in force")?;
     stamp.split_once('.')?.1.parse().ok()
@@ -187,7 +187,7 @@
     }
 
     /// Handles a line of a child.
-    fn take(&mut self, line: &Line) {
+    fn handle_line(&mut self, line: &Line) {
         if let Some(host) = self.hosts.iter().position(|n| *n == line.child) {
             match serde_json::from_str::<HostMessage>(&line.text) {
                 Ok(HostMessage::Progress { up, purges, versions }) => {
@@ -197,22 +197,22 @@
                 Err(_) => {}
             }
         } else if let Some(real) = self.reals.iter().position(|n| *n == line.child) {
-            if let Some(number) = in_force(&line.text) {
+            if let Some(number) = version_in_force(&line.text) {
                 match std::mem::replace(&mut self.restarted[real], false) {
-                    true => self.real.excused(real, number),
-                    false => self.real.reached(real, number, line.at),
+                    true => self.real.record_not_applicable(real, number),
+                    false => self.real.record(real, number, line.at),
                 }
             }
         }
     }
 
     /// Handles the lines of children for this long.
-    fn take_lines(&mut self, within: Duration) {
-        let until = Instant::now() + within;
+    fn handle_lines(&mut self, within: Duration) {
+        let deadline = Instant::now() + within;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.children.next(left) {
-                Some(line) => self.take(&line),
+            let left = deadline.saturating_duration_since(Instant::now());
+            match self.children.next_line(left) {
+                Some(line) => self.handle_line(&line),
                 None => return,
             }
             if left.is_zero() {
@@ -227,7 +227,7 @@
         HostProgress {
             up: self.host_progress.iter().map(|host| host.up).sum(),
             purges: all(|host| host.purges),
-            versions: all(|host| host.versions).min(self.real.everywhere()),
+            versions: all(|host| host.versions).min(self.real.reached_by_all()),
         }
     }
 
@@ -239,26 +239,26 @@
         progress: &dyn Fn(&str, f64),
     ) -> Result<(), ScaleError> {
         let hollow = self.plan.hollow();
-        let until = Instant::now() + UP_WITHIN;
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
         let first = publish::version(self.version_body(day, 0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(ScaleError::Runtime)?;
         let published = runtime.block_on(aniseyoke_control::operators::call(operators, &first));
         published.map_err(|e| ScaleError::Control(e.to_string()))?;
         loop {
-            self.take_lines(POLL_INTERVAL);
+            self.handle_lines(POLL_INTERVAL);
             let HostProgress { up, versions, .. } = self.progress();
             progress("members join", up as f64 / hollow.max(1) as f64);
             if up == hollow && versions >= 1 {
                 return Ok(());
             }
-            let ended = self.children.ended();
+            let ended = self.children.take_crashed();
             if !ended.is_empty() {
                 return Err(ScaleError::Crashed(ended));
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let (lacking, real) = (self.real.lacking(1).count(), self.plan.real());
-                let seconds = UP_WITHIN.as_secs();
+                let seconds = STARTUP_TIMEOUT.as_secs();
                 return Err(ScaleError::NotUp { seconds, up, hollow, versions, lacking, real });
             }
         }
@@ -279,10 +279,10 @@
     }
 
     fn usage(&mut self) -> Vec<Usage> {
-        (0..self.children.len()).map(|n| self.children.used(n)).collect()
+        (0..self.children.len()).map(|n| self.children.usage(n)).collect()
     }
 
-    fn order(&mut self, host: usize, order: HostOrder) {
+    fn send_order(&mut self, host: usize, order: HostOrder) {
         let line = serde_json::to_string(&order).unwrap_or_default();
         if let Err(why) = self.children.write(self.hosts[host], &line) {
             self.problems.push(why.to_string());
@@ -290,7 +290,7 @@
     }
 
     /// The host of a hollow member, and its number there.
-    fn host_of(&self, role: Role, n: usize) -> (usize, usize) {
+    fn locate_hollow(&self, role: Role, n: usize) -> (usize, usize) {
         let hosts = *self.plan.hosts.get_ref();
         let (host, at) = (n % hosts, n / hosts);
         let proxies = (host..self.plan.count(Role::Proxy)).step_by(hosts).len();
@@ -298,7 +298,7 @@
     }
 
     /// Carries a step out; what was done, in words.
-    fn carry_out(&mut self, step: Step) -> String {
+    fn execute(&mut self, step: Step) -> String {
         let child = |run: &Self, role, n: usize| match role {
             Role::RegionRelay => run.regions[n],
             Role::SiteRelay => run.sites[n],
@@ -306,12 +306,12 @@
         };
         match step {
             Step::Kill(role @ (Role::Proxy | Role::Node), n) => {
-                let (host, member) = self.host_of(role, n);
-                self.order(host, HostOrder::Kill(member));
+                let (host, member) = self.locate_hollow(role, n);
+                self.send_order(host, HostOrder::Kill(member));
             }
             Step::Start(role @ (Role::Proxy | Role::Node), n) => {
-                let (host, member) = self.host_of(role, n);
-                self.order(host, HostOrder::Start(member));
+                let (host, member) = self.locate_hollow(role, n);
+                self.send_order(host, HostOrder::Start(member));
             }
             Step::Kill(role, n) => {
                 let child = child(self, role, n);
@@ -346,13 +346,13 @@
         progress: &dyn Fn(&str, f64),
     ) -> Result<Outcome, ScaleError> {
         let schedule = self.plan.schedule(self.seed);
-        self.take_lines(QUIET_TIME);
-        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Mark));
+        self.handle_lines(QUIET_TIME);
+        (0..self.hosts.len()).for_each(|host| self.send_order(host, HostOrder::Mark));
         let before = self.usage();
         let log = Arc::new(PublishLog::default());
         let start = now();
         let publishers = self.start_publishers(&schedule, &log, operators, start, day)?;
-        let played = self.follow(&schedule, &log, start, stop, progress);
+        let played = self.run_schedule(&schedule, &log, start, stop, progress);
         let seconds = Duration::from_nanos(now() - start).as_secs_f64();
         let after = self.usage();
         log.stop.store(true, Ordering::Relaxed);
@@ -361,27 +361,27 @@
             // Each ends once its call in flight has its answer.
             publisher.join().map_err(|_| ScaleError::PublisherPanicked)?;
         }
-        let mut used = BTreeMap::new();
+        let mut usage = BTreeMap::new();
         for (kind, of) in self.children_by_kind() {
-            let one = |n: &usize| Used {
+            let one = |n: &usize| ChildUsage {
                 cpu_s: after[*n].cpu_s - before[*n].cpu_s,
                 memory_mb: after[*n].memory_mb,
             };
-            used.insert(kind, of.iter().map(one).collect());
+            usage.insert(kind, of.iter().map(one).collect());
         }
         let mut hollow = MemberReport::default();
-        self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.join(report));
-        let why = log.why.lock().map(|why| why.clone()).unwrap_or_default();
+        self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.merge(report));
+        let why = log.last_failure.lock().map(|why| why.clone()).unwrap_or_default();
         Ok(Outcome {
             seconds,
             processes: self.children.len(),
             hollow,
             real: std::mem::take(&mut self.real),
-            purges: PublishLog::published(&log.purges),
-            changes: PublishLog::published(&log.changes),
+            purges: PublishLog::snapshot(&log.purges),
+            changes: PublishLog::snapshot(&log.changes),
             due: (schedule.purges.len(), schedule.changes.len()),
             retries: (log.retries.load(Ordering::Relaxed), why),
-            used,
+            usage,
             played,
             problems: std::mem::take(&mut self.problems),
             schedule,
@@ -412,7 +412,7 @@
 
     /// Carries the schedule out until everything that was published is in force, or the time is over; the faults as they
     /// were played, with seconds from the start.
-    fn follow(
+    fn run_schedule(
         &mut self,
         schedule: &Schedule,
         log: &PublishLog,
@@ -425,24 +425,24 @@
         let mut played = Vec::new();
         let mut steps = schedule.steps.iter().copied().peekable();
         loop {
-            self.take_lines(POLL_INTERVAL);
+            self.handle_lines(POLL_INTERVAL);
             while let Some((_, step)) = steps.next_if(|(at, _)| *at <= elapsed()) {
-                let what = self.carry_out(step);
+                let what = self.execute(step);
                 tracing::info!("{:8.3} s  {what}", elapsed().as_secs_f64());
                 played.push((elapsed().as_secs_f64(), what));
             }
-            let crashed = self.children.ended();
+            let crashed = self.children.take_crashed();
             self.problems.extend(crashed);
-            let (purges, changes) = (PublishLog::published(&log.purges), PublishLog::published(&log.changes));
-            let HostProgress { up, purges: everywhere, versions } = self.progress();
+            let (purges, changes) = (PublishLog::snapshot(&log.purges), PublishLog::snapshot(&log.changes));
+            let HostProgress { up, purges: reached_by_all, versions } = self.progress();
             let (made, due, published) = (purges.len(), schedule.purges.len(), changes.len() + 1);
             let what =
-                format!("{up} up, purges {everywhere}/{made} of {due}, versions {versions}/{published}");
+                format!("{up} up, purges {reached_by_all}/{made} of {due}, versions {versions}/{published}");
             progress(&what, elapsed().as_secs_f64() / length.as_secs_f64());
             let newest =
                 |published: &[Published], least| published.iter().map(|m| m.number).max().unwrap_or(least);
             let all_made = made == due && changes.len() == schedule.changes.len();
-            let done = all_made && everywhere >= newest(&purges, 0) && versions >= newest(&changes, 1);
+            let done = all_made && reached_by_all >= newest(&purges, 0) && versions >= newest(&changes, 1);
             let over = elapsed() >= length && steps.peek().is_none();
             if (over && done) || elapsed() > length + settle || stop.load(Ordering::Relaxed) {
                 return played;
@@ -452,10 +452,10 @@
 
     /// Collects the report of every host.
     fn collect_reports(&mut self) {
-        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Report));
-        let until = Instant::now() + REPORTS_WITHIN;
-        while self.reports.iter().any(Option::is_none) && Instant::now() < until {
-            self.take_lines(POLL_INTERVAL);
+        (0..self.hosts.len()).for_each(|host| self.send_order(host, HostOrder::Report));
+        let deadline = Instant::now() + REPORT_TIMEOUT;
+        while self.reports.iter().any(Option::is_none) && Instant::now() < deadline {
+            self.handle_lines(POLL_INTERVAL);
         }
         for (host, report) in self.reports.iter().enumerate() {
             if report.is_none() {
--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -80,7 +80,8 @@
             }
             command
         })?;
-        let found = self.children.addrs(&[self.root], &["proxies connect at ", "operators call at "])?;
+        let found =
+            self.children.wait_for_addrs(&[self.root], &["proxies connect at ", "operators call at "])?;
         Ok((found[0][0], found[0][1]))
     }
 
@@ -121,7 +122,7 @@
             children.push(child);
             listening.push(listen);
         }
-        let found = self.children.addrs(&children, &["proxies connect at "])?;
+        let found = self.children.wait_for_addrs(&children, &["proxies connect at "])?;
         let addrs: Vec<SocketAddr> = found.into_iter().map(|f| f[0]).collect();
         listening.iter().zip(&addrs).for_each(|(listen, addr)| listen.set(*addr));
         Ok(Tier { children, addrs })
@@ -162,7 +163,7 @@
             self.reals.push(proxy);
         }
         let of = self.reals.clone();
-        self.children.addrs(&of, &["listening on "]).map(|_| ())
+        self.children.wait_for_addrs(&of, &["listening on "]).map(|_| ())
     }
 
     /// Starts the hosts, and gives each its hollow members.
--- a/crates/lab-scale/src/publish.rs
+++ b/crates/lab-scale/src/publish.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 /// A call without an answer is retried after this time.
-const ANSWERS_WITHIN: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A purge or a version that was published.
@@ -41,17 +41,17 @@
     /// Calls that failed and were retried.
     pub retries: AtomicUsize,
     /// The last reason of a retry.
-    pub why: Mutex<String>,
+    pub last_failure: Mutex<String>,
     /// Set to end the publishers.
     pub stop: AtomicBool,
 }
 
 /// The call that publishes the `n`th of what is due.
-pub type Call = Box<dyn Fn(usize) -> OperatorRequest + Send>;
+pub type RequestFactory = Box<dyn Fn(usize) -> OperatorRequest + Send>;
 
 impl PublishLog {
     /// The purges, or the versions, so far.
-    pub fn published(list: &Mutex<Vec<Published>>) -> Vec<Published> {
+    pub fn snapshot(list: &Mutex<Vec<Published>>) -> Vec<Published> {
         list.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -60,28 +60,28 @@
         let called_at = now();
         let published = |number| Published { number, due, due_at, called_at, answered_at: now() };
         while !self.stop.load(Ordering::Relaxed) {
-            match timeout(ANSWERS_WITHIN, call(operators, publish)).await {
+            match timeout(ANSWER_TIMEOUT, call(operators, publish)).await {
                 Ok(Ok(OperatorResponse::PurgeAccepted { through, .. })) => {
-                    return add(&self.purges, published(through))
+                    return append(&self.purges, published(through))
                 }
                 Ok(Ok(OperatorResponse::Published { stamp })) => {
-                    return add(&self.changes, published(stamp.number))
+                    return append(&self.changes, published(stamp.number))
                 }
-                Ok(Ok(other)) => self.failed(format!("{other:?}")),
-                Ok(Err(why)) => self.failed(why.to_string()),
-                Err(_) => self.failed(format!("{operators}: no answer in time")),
+                Ok(Ok(other)) => self.record_failure(format!("{other:?}")),
+                Ok(Err(why)) => self.record_failure(why.to_string()),
+                Err(_) => self.record_failure(format!("{operators}: no answer in time")),
             }
             sleep(RETRY_DELAY).await;
         }
     }
 
-    fn failed(&self, why: String) {
+    fn record_failure(&self, why: String) {
         self.retries.fetch_add(1, Ordering::Relaxed);
-        *self.why.lock().unwrap_or_else(PoisonError::into_inner) = why;
+        *self.last_failure.lock().unwrap_or_else(PoisonError::into_inner) = why;
     }
 }
 
-fn add(list: &Mutex<Vec<Published>>, published: Published) {
+fn append(list: &Mutex<Vec<Published>>, published: Published) {
     list.lock().unwrap_or_else(PoisonError::into_inner).push(published);
 }
 
@@ -94,7 +94,7 @@
     operators: SocketAddr,
     start: u64,
     due: Vec<Duration>,
-    publish: Call,
+    publish: RequestFactory,
 ) -> std::io::Result<JoinHandle<()>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("publisher".into()).spawn(move || {
--- a/crates/lab-scale/src/report.rs
+++ b/crates/lab-scale/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a run: figures as JSON, a table, and a plot.
 
 use super::error::ScaleError;
-use super::figures::{Figure, Figures, TimeToInForce};
+use super::figures::{Figure, Figures, PropagationTime};
 use super::member::Traffic;
 use super::plan::Plan;
 use super::play::Outcome;
@@ -15,7 +15,7 @@
 /// The limit of the memory of all of a run's processes, in MB.
 const MAX_MEMORY_MB: f64 = 12_288.0;
 /// Members that lack something that are named at most.
-const MAX_NAMED: usize = 10;
+const MAX_NAMED_MEMBERS: usize = 10;
 
 /// A run as JSON.
 #[derive(Clone, Debug, Serialize)]
@@ -39,22 +39,22 @@
     /// Its figures.
     pub scale: Scale,
     /// Purges, and versions.
-    pub times: [Vec<TimeToInForce>; 2],
+    pub times: [Vec<PropagationTime>; 2],
     /// What went wrong, a line each.
     pub problems: Vec<String>,
 }
 
 /// Computes the figures of a run and whether it is complete.
 pub fn evaluate(name: &str, file: &str, plan: &Plan, seed: u64, outcome: &Outcome) -> Evaluation {
-    let purges = times_taken(plan, outcome, &outcome.purges, plan.limits.purge.0, &|number| {
-        outcome.hollow.purges.done(number)
+    let purges = propagation_times(plan, outcome, &outcome.purges, plan.limits.purge.0, &|number| {
+        outcome.hollow.purges.completed_at(number)
     });
-    let changes = times_taken(plan, outcome, &outcome.changes, plan.limits.change.0, &|number| {
+    let changes = propagation_times(plan, outcome, &outcome.changes, plan.limits.change.0, &|number| {
         let real = match plan.real() {
             0 => Some(0),
-            _ => outcome.real.done(number),
+            _ => outcome.real.completed_at(number),
         };
-        Some(outcome.hollow.versions.done(number)?.max(real?))
+        Some(outcome.hollow.versions.completed_at(number)?.max(real?))
     });
     let done = purges.iter().chain(&changes).all(|t| t.ms.is_some());
     let all_published = (outcome.purges.len(), outcome.changes.len()) == outcome.due;
@@ -67,29 +67,29 @@
 }
 
 /// How long each of what was published took to be in force everywhere; `done` says when it was.
-fn times_taken(
+fn propagation_times(
     plan: &Plan,
     outcome: &Outcome,
     published: &[Published],
     limit: Duration,
     done: &dyn Fn(u64) -> Option<u64>,
-) -> Vec<TimeToInForce> {
-    let one = |m: &Published| TimeToInForce {
+) -> Vec<PropagationTime> {
+    let propagation_time = |m: &Published| PropagationTime {
         due_s: m.due.as_secs_f64(),
         ms: done(m.number).map(|at| at.saturating_sub(m.due_at) as f64 / 1e6),
         under_fault: plan.under_fault(&outcome.schedule, m.due, limit),
     };
-    published.iter().map(one).collect()
+    published.iter().map(propagation_time).collect()
 }
 
 /// What went wrong, a line each.
 fn problems(outcome: &Outcome) -> Vec<String> {
     let mut problems = outcome.problems.clone();
-    for (what, due, published) in
+    for (kind, due, published) in
         [("purges", outcome.due.0, outcome.purges.len()), ("changes", outcome.due.1, outcome.changes.len())]
     {
         if published < due {
-            problems.push(format!("of {due} {what} that were due only {published} could be made"));
+            problems.push(format!("of {due} {kind} that were due only {published} could be made"));
         }
     }
     if outcome.retries.0 > 0 {
@@ -99,7 +99,7 @@
     let newest = outcome.purges.iter().map(|m| m.number).max().unwrap_or(0);
     let lacking: Vec<(usize, u64)> = outcome.hollow.purges.lacking(newest).collect();
     if !lacking.is_empty() {
-        let named = lacking.iter().take(MAX_NAMED).map(|(n, at)| {
+        let named = lacking.iter().take(MAX_NAMED_MEMBERS).map(|(n, at)| {
             let name = outcome.hollow.members.get(*n).map_or("?", |m| m.name.as_str());
             format!("{name}@{at}")
         });
@@ -119,12 +119,12 @@
     plan: &Plan,
     outcome: &Outcome,
     complete: bool,
-    [purges, changes]: &[Vec<TimeToInForce>; 2],
+    [purges, changes]: &[Vec<PropagationTime>; 2],
 ) -> Figures {
     let limits = plan.limits;
     let mut figures = Figures(Vec::new());
     figures.add("run.complete", Some(f64::from(u8::from(complete))), "", None);
-    for (what, n) in [
+    for (kind, n) in [
         ("regions", plan.regions()),
         ("zones", plan.zones()),
         ("sites", plan.sites()),
@@ -135,9 +135,9 @@
         ("asked_nodes", *plan.polled.get_ref()),
         ("processes", outcome.processes),
     ] {
-        figures.add(format!("run.{what}"), Some(n as f64), "", None);
+        figures.add(format!("run.{kind}"), Some(n as f64), "", None);
     }
-    let memory: f64 = outcome.used.values().flatten().map(|u| u.memory_mb).sum();
+    let memory: f64 = outcome.usage.values().flatten().map(|u| u.memory_mb).sum();
     figures.add("run.memory.all_children", Some(memory), "MB", Some(MAX_MEMORY_MB));
     figures.times("purge", purges, &outcome.purges, outcome.due.0, limits.purge.0);
     figures.times("change", changes, &outcome.changes, outcome.due.1, limits.change.0);
@@ -150,30 +150,31 @@
 
 fn add_traffic(figures: &mut Figures, outcome: &Outcome, bytes_per_second: f64) {
     let seconds = outcome.seconds;
-    for (who, node, limit) in [("hollow_proxy", false, Some(bytes_per_second)), ("hollow_node", true, None)] {
+    for (kind, node, limit) in [("hollow_proxy", false, Some(bytes_per_second)), ("hollow_node", true, None)]
+    {
         let of = || outcome.hollow.members.iter().filter(|m| m.node == node);
         let control: Vec<Traffic> = of().map(|m| m.control).collect();
-        figures.traffic(&format!("{who}.control"), &control, seconds, limit);
+        figures.traffic(&format!("{kind}.control"), &control, seconds, limit);
         if !node {
             let lists: Vec<Traffic> = of().map(|m| m.list).collect();
-            figures.traffic(&format!("{who}.list"), &lists, seconds, limit);
+            figures.traffic(&format!("{kind}.list"), &lists, seconds, limit);
         }
     }
 }
 
 fn add_usage(figures: &mut Figures, plan: &Plan, outcome: &Outcome) {
     let (limits, seconds) = (plan.limits, outcome.seconds);
-    let used = |kind: &str| outcome.used.get(kind).map_or(&[][..], Vec::as_slice);
+    let usage = |kind: &str| outcome.usage.get(kind).map_or(&[][..], Vec::as_slice);
     let members = plan.hollow().max(1) as f64;
-    let hosts = used("host");
+    let hosts = usage("host");
     let cpu: f64 = hosts.iter().map(|u| u.cpu_s).sum();
     let host_memory: f64 = hosts.iter().map(|u| u.memory_mb).sum();
     figures.add("hollow_member.core.mean", Some(cpu / seconds / members), "cores", Some(limits.core));
     figures.add("hollow_member.memory.mean", Some(host_memory / members), "MB", Some(limits.memory_mb));
-    figures.used("real", used("real"), seconds, Some(limits.core), Some(limits.memory_mb));
+    figures.usage("real", usage("real"), seconds, Some(limits.core), Some(limits.memory_mb));
     for kind in ["root", "region_relay", "site_relay", "host"] {
-        if !used(kind).is_empty() {
-            figures.used(kind, used(kind), seconds, None, None);
+        if !usage(kind).is_empty() {
+            figures.usage(kind, usage(kind), seconds, None, None);
         }
     }
 }
@@ -215,7 +216,7 @@
 /// # Errors
 /// If it can't be drawn or written.
 pub fn plot(evaluation: &Evaluation, file: &Path) -> Result<(), ScaleError> {
-    let each_second = |times: &[TimeToInForce]| {
+    let each_second = |times: &[PropagationTime]| {
         let mut slowest: std::collections::BTreeMap<u64, f64> = std::collections::BTreeMap::new();
         for t in times {
             if let Some(ms) = t.ms {
--- a/crates/lab-scale/src/report/tests.rs
+++ b/crates/lab-scale/src/report/tests.rs
@@ -1,6 +1,6 @@
 use super::super::figures::quantile;
 use super::super::host::{MemberReport, MemberTraffic};
-use super::super::play::Used;
+use super::super::play::ChildUsage;
 use super::super::tally::CompletionTally;
 use super::*;
 use std::collections::BTreeMap;
@@ -15,14 +15,14 @@
         ..MemberReport::default()
     };
     for member in 0..2 {
-        hollow.purges.reached(member, 1, 250_000_000);
-        hollow.versions.reached(member, 2, 300_000_000);
+        hollow.purges.record(member, 1, 250_000_000);
+        hollow.versions.record(member, 2, 300_000_000);
         let traffic = Traffic { bytes_in: 900, bytes_out: 100, frames_in: 5, frames_out: 5, segments: 10 };
         let name = format!("hollow-{member}");
         hollow.members.push(MemberTraffic { name, node: false, control: traffic, list: Traffic::default() });
     }
     let mut real = CompletionTally::new(1);
-    real.reached(0, 2, 700_000_000);
+    real.record(0, 2, 700_000_000);
     let published = |number| Published {
         number,
         due: Duration::from_millis(50),
@@ -30,7 +30,7 @@
         called_at: 51_000_000,
         answered_at: 52_000_000,
     };
-    let used = |kind| (kind, vec![Used { cpu_s: 0.1, memory_mb: 8.0 }]);
+    let usage = |kind| (kind, vec![ChildUsage { cpu_s: 0.1, memory_mb: 8.0 }]);
     Outcome {
         seconds: 10.0,
         processes: 3,
@@ -40,7 +40,7 @@
         changes: vec![published(2)],
         due: (1, 1),
         retries: (0, String::new()),
-        used: BTreeMap::from([used("root"), used("real"), used("host")]),
+        usage: BTreeMap::from([usage("root"), usage("real"), usage("host")]),
         played: Vec::new(),
         problems: Vec::new(),
         schedule: Default::default(),
@@ -73,7 +73,7 @@
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let mut lacking = outcome();
     lacking.hollow.purges = CompletionTally::new(2);
-    lacking.hollow.purges.reached(0, 1, 1);
+    lacking.hollow.purges.record(0, 1, 1);
     let evaluation = evaluate("a", "p.toml", &plan, 1, &lacking);
     assert!(!evaluation.complete);
     assert_eq!(value(&evaluation, "purge.not_done_everywhere"), 1.0);
--- a/crates/lab-scale/src/tally.rs
+++ b/crates/lab-scale/src/tally.rs
@@ -27,7 +27,7 @@
         self.progress.len()
     }
 
-    fn count(&mut self, member: usize, through: u64, at: u64) {
+    fn advance(&mut self, member: usize, through: u64, at: u64) {
         let Some(progress) = self.progress.get_mut(member) else { return };
         if through > MAX_NUMBER {
             self.beyond += 1;
@@ -47,17 +47,17 @@
     }
 
     /// A member has everything through a number since `at`.
-    pub fn reached(&mut self, member: usize, through: u64, at: u64) {
-        self.count(member, through, at);
+    pub fn record(&mut self, member: usize, through: u64, at: u64) {
+        self.advance(member, through, at);
     }
 
     /// Everything through a number does not concern a member, which started after they were published.
-    pub fn excused(&mut self, member: usize, through: u64) {
-        self.count(member, through, 0);
+    pub fn record_not_applicable(&mut self, member: usize, through: u64) {
+        self.advance(member, through, 0);
     }
 
     /// The number through which all members have everything.
-    pub fn everywhere(&self) -> u64 {
+    pub fn reached_by_all(&self) -> u64 {
         self.progress.iter().copied().min().unwrap_or(u64::MAX)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// When the last of the members had number `number`; none if one of them has not.
-    pub fn done(&self, number: u64) -> Option<u64> {
+    pub fn completed_at(&self, number: u64) -> Option<u64> {
         let (count, last) = *self.done.get(usize::try_from(number.checked_sub(1)?).ok()?)?;
         (count as usize == self.progress.len()).then_some(last)
     }
@@ -78,12 +78,12 @@
     }
 
     /// Adds the tally of other members.
-    pub fn join(&mut self, other: CompletionTally) {
+    pub fn merge(&mut self, other: CompletionTally) {
         if self.done.len() < other.done.len() {
             self.done.resize(other.done.len(), (0, 0));
         }
-        for (mine, theirs) in self.done.iter_mut().zip(other.done) {
-            *mine = (mine.0 + theirs.0, mine.1.max(theirs.1));
+        for (own, others) in self.done.iter_mut().zip(other.done) {
+            *own = (own.0 + others.0, own.1.max(others.1));
         }
         self.progress.extend(other.progress);
         self.beyond += other.beyond;
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -25,15 +25,15 @@
 /// Enough for a version of ten thousand routes.
 const MEMORY_MB: usize = 128;
 /// All proxies have a version within this time, or the measurement fails.
-const WITHIN: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// How often the running versions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Calls are measured for this long before anything is published, for comparison.
 const QUIET_TIME: Duration = Duration::from_secs(3);
 /// The pause between two calls.
-const CALL_EVERY: Duration = Duration::from_micros(500);
+const CALL_INTERVAL: Duration = Duration::from_micros(500);
 /// The longest time that is told apart, in microseconds.
-const MAX_SPAN_US: u64 = 120_000_000;
+const MAX_RECORDED_US: u64 = 120_000_000;
 
 /// The size of a measurement.
 #[derive(Clone, Copy, Debug)]
@@ -57,7 +57,7 @@
 
 /// The result of a measurement.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
+pub struct Measurement {
     /// Real proxies.
     pub proxies: usize,
     /// The length of a whole version as JSON, in bytes.
@@ -147,7 +147,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_SPAN_US, 3).expect("constant bounds are sound")
+    Histogram::new_with_max(MAX_RECORDED_US, 3).expect("constant bounds are sound")
 }
 
 /// Calls a proxy's health endpoint, one call after the other, on a thread of its own.
@@ -160,27 +160,27 @@
 impl HealthCaller {
     fn start(addr: SocketAddr) -> Self {
         let (calls, stop) = (Arc::new(Mutex::new(histogram())), Arc::<AtomicBool>::default());
-        let (calls_in, stopped) = (calls.clone(), stop.clone());
+        let (recorded, stopped) = (calls.clone(), stop.clone());
         let thread = std::thread::spawn(move || {
             let mut stream: Option<BufReader<TcpStream>> = None;
             while !stopped.load(Ordering::Relaxed) {
-                std::thread::sleep(CALL_EVERY);
-                let mut peer = match stream.take() {
-                    Some(peer) => peer,
+                std::thread::sleep(CALL_INTERVAL);
+                let mut connection = match stream.take() {
+                    Some(connection) => connection,
                     None => {
-                        let fresh = TcpStream::connect(addr)?;
-                        fresh.set_nodelay(true)?;
-                        fresh.set_read_timeout(Some(WITHIN))?;
-                        BufReader::new(fresh)
+                        let new_stream = TcpStream::connect(addr)?;
+                        new_stream.set_nodelay(true)?;
+                        new_stream.set_read_timeout(Some(MAX_WAIT))?;
+                        BufReader::new(new_stream)
                     }
                 };
                 let start = Instant::now();
-                peer.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")?;
-                if health(&mut peer)? {
-                    stream = Some(peer);
+                connection.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")?;
+                if read_health_response(&mut connection)? {
+                    stream = Some(connection);
                 }
-                let took = start.elapsed().as_micros() as u64;
-                calls_in.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(took);
+                let latency = start.elapsed().as_micros() as u64;
+                recorded.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(latency);
             }
             Ok(())
         });
@@ -190,9 +190,9 @@
     /// The latency of calls since the last time.
     fn take(&self) -> Percentiles {
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        let took = Percentiles::from(&*calls);
+        let latencies = Percentiles::from(&*calls);
         calls.reset();
-        took
+        latencies
     }
 
     fn end(self) -> Result<(), VersionsError> {
@@ -203,11 +203,11 @@
 }
 
 /// Reads a response; whether the connection may be used again.
-fn health(peer: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
-    let (mut length, mut stays) = (0, true);
+fn read_health_response(connection: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
+    let (mut length, mut keep_alive) = (0, true);
     loop {
         let mut line = String::new();
-        if peer.read_line(&mut line)? == 0 {
+        if connection.read_line(&mut line)? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         let line = line.trim_end().to_ascii_lowercase();
@@ -217,13 +217,13 @@
         if let Some((name, value)) = line.split_once(':') {
             match name {
                 "content-length" => length = value.trim().parse().unwrap_or(0),
-                "connection" => stays = value.trim() != "close",
+                "connection" => keep_alive = value.trim() != "close",
                 _ => {}
             }
         }
     }
-    std::io::copy(&mut peer.by_ref().take(length), &mut std::io::sink())?;
-    Ok(stays)
+    std::io::copy(&mut connection.by_ref().take(length), &mut std::io::sink())?;
+    Ok(keep_alive)
 }
 
 /// The duration of a swap that a line of a proxy's log tells, in microseconds.
@@ -251,20 +251,23 @@
     stamp: Stamp,
     proxies: usize,
 ) -> Result<Histogram<u64>, VersionsError> {
-    let until = Instant::now() + WITHIN;
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
         let rows = service.statuses();
-        let run: Vec<&ProxyStatus> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
-        if run.len() == proxies {
-            let mut took = histogram();
-            run.iter().filter_map(|r| r.ack_latency).for_each(|ns| took.saturating_record(ns / 1000));
-            return Ok(took);
+        let running: Vec<&ProxyStatus> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
+        if running.len() == proxies {
+            let mut latencies = histogram();
+            running
+                .iter()
+                .filter_map(|r| r.ack_latency)
+                .for_each(|ns| latencies.saturating_record(ns / 1000));
+            return Ok(latencies);
         }
         if let Some((_, why)) = rows.iter().filter_map(|r| r.rejected.as_ref()).find(|r| r.0 == stamp) {
             return Err(VersionsError::Rejected { stamp, why: why.clone() });
         }
-        if Instant::now() > until {
-            return Err(VersionsError::NotInForce { stamp, running: run.len(), proxies });
+        if Instant::now() > deadline {
+            return Err(VersionsError::NotInForce { stamp, running: running.len(), proxies });
         }
         std::thread::sleep(POLL_INTERVAL);
     }
@@ -274,7 +277,7 @@
 ///
 /// # Errors
 /// If the fleet could not be started, or a version did not come into force everywhere.
-pub fn measure(size: FleetSize, program: &Path) -> Result<Measured, VersionsError> {
+pub fn measure(size: FleetSize, program: &Path) -> Result<Measurement, VersionsError> {
     let mut day = Day::open("quiet")?;
     day.site.proxy.count = size.proxies;
     day.site.proxy.memory_mb = MEMORY_MB;
@@ -297,7 +300,7 @@
     site.close();
     let cpu = |usage: &[Usage]| usage.iter().map(|u| u.cpu_s).sum::<f64>();
     let memory = |usage: &[Usage]| usage.iter().map(|u| u.memory_mb).fold(0.0, f64::max);
-    Ok(Measured {
+    Ok(Measurement {
         proxies: size.proxies,
         bytes: version_body(&day, size.routes, 0).to_string().len(),
         proxy_ms: (cpu(&after) - cpu(&before)) * 1e3 / (size.proxies as f64 * (size.versions + 1) as f64),
@@ -332,9 +335,9 @@
 }
 
 fn wait_until_connected(service: &Hosted, proxies: usize) -> Result<(), VersionsError> {
-    let until = Instant::now() + WITHIN;
+    let deadline = Instant::now() + MAX_WAIT;
     while service.statuses().len() < proxies {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return Err(VersionsError::NotConnected { connected: service.statuses().len() });
         }
         std::thread::sleep(POLL_INTERVAL);
