--- a/crates/lab-scale/src/descriptors.rs
+++ b/crates/lab-scale/src/descriptors.rs
@@ -1,14 +1,14 @@
-//! The descriptors that a run needs, counted before anything starts. No I/O but reading and raising the limit.
+//! Computes the file descriptors that a run needs before anything starts. The only I/O is reading and raising the limit.
 
 use super::error::ScaleError;
 use super::layout;
 use super::plan::{Plan, Role, Topology};
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 
-/// Descriptors of any process beside its connections: files, pipes, timers, listeners.
+/// Descriptors of any process apart from its connections: files, pipes, timers and listeners.
 const BASE_DESCRIPTORS: usize = 64;
 
-/// Each kind of process, the descriptors that the largest of them needs, and what for.
+/// Returns for each kind of process the descriptors that the largest of them needs, with an explanation.
 pub fn descriptor_needs(plan: &Plan, seed: u64) -> Vec<(&'static str, usize, String)> {
     let members = plan.hollow() + plan.real();
     let (sites, hosts) = (plan.sites(), *plan.hosts.get_ref());
@@ -34,7 +34,7 @@
             rig,
             format!(
                 "{over_links} connections of two ends over links, pipes of {} children, {} listed nodes with \
-                 {} real proxies before them, {proxies} calls for lists",
+                 {} real proxies connected to them, {proxies} polls of endpoint lists",
                 plan.processes(),
                 listed + polled,
                 plan.real()
@@ -45,25 +45,25 @@
             "a host of hollow members",
             BASE_DESCRIPTORS + plan.hollow().div_ceil(hosts) + proxies.div_ceil(hosts),
             format!(
-                "{} members of {hosts} hosts, proxies with two connections",
+                "{} members, proxies with two connections each, on each of {hosts} hosts",
                 plan.hollow().div_ceil(hosts)
             ),
         ),
     ];
     if plan.topology == Topology::Relays {
         let at_relay = sites.div_ceil(plan.regions()) + members.div_ceil(sites);
-        // Members whose site's relay is gone go to their region's.
+        // Members whose site relay is down connect to the relay of their region.
         let downstream = at_relay + members.div_ceil(plan.regions());
         descriptor_needs.push((
             "a relay",
             BASE_DESCRIPTORS + downstream,
-            format!("up to {downstream} connections below"),
+            format!("up to {downstream} downstream connections"),
         ));
     }
     descriptor_needs
 }
 
-/// The kinds of processes that need more descriptors than `most`, each with what it needs and how much is missing.
+/// Lists the kinds of processes that need more descriptors than `limit`, each with its need and its shortfall.
 pub fn shortfalls(plan: &Plan, seed: u64, limit: usize) -> Vec<String> {
     let shortfall = |(kind, descriptors, reason): &(&str, usize, String)| {
         (*descriptors > limit).then(|| {
@@ -76,10 +76,10 @@
     descriptor_needs(plan, seed).iter().filter_map(shortfall).collect()
 }
 
-/// Raises this process's limit, which its children inherit, as far as it may.
+/// Raises this process's soft limit, which its children inherit, to the hard limit.
 ///
 /// # Errors
-/// If processes need more descriptors than they may have.
+/// Fails if a process needs more descriptors than the hard limit.
 pub fn raise_limit(plan: &Plan, seed: u64) -> Result<(), ScaleError> {
     let (_, hard_limit) = getrlimit(Resource::RLIMIT_NOFILE).map_err(ScaleError::Limit)?;
     setrlimit(Resource::RLIMIT_NOFILE, hard_limit, hard_limit).map_err(ScaleError::Limit)?;
--- a/crates/lab-scale/src/descriptors/tests.rs
+++ b/crates/lab-scale/src/descriptors/tests.rs
@@ -4,9 +4,9 @@
                     proxies = 900\nnodes = 100\nreal = 2\nlisted = 20\nasked = 10\nhosts = 4\n";
 
 #[test]
-fn what_is_short_is_named_with_how_much() {
+fn shortfalls_name_the_process_and_the_missing_descriptors() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
-    // Nobody is far, so nothing goes over links: the service has 1,002 connections and its own 64.
+    // No region has a delay, so there are no links: the service has 1,002 connections and 64 other descriptors.
     let at_root = descriptor_needs(&plan, 1).into_iter().find(|n| n.0 == "the control service").map(|n| n.1);
     assert_eq!(at_root, Some(1066));
     let rig = descriptor_needs(&plan, 1)[0].1;
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn links_have_two_ends_in_the_rig() {
+fn a_connection_over_a_link_takes_two_descriptors_in_the_rig() {
     let far = Plan::parse("p.toml", &format!("{PLAN}[delay]\nbase = \"10ms\"\n")).expect("sound");
     let near = Plan::parse("p.toml", PLAN).expect("sound");
-    // One of the two regions is far: half of the 1,002 members.
+    // One of the two regions has a delay, so half of the 1,002 members connect over a link with two descriptors each.
     assert_eq!(descriptor_needs(&far, 1)[0].1 - descriptor_needs(&near, 1)[0].1, 1002);
 }
--- a/crates/lab-scale/src/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -17,7 +17,7 @@
 /// How often a host tells its progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 /// Orders that may wait.
-const MAX_QUEUED_ORDERS: usize = 1024;
+const MAX_QUEUED_COMMANDS: usize = 1024;
 
 /// The first line of a host's standard input: its members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 /// The lines of a host's standard input after the first.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HostOrder {
+pub enum HostCommand {
     /// Ends a member, which loses its state.
     Kill(usize),
     /// Starts a member again.
@@ -122,21 +122,21 @@
     let mut first = String::new();
     std::io::stdin().read_line(&mut first).map_err(ScaleError::Stdio)?;
     let spec: HostSpec = serde_json::from_str(&first).map_err(ScaleError::FirstLine)?;
-    let (order_sender, orders) = mpsc::channel(MAX_QUEUED_ORDERS);
+    let (command_sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            match serde_json::from_str::<HostOrder>(&line) {
-                Ok(order) if order_sender.blocking_send(order).is_ok() => {}
+            match serde_json::from_str::<HostCommand>(&line) {
+                Ok(command) if command_sender.blocking_send(command).is_ok() => {}
                 Ok(_) => return,
                 Err(e) => eprintln!("hollow: `{line}`: {e}"),
             }
         }
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.map_err(ScaleError::Runtime)?, host(spec, orders))
+    LocalSet::new().block_on(&runtime.map_err(ScaleError::Runtime)?, host(spec, commands))
 }
 
-async fn host(spec: HostSpec, mut orders: mpsc::Receiver<HostOrder>) -> Result<(), ScaleError> {
+async fn host(spec: HostSpec, mut commands: mpsc::Receiver<HostCommand>) -> Result<(), ScaleError> {
     let (seed, join_ms, poll_interval) = (spec.seed, spec.join_ms, spec.poll_interval);
     let shared = Rc::new(SharedState::new(spec.members, seed, spec.purging));
     let count = shared.members.len();
@@ -147,22 +147,22 @@
     let mut ticks = interval(PROGRESS_INTERVAL);
     loop {
         tokio::select! {
-            order = orders.recv() => match order {
+            command = commands.recv() => match command {
                 None => return Ok(()),
-                Some(HostOrder::Kill(n)) if n < count => {
+                Some(HostCommand::Kill(n)) if n < count => {
                     tasks[n].abort.abort();
                     shared.up[n].set(false);
                 }
-                Some(HostOrder::Start(n)) if n < count => {
+                Some(HostCommand::Start(n)) if n < count => {
                     tasks[n].abort.abort();
                     tasks[n] = start(n, tasks[n].starts + 1, Duration::ZERO);
                 }
-                Some(HostOrder::Kill(n) | HostOrder::Start(n)) => eprintln!("hollow: there is no member {n}"),
-                Some(HostOrder::Mark) => {
+                Some(HostCommand::Kill(n) | HostCommand::Start(n)) => eprintln!("hollow: there is no member {n}"),
+                Some(HostCommand::Mark) => {
                     let all = shared.traffic.iter().chain(&shared.list_polls);
                     all.for_each(|t| t.set(Traffic::default()));
                 }
-                Some(HostOrder::Report) => send_message(&HostMessage::Report(Box::new(report(&shared))))?,
+                Some(HostCommand::Report) => send_message(&HostMessage::Report(Box::new(report(&shared))))?,
             },
             _ = ticks.tick() => send_message(&HostMessage::Progress {
                 up: shared.up.iter().filter(|up| up.get()).count(),
--- a/crates/lab-scale/src/layout.rs
+++ b/crates/lab-scale/src/layout.rs
@@ -1,4 +1,4 @@
-//! The site, zone and region of each member, and the delays of regions. No I/O, no clock.
+//! The site, zone and region of each member, and the network delays of regions. Does no I/O and reads no clock.
 
 use super::plan::{Plan, Role, Step};
 use aniseyoke_lab_day::clock::{mix, unit_fraction};
@@ -7,31 +7,31 @@
 /// The location of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The site.
+    /// The site's number.
     pub site: usize,
-    /// Its zone.
+    /// The zone of the site.
     pub zone: usize,
-    /// Its region.
+    /// The region of the zone.
     pub region: usize,
 }
 
-/// The location of a site.
+/// Returns the location of a site.
 pub fn site(plan: &Plan, site: usize) -> Location {
     let zone = site % plan.zones();
     Location { site, zone, region: zone % plan.regions() }
 }
 
-/// The location of a member, by its role and number.
+/// Returns the location of a member, given by its role and number.
 pub fn member(plan: &Plan, role: Role, n: usize) -> Location {
     match role {
         Role::RegionRelay => Location { site: n, zone: n, region: n },
         Role::SiteRelay | Role::Proxy | Role::Node => site(plan, n % plan.sites()),
-        // Fewer than sites: spread as evenly as possible.
+        // There are fewer real proxies than sites, so they are distributed as evenly as possible.
         Role::Real => site(plan, n * plan.sites() / plan.real().max(1) % plan.sites()),
     }
 }
 
-/// A member's name.
+/// Returns the name of a member, given by its role and number.
 pub fn name(role: Role, n: usize) -> String {
     match role {
         Role::RegionRelay => format!("region-{n}"),
@@ -42,7 +42,7 @@
     }
 }
 
-/// The delay from the first region to another, one way; none within the first.
+/// Returns the one-way delay between the first region and another, which is zero within the first.
 pub fn delay(plan: &Plan, seed: u64, region: usize) -> Duration {
     if region == 0 {
         return Duration::ZERO;
@@ -50,7 +50,7 @@
     plan.delay.base.0 + plan.delay.spread.0.mul_f64(unit_fraction(mix(seed, 4, region as u64)))
 }
 
-/// Up to this much more, for each chunk of bytes; none within the first region.
+/// Returns the maximum jitter for each chunk of bytes, which is zero within the first region.
 pub fn jitter(plan: &Plan, region: usize) -> Duration {
     if region == 0 {
         return Duration::ZERO;
@@ -58,7 +58,8 @@
     plan.delay.jitter.0
 }
 
-/// For each region, whether it is reached over a link: those with a delay, and those that will be cut off.
+/// Returns for each region whether it is connected over a link, which is the case if it has a delay or if the schedule
+/// partitions it.
 pub fn linked(plan: &Plan, seed: u64) -> Vec<bool> {
     let steps = plan.schedule(seed).steps;
     let cut = |region| steps.iter().any(|(_, step)| *step == Step::Cut(region));
--- a/crates/lab-scale/src/layout/tests.rs
+++ b/crates/lab-scale/src/layout/tests.rs
@@ -4,7 +4,7 @@
                     proxies = 2500\nnodes = 880\nreal = 20\n[delay]\nbase = \"20ms\"\nspread = \"80ms\"\n";
 
 #[test]
-fn members_are_spread_evenly_and_those_of_a_site_are_in_its_region() {
+fn members_are_distributed_evenly_and_share_the_region_of_their_site() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let mut at = vec![0; plan.sites()];
     (0..2500).for_each(|n| at[member(&plan, Role::Proxy, n).site] += 1);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn delays_follow_from_the_seed_and_the_first_region_has_none() {
+fn the_seed_determines_delays_and_the_first_region_has_none() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let all = |seed| -> Vec<Duration> { (0..22).map(|region| delay(&plan, seed, region)).collect() };
     assert_eq!(all(1), all(1));
--- a/crates/lab-scale/src/lib.rs
+++ b/crates/lab-scale/src/lib.rs
@@ -1,17 +1,18 @@
-//! A whole fleet on one machine: real proxies beside hollow ones, before one control service or a tree of relays.
+//! Runs a large fleet on one machine: real proxies and many simulated ("hollow") members, connected to one control service
+//! or to a tree of relays.
 //!
-//! - [`plan`]: an experiment as one TOML file, checked, and its schedule, which follows from the seed.
-//! - [`layout`]: the site, zone and region of each member, and the delays of regions; no I/O, no clock.
-//! - [`tally`]: when each purge or version was in force everywhere; no I/O, no clock.
+//! - [`plan`]: an experiment as one TOML file, its validation, and its schedule, which the seed determines.
+//! - [`layout`]: the site, zone and region of each member, and the network delays of regions; no I/O, no clock.
+//! - [`tally`]: when each purge or version was in force at all members; no I/O, no clock.
 //! - [`member`], [`list_polls`] and [`host`]: hollow members, hundreds of them in one process.
-//! - [`descriptors`]: the descriptors that a run needs, counted before it starts.
-//! - [`link`]: the links between regions, with delay and cuts.
+//! - [`descriptors`]: the file descriptors that a run needs, computed before it starts.
+//! - [`link`]: the links between regions, with delays and network partitions.
 //! - [`children`]: the child processes of a run.
-//! - [`publish`]: publishers of purges and versions.
-//! - [`play`]: the run; [`report`] and [`figures`]: its figures, table and plot.
-//! - [`versions`]: what versions of the configuration cost a fleet of real proxies.
+//! - [`publish`]: the publishers of purges and versions.
+//! - [`play`]: executes a run; [`report`] and [`figures`]: its figures, table and plot.
+//! - [`versions`]: measures the cost of configuration versions in a fleet of real proxies.
 //!
-//! `docs/design-scale.md` tells why it is built so and what hollow members leave out.
+//! `docs/design-scale.md` describes the design and what hollow members don't simulate.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -33,7 +34,7 @@
 
 pub use error::ScaleError;
 
-/// The machine's monotonic clock, in nanoseconds: the same in every process of a run.
+/// Reads the machine's monotonic clock, in nanoseconds. All processes of a run share this clock.
 pub fn now() -> u64 {
     nix::time::clock_gettime(nix::time::ClockId::CLOCK_MONOTONIC)
         .map_or(0, |t| (t.tv_sec() as u64) * 1_000_000_000 + t.tv_nsec() as u64)
--- a/crates/lab-scale/src/link.rs
+++ b/crates/lab-scale/src/link.rs
@@ -1,6 +1,6 @@
-//! A link between regions: every connection over it is delayed, order kept, and goes silent while the link is cut.
-//! Many chunks of bytes are in flight at the same time; the fault rig's relay carries one at a time, which would delay those
-//! behind it further.
+//! A link between regions. It delays the bytes of every connection in order, and forwards nothing while it is cut.
+//! Many chunks of bytes are in flight at the same time. The fault rig's relay forwards one chunk at a time, which would add
+//! further delay to the chunks queued behind it.
 
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -14,25 +14,24 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// The longest chunk, in bytes.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
-/// Chunks of one direction in flight at once at most; past that the sender waits.
+/// The maximum number of chunks in flight in one direction; above it, reading stops.
 const MAX_CHUNKS_IN_FLIGHT: usize = 1024;
-/// The far end is reached within this time.
+/// The time limit for connecting to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The delay of a link, one way.
+/// The one-way delay of a link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkDelay {
-    /// The least delay.
+    /// The minimum delay.
     pub delay: Duration,
-    /// Up to this much more, for each chunk.
+    /// The maximum addition, drawn for each chunk.
     pub jitter: Duration,
 }
 
-/// The thread that carries bytes over all links, apart from everything else; it ends when this is dropped.
+/// The thread that serves all links. It runs nothing else, and ends when this value is dropped.
 pub struct LinkRuntime {
-    /// Where links are opened.
+    /// The handle of the thread's runtime.
     pub handle: Handle,
     _stop: tokio::sync::oneshot::Sender<()>,
 }
@@ -41,47 +40,47 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// If the system lacks threads or descriptors.
+    /// Fails if the system has no threads or file descriptors available.
     pub fn start() -> io::Result<LinkRuntime> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
         let (stop, stopped) = tokio::sync::oneshot::channel();
-        // It ends when the sender is gone, which is no error here.
+        // The error of a dropped sender is the signal to end.
         let run_links = move || drop(runtime.block_on(stopped));
         std::thread::Builder::new().name("links".into()).spawn(run_links)?;
         Ok(LinkRuntime { handle, _stop: stop })
     }
 }
 
-/// An open link.
+/// An open link between regions.
 pub struct Link {
-    /// Where it accepts connections.
+    /// The address on which the link accepts connections.
     pub addr: SocketAddr,
     cut: watch::Sender<bool>,
 }
 
 impl Link {
-    /// Cuts it, or heals it.
+    /// Cuts or restores the link.
     pub fn cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 }
 
-/// Opens a link to `target` on `handle`'s runtime.
+/// Opens a link to `target` on the runtime of `handle`.
 ///
 /// # Errors
-/// If no port on loopback could be had.
+/// Fails if no loopback port is available.
 pub fn open(handle: &Handle, target: SocketAddr, link_delay: LinkDelay, seed: u64) -> io::Result<Link> {
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     listener.set_nonblocking(true)?;
-    // A whole region connects at once; the standard library asks for room for 128.
+    // All members of a region connect at once, and the standard library sets a backlog of only 128.
     socket2::SockRef::from(&listener).listen(4096)?;
     let addr = listener.local_addr()?;
     let (cut, is_cut) = watch::channel(false);
     handle.spawn(async move {
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
-            Err(e) => return tracing::error!("link {addr}: {e}"),
+            Err(e) => return tracing::error!("link {addr} could not register its listener: {e}"),
         };
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         loop {
@@ -96,7 +95,7 @@
                     ));
                 }
                 Err(e) => {
-                    tracing::warn!("link {addr}: {e}");
+                    tracing::warn!("link {addr} failed to accept a connection: {e}");
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             }
@@ -112,12 +111,13 @@
     seed: u64,
     mut is_cut: watch::Receiver<bool>,
 ) {
-    // A connection made while the link is cut is taken and not answered, as a SYN sent again would find it.
+    // A connection made while the link is cut is accepted, but not served until the link is restored, as if its SYN were
+    // retransmitted until then.
     if is_cut.wait_for(|cut| !cut).await.is_err() {
         return;
     }
     let Ok(Ok(server)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)).await else { return };
-    // They only cost time.
+    // Without TCP_NODELAY the connection is only slower, so errors are ignored.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let ((client_reader, client_writer), (server_reader, server_writer)) =
         (client.into_split(), server.into_split());
--- a/crates/lab-scale/src/link/tests.rs
+++ b/crates/lab-scale/src/link/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn chunks_behind_one_another_each_take_the_delay_and_not_more() {
+fn queued_chunks_are_each_delayed_once() {
     use std::io::{Read, Write};
     let delay = Duration::from_millis(200);
     let (_link_runtime, link, target) = open_link(LinkDelay { delay, jitter: Duration::ZERO });
@@ -25,12 +25,12 @@
     let elapsed = start.elapsed();
     assert_eq!(received, [0, 1, 2, 3, 4]);
     assert!(elapsed >= delay, "{elapsed:?}");
-    // One after the other they would take five times as long.
+    // Sequential delays would add up to five times the delay.
     assert!(elapsed < delay * 4, "{elapsed:?}");
 }
 
 #[test]
-fn a_cut_link_is_silent_until_it_heals_and_loses_nothing() {
+fn a_cut_link_forwards_nothing_until_it_is_restored_and_loses_nothing() {
     use std::io::{Read, Write};
     let (_link_runtime, link, target) = open_link(LinkDelay::default());
     let mut client = std::net::TcpStream::connect(link.addr).expect("connected");
@@ -42,13 +42,13 @@
     client.write_all(b"b").expect("written");
     let mut later = std::net::TcpStream::connect(link.addr).expect("taken");
     later.write_all(b"c").expect("written");
-    server.set_read_timeout(Some(Duration::from_millis(150))).expect("a time-out");
+    server.set_read_timeout(Some(Duration::from_millis(150))).expect("a read timeout is set");
     assert!(server.read(&mut received[1..]).is_err(), "silent");
     link.cut(false);
-    server.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
+    server.set_read_timeout(Some(Duration::from_secs(10))).expect("a read timeout is set");
     server.read_exact(&mut received[1..]).expect("read");
     assert_eq!(&received, b"ab");
-    let (mut server, _) = target.accept().expect("accepted after all");
+    let (mut server, _) = target.accept().expect("accepted after the link is restored");
     server.read_exact(&mut received[..1]).expect("read");
     assert_eq!(received[0], b'c');
 }
--- a/crates/lab-scale/src/plan.rs
+++ b/crates/lab-scale/src/plan.rs
@@ -1,5 +1,5 @@
-//! An experiment of the scale run as one TOML file, checked whole, each problem with its place (`file:line:col`), and its
-//! schedule.
+//! A scale experiment as one TOML file, and its schedule. Validation reports every problem of the file, each with its
+//! position (`file:line:col`).
 
 mod check;
 
@@ -12,37 +12,37 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The longest experiment.
+/// The maximum length of an experiment.
 pub const MAX_LENGTH: Duration = Duration::from_secs(30 * 60);
-/// Members of one run at most, real and hollow.
+/// The maximum number of members of one run, real and hollow.
 pub const MAX_MEMBERS: usize = 20_000;
-/// Real proxies of one run at most.
+/// The maximum number of real proxies of one run.
 pub const MAX_REAL_PROXIES: usize = 64;
-/// Nodes on the list at most: what a day of the stand-in site holds.
+/// The maximum number of nodes on the endpoint list, which is the maximum of a day of the simulated site.
 pub const MAX_LISTED_NODES: usize = 512;
-/// Children of the rig at most.
+/// The maximum number of child processes.
 pub const MAX_PROCESSES: usize = 300;
-/// Purges of one run at most.
+/// The maximum number of purges of one run.
 pub const MAX_PURGES: f64 = 500_000.0;
-/// Processes that share the hollow members at most.
+/// The maximum number of processes that run the hollow members.
 const MAX_HOSTS: usize = 32;
-/// Publishers of purges at most.
+/// The maximum number of publishers of purges.
 const MAX_PUBLISHERS: usize = 7;
-/// Seconds of a day.
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// A length of time with a unit, as `250ms`.
+/// A duration written with a unit, such as `250ms`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(transparent)]
-pub struct Span(#[serde(with = "humantime_serde")] pub Duration);
+pub struct HumanDuration(#[serde(with = "humantime_serde")] pub Duration);
 
-/// Which services members connect to.
+/// The services that members connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Topology {
-    /// All connect to one control service.
+    /// All members connect to the control service.
     Direct,
-    /// Members connect to a relay at their site, which connects to one in its region, which connects to the control service.
+    /// Members connect to the relay of their site, which connects to the relay of its region, which connects to the control
+    /// service.
     Relays,
 }
 
@@ -50,62 +50,64 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// For how long purges and versions are published.
-    pub length: Spanned<Span>,
-    /// How long the last of them may take beyond `length` before the run counts as not complete.
+    /// How long purges and versions are published.
+    pub length: Spanned<HumanDuration>,
+    /// How long after `length` the last purge or version may come into force before the run counts as incomplete.
     #[serde(default = "default_settle")]
-    pub settle: Span,
-    /// Which services members connect to.
+    pub settle: HumanDuration,
+    /// The services that members connect to.
     pub topology: Topology,
-    /// Regions; the control service is in the first.
+    /// The number of regions; the control service is in the first.
     pub regions: Spanned<usize>,
-    /// Zones, spread evenly over the regions.
+    /// The number of zones, distributed evenly over the regions.
     pub zones: Spanned<usize>,
-    /// Sites, spread evenly over the zones.
+    /// The number of sites, distributed evenly over the zones.
     pub sites: Spanned<usize>,
-    /// Hollow proxies, spread evenly over the sites.
+    /// The number of hollow proxies, distributed evenly over the sites.
     pub proxies: Spanned<usize>,
-    /// Hollow cache nodes, spread in the same way.
+    /// The number of hollow cache nodes, distributed evenly over the sites.
     pub nodes: usize,
-    /// Real proxies, spread in the same way.
+    /// The number of real proxies, distributed evenly over the sites.
     pub real: Spanned<usize>,
-    /// Cache nodes on the list that hollow proxies poll, at a stand-in of their own; 0: they poll none.
+    /// The number of cache nodes on the endpoint list that hollow proxies poll, at a simulated site of their own. With 0,
+    /// hollow proxies don't poll.
     #[serde(default = "default_polled", rename = "asked")]
     pub polled: Spanned<usize>,
-    /// Cache nodes on the list that real proxies poll, each a listener of a stand-in site; hollow nodes are on neither.
+    /// The number of cache nodes on the endpoint list that real proxies poll, each a listener of a simulated site. Hollow
+    /// nodes are on neither list.
     #[serde(default = "default_listed")]
     pub listed: Spanned<usize>,
-    /// Processes that the hollow members share.
+    /// The number of processes that run the hollow members.
     #[serde(default = "default_hosts")]
     pub hosts: Spanned<usize>,
-    /// The first connects of members are spread over this time.
+    /// The first connects of members are distributed over this time.
     #[serde(default = "default_join")]
-    pub join: Span,
-    /// How long messages are collected to be sent together.
+    pub join: HumanDuration,
+    /// How long messages are collected into one batch.
     #[serde(default)]
     pub batch: Batch,
-    /// The delay of regions to the first.
+    /// The network delay between the first region and the others.
     #[serde(default)]
     pub delay: Delay,
-    /// Purges of objects.
+    /// The purges of the run.
     #[serde(default)]
     pub purges: Purges,
-    /// Versions of the configuration.
+    /// The configuration versions of the run.
     #[serde(default)]
     pub changes: Changes,
-    /// Limits that figures are compared with.
+    /// The limits that figures are compared with.
     #[serde(default)]
     pub limits: Limits,
-    /// Processes and members that are killed, and started again.
+    /// The processes and members that are killed and restarted.
     #[serde(default, rename = "kill")]
     pub kills: Vec<Spanned<Kill>>,
-    /// Regions that are cut off from the first for a while.
+    /// The temporary partitions between regions and the first.
     #[serde(default, rename = "cut")]
     pub cuts: Vec<Spanned<Cut>>,
 }
 
-fn default_settle() -> Span {
-    Span(Duration::from_secs(30))
+fn default_settle() -> HumanDuration {
+    HumanDuration(Duration::from_secs(30))
 }
 
 fn default_listed() -> Spanned<usize> {
@@ -120,45 +122,48 @@
     Spanned::new(0..0, 8)
 }
 
-fn default_join() -> Span {
-    Span(Duration::from_secs(3))
+fn default_join() -> HumanDuration {
+    HumanDuration(Duration::from_secs(3))
 }
 
-/// How long messages are collected to be sent together.
+/// How long messages are collected into one batch.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Batch {
     /// At the control service.
-    pub root: Span,
+    pub root: HumanDuration,
     /// At a relay.
-    pub relay: Span,
+    pub relay: HumanDuration,
 }
 
 impl Default for Batch {
     fn default() -> Self {
-        Batch { root: Span(Duration::from_millis(20)), relay: Span(Duration::from_millis(100)) }
+        Batch {
+            root: HumanDuration(Duration::from_millis(20)),
+            relay: HumanDuration(Duration::from_millis(100)),
+        }
     }
 }
 
-/// The delay of a region to the first, one way: `base` and up to `spread` more, drawn from the seed.
+/// The one-way delay between a region and the first: `base` plus up to `spread`, drawn from the seed.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Delay {
-    /// The least delay.
-    pub base: Span,
-    /// Up to this much more, one draw for each region.
-    pub spread: Span,
-    /// Up to this much more again, for each chunk of bytes.
-    pub jitter: Span,
+    /// The minimum delay.
+    pub base: HumanDuration,
+    /// The maximum addition to `base`, drawn once for each region.
+    pub spread: HumanDuration,
+    /// The maximum further addition, drawn for each chunk of bytes.
+    pub jitter: HumanDuration,
 }
 
-/// Purges of objects.
+/// The purges of a run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Purges {
-    /// Purges a second, at random times; 0: none, and members do not follow the purge log.
+    /// Purges per second, at random times. With 0 there are no purges, and members don't follow the purge log.
     pub per_second: f64,
-    /// Publishers that publish them in turn, 1 to 7: the service serves eight operators at once.
+    /// The number of publishers that publish them in turn, 1 to 7; the service serves at most eight operators at once.
     pub publishers: usize,
 }
 
@@ -168,47 +173,47 @@
     }
 }
 
-/// Versions of the configuration.
+/// The configuration versions of a run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Changes {
-    /// Versions a day.
+    /// Versions per day.
     pub per_day: f64,
-    /// Versions that come close together.
+    /// The number of versions in a burst.
     pub burst: usize,
-    /// The time between two of them.
-    pub gap: Span,
-    /// Routes in each version, of which one changes.
+    /// The time between two versions of a burst.
+    pub gap: HumanDuration,
+    /// The number of routes in each version, one of which changes.
     pub routes: u64,
 }
 
 impl Default for Changes {
     fn default() -> Self {
-        Changes { per_day: 0.0, burst: 1, gap: Span(Duration::from_millis(200)), routes: 100 }
+        Changes { per_day: 0.0, burst: 1, gap: HumanDuration(Duration::from_millis(200)), routes: 100 }
     }
 }
 
-/// Limits that figures are compared with.
+/// The limits that figures are compared with.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// A purge is in force everywhere within this time.
-    pub purge: Span,
-    /// A change is in force everywhere within this time.
-    pub change: Span,
-    /// A member's traffic for control, in bytes a second.
+    /// The time until a purge is in force at all members.
+    pub purge: HumanDuration,
+    /// The time until a version is in force at all proxies.
+    pub change: HumanDuration,
+    /// A member's control traffic, in bytes per second.
     pub bytes_per_second: f64,
-    /// The fraction of a core that a proxy spends on control.
+    /// The fraction of a core that a proxy uses for control.
     pub core: f64,
-    /// A proxy's memory for control, in MB.
+    /// The memory that a proxy uses for control, in MB.
     pub memory_mb: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            purge: Span(Duration::from_millis(1100)),
-            change: Span(Duration::from_secs(12)),
+            purge: HumanDuration(Duration::from_millis(1100)),
+            change: HumanDuration(Duration::from_secs(12)),
             bytes_per_second: 2000.0,
             core: 0.038,
             memory_mb: 32.0,
@@ -216,7 +221,7 @@
     }
 }
 
-/// The roles of what can be killed.
+/// The roles of processes and members that can be killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -232,72 +237,73 @@
     Real,
 }
 
-/// Some are killed (by SIGKILL; hollow members end their connection and lose their state) and started again.
+/// Kills processes or members of a role and restarts them. Processes are killed by SIGKILL; hollow members close their
+/// connection and lose their state.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kill {
-    /// When, from the start of the schedule.
-    pub at: Span,
-    /// Up to this much later, drawn from the seed for each.
+    /// The time from the start of the schedule.
+    pub at: HumanDuration,
+    /// The maximum addition to `at`, drawn from the seed for each target.
     #[serde(default)]
-    pub spread: Span,
-    /// Their role.
+    pub spread: HumanDuration,
+    /// The role of the targets.
     pub role: Role,
-    /// Which, by number from 0.
+    /// The numbers of the targets, from 0.
     #[serde(default)]
     pub which: Vec<usize>,
-    /// Or this many, drawn from the seed.
+    /// Instead of `which`, the number of targets to draw from the seed.
     pub pick: Option<usize>,
-    /// How long they stay down.
+    /// The time until the restart.
     #[serde(rename = "for")]
-    pub span: Span,
+    pub duration: HumanDuration,
 }
 
-/// Some regions are cut off from the first for a while.
+/// Partitions regions from the first temporarily.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cut {
-    /// When, from the start of the schedule.
-    pub at: Span,
-    /// For how long.
+    /// The time from the start of the schedule.
+    pub at: HumanDuration,
+    /// The duration of the partition.
     #[serde(rename = "for")]
-    pub span: Span,
-    /// Which regions, by number; the first (0) can't be cut from itself.
+    pub duration: HumanDuration,
+    /// The numbers of the regions; the first region (0) can't be partitioned from itself.
     #[serde(default)]
     pub which: Vec<usize>,
-    /// Or this many, drawn from the seed.
+    /// Instead of `which`, the number of targets to draw from the seed.
     pub pick: Option<usize>,
 }
 
 /// One step of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// One of a role is killed.
+    /// Kills a process or member, given by its role and number.
     Kill(Role, usize),
-    /// One of a role is started again.
+    /// Restarts a process or member, given by its role and number.
     Start(Role, usize),
-    /// A region is cut off.
+    /// Partitions a region from the first.
     Cut(usize),
-    /// A region is connected again.
+    /// Ends the partition of a region.
     Heal(usize),
 }
 
-/// The schedule of an experiment: times from its start, each in order.
+/// The schedule of an experiment. All times are relative to its start, and each list is sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// Faults and their ends.
+    /// The start and end of each fault.
     pub steps: Vec<(Duration, Step)>,
-    /// When each purge is due.
+    /// The due time of each purge.
     pub purges: Vec<Duration>,
-    /// When each change is due.
+    /// The due time of each version.
     pub changes: Vec<Duration>,
 }
 
 impl Plan {
-    /// Reads an experiment from its text; `file` is named in errors.
+    /// Parses and validates an experiment; errors name `file`.
     ///
     /// # Errors
-    /// Every problem found, each as `file:line:col: reason`.
+    /// Lists every problem found, each as `file:line:col: reason`.
     pub fn parse(file: &str, text: &str) -> Result<Plan, PlanError> {
         let at = |from: usize| {
             let (line, col) = line_and_column(text, from);
@@ -316,37 +322,37 @@
         }
     }
 
-    /// For how long purges and changes are made.
+    /// How long purges and versions are published.
     pub fn length(&self) -> Duration {
         self.length.get_ref().0
     }
 
-    /// Regions.
+    /// The number of regions.
     pub fn regions(&self) -> usize {
         *self.regions.get_ref()
     }
 
-    /// Zones.
+    /// The number of zones.
     pub fn zones(&self) -> usize {
         *self.zones.get_ref()
     }
 
-    /// Sites.
+    /// The number of sites.
     pub fn sites(&self) -> usize {
         *self.sites.get_ref()
     }
 
-    /// Hollow members.
+    /// The number of hollow members.
     pub fn hollow(&self) -> usize {
         self.proxies.get_ref() + self.nodes
     }
 
-    /// Real proxies.
+    /// The number of real proxies.
     pub fn real(&self) -> usize {
         *self.real.get_ref()
     }
 
-    /// The number of members of a role.
+    /// The number of processes or members of a role.
     pub fn count(&self, role: Role) -> usize {
         let relays = usize::from(self.topology == Topology::Relays);
         match role {
@@ -358,12 +364,12 @@
         }
     }
 
-    /// Child processes of a run.
+    /// The number of child processes of a run.
     pub fn processes(&self) -> usize {
         1 + self.count(Role::RegionRelay) + self.count(Role::SiteRelay) + self.real() + self.hosts.get_ref()
     }
 
-    /// The schedule that a seed makes.
+    /// Computes the schedule for a seed.
     pub fn schedule(&self, seed: u64) -> Schedule {
         let rng = |what: u64, n: usize| Xoshiro256PlusPlus::seed_from_u64(mix(seed, what, n as u64));
         let mut steps = Vec::new();
@@ -380,14 +386,14 @@
             for one in draw(&kill.which, kill.pick, 0, self.count(kill.role), &mut rng) {
                 let at = kill.at.0 + kill.spread.0.mul_f64(rng.random::<f64>());
                 steps.push((at, Step::Kill(kill.role, one)));
-                steps.push((at + kill.span.0, Step::Start(kill.role, one)));
+                steps.push((at + kill.duration.0, Step::Start(kill.role, one)));
             }
         }
         for (n, cut) in self.cuts.iter().enumerate() {
             let (cut, mut rng) = (cut.get_ref(), rng(2, n));
             for region in draw(&cut.which, cut.pick, 1, self.regions(), &mut rng) {
                 steps.push((cut.at.0, Step::Cut(region)));
-                steps.push((cut.at.0 + cut.span.0, Step::Heal(region)));
+                steps.push((cut.at.0 + cut.duration.0, Step::Heal(region)));
             }
         }
         steps.sort_by_key(|step| step.0);
@@ -414,7 +420,7 @@
             return Vec::new();
         }
         let period = Duration::from_secs_f64(burst as f64 * SECONDS_PER_DAY / per_day);
-        // The first burst comes early, so that also a short run has one.
+        // The first burst is early, so that a short run also has one.
         let first = period.min(self.length()) / 4;
         let mut due = Vec::new();
         let mut start = first;
@@ -425,7 +431,7 @@
         due
     }
 
-    /// Whether something due at `at` came while a fault was active, or within `around` before or after one.
+    /// Whether a fault is active at `at`, or less than `margin` before or after it.
     pub fn under_fault(&self, schedule: &Schedule, at: Duration, margin: Duration) -> bool {
         let begins = |step: &Step| matches!(step, Step::Kill(..) | Step::Cut(_));
         let ends = |begun: &Step, step: &Step| match (begun, step) {
--- a/crates/lab-scale/src/plan/check.rs
+++ b/crates/lab-scale/src/plan/check.rs
@@ -1,8 +1,8 @@
-//! Checks an experiment for values that its file may spell but that can't be played.
+//! Checks that the values of a parsed experiment can be executed.
 
 use super::*;
 
-/// Reports every problem of an experiment to `report`, with the byte of the file at which its place begins.
+/// Passes every problem of an experiment to `report`, with its byte offset in the file.
 pub fn check(plan: &Plan, report: &mut dyn FnMut(usize, String)) {
     check_sizes(plan, report);
     check_rates(plan, report);
@@ -17,7 +17,7 @@
 fn check_sizes(plan: &Plan, report: &mut dyn FnMut(usize, String)) {
     if plan.length().is_zero() || plan.length() > MAX_LENGTH {
         let max = humantime::format_duration(MAX_LENGTH);
-        report(plan.length.span().start, format!("length: more than nothing and at most {max}"));
+        report(plan.length.span().start, format!("length: must be positive and at most {max}"));
     }
     let mut check_range = |key: &str, value: &Spanned<usize>, min: usize, max: usize| {
         if !(min..=max).contains(value.get_ref()) {
@@ -34,7 +34,7 @@
     check_range("hosts", &plan.hosts, 1, MAX_HOSTS);
     let processes = plan.processes();
     if processes > MAX_PROCESSES {
-        let why = format!("{processes} processes, of which a rig starts {MAX_PROCESSES} at most");
+        let why = format!("{processes} processes, above the limit of {MAX_PROCESSES}");
         report(plan.sites.span().start, why);
     }
 }
@@ -43,14 +43,17 @@
     let bad = |n: f64| !n.is_finite() || n < 0.0;
     let (purges, changes) = (plan.purges, plan.changes);
     if bad(purges.per_second) || purges.per_second * plan.length().as_secs_f64() > MAX_PURGES {
-        report(0, format!("purges.per_second: from 0, and at most {MAX_PURGES} in all"));
+        report(
+            0,
+            format!("purges.per_second: must not be negative, and at most {MAX_PURGES} purges in total"),
+        );
     }
     if !(1..=MAX_PUBLISHERS).contains(&purges.publishers) {
         report(0, format!("purges.publishers: from 1 to {MAX_PUBLISHERS}"));
     }
     if bad(changes.per_day) || changes.per_day > SECONDS_PER_DAY || changes.burst == 0 || changes.burst > 1000
     {
-        report(0, "changes: at most one a second, in bursts of 1 to 1000".into());
+        report(0, "changes: at most one per second, in bursts of 1 to 1000".into());
     }
     if changes.routes > 100_000 {
         report(0, "changes.routes: at most 100,000".into());
@@ -65,28 +68,30 @@
     } else if let Some(why) = bad_selection(&kill.which, kill.pick, of) {
         report(from, why);
     }
-    if kill.at.0 + kill.spread.0 + kill.span.0 > plan.length() {
-        report(from, "it would outlast the experiment's length".into());
+    if kill.at.0 + kill.spread.0 + kill.duration.0 > plan.length() {
+        report(from, "outlasts the experiment's length".into());
     }
 }
 
 fn check_cut(plan: &Plan, cut: &Spanned<Cut>, report: &mut dyn FnMut(usize, String)) {
     let (from, cut) = (cut.span().start, cut.get_ref());
     if cut.which.contains(&0) || plan.regions() < 2 {
-        report(from, "the first region can't be cut from itself".into());
+        report(from, "the first region can't be partitioned from itself".into());
     } else if let Some(why) = bad_selection(&cut.which, cut.pick.map(|n| n + 1), plan.regions()) {
         report(from, why);
     }
-    if cut.at.0 + cut.span.0 > plan.length() {
-        report(from, "it would outlast the experiment's length".into());
+    if cut.at.0 + cut.duration.0 > plan.length() {
+        report(from, "outlasts the experiment's length".into());
     }
 }
 
-/// Why a selection out of `of` by numbers, or by how many to draw, is not possible.
+/// Returns the problem of a selection out of `of` by numbers (`which`) or by count (`pick`), if it is invalid.
 fn bad_selection(which: &[usize], pick: Option<usize>, of: usize) -> Option<String> {
     match (which, pick) {
-        ([], None) => Some("name them with `which`, or draw so many with `pick`".to_owned()),
-        ([_, ..], Some(_)) => Some("`which` or `pick`, not both".to_owned()),
+        ([], None) => {
+            Some("select by number with `which`, or a number of random ones with `pick`".to_owned())
+        }
+        ([_, ..], Some(_)) => Some("set either `which` or `pick`, not both".to_owned()),
         ([], Some(n)) if n == 0 || n > of => Some(format!("pick = {n}: from 1 to {of}")),
         (which, _) => which.iter().find(|n| **n >= of).map(|n| format!("{n}: there are {of}, from 0")),
     }
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -5,7 +5,7 @@
 
 use super::children::{Children, Line};
 use super::error::ScaleError;
-use super::host::{HostMessage, HostOrder, MemberReport};
+use super::host::{HostCommand, HostMessage, MemberReport};
 use super::layout;
 use super::link::{self, Link};
 use super::plan::{Plan, Role, Schedule, Step};
@@ -89,9 +89,9 @@
     seed: u64,
     children: Children,
     root: usize,
-    regions: Vec<usize>,
-    sites: Vec<usize>,
-    reals: Vec<usize>,
+    region_relays: Vec<usize>,
+    site_relays: Vec<usize>,
+    real_proxies: Vec<usize>,
     hosts: Vec<usize>,
     /// By region; none where a region is neither far nor ever cut off, whose members and relays connect without one.
     links: Vec<Option<Link>>,
@@ -169,9 +169,9 @@
             seed,
             children,
             root: 0,
-            regions: Vec::new(),
-            sites: Vec::new(),
-            reals: Vec::new(),
+            region_relays: Vec::new(),
+            site_relays: Vec::new(),
+            real_proxies: Vec::new(),
             hosts: Vec::new(),
             links: Vec::new(),
             real: CompletionTally::new(plan.real()),
@@ -196,7 +196,7 @@
                 Ok(HostMessage::Report(report)) => self.reports[host] = Some(*report),
                 Err(_) => {}
             }
-        } else if let Some(real) = self.reals.iter().position(|n| *n == line.child) {
+        } else if let Some(real) = self.real_proxies.iter().position(|n| *n == line.child) {
             if let Some(number) = version_in_force(&line.text) {
                 match std::mem::replace(&mut self.restarted[real], false) {
                     true => self.real.record_not_applicable(real, number),
@@ -271,9 +271,9 @@
     fn children_by_kind(&self) -> Vec<(&'static str, Vec<usize>)> {
         vec![
             ("root", vec![self.root]),
-            ("region_relay", self.regions.clone()),
-            ("site_relay", self.sites.clone()),
-            ("real", self.reals.clone()),
+            ("region_relay", self.region_relays.clone()),
+            ("site_relay", self.site_relays.clone()),
+            ("real", self.real_proxies.clone()),
             ("host", self.hosts.clone()),
         ]
     }
@@ -282,8 +282,8 @@
         (0..self.children.len()).map(|n| self.children.usage(n)).collect()
     }
 
-    fn send_order(&mut self, host: usize, order: HostOrder) {
-        let line = serde_json::to_string(&order).unwrap_or_default();
+    fn send_command(&mut self, host: usize, command: HostCommand) {
+        let line = serde_json::to_string(&command).unwrap_or_default();
         if let Err(why) = self.children.write(self.hosts[host], &line) {
             self.problems.push(why.to_string());
         }
@@ -300,18 +300,18 @@
     /// Carries a step out; what was done, in words.
     fn execute(&mut self, step: Step) -> String {
         let child = |run: &Self, role, n: usize| match role {
-            Role::RegionRelay => run.regions[n],
-            Role::SiteRelay => run.sites[n],
-            _ => run.reals[n],
+            Role::RegionRelay => run.region_relays[n],
+            Role::SiteRelay => run.site_relays[n],
+            _ => run.real_proxies[n],
         };
         match step {
             Step::Kill(role @ (Role::Proxy | Role::Node), n) => {
                 let (host, member) = self.locate_hollow(role, n);
-                self.send_order(host, HostOrder::Kill(member));
+                self.send_command(host, HostCommand::Kill(member));
             }
             Step::Start(role @ (Role::Proxy | Role::Node), n) => {
                 let (host, member) = self.locate_hollow(role, n);
-                self.send_order(host, HostOrder::Start(member));
+                self.send_command(host, HostCommand::Start(member));
             }
             Step::Kill(role, n) => {
                 let child = child(self, role, n);
@@ -347,7 +347,7 @@
     ) -> Result<Outcome, ScaleError> {
         let schedule = self.plan.schedule(self.seed);
         self.handle_lines(QUIET_TIME);
-        (0..self.hosts.len()).for_each(|host| self.send_order(host, HostOrder::Mark));
+        (0..self.hosts.len()).for_each(|host| self.send_command(host, HostCommand::Mark));
         let before = self.usage();
         let log = Arc::new(PublishLog::default());
         let start = now();
@@ -452,7 +452,7 @@
 
     /// Collects the report of every host.
     fn collect_reports(&mut self) {
-        (0..self.hosts.len()).for_each(|host| self.send_order(host, HostOrder::Report));
+        (0..self.hosts.len()).for_each(|host| self.send_command(host, HostCommand::Report));
         let deadline = Instant::now() + REPORT_TIMEOUT;
         while self.reports.iter().any(Option::is_none) && Instant::now() < deadline {
             self.handle_lines(POLL_INTERVAL);
--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -54,10 +54,10 @@
         }
         let upstream = links.iter().map(|link| vec![*link]).collect();
         let regions = self.start_tier(programs, Role::RegionRelay, upstream)?;
-        self.regions = regions.children;
+        self.region_relays = regions.children;
         let upstream = (0..plan.sites()).map(|site| vec![regions.addrs[region_of(site)]]).collect();
         let sites = self.start_tier(programs, Role::SiteRelay, upstream)?;
-        self.sites = sites.children;
+        self.site_relays = sites.children;
         // A member whose site's relay is gone goes to its region's.
         let services = |site| vec![sites.addrs[site], regions.addrs[region_of(site)]];
         Ok(ControlAddrs { operators, services: (0..plan.sites()).map(services).collect() })
@@ -160,9 +160,9 @@
                 command.env("ANISEYOKE_FILE", &operator).current_dir(&dir);
                 command
             })?;
-            self.reals.push(proxy);
+            self.real_proxies.push(proxy);
         }
-        let of = self.reals.clone();
+        let of = self.real_proxies.clone();
         self.children.wait_for_addrs(&of, &["listening on "]).map(|_| ())
     }
 
