--- a/crates/lab-scale/src/children.rs
+++ b/crates/lab-scale/src/children.rs
@@ -1,5 +1,5 @@
-//! The child processes of a run: the control service, relays, real proxies and hosts of hollow members. Each is killed with
-//! this process, and ended by its id.
+//! The child processes of a run: the control service, relays, real proxies and hosts of hollow members. Children are killed
+//! by process ID, and the kernel kills them when this process ends.
 
 use super::error::ScaleError;
 use super::now;
@@ -13,42 +13,42 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Duration, Instant};
 
-/// A longer line of a child is split, in bytes. A host's report is one line.
+/// The maximum length of a line of a child's output; longer ones are split. A host's report is a single line.
 const MAX_LINE_BYTES: u64 = 256 << 20;
-/// Lines of a child that are kept, the last ones.
+/// The number of recent output lines stored for each child.
 const MAX_LAST_LINES: usize = 20;
-/// A child tells its addresses within this time.
+/// The time limit for a child to print its addresses.
 const ADDRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A line that a child wrote.
+/// An output line of a child.
 pub struct Line {
-    /// The child.
+    /// The number of the child.
     pub child: usize,
-    /// Which of its processes, counted from 0.
+    /// The number of the child's process, counted from 0 over its restarts.
     pub start: u32,
-    /// When it came, on the machine's clock.
+    /// The receive time, on the machine's monotonic clock.
     pub at: u64,
-    /// The line.
+    /// The text of the line.
     pub text: String,
 }
 
-/// One child, over all of its processes.
+/// A child over all of its restarts.
 pub struct Child {
-    /// Its name.
+    /// The name.
     pub name: String,
     command: Box<dyn Fn() -> Command>,
     process: Option<std::process::Child>,
-    /// Its standard input; only hosts are written to.
+    /// The standard input of the process; only hosts use it.
     pub stdin: Option<ChildStdin>,
     starts: u32,
-    /// Its last lines.
+    /// The most recent output lines.
     pub last_lines: VecDeque<String>,
     usage: Usage,
     finished_cpu_s: f64,
     expected_down: bool,
 }
 
-/// All children.
+/// All children of a run.
 pub struct Children {
     all: Vec<Child>,
     line_sender: SyncSender<Line>,
@@ -57,20 +57,20 @@
 }
 
 impl Children {
-    /// No children yet; every line of each will go into `log`.
+    /// Creates an empty set of children, whose log lines will be written to `log`.
     ///
     /// # Errors
-    /// If the log can't be created.
+    /// Fails if the log can't be created.
     pub fn new(log: &Path) -> Result<Children, ScaleError> {
         let (line_sender, lines) = std::sync::mpsc::sync_channel(10_000);
         let log = std::fs::File::create(log).map_err(FileError::at(log))?;
         Ok(Children { all: Vec::new(), line_sender, lines, log })
     }
 
-    /// Starts another child; its number.
+    /// Adds and starts a child, and returns its number.
     ///
     /// # Errors
-    /// If it can't be started.
+    /// Fails if the process can't be started.
     pub fn add(
         &mut self,
         name: String,
@@ -92,10 +92,10 @@
         Ok(n)
     }
 
-    /// Starts a child again that was killed.
+    /// Starts the process of a child, for example after it was killed.
     ///
     /// # Errors
-    /// If it can't be started.
+    /// Fails if the process can't be started.
     pub fn start(&mut self, n: usize) -> Result<(), ScaleError> {
         let child = &mut self.all[n];
         let mut command = (child.command)();
@@ -118,7 +118,7 @@
                 while output.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
                     let text = String::from_utf8_lossy(&line).trim_end().to_owned();
                     line = Vec::new();
-                    // At its end the run wants no more lines.
+                    // The receiver is closed at the end of the run.
                     if line_sender.send(Line { child: n, start, at: now(), text }).is_err() {
                         return;
                     }
@@ -131,13 +131,13 @@
         Ok(())
     }
 
-    /// The next line of any child, if one comes within this time.
+    /// Returns the next output line of any child, or `None` if there is none within `timeout`.
     pub fn next_line(&mut self, timeout: Duration) -> Option<Line> {
         use std::fmt::Write as _;
         match self.lines.recv_timeout(timeout) {
             Ok(line) => {
                 let child = &mut self.all[line.child];
-                // Messages of hosts on standard output are no log lines.
+                // Lines that start with `{` are messages of hosts, not log lines.
                 if !line.text.starts_with('{') {
                     child.last_lines.push_back(line.text.clone());
                     if child.last_lines.len() > MAX_LAST_LINES {
@@ -146,7 +146,7 @@
                     let mut text = String::new();
                     let at = line.at as f64 / 1e9;
                     let _ = writeln!(text, "{at:12.3} {}[{}] {}", child.name, line.start, line.text);
-                    // A full disk loses lines of the log, not the run.
+                    // If the disk is full, log lines are lost, but the run continues.
                     let _ = self.log.write_all(text.as_bytes());
                 }
                 Some(line)
@@ -155,10 +155,10 @@
         }
     }
 
-    /// Waits until each of these children has written an address after each of `words`; the addresses by child.
+    /// Waits until each of `children` has printed an address after each of `prefixes`, and returns the addresses by child.
     ///
     /// # Errors
-    /// If a child wrote none in time or ended.
+    /// Fails if a child did not print its addresses in time, or ended.
     pub fn wait_for_addrs(
         &mut self,
         children: &[usize],
@@ -187,12 +187,12 @@
         }
     }
 
-    /// Whether a child runs.
+    /// Whether a child's process is running.
     pub fn is_running(&mut self, n: usize) -> bool {
         self.all[n].process.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Kills a child; that does not count as a crash.
+    /// Kills a child, which does not count as a crash.
     pub fn kill(&mut self, n: usize) {
         self.update_usage(n);
         let child = &mut self.all[n];
@@ -200,19 +200,19 @@
         child.finished_cpu_s += child.usage.cpu_s;
         child.usage.cpu_s = 0.0;
         if let Some(mut process) = child.process.take() {
-            // One that has ended meanwhile needs no signal.
+            // An error means that the process has already ended.
             let _ = (process.kill(), process.wait());
         }
     }
 
-    /// Children that have crashed since the last call, with their last lines.
+    /// Returns a message for each child that has crashed since the last call, with its last lines.
     pub fn take_crashed(&mut self) -> Vec<String> {
         let mut ended = Vec::new();
         for child in &mut self.all {
             let Some(process) = child.process.as_mut() else { continue };
             if let Ok(Some(status)) = process.try_wait() {
                 let last: Vec<&str> = child.last_lines.iter().map(String::as_str).collect();
-                ended.push(format!("{} ended by itself, {status}:\n  {}", child.name, last.join("\n  ")));
+                ended.push(format!("{} ended unexpectedly, {status}:\n  {}", child.name, last.join("\n  ")));
                 child.process = None;
             }
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    /// The usage of a child so far, over all of its processes.
+    /// Returns the resource usage of a child so far, over all of its restarts.
     pub fn usage(&mut self, n: usize) -> Usage {
         self.update_usage(n);
         let child = &self.all[n];
@@ -238,15 +238,15 @@
         self.all.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no children.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Writes a line to a child.
+    /// Writes a line to the standard input of a child.
     ///
     /// # Errors
-    /// If it takes none.
+    /// Fails if the child has no standard input, or if it is closed.
     pub fn write(&mut self, n: usize, line: &str) -> Result<(), ScaleError> {
         let child = &mut self.all[n];
         let stdin = child.stdin.as_mut().ok_or_else(|| ScaleError::NoInput(child.name.clone()))?;
--- a/crates/lab-scale/src/error.rs
+++ b/crates/lab-scale/src/error.rs
@@ -71,7 +71,7 @@
         up: usize,
         /// All hollow members.
         hollow: usize,
-        /// The newest version that all hollow members have.
+        /// The number through which all proxies have all versions.
         versions: u64,
         /// The real proxies without the first version.
         lacking: usize,
--- a/crates/lab-scale/src/figures.rs
+++ b/crates/lab-scale/src/figures.rs
@@ -6,32 +6,32 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// One figure.
+/// A named value of the report, with its limit if it has one.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its value.
+    /// The value.
     pub value: f64,
-    /// Its unit.
+    /// The unit.
     pub unit: &'static str,
-    /// Its limit, if it has one.
+    /// The limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit: Option<f64>,
 }
 
-/// How long something that was published took to be in force everywhere.
+/// The time from a purge or version being due until it was in force at all members.
 #[derive(Clone, Copy, Debug)]
 pub struct PropagationTime {
-    /// When it was due, from the start of the schedule, in seconds.
+    /// The due time from the start of the schedule, in seconds.
     pub due_s: f64,
-    /// How long it took from when it was due, in milliseconds; none if it is not in force everywhere.
+    /// The time from the due time, in milliseconds; `None` if it did not come into force at all members.
     pub ms: Option<f64>,
-    /// Whether a fault was active meanwhile.
+    /// Whether a fault was active around the due time.
     pub under_fault: bool,
 }
 
-/// The value below which a fraction of the values lie; none of no values.
+/// Returns the quantile `part` of `values` by nearest rank, or `None` if there are no values.
 pub fn quantile(values: &[f64], part: f64) -> Option<f64> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -47,7 +47,7 @@
 pub struct Figures(pub Vec<Figure>);
 
 impl Figures {
-    /// Adds a figure, if it has a value.
+    /// Adds a figure, unless `value` is missing or not finite.
     pub fn add(
         &mut self,
         name: impl Into<String>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Adds the figures of the times to in force everywhere, of purges or of versions.
+    /// Adds the figures of the propagation times of purges or versions.
     pub fn times(
         &mut self,
         prefix: &str,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Adds the figures of the traffic of members.
+    /// Adds the figures of the members' traffic.
     pub fn traffic(&mut self, kind: &str, all: &[Traffic], seconds: f64, limit: Option<f64>) {
         let per_second =
             |of: fn(&Traffic) -> u64| -> Vec<f64> { all.iter().map(|t| of(t) as f64 / seconds).collect() };
@@ -114,7 +114,7 @@
         self.add(format!("{kind}.messages.mean"), mean(&frames), "1/s", None);
     }
 
-    /// Adds the figures of what children used.
+    /// Adds the figures of the children's resource usage.
     pub fn usage(
         &mut self,
         kind: &str,
--- a/crates/lab-scale/src/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -1,5 +1,5 @@
-//! A process that runs hundreds of hollow members. The run tells it over standard input who they are and which of them end
-//! and start again; it answers on standard output, one JSON text a line.
+//! A process that runs hundreds of hollow members. It reads their specification, and commands to kill and restart some of
+//! them, from standard input, and writes messages to standard output. Each line is one JSON value.
 
 use super::error::ScaleError;
 use super::list_polls::poll_list;
@@ -14,89 +14,89 @@
 use tokio::task::{AbortHandle, LocalSet};
 use tokio::time::{interval, sleep};
 
-/// How often a host tells its progress.
+/// The interval between progress messages of a host.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
-/// Orders that may wait.
+/// The maximum number of commands in the queue.
 const MAX_QUEUED_COMMANDS: usize = 1024;
 
-/// The first line of a host's standard input: its members.
+/// The first line of a host's standard input, which specifies its members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostSpec {
     /// The seed of the run.
     pub seed: u64,
-    /// Whether members take purges.
+    /// Whether members follow the purge log.
     pub purging: bool,
-    /// Their first connects are spread over this many milliseconds.
+    /// The period over which the first connects of members are distributed, in milliseconds.
     pub join_ms: u64,
-    /// The least time between two polls of a proxy for the list, in nanoseconds.
+    /// The minimum time between two polls of the endpoint list by one proxy, in nanoseconds.
     pub poll_interval: u64,
     /// The members.
     pub members: Vec<MemberSpec>,
 }
 
-/// The lines of a host's standard input after the first.
+/// A command to a host, sent as a line of its standard input after the first.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostCommand {
-    /// Ends a member, which loses its state.
+    /// Stops a member, which loses its state.
     Kill(usize),
-    /// Starts a member again.
+    /// Restarts a member.
     Start(usize),
-    /// Resets the counts of traffic.
+    /// Resets the traffic counters.
     Mark,
-    /// Asks for a report.
+    /// Requests a report.
     Report,
 }
 
-/// A line of a host's standard output.
+/// A message from a host, sent as a line of its standard output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostMessage {
-    /// Its progress.
+    /// The progress of the host's members.
     Progress {
-        /// Members that are connected, and know their place in the purge log if they take purges.
+        /// The number of members that are connected and, if they follow the purge log, know their position in it.
         up: usize,
-        /// All members have the purges through this number...
+        /// The number through which all members have all purges.
         purges: u64,
-        /// ...and the versions through this one.
+        /// The number through which all proxies have all versions.
         versions: u64,
     },
-    /// Its report.
+    /// The report that was requested.
     Report(Box<MemberReport>),
 }
 
 /// The traffic of one member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberTraffic {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Whether it is a node.
+    /// Whether the member is a node; otherwise it is a proxy.
     pub node: bool,
-    /// Its traffic for control.
+    /// The traffic of the connection to the control service.
     pub control: Traffic,
-    /// Its traffic for the endpoint list.
+    /// The traffic of the polls of the endpoint list.
     pub list: Traffic,
 }
 
-/// What the members of one process, or of several, have counted.
+/// The records and counters of the members of one or several hosts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// When each purge was in force.
+    /// When each purge was in force at the members.
     pub purges: CompletionTally,
-    /// When each version was in force, at proxies.
+    /// When each version was in force at the proxies.
     pub versions: CompletionTally,
-    /// The traffic of each member since the mark.
+    /// The traffic of each member since the last reset.
     pub members: Vec<MemberTraffic>,
-    /// Times that members dropped everything, the first time after their start not counted.
+    /// The number of cache flushes, without the first one after each start of a member.
     pub flushes: u64,
-    /// Connections made.
+    /// The number of connections made.
     pub connects: u64,
-    /// Versions rejected and frames that could not be read.
+    /// The number of rejected versions and malformed frames.
     pub faults: u64,
 }
 
 impl MemberReport {
-    /// Adds the report of another process.
+    /// Adds the report of another host.
     pub fn merge(&mut self, other: MemberReport) {
         self.purges.merge(other.purges);
         self.versions.merge(other.versions);
@@ -114,10 +114,10 @@
     out.write_all(line.as_bytes()).and_then(|()| out.flush()).map_err(ScaleError::Stdio)
 }
 
-/// Runs members until standard input ends.
+/// Runs hollow members until standard input is closed.
 ///
 /// # Errors
-/// If its specification can't be read, or it can't answer.
+/// Fails if the specification can't be read, or if writing to standard output fails.
 pub fn run() -> Result<(), ScaleError> {
     let mut first = String::new();
     std::io::stdin().read_line(&mut first).map_err(ScaleError::Stdio)?;
@@ -175,7 +175,7 @@
 
 /// The task of one member.
 struct MemberTask {
-    /// How often the member was started before.
+    /// The number of earlier starts of the member.
     starts: u64,
     abort: AbortHandle,
 }
--- a/crates/lab-scale/src/list_polls.rs
+++ b/crates/lab-scale/src/list_polls.rs
@@ -1,4 +1,4 @@
-//! A hollow proxy's polls of the endpoint list, in its own time slots as `aniseyoke-pace` gives them.
+//! Polls the endpoint list for a hollow proxy, in the proxy's own time slots as computed by `aniseyoke-pace`.
 
 use super::member::{SharedState, Traffic};
 use super::now;
@@ -13,12 +13,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The longest list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// The longest head of a response, in bytes.
+/// The maximum length of a response's header section, in bytes.
 const MAX_HEAD_BYTES: usize = 4096;
 
-/// PollSchedule until its task is aborted; `place` is the proxy's number, and how many proxies there are.
+/// Polls until its task is aborted. `place` is the proxy's number and the number of proxies.
 pub async fn poll_list(
     n: usize,
     place: (u32, u32),
@@ -57,10 +56,10 @@
     }
 }
 
-/// The answer to a poll.
+/// The response to a poll.
 struct PollResponse {
     stream: TcpStream,
-    /// The version of the list, if it has one.
+    /// The version of the list, if the response contains one.
     version: Option<u64>,
     traffic: Traffic,
 }
@@ -90,14 +89,14 @@
             let head = String::from_utf8_lossy(&received[..end]).to_ascii_lowercase();
             let length = head.lines().find_map(|l| l.strip_prefix("content-length:"));
             let length: usize =
-                length.and_then(|l| l.trim().parse().ok()).ok_or(invalid_data("no length"))?;
+                length.and_then(|l| l.trim().parse().ok()).ok_or(invalid_data("no content length"))?;
             if !head.starts_with("http/1.1 200") || length > MAX_LIST_BYTES {
                 return Err(invalid_data("refused"));
             }
             break (end + 4, length);
         }
         if received.len() > MAX_HEAD_BYTES {
-            return Err(invalid_data("a long head"));
+            return Err(invalid_data("response header too long"));
         }
         match stream.read(&mut buffer).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -1,5 +1,5 @@
-//! A hollow member: the real state machines of a proxy's control side on a real socket, without clients and without a
-//! cache. It records when each purge and each version was in force, and counts the traffic of its socket.
+//! A hollow member, which runs the real state machines of a proxy's control connection on a real socket, without clients
+//! and without a cache. It records when each purge and each version was in force, and counts the traffic of its socket.
 
 use super::now;
 use super::plan::Role;
@@ -22,38 +22,37 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Its relay accepts a frame within this time.
+/// The time limit for writing a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest frame that it reads, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Bytes read at once.
+/// The size of the shared read buffer.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// How long it may claim to be fresh after it was told that it has everything, in nanoseconds.
+/// How long a member counts as up to date after the last message that confirmed it.
 const LEASE_NS: u64 = 5_000_000_000;
-/// What a TCP segment carries at most on an Ethernet of today, in bytes, and its header of IP and TCP with timestamps.
+/// The maximum payload of a TCP segment over Ethernet with an MTU of 1500 bytes, with TCP timestamps.
 pub const SEGMENT_PAYLOAD_BYTES: u64 = 1448;
-/// See [`SEGMENT`].
+/// The length of the IPv4 and TCP headers of a segment, with TCP timestamps.
 pub const SEGMENT_HEADER_BYTES: u64 = 52;
 
 /// The specification of a hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberSpec {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Whether it is a node; otherwise it is a proxy.
+    /// Whether the member is a node; otherwise it is a proxy.
     pub node: bool,
-    /// Region, zone and site.
+    /// The labels for region, zone and site.
     pub labels: BTreeMap<String, String>,
-    /// The services that it connects to, in the order in which it tries them.
+    /// The addresses to which the member connects, in order of preference.
     pub services: Vec<SocketAddr>,
-    /// The discovery that it polls, if it is a proxy.
+    /// The discovery address that the member polls; only proxies have one.
     pub list: Option<SocketAddr>,
-    /// Its number among the proxies, and how many proxies there are.
+    /// The member's number among the proxies, and the number of proxies.
     pub place: (u32, u32),
 }
 
 impl MemberSpec {
-    /// Its role.
+    /// Returns the member's role.
     pub fn role(&self) -> Role {
         if self.node {
             Role::Node
@@ -63,10 +62,10 @@
     }
 }
 
-/// The traffic of a member's socket.
+/// The traffic of a member's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Bytes received, frames' heads included.
+    /// Bytes received, including frame headers.
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
@@ -74,12 +73,13 @@
     pub frames_in: u64,
     /// Frames sent.
     pub frames_out: u64,
-    /// Segments of TCP, both ways, if each frame goes out in segments of its own; bare acknowledgements not counted.
+    /// The estimated number of TCP segments in both directions, if no segment contains parts of two frames. Segments
+    /// without payload are not counted.
     pub segments: u64,
 }
 
 impl Traffic {
-    /// Counts a message.
+    /// Counts a message of the given length.
     pub fn count(&mut self, length: usize, out: bool) {
         let (bytes, frames) = match out {
             true => (&mut self.bytes_out, &mut self.frames_out),
@@ -99,49 +99,49 @@
         self.segments += other.segments;
     }
 
-    /// Payload, both ways, in bytes.
+    /// Returns the payload in both directions, in bytes.
     pub fn payload(&self) -> u64 {
         self.bytes_in + self.bytes_out
     }
 
-    /// With an estimate of the headers of IP and TCP.
+    /// Returns the payload with an estimate of the IP and TCP headers, in bytes.
     pub fn with_headers(&self) -> u64 {
         self.payload() + self.segments * SEGMENT_HEADER_BYTES
     }
 }
 
-/// The state that the members of one process share.
+/// The state that the members of one host share.
 pub struct SharedState {
-    /// The members.
+    /// The specifications of the members.
     pub members: Vec<MemberSpec>,
     /// The seed of the run.
     pub seed: u64,
-    /// Whether they take purges.
+    /// Whether members follow the purge log.
     pub purging: bool,
-    /// When each purge was in force.
+    /// When each purge was in force at the members.
     pub purges: RefCell<CompletionTally>,
-    /// When each version was in force, at proxies.
+    /// When each version was in force at the proxies.
     pub versions: RefCell<CompletionTally>,
-    /// The number of each member among the proxies.
+    /// The number of each member among the proxies of this host; `None` for nodes.
     pub proxy: Vec<Option<usize>>,
-    /// The traffic of each one's connection to control.
+    /// The traffic of each member's control connection.
     pub traffic: Vec<Cell<Traffic>>,
-    /// The traffic of each one's connection to discovery.
+    /// The traffic of each member's polls of the endpoint list.
     pub list_polls: Vec<Cell<Traffic>>,
-    /// Whether each is connected, and knows its place in the purge log if it takes purges.
+    /// Whether each member is connected and, if it follows the purge log, knows its position in it.
     pub up: Vec<Cell<bool>>,
-    /// Times that members dropped everything, the first time after their start not counted.
+    /// The number of cache flushes, without the first one after each start of a member.
     pub flushes: Cell<u64>,
-    /// Connections made.
+    /// The number of connections made.
     pub connects: Cell<u64>,
-    /// Versions that were rejected, and frames that could not be read.
+    /// The number of rejected versions and malformed frames.
     pub faults: Cell<u64>,
-    /// Where bytes are read to. One buffer for all: its contents are consumed before any member waits again.
+    /// The read buffer of all members. Its contents are consumed before a member awaits again, so one buffer suffices.
     pub buffer: RefCell<Vec<u8>>,
 }
 
 impl SharedState {
-    /// Members that have not started yet.
+    /// Creates the state of members that have not started yet.
     pub fn new(members: Vec<MemberSpec>, seed: u64, purging: bool) -> Self {
         let count = members.len();
         let proxies = (0..count).scan(0, |next, n| {
@@ -176,13 +176,13 @@
     purges: Option<Member>,
     stream: Option<TcpStream>,
     received: Vec<u8>,
-    /// It has not been told its place in the purge log since its start.
+    /// Whether the member's position in the purge log is unknown since its start.
     purge_position_unknown: bool,
-    /// It has not been told a version since it was started again.
+    /// Whether the member has received no version since it was restarted.
     version_unknown: bool,
 }
 
-/// Runs a member until its task is aborted; `starts`: how often it was started before.
+/// Runs a member until its task is aborted; `starts` is the number of its earlier starts.
 pub async fn run_member(n: usize, starts: u64, shared: Rc<SharedState>) {
     let spec = &shared.members[n];
     let seed = mix(shared.seed, n as u64, starts);
@@ -242,7 +242,7 @@
         self.shared.traffic[self.n].set(traffic);
     }
 
-    /// Reads and handles what has been received.
+    /// Reads from the connection and handles complete frames.
     fn read(&mut self, actions: &mut Vec<Action>) -> io::Result<()> {
         let Some(stream) = &self.stream else { return Ok(()) };
         {
@@ -270,7 +270,7 @@
             }
         }
         if self.received.is_empty() {
-            // The memory of a long frame is released.
+            // Releases the memory of a long frame.
             self.received = Vec::new();
         }
         Ok(())
@@ -306,12 +306,12 @@
         self.follower.receive(at, frame, actions);
     }
 
-    /// Every purge through its present place in the log is done.
+    /// Records and acknowledges all purges through the member's current position in the log.
     fn record_purges(&mut self, flushed: bool, actions: &mut Vec<Action>) {
         let Some(member) = &self.purges else { return };
         let Progress { epoch, through } = member.progress();
         let mut tally = self.shared.purges.borrow_mut();
-        // A member that has just started has nothing cached that was purged before.
+        // Earlier purges don't apply to a member that has just started, because its cache was empty.
         if flushed && self.purge_position_unknown {
             tally.record_not_applicable(self.n, through);
         } else {
@@ -346,7 +346,7 @@
                     let addr = services[service % services.len()];
                     match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
                         Ok(Ok(stream)) => {
-                            // It only costs time.
+                            // Without TCP_NODELAY the connection is only slower, so errors are ignored.
                             let _ = stream.set_nodelay(true);
                             self.stream = Some(stream);
                             self.shared.connects.set(self.shared.connects.get() + 1);
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -1,5 +1,5 @@
-//! A run: everything starts, purges and versions are published, faults are played by the schedule, what is not yet in force
-//! is waited for, and the outcome is collected.
+//! Executes a run: starts all processes, publishes purges and versions, injects faults by the schedule, waits until
+//! everything is in force, and collects the outcome.
 
 mod start;
 
@@ -26,61 +26,61 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// All members are up and have the first version within this time of the last start.
+/// The time limit, after the last start, for all members to be up and have the first version.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
-/// Nothing happens for this long before the schedule starts.
+/// The idle time before the schedule starts.
 const QUIET_TIME: Duration = Duration::from_secs(2);
-/// A host reports within this time.
+/// The time limit for hosts to report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Routes of a version at least.
+/// The minimum number of routes of a version.
 const MIN_ROUTES: u64 = 1;
 
-/// The programs of a run.
+/// The executables of a run.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The proxy.
+    /// The proxy's executable.
     pub proxy: PathBuf,
-    /// The control service and its relays.
+    /// The executable of the control service and of relays.
     pub control: PathBuf,
-    /// The laboratory, for hosts of hollow members.
+    /// The lab's executable, for hosts of hollow members.
     pub lab: PathBuf,
 }
 
-/// What a child used over the schedule.
+/// The resource usage of a child during the schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct ChildUsage {
-    /// Processor time, in seconds.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// The most memory over its run, in MB.
+    /// Peak memory since the child's start, in MB.
     pub memory_mb: f64,
 }
 
 /// The outcome of a run.
 pub struct Outcome {
-    /// How long the schedule and the wait after it took, in seconds.
+    /// The duration of the schedule and the wait after it, in seconds.
     pub seconds: f64,
-    /// Children started.
+    /// The number of children.
     pub processes: usize,
-    /// What the hollow members counted.
+    /// The merged report of the hollow members.
     pub hollow: MemberReport,
     /// When each version was in force at the real proxies.
     pub real: CompletionTally,
-    /// Purges published, in the order of their answers.
+    /// The published purges, in the order of their answers.
     pub purges: Vec<Published>,
-    /// Versions published, in the same way.
+    /// The published versions, in the order of their answers.
     pub changes: Vec<Published>,
-    /// Purges and versions that were due.
+    /// The number of purges and of versions that were due.
     pub due: (usize, usize),
-    /// Calls that failed and were retried, and the last reason.
+    /// The number of failed calls that were retried, and the last reason.
     pub retries: (usize, String),
-    /// What each child used, by kind.
+    /// The resource usage of each child, by kind.
     pub usage: BTreeMap<&'static str, Vec<ChildUsage>>,
-    /// Faults as they were played, with seconds from the start of the schedule.
+    /// The executed steps, with their times in seconds from the start of the schedule.
     pub played: Vec<(f64, String)>,
-    /// Children that crashed, and what else went wrong.
+    /// Crashes of children and other problems.
     pub problems: Vec<String>,
-    /// The schedule.
+    /// The schedule of the run.
     pub schedule: Schedule,
 }
 
@@ -93,40 +93,41 @@
     site_relays: Vec<usize>,
     real_proxies: Vec<usize>,
     hosts: Vec<usize>,
-    /// By region; none where a region is neither far nor ever cut off, whose members and relays connect without one.
+    /// The link of each region; `None` for regions that have no delay and are never partitioned, whose members and relays
+    /// connect directly.
     links: Vec<Option<Link>>,
     real: CompletionTally,
-    /// Real proxies that were started again and have reported no version since.
+    /// Whether each real proxy was restarted and has logged no version since.
     restarted: Vec<bool>,
     host_progress: Vec<HostProgress>,
     reports: Vec<Option<MemberReport>>,
-    /// Children that crashed, and what else went wrong.
+    /// Crashes of children and other problems.
     problems: Vec<String>,
 }
 
-/// What hosts tell of their members.
+/// The last progress that a host reported.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostProgress {
-    /// Members that are up.
+    /// The number of members that are up.
     up: usize,
-    /// All members have the purges through this number...
+    /// The number through which all members have all purges.
     purges: u64,
-    /// ...and the versions through this one.
+    /// The number through which all proxies have all versions.
     versions: u64,
 }
 
-/// The number of a version that a proxy's line says is in force.
+/// Parses the number of the version from a proxy's log line that a version is in force.
 pub fn version_in_force(line: &str) -> Option<u64> {
     let (_, rest) = line.split_once("version ")?;
     let (stamp, _) = rest.split_once(" is in force")?;
     stamp.split_once('.')?.1.parse().ok()
 }
 
-/// Plays an experiment; `folder` takes the children's folders and log, `progress` is called with what is going on and how
-/// far it is.
+/// Executes an experiment. The directories and the log of the children are created in `folder`; `progress` is called with
+/// a description of the current activity and the completed fraction.
 ///
 /// # Errors
-/// If descriptors are short, or something could not be started.
+/// Fails if the limit of file descriptors is too low, or if a part of the run could not be started.
 pub fn run(
     plan: &Plan,
     seed: u64,
@@ -140,7 +141,7 @@
     let open = |day: &Day| Site::open(day, clock, move || Recorder::discarding(clock));
     let day = Day::open("quiet")?.sized(plan.real().max(1), *plan.listed.get_ref())?;
     let site = open(&day).map_err(ScaleError::Site)?;
-    // Thousands that poll one discovery would keep real proxies from theirs.
+    // Hollow proxies poll a discovery endpoint of their own, because the load of thousands would block the real proxies.
     let hollow_site = match *plan.polled.get_ref() {
         0 => None,
         nodes => Some(open(&day.clone().sized(1, nodes)?).map_err(ScaleError::HollowSite)?),
@@ -186,7 +187,7 @@
         self.plan.purges.per_second > 0.0
     }
 
-    /// Handles a line of a child.
+    /// Handles an output line of a child.
     fn handle_line(&mut self, line: &Line) {
         if let Some(host) = self.hosts.iter().position(|n| *n == line.child) {
             match serde_json::from_str::<HostMessage>(&line.text) {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Handles the lines of children for this long.
+    /// Handles the output lines of children for the given time.
     fn handle_lines(&mut self, within: Duration) {
         let deadline = Instant::now() + within;
         loop {
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The progress of all members, hollow and real.
+    /// Returns the progress of all members, hollow and real.
     fn progress(&self) -> HostProgress {
         let all = |number: fn(&HostProgress) -> u64| self.host_progress.iter().map(number).min().unwrap_or(0);
         HostProgress {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Waits until all members are connected and have the first version.
+    /// Publishes the first version, and waits until all members are connected and have it.
     fn wait_until_up(
         &mut self,
         operators: SocketAddr,
@@ -248,7 +249,7 @@
         loop {
             self.handle_lines(POLL_INTERVAL);
             let HostProgress { up, versions, .. } = self.progress();
-            progress("members join", up as f64 / hollow.max(1) as f64);
+            progress("members connecting", up as f64 / hollow.max(1) as f64);
             if up == hollow && versions >= 1 {
                 return Ok(());
             }
@@ -289,7 +290,7 @@
         }
     }
 
-    /// The host of a hollow member, and its number there.
+    /// Returns the host of a hollow member, and the member's index there.
     fn locate_hollow(&self, role: Role, n: usize) -> (usize, usize) {
         let hosts = *self.plan.hosts.get_ref();
         let (host, at) = (n % hosts, n / hosts);
@@ -297,7 +298,7 @@
         (host, if role == Role::Node { proxies + at } else { at })
     }
 
-    /// Carries a step out; what was done, in words.
+    /// Executes a step and returns a description of it.
     fn execute(&mut self, step: Step) -> String {
         let child = |run: &Self, role, n: usize| match role {
             Role::RegionRelay => run.region_relays[n],
@@ -331,13 +332,13 @@
         }
         match step {
             Step::Kill(role, n) => format!("{} killed", layout::name(role, n)),
-            Step::Start(role, n) => format!("{} started again", layout::name(role, n)),
-            Step::Cut(region) => format!("region {region} cut off"),
-            Step::Heal(region) => format!("region {region} healed"),
+            Step::Start(role, n) => format!("{} restarted", layout::name(role, n)),
+            Step::Cut(region) => format!("region {region} partitioned"),
+            Step::Heal(region) => format!("region {region} connected again"),
         }
     }
 
-    /// Plays the schedule, waits for what is not in force yet, and collects the outcome.
+    /// Executes the schedule, waits until everything is in force, and collects the outcome.
     fn play(
         mut self,
         operators: SocketAddr,
@@ -358,7 +359,7 @@
         log.stop.store(true, Ordering::Relaxed);
         self.collect_reports();
         for publisher in publishers {
-            // Each ends once its call in flight has its answer.
+            // A publisher ends when its current call is answered or times out.
             publisher.join().map_err(|_| ScaleError::PublisherPanicked)?;
         }
         let mut usage = BTreeMap::new();
@@ -410,8 +411,8 @@
         publishers.into_iter().collect::<Result<_, _>>().map_err(ScaleError::Runtime)
     }
 
-    /// Carries the schedule out until everything that was published is in force, or the time is over; the faults as they
-    /// were played, with seconds from the start.
+    /// Executes the schedule until everything that was published is in force, or the time is over. Returns the executed
+    /// steps, with their times in seconds from the start.
     fn run_schedule(
         &mut self,
         schedule: &Schedule,
@@ -450,7 +451,7 @@
         }
     }
 
-    /// Collects the report of every host.
+    /// Collects the reports of all hosts.
     fn collect_reports(&mut self) {
         (0..self.hosts.len()).for_each(|host| self.send_command(host, HostCommand::Report));
         let deadline = Instant::now() + REPORT_TIMEOUT;
@@ -459,7 +460,7 @@
         }
         for (host, report) in self.reports.iter().enumerate() {
             if report.is_none() {
-                self.problems.push(format!("host-{host} told nothing at the end"));
+                self.problems.push(format!("host-{host} sent no report at the end"));
             }
         }
     }
--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a run: the control service, links and relays, real proxies, hosts of hollow members.
+//! Starts the parts of a run: the control service, links, relays, real proxies and hosts of hollow members.
 
 use super::super::error::ScaleError;
 use super::super::host::HostSpec;
@@ -17,17 +17,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A tier of relays: their numbers among the children, and their addresses.
+/// A tier of relays, with their child numbers and addresses.
 struct Tier {
     children: Vec<usize>,
     addrs: Vec<SocketAddr>,
 }
 
-/// Where operators call the control service, and where each site's members connect, in the order of preference.
+/// The addresses of the control service and its relays.
 pub(super) struct ControlAddrs {
-    /// Where operators call.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// The services of each site's members.
+    /// The addresses to which the members of each site connect, in order of preference.
     pub services: Vec<Vec<SocketAddr>>,
 }
 
@@ -58,12 +58,12 @@
         let upstream = (0..plan.sites()).map(|site| vec![regions.addrs[region_of(site)]]).collect();
         let sites = self.start_tier(programs, Role::SiteRelay, upstream)?;
         self.site_relays = sites.children;
-        // A member whose site's relay is gone goes to its region's.
+        // A member whose site relay is down connects to the relay of its region.
         let services = |site| vec![sites.addrs[site], regions.addrs[region_of(site)]];
         Ok(ControlAddrs { operators, services: (0..plan.sites()).map(services).collect() })
     }
 
-    /// Starts the control service; where proxies connect, and where operators call.
+    /// Starts the control service, and returns its addresses for proxies and for operators.
     fn start_root(
         &mut self,
         programs: &Programs,
@@ -85,7 +85,7 @@
         Ok((found[0][0], found[0][1]))
     }
 
-    /// ConnectionPermits a link to the root for each region that is far or will be cut off.
+    /// Opens a link to the root for each region that has a delay or will be partitioned.
     fn open_links(&mut self, root: SocketAddr, link_runtime: &link::LinkRuntime) -> Result<(), ScaleError> {
         for (region, linked) in layout::linked(self.plan, self.seed).into_iter().enumerate() {
             let delay = layout::delay(self.plan, self.seed, region);
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Starts a relay for each list of services above it.
+    /// Starts a relay for each list of upstream addresses.
     fn start_tier(
         &mut self,
         programs: &Programs,
@@ -107,7 +107,7 @@
         let mut children = Vec::new();
         let mut listening = Vec::new();
         for (n, upstream) in upstream.into_iter().enumerate() {
-            // A relay that is started again listens where it did before.
+            // After a restart a relay listens on the same address.
             let listen = Rc::new(Cell::new(SocketAddr::from(([127, 0, 0, 1], 0))));
             let (control, listens) = (programs.control.clone(), listen.clone());
             let (name, batch) = (layout::name(role, n), batch_text(self.plan.batch.relay.0));
@@ -128,7 +128,7 @@
         Ok(Tier { children, addrs })
     }
 
-    /// Starts the real proxies, each in a folder of its own.
+    /// Starts the real proxies, each in its own directory.
     pub(super) fn start_real(
         &mut self,
         programs: &Programs,
@@ -150,7 +150,7 @@
             let config = write("config.json", config.to_string())?;
             let services: Vec<String> =
                 service_addrs[place.site].iter().map(|a| format!("\"{a}\"")).collect();
-            // Every line about a version is wanted.
+            // The rate limit of the log must not drop lines about versions.
             let text = format!("[log]\nburst = 10000\n[control]\nservices = [{}]\n", services.join(", "));
             let operator = write("operator.toml", text)?;
             let program = programs.proxy.clone();
@@ -166,7 +166,7 @@
         self.children.wait_for_addrs(&of, &["listening on "]).map(|_| ())
     }
 
-    /// Starts the hosts, and gives each its hollow members.
+    /// Starts the hosts, and sends each the specification of its hollow members.
     pub(super) fn start_hosts(
         &mut self,
         programs: &Programs,
--- a/crates/lab-scale/src/publish.rs
+++ b/crates/lab-scale/src/publish.rs
@@ -1,4 +1,5 @@
-//! Publishers of purges and versions: each is published at its time, whatever became of the ones before.
+//! Publishers of purges and versions. Each publisher makes one call at a time and starts each one at its due time, or once
+//! the call before has been answered.
 
 use super::now;
 use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
@@ -12,50 +13,50 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A call without an answer is retried after this time.
+/// The time after which a call without an answer is retried.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A purge or a version that was published.
+/// A published purge or version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Published {
-    /// Its number.
+    /// The number in the purge log, or of the version.
     pub number: u64,
-    /// When it was due, from the start of the schedule.
+    /// The due time, from the start of the schedule.
     pub due: Duration,
-    /// The same on the machine's clock.
+    /// The due time on the machine's monotonic clock.
     pub due_at: u64,
-    /// When it was first called for, on the same clock.
+    /// The time of the first call, on the same clock.
     pub called_at: u64,
-    /// When the call was answered, on the same clock.
+    /// The time of the answer, on the same clock.
     pub answered_at: u64,
 }
 
-/// What all publishers have published, and how often a call was retried.
+/// Everything that the publishers have published, and the retries of their calls.
 #[derive(Default)]
 pub struct PublishLog {
-    /// Purges.
+    /// The published purges.
     pub purges: Mutex<Vec<Published>>,
-    /// Versions.
+    /// The published versions.
     pub changes: Mutex<Vec<Published>>,
-    /// Calls that failed and were retried.
+    /// The number of failed calls that were retried.
     pub retries: AtomicUsize,
-    /// The last reason of a retry.
+    /// The reason for the last retry.
     pub last_failure: Mutex<String>,
-    /// Set to end the publishers.
+    /// Set to stop the publishers.
     pub stop: AtomicBool,
 }
 
-/// The call that publishes the `n`th of what is due.
+/// Creates the request for the `n`th purge or version of a publisher.
 pub type RequestFactory = Box<dyn Fn(usize) -> OperatorRequest + Send>;
 
 impl PublishLog {
-    /// The purges, or the versions, so far.
+    /// Returns a copy of the purges or versions published so far.
     pub fn snapshot(list: &Mutex<Vec<Published>>) -> Vec<Published> {
         list.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Calls until the call is answered, or the publishers are to end.
+    /// Repeats the call until it succeeds or the publishers are stopped.
     async fn publish(&self, operators: SocketAddr, publish: &OperatorRequest, due: Duration, due_at: u64) {
         let called_at = now();
         let published = |number| Published { number, due, due_at, called_at, answered_at: now() };
@@ -85,10 +86,10 @@
     list.lock().unwrap_or_else(PoisonError::into_inner).push(published);
 }
 
-/// Starts a publisher on a thread of its own: it calls at `operators` for each of what is due, from `start` on.
+/// Starts a publisher on its own thread. It calls the service at `operators` for each due time, relative to `start`.
 ///
 /// # Errors
-/// If the system lacks threads or descriptors.
+/// Fails if the system has no threads or file descriptors available.
 pub fn start(
     log: Arc<PublishLog>,
     operators: SocketAddr,
@@ -108,7 +109,7 @@
     })
 }
 
-/// The `n`th purge of a publisher, as a call.
+/// Creates the request for the `n`th purge of a publisher.
 pub fn purge(publisher: usize, n: usize) -> OperatorRequest {
     OperatorRequest::Purge {
         publisher: format!("publisher-{publisher}"),
@@ -117,7 +118,7 @@
     }
 }
 
-/// A version, as a call.
+/// Creates the request that publishes a version.
 pub fn version(body: Value) -> OperatorRequest {
     OperatorRequest::Publish { body, plan: Plan::default() }
 }
--- a/crates/lab-scale/src/report.rs
+++ b/crates/lab-scale/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: figures as JSON, a table, and a plot.
+//! The report of a run: figures as JSON, a table and a plot.
 
 use super::error::ScaleError;
 use super::figures::{Figure, Figures, PropagationTime};
@@ -12,21 +12,21 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The limit of the memory of all of a run's processes, in MB.
+/// The limit for the total memory of a run's children.
 const MAX_MEMORY_MB: f64 = 12_288.0;
-/// Members that lack something that are named at most.
+/// The maximum number of members that a message about missing purges names.
 const MAX_NAMED_MEMBERS: usize = 10;
 
-/// A run as JSON.
+/// The JSON report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Scale {
-    /// The experiment's name.
+    /// The name of the experiment.
     pub name: String,
-    /// Its file.
+    /// The file of the experiment.
     pub plan: String,
     /// The seed.
     pub seed: u64,
-    /// How long the schedule and the wait after it took.
+    /// The duration of the schedule and the wait after it, in seconds.
     pub seconds: f64,
     /// The figures.
     pub figures: Vec<Figure>,
@@ -34,13 +34,13 @@
 
 /// The evaluation of a run against the limits of its plan.
 pub struct Evaluation {
-    /// Whether everything due was published and in force everywhere, and no child crashed.
+    /// Whether everything due was published and in force at all members, and there were no other problems.
     pub complete: bool,
-    /// Its figures.
+    /// The JSON report.
     pub scale: Scale,
-    /// Purges, and versions.
+    /// The propagation times of purges and of versions.
     pub times: [Vec<PropagationTime>; 2],
-    /// What went wrong, a line each.
+    /// The problems, one line each.
     pub problems: Vec<String>,
 }
 
@@ -66,7 +66,7 @@
     Evaluation { complete, scale, times, problems: problems(outcome) }
 }
 
-/// How long each of what was published took to be in force everywhere; `done` says when it was.
+/// Computes the propagation time of everything published; `done` returns the time when a number was in force at all members.
 fn propagation_times(
     plan: &Plan,
     outcome: &Outcome,
@@ -82,19 +82,19 @@
     published.iter().map(propagation_time).collect()
 }
 
-/// What went wrong, a line each.
+/// Lists the problems of a run, one line each.
 fn problems(outcome: &Outcome) -> Vec<String> {
     let mut problems = outcome.problems.clone();
     for (kind, due, published) in
         [("purges", outcome.due.0, outcome.purges.len()), ("changes", outcome.due.1, outcome.changes.len())]
     {
         if published < due {
-            problems.push(format!("of {due} {kind} that were due only {published} could be made"));
+            problems.push(format!("only {published} of {due} {kind} that were due were published"));
         }
     }
     if outcome.retries.0 > 0 {
         let (calls, why) = &outcome.retries;
-        problems.push(format!("{calls} calls of publishers were made again, the last since {why}"));
+        problems.push(format!("{calls} calls of publishers were retried, the last because of: {why}"));
     }
     let newest = outcome.purges.iter().map(|m| m.number).max().unwrap_or(0);
     let lacking: Vec<(usize, u64)> = outcome.hollow.purges.lacking(newest).collect();
@@ -104,13 +104,13 @@
             format!("{name}@{at}")
         });
         let named = named.collect::<Vec<_>>().join(", ");
-        problems.push(format!("{} members lack purges through {newest}: {named}", lacking.len()));
+        problems.push(format!("{} members don't have all purges through {newest}: {named}", lacking.len()));
     }
     if outcome.hollow.purges.beyond + outcome.hollow.versions.beyond > 0 {
-        problems.push("members were told numbers past what is counted".into());
+        problems.push("members received numbers above the maximum that is recorded".into());
     }
     if outcome.hollow.faults > 0 {
-        problems.push(format!("{} versions turned down or frames not read", outcome.hollow.faults));
+        problems.push(format!("{} rejected versions or malformed frames", outcome.hollow.faults));
     }
     problems
 }
@@ -179,7 +179,7 @@
     }
 }
 
-/// The table that is printed at the end.
+/// Formats the table that is printed at the end.
 pub fn table(evaluation: &Evaluation, outcome: &Outcome) -> String {
     let mut text = String::new();
     let scale = &evaluation.scale;
@@ -202,19 +202,19 @@
         let _ = writeln!(text, "{problem}");
     }
     let verdict = match evaluation.complete {
-        true => "complete: everything due was made and in force everywhere, and no child ended by itself",
+        true => "complete: everything due was published and in force at all members, and no child crashed",
         false => {
-            "NOT COMPLETE: something due was not made or not in force everywhere, or a child ended by itself"
+            "NOT COMPLETE: not everything due was published and in force at all members, or a child crashed"
         }
     };
     let _ = writeln!(text, "{verdict}");
     text
 }
 
-/// Draws the time to in force everywhere over the run, the most in each second, into `file` as SVG.
+/// Plots the propagation times over the run, the longest of each second, into `file` as SVG.
 ///
 /// # Errors
-/// If it can't be drawn or written.
+/// Fails if the plot can't be drawn or written.
 pub fn plot(evaluation: &Evaluation, file: &Path) -> Result<(), ScaleError> {
     let each_second = |times: &[PropagationTime]| {
         let mut slowest: std::collections::BTreeMap<u64, f64> = std::collections::BTreeMap::new();
@@ -234,14 +234,14 @@
     let draw = || -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let root = SVGBackend::new(file, (860, 420)).into_drawing_area();
         root.fill(&WHITE)?;
-        let title = format!("{}: the longest in each second", evaluation.scale.name);
+        let title = format!("{}: the longest propagation time in each second", evaluation.scale.name);
         let mut chart = ChartBuilder::on(&root)
             .caption(title, ("sans-serif", 18))
             .margin(12)
             .x_label_area_size(40)
             .y_label_area_size(70)
             .build_cartesian_2d(0.0..widest, 0.0..highest)?;
-        chart.configure_mesh().x_desc("due, s").y_desc("done everywhere after, ms").draw()?;
+        chart.configure_mesh().x_desc("due, s").y_desc("in force at all members after, ms").draw()?;
         for (n, (name, points)) in series.iter().enumerate().filter(|(_, s)| !s.1.is_empty()) {
             let colour = Palette99::pick(n).to_rgba();
             chart
--- a/crates/lab-scale/src/report/tests.rs
+++ b/crates/lab-scale/src/report/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_last_member_real_or_hollow_makes_the_time() {
+fn the_last_member_real_or_hollow_determines_the_propagation_time() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let evaluation = evaluate("a", "p.toml", &plan, 1, &outcome());
     assert!(evaluation.complete, "{:?}", evaluation.problems);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_one_member_lacks_is_named_and_the_run_is_not_complete() {
+fn a_purge_missing_at_one_member_is_reported_and_the_run_is_incomplete() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let mut lacking = outcome();
     lacking.hollow.purges = CompletionTally::new(2);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn quantiles_are_values_that_were_there() {
+fn quantiles_are_elements_of_the_values() {
     let values: Vec<f64> = (1..=100).rev().map(f64::from).collect();
     assert_eq!([0.5, 0.99, 1.0].map(|q| quantile(&values, q)), [Some(50.0), Some(99.0), Some(100.0)]);
     assert_eq!((quantile(&[7.0], 0.01), quantile(&[], 0.5)), (Some(7.0), None));
--- a/crates/lab-scale/src/tally.rs
+++ b/crates/lab-scale/src/tally.rs
@@ -1,28 +1,28 @@
-//! When each purge, or each version, by its number was in force at all members. No I/O, no clock.
+//! Records when each purge or version, identified by its number, was in force at all members. Does no I/O and reads no clock.
 
 use serde::{Deserialize, Serialize};
 
-/// Higher numbers are only counted as being beyond it.
+/// The maximum number that is recorded. Higher ones are only counted, in [`CompletionTally::beyond`].
 pub const MAX_NUMBER: u64 = 1_000_000;
 
-/// How far a set of members is, and when each number was in force at all of them.
+/// The progress of each of a set of members, and when each number was in force at all of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompletionTally {
     /// The highest number that each member has.
     progress: Vec<u64>,
-    /// For number `n`, at `n - 1`: how many members have it, and when the last of them did, in nanoseconds.
+    /// At index `n - 1`, for number `n`: how many members have it, and when the last of them got it, in nanoseconds.
     done: Vec<(u32, u64)>,
-    /// Numbers past [`MAX_NUMBER`].
+    /// How often a number above [`MAX_NUMBER`] was reported.
     pub beyond: u64,
 }
 
 impl CompletionTally {
-    /// For this many members, numbered from 0, which have nothing yet.
+    /// Creates a tally of members that are numbered from 0 and have nothing yet.
     pub fn new(members: usize) -> Self {
         CompletionTally { progress: vec![0; members], ..CompletionTally::default() }
     }
 
-    /// How many members there are.
+    /// The number of members.
     pub fn members(&self) -> usize {
         self.progress.len()
     }
@@ -46,38 +46,38 @@
         }
     }
 
-    /// A member has everything through a number since `at`.
+    /// Records that a member has everything through a number since `at`.
     pub fn record(&mut self, member: usize, through: u64, at: u64) {
         self.advance(member, through, at);
     }
 
-    /// Everything through a number does not concern a member, which started after they were published.
+    /// Records that everything through a number does not apply to a member, because it started after their publication.
     pub fn record_not_applicable(&mut self, member: usize, through: u64) {
         self.advance(member, through, 0);
     }
 
-    /// The number through which all members have everything.
+    /// Returns the number through which all members have everything.
     pub fn reached_by_all(&self) -> u64 {
         self.progress.iter().copied().min().unwrap_or(u64::MAX)
     }
 
-    /// The highest number that any member has.
+    /// Returns the highest number that any member has.
     pub fn newest(&self) -> u64 {
         self.done.len() as u64
     }
 
-    /// When the last of the members had number `number`; none if one of them has not.
+    /// Returns when the last member got `number`, or `None` if a member does not have it.
     pub fn completed_at(&self, number: u64) -> Option<u64> {
         let (count, last) = *self.done.get(usize::try_from(number.checked_sub(1)?).ok()?)?;
         (count as usize == self.progress.len()).then_some(last)
     }
 
-    /// Members, by number, that lack something through `newest`, and the number that they have.
+    /// Returns the members that don't have everything through `newest`, each with the number that it has.
     pub fn lacking(&self, newest: u64) -> impl Iterator<Item = (usize, u64)> + '_ {
         self.progress.iter().copied().enumerate().filter(move |(_, progress)| *progress < newest)
     }
 
-    /// Adds the tally of other members.
+    /// Adds the tally of other members, which are numbered after these.
     pub fn merge(&mut self, other: CompletionTally) {
         if self.done.len() < other.done.len() {
             self.done.resize(other.done.len(), (0, 0));
--- a/crates/lab-scale/src/tally/tests.rs
+++ b/crates/lab-scale/src/tally/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_number_is_done_when_the_last_member_has_it() {
+fn a_number_is_completed_when_the_last_member_has_it() {
     let mut tally = CompletionTally::new(3);
     tally.record(0, 2, 10);
     tally.record(1, 1, 20);
@@ -13,7 +13,7 @@
     assert_eq!((tally.reached_by_all(), tally.newest()), (1, 2));
     assert_eq!(tally.lacking(2).collect::<Vec<_>>(), [(1, 1)]);
     tally.record(1, 2, 40);
-    // Told again, it changes nothing.
+    // Repeated and older records change nothing.
     tally.record(0, 2, 99);
     tally.record(0, 1, 99);
     assert_eq!(
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_does_not_concern_a_new_member_is_not_waited_for_and_sets_no_time() {
+fn numbers_that_do_not_apply_to_a_member_neither_delay_nor_set_the_completion_time() {
     let mut tally = CompletionTally::new(2);
     tally.record(0, 5, 10);
     tally.record_not_applicable(1, 4);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn two_sets_joined_are_as_one() {
+fn a_merged_tally_covers_the_members_of_both() {
     let (mut a, mut b) = (CompletionTally::new(1), CompletionTally::new(2));
     a.record(0, 3, 7);
     b.record(0, 3, 9);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn numbers_past_the_bound_and_unknown_members_take_no_room() {
+fn numbers_above_the_maximum_and_unknown_members_allocate_nothing() {
     let mut tally = CompletionTally::new(1);
     tally.record(0, u64::MAX, 1);
     tally.record(7, 3, 1);
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -1,5 +1,6 @@
-//! Real proxies behind one control service: how long a version takes from publishing to in force at all of them, how long
-//! the swap blocks each one's serving thread, and the latency that a client of one of them observes.
+//! Measures configuration versions in a fleet of real proxies behind one control service: the time from publishing a
+//! version until it is in force at all proxies, how long the swap blocks the serving thread of each proxy, and the latency
+//! that a client of one proxy observes.
 
 use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::Hosted;
@@ -22,34 +23,34 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Enough for a version of ten thousand routes.
+/// The memory limit of a proxy, sufficient for a version with ten thousand routes.
 const MEMORY_MB: usize = 128;
-/// All proxies have a version within this time, or the measurement fails.
+/// The time limit for all proxies to connect or to run a version, and the read timeout of health calls.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// How often the running versions are polled.
+/// The interval between polls of the proxies' status.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Calls are measured for this long before anything is published, for comparison.
+/// How long calls are measured before anything is published, for comparison.
 const QUIET_TIME: Duration = Duration::from_secs(3);
-/// The pause between two calls.
+/// The pause between two calls to the health endpoint.
 const CALL_INTERVAL: Duration = Duration::from_micros(500);
-/// The longest time that is told apart, in microseconds.
+/// The maximum value of the histograms, in microseconds; longer times are recorded as this one.
 const MAX_RECORDED_US: u64 = 120_000_000;
 
-/// The size of a measurement.
+/// The size of the fleet and of its versions.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Real proxies.
+    /// The number of real proxies.
     pub proxies: usize,
-    /// Versions after the first, each with one route changed.
+    /// The number of versions after the first, each with one route changed.
     pub versions: u64,
-    /// Routes in each version.
+    /// The number of routes in each version.
     pub routes: u64,
 }
 
-/// The cost of one version.
+/// The measurements of one version.
 #[derive(Clone, Debug, Serialize)]
 pub struct VersionTiming {
-    /// From publishing to each proxy's acknowledgement that it is in force.
+    /// The time from publishing until each proxy's acknowledgement that the version is in force.
     pub in_force: Percentiles,
     /// CPU time of the service, in milliseconds.
     pub service_ms: f64,
@@ -58,40 +59,40 @@
 /// The result of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurement {
-    /// Real proxies.
+    /// The number of real proxies.
     pub proxies: usize,
-    /// The length of a whole version as JSON, in bytes.
+    /// The length of a complete version as JSON, in bytes.
     pub bytes: usize,
-    /// Each version, the first of them sent whole.
+    /// The measurements of each version; the first is sent as a complete version.
     pub versions: Vec<VersionTiming>,
     /// How long swaps blocked serving threads.
     pub swaps: Percentiles,
-    /// Latency of calls at one proxy while nothing was published.
+    /// The latency of calls to one proxy while nothing was published.
     pub calls_before: Percentiles,
-    /// The same while versions came.
+    /// The latency of calls to the same proxy while versions were published.
     pub calls_during: Percentiles,
-    /// CPU time of all proxies for each version, in milliseconds a proxy.
+    /// The mean CPU time of a proxy for each version, in milliseconds.
     pub proxy_ms: f64,
-    /// The most memory of a proxy before the first version, in MB.
+    /// The highest memory usage of a proxy before the first version, in MB.
     pub memory_before_mb: f64,
-    /// The same after the last.
+    /// The highest memory usage of a proxy after the last version, in MB.
     pub memory_after_mb: f64,
 }
 
-/// Why a measurement of versions failed.
+/// An error of a measurement of versions.
 #[derive(Debug, thiserror::Error)]
 pub enum VersionsError {
-    /// The day of the stand-in site is not possible.
+    /// The day of the simulated site is invalid.
     #[error(transparent)]
     Day(#[from] DayError),
-    /// The stand-in site could not be opened.
+    /// The simulated site could not be started.
     #[error("site: {0}")]
     Site(#[source] io::Error),
     /// The control service could not be started.
     #[error("service: {0}")]
     Service(#[source] io::Error),
-    /// There is no folder for the proxies.
-    #[error("a folder: {0}")]
+    /// The directory of the proxies could not be created.
+    #[error("directory: {0}")]
     Folder(#[source] io::Error),
     /// A file can't be written.
     #[error(transparent)]
@@ -100,44 +101,44 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// Not all proxies connected to the service in time.
-    #[error("only {connected} proxies found the service")]
+    #[error("only {connected} proxies connected to the service")]
     NotConnected {
-        /// Those that did.
+        /// The number of proxies that connected.
         connected: usize,
     },
     /// The service rejected a version.
     #[error("{0}")]
     Publish(String),
     /// A proxy rejected a version.
-    #[error("version {stamp} is turned down: {}", why.join("; "))]
+    #[error("a proxy rejected version {stamp}: {}", why.join("; "))]
     Rejected {
         /// The version.
         stamp: Stamp,
-        /// Why.
+        /// The reasons.
         why: Vec<String>,
     },
-    /// A version was not in force everywhere in time.
+    /// A version was not in force at all proxies in time.
     #[error("only {running} of {proxies} proxies run version {stamp}")]
     NotInForce {
         /// The version.
         stamp: Stamp,
-        /// Proxies that run it.
+        /// The number of proxies that run it.
         running: usize,
-        /// All proxies.
+        /// The number of proxies.
         proxies: usize,
     },
-    /// The thread that calls a proxy's health panicked.
-    #[error("the watch broke")]
+    /// The thread that calls a proxy's health endpoint panicked.
+    #[error("the thread of health calls panicked")]
     CallerPanicked,
-    /// The proxy whose health is called did not answer.
-    #[error("the watched proxy: {0}")]
+    /// A call to a proxy's health endpoint failed.
+    #[error("health call to a proxy: {0}")]
     Caller(#[source] io::Error),
     /// No proxy logged a swap.
-    #[error("no proxy told of a swap")]
+    #[error("no proxy logged a swap")]
     NoSwap,
 }
 
-/// A version with this many routes, of which a different one differs in each.
+/// Builds a version with the given number of routes, where route `changed` uses a different pool.
 pub fn version_body(day: &Day, routes: u64, changed: u64) -> Value {
     let kinds: Vec<&str> = day.site.cache.kinds.iter().map(|k| k.name.as_str()).collect();
     let pool = |n| if n == changed % routes.max(1) { "b" } else { "a" };
@@ -150,7 +151,7 @@
     Histogram::new_with_max(MAX_RECORDED_US, 3).expect("constant bounds are sound")
 }
 
-/// Calls a proxy's health endpoint, one call after the other, on a thread of its own.
+/// Calls a proxy's health endpoint sequentially on its own thread.
 struct HealthCaller {
     calls: Arc<Mutex<Histogram<u64>>>,
     stop: Arc<AtomicBool>,
@@ -187,7 +188,7 @@
         HealthCaller { calls, stop, thread }
     }
 
-    /// The latency of calls since the last time.
+    /// Returns the latency of the calls since the previous call of this function.
     fn take(&self) -> Percentiles {
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         let latencies = Percentiles::from(&*calls);
@@ -202,7 +203,7 @@
     }
 }
 
-/// Reads a response; whether the connection may be used again.
+/// Reads a response, and returns whether the connection can be reused.
 fn read_health_response(connection: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
     let (mut length, mut keep_alive) = (0, true);
     loop {
@@ -226,7 +227,7 @@
     Ok(keep_alive)
 }
 
-/// The duration of a swap that a line of a proxy's log tells, in microseconds.
+/// Parses the duration of a swap from a proxy's log line, in microseconds.
 fn swap_duration_us(line: &str) -> Option<f64> {
     let (_, rest) = line.split_once("swapped in ")?;
     let unit = rest.find(|c: char| c != '.' && !c.is_ascii_digit())?;
@@ -245,7 +246,7 @@
     proxies.iter().filter_map(|p| p.pid().and_then(Usage::of_process)).collect()
 }
 
-/// Waits until every proxy runs a version; how long each took.
+/// Waits until every proxy runs a version, and returns their acknowledgement latencies in microseconds.
 fn wait_until_running(
     service: &Hosted,
     stamp: Stamp,
@@ -273,10 +274,10 @@
     }
 }
 
-/// Measures; `program` is the proxy.
+/// Runs a measurement; `program` is the proxy's executable.
 ///
 /// # Errors
-/// If the fleet could not be started, or a version did not come into force everywhere.
+/// Fails if the fleet could not be started, or if a version did not come into force at all proxies in time.
 pub fn measure(size: FleetSize, program: &Path) -> Result<Measurement, VersionsError> {
     let mut day = Day::open("quiet")?;
     day.site.proxy.count = size.proxies;
@@ -313,7 +314,7 @@
     })
 }
 
-/// Starts the proxies of a site, with the service in their operator file.
+/// Starts the proxies of a site, whose operator files contain the address of the service.
 fn start_proxies(
     day: &Day,
     site: &Site,
@@ -322,7 +323,7 @@
     folder: &Path,
 ) -> Result<Vec<Box<dyn RunningProxy>>, VersionsError> {
     let file = folder.join("operator.toml");
-    // Every line about a swap is wanted.
+    // The rate limit of the log must not drop lines about swaps.
     let text = format!("[log]\nburst = 10000\n[control]\nservices = [\"{}\"]\n", service.addr);
     std::fs::write(&file, text).map_err(FileError::at(&file))?;
     let program = Program { operator: Some(file), ..Program::new(program.to_owned()) };
@@ -345,7 +346,7 @@
     Ok(())
 }
 
-/// Publishes the first version and those after it, each once the one before is in force everywhere.
+/// Publishes the versions in order, each after the previous one is in force at all proxies.
 fn publish_all(service: &Hosted, day: &Day, size: FleetSize) -> Result<Vec<VersionTiming>, VersionsError> {
     let mut versions = Vec::new();
     for n in 0..=size.versions {
@@ -360,7 +361,7 @@
     Ok(versions)
 }
 
-/// How long swaps blocked the serving threads, by the last lines of the proxies.
+/// Collects how long swaps blocked the serving threads, from the recent log lines of the proxies.
 fn swaps(proxies: &[Box<dyn RunningProxy>]) -> Result<Percentiles, VersionsError> {
     let mut swaps = histogram();
     for proxy in proxies {
--- a/crates/lab-scale/src/versions/tests.rs
+++ b/crates/lab-scale/src/versions/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_span_of_a_swap_is_read_in_every_unit() {
+fn the_duration_of_a_swap_is_parsed_in_every_unit() {
     let read =
         |text: &str| swap_duration_us(&format!("aniseyoke: version 1.2 is in force, swapped in {text}"));
     let close = |text: &str, us: f64| read(text).is_some_and(|found| (found - us).abs() < 1e-6);
@@ -9,9 +9,9 @@
     assert_eq!((read("soon"), swap_duration_us("something else")), (None, None));
 }
 
-/// The whole way, at a small size.
+/// Runs a complete measurement with a small fleet.
 #[test]
-fn a_small_fleet_takes_versions_and_every_figure_is_there() {
+fn a_measurement_of_a_small_fleet_has_every_figure() {
     let proxy = aniseyoke_lab_process::find_proxy(None).expect("the proxy");
     let size = FleetSize { proxies: 3, versions: 2, routes: 50 };
     let measured = measure(size, &proxy).expect("measured");
