--- a/crates/lab-scale/src/children.rs
+++ b/crates/lab-scale/src/children.rs
@@ -1,5 +1,5 @@
-//! The child processes of a run: the control service, relays, real proxies and hosts of hollow members. Children are killed
-//! by process ID, and the kernel kills them when this process ends.
+//! The child processes of a run: the control service, relays, real proxies and hosts of hollow members. Children are
+//! killed by process ID, and the kernel kills them when this process ends.
 
 use super::error::ScaleError;
 use super::now;
@@ -27,7 +27,7 @@
     /// The number of the child's process, counted from 0 over its restarts.
     pub start: u32,
     /// The receive time, on the machine's monotonic clock.
-    pub at: u64,
+    pub received_at: u64,
     /// The text of the line.
     pub text: String,
 }
@@ -119,7 +119,7 @@
                     let text = String::from_utf8_lossy(&line).trim_end().to_owned();
                     line = Vec::new();
                     // The receiver is closed at the end of the run.
-                    if line_sender.send(Line { child: n, start, at: now(), text }).is_err() {
+                    if line_sender.send(Line { child: n, start, received_at: now(), text }).is_err() {
                         return;
                     }
                 }
@@ -144,7 +144,7 @@
                         child.last_lines.pop_front();
                     }
                     let mut text = String::new();
-                    let at = line.at as f64 / 1e9;
+                    let at = line.received_at as f64 / 1e9;
                     let _ = writeln!(text, "{at:12.3} {}[{}] {}", child.name, line.start, line.text);
                     // If the disk is full, log lines are lost, but the run continues.
                     let _ = self.log.write_all(text.as_bytes());
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Waits until each of `children` has printed an address after each of `prefixes`, and returns the addresses by child.
+    /// Waits until each of `children` has printed an address after each of `prefixes`, and returns the addresses by
+    /// child.
     ///
     /// # Errors
     /// Fails if a child did not print its addresses in time, or ended.
--- a/crates/lab-scale/src/descriptors.rs
+++ b/crates/lab-scale/src/descriptors.rs
@@ -1,4 +1,5 @@
-//! Computes the file descriptors that a run needs before anything starts. The only I/O is reading and raising the limit.
+//! Computes the file descriptors that a run needs before anything starts. The only I/O is reading and raising the
+//! limit.
 
 use super::error::ScaleError;
 use super::layout;
--- a/crates/lab-scale/src/figures.rs
+++ b/crates/lab-scale/src/figures.rs
@@ -31,11 +31,11 @@
     pub under_fault: bool,
 }
 
-/// Returns the quantile `part` of `values` by nearest rank, or `None` if there are no values.
-pub fn quantile(values: &[f64], part: f64) -> Option<f64> {
+/// Returns the quantile `fraction` of `values` by nearest rank, or `None` if there are no values.
+pub fn quantile(values: &[f64], fraction: f64) -> Option<f64> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let at = (part * sorted.len() as f64).ceil() as usize;
+    let at = (fraction * sorted.len() as f64).ceil() as usize;
     sorted.get(at.clamp(1, sorted.len().max(1)) - 1).copied()
 }
 
@@ -90,8 +90,8 @@
             let ms: Vec<f64> = times.iter().filter(of).filter_map(|t| t.ms).collect();
             let name = format!("{prefix}.done_everywhere{kind}");
             self.add(format!("{name}.count"), Some(ms.len() as f64), "", None);
-            for (tail, part) in [("p50", 0.5), ("p99", 0.99), ("most", 1.0)] {
-                self.add(format!("{name}.{tail}"), quantile(&ms, part), "ms", limit);
+            for (tail, fraction) in [("p50", 0.5), ("p99", 0.99), ("most", 1.0)] {
+                self.add(format!("{name}.{tail}"), quantile(&ms, fraction), "ms", limit);
             }
         }
     }
--- a/crates/lab-scale/src/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -1,5 +1,5 @@
-//! A process that runs hundreds of hollow members. It reads their specification, and commands to kill and restart some of
-//! them, from standard input, and writes messages to standard output. Each line is one JSON value.
+//! A process that runs hundreds of hollow members. It reads their specification, and commands to kill and restart some
+//! of them, from standard input, and writes messages to standard output. Each line is one JSON value.
 
 use super::error::ScaleError;
 use super::list_polls::poll_list;
--- a/crates/lab-scale/src/lib.rs
+++ b/crates/lab-scale/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs a large fleet on one machine: real proxies and many simulated ("hollow") members, connected to one control service
-//! or to a tree of relays.
+//! Runs a large fleet on one machine: real proxies and many simulated ("hollow") members, connected to one control
+//! service or to a tree of relays.
 //!
 //! - [`plan`]: an experiment as one TOML file, its validation, and its schedule, which the seed determines.
 //! - [`layout`]: the site, zone and region of each member, and the network delays of regions; no I/O, no clock.
--- a/crates/lab-scale/src/link.rs
+++ b/crates/lab-scale/src/link.rs
@@ -1,5 +1,5 @@
-//! A link between regions. It delays the bytes of every connection in order, and forwards nothing while it is cut.
-//! Many chunks of bytes are in flight at the same time. The fault rig's relay forwards one chunk at a time, which would add
+//! A link between regions. It delays the bytes of every connection in order, and forwards nothing while it is cut. Many
+//! chunks of bytes are in flight at the same time. The fault rig's relay forwards one chunk at a time, which would add
 //! further delay to the chunks queued behind it.
 
 use rand::rngs::Xoshiro256PlusPlus;
@@ -111,8 +111,8 @@
     seed: u64,
     mut is_cut: watch::Receiver<bool>,
 ) {
-    // A connection made while the link is cut is accepted, but not served until the link is restored, as if its SYN were
-    // retransmitted until then.
+    // A connection made while the link is cut is accepted, but not served until the link is restored, as if its SYN
+    // were retransmitted until then.
     if is_cut.wait_for(|cut| !cut).await.is_err() {
         return;
     }
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -1,5 +1,6 @@
-//! A hollow member, which runs the real state machines of a proxy's control connection on a real socket, without clients
-//! and without a cache. It records when each purge and each version was in force, and counts the traffic of its socket.
+//! A hollow member, which runs the real state machines of a proxy's control connection on a real socket, without
+//! clients and without a cache. It records when each purge and each version was in force, and counts the traffic of its
+//! socket.
 
 use super::now;
 use super::plan::Role;
--- a/crates/lab-scale/src/plan.rs
+++ b/crates/lab-scale/src/plan.rs
@@ -41,8 +41,8 @@
 pub enum Topology {
     /// All members connect to the control service.
     Direct,
-    /// Members connect to the relay of their site, which connects to the relay of its region, which connects to the control
-    /// service.
+    /// Members connect to the relay of their site, which connects to the relay of its region, which connects to the
+    /// control service.
     Relays,
 }
 
@@ -69,12 +69,12 @@
     pub nodes: usize,
     /// The number of real proxies, distributed evenly over the sites.
     pub real: Spanned<usize>,
-    /// The number of cache nodes on the endpoint list that hollow proxies poll, at a simulated site of their own. With 0,
-    /// hollow proxies don't poll.
+    /// The number of cache nodes on the endpoint list that hollow proxies poll, at a simulated site of their own. With
+    /// 0, hollow proxies don't poll.
     #[serde(default = "default_polled", rename = "asked")]
     pub polled: Spanned<usize>,
-    /// The number of cache nodes on the endpoint list that real proxies poll, each a listener of a simulated site. Hollow
-    /// nodes are on neither list.
+    /// The number of cache nodes on the endpoint list that real proxies poll, each a listener of a simulated site.
+    /// Hollow nodes are on neither list.
     #[serde(default = "default_listed")]
     pub listed: Spanned<usize>,
     /// The number of processes that run the hollow members.
--- a/crates/lab-scale/src/plan/check.rs
+++ b/crates/lab-scale/src/plan/check.rs
@@ -62,10 +62,10 @@
 
 fn check_kill(plan: &Plan, kill: &Spanned<Kill>, report: &mut dyn FnMut(usize, String)) {
     let (from, kill) = (kill.span().start, kill.get_ref());
-    let of = plan.count(kill.role);
-    if of == 0 {
+    let count = plan.count(kill.role);
+    if count == 0 {
         report(from, format!("there is no {:?} in this experiment", kill.role));
-    } else if let Some(why) = bad_selection(&kill.which, kill.pick, of) {
+    } else if let Some(why) = bad_selection(&kill.which, kill.pick, count) {
         report(from, why);
     }
     if kill.at.0 + kill.spread.0 + kill.duration.0 > plan.length() {
@@ -85,14 +85,15 @@
     }
 }
 
-/// Returns the problem of a selection out of `of` by numbers (`which`) or by count (`pick`), if it is invalid.
-fn bad_selection(which: &[usize], pick: Option<usize>, of: usize) -> Option<String> {
+/// Returns the problem of a selection out of `count` by numbers (`which`) or by number of draws (`pick`), if it is
+/// invalid.
+fn bad_selection(which: &[usize], pick: Option<usize>, count: usize) -> Option<String> {
     match (which, pick) {
         ([], None) => {
             Some("select by number with `which`, or a number of random ones with `pick`".to_owned())
         }
         ([_, ..], Some(_)) => Some("set either `which` or `pick`, not both".to_owned()),
-        ([], Some(n)) if n == 0 || n > of => Some(format!("pick = {n}: from 1 to {of}")),
-        (which, _) => which.iter().find(|n| **n >= of).map(|n| format!("{n}: there are {of}, from 0")),
+        ([], Some(n)) if n == 0 || n > count => Some(format!("pick = {n}: from 1 to {count}")),
+        (which, _) => which.iter().find(|n| **n >= count).map(|n| format!("{n}: there are {count}, from 0")),
     }
 }
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -93,8 +93,8 @@
     site_relays: Vec<usize>,
     real_proxies: Vec<usize>,
     hosts: Vec<usize>,
-    /// The link of each region; `None` for regions that have no delay and are never partitioned, whose members and relays
-    /// connect directly.
+    /// The link of each region; `None` for regions that have no delay and are never partitioned, whose members and
+    /// relays connect directly.
     links: Vec<Option<Link>>,
     real: CompletionTally,
     /// Whether each real proxy was restarted and has logged no version since.
@@ -123,8 +123,8 @@
     stamp.split_once('.')?.1.parse().ok()
 }
 
-/// Executes an experiment. The directories and the log of the children are created in `folder`; `progress` is called with
-/// a description of the current activity and the completed fraction.
+/// Executes an experiment. The directories and the log of the children are created in `folder`; `progress` is called
+/// with a description of the current activity and the completed fraction.
 ///
 /// # Errors
 /// Fails if the limit of file descriptors is too low, or if a part of the run could not be started.
@@ -141,7 +141,8 @@
     let open = |day: &Day| Site::open(day, clock, move || Recorder::discarding(clock));
     let day = Day::open("quiet")?.sized(plan.real().max(1), *plan.listed.get_ref())?;
     let site = open(&day).map_err(ScaleError::Site)?;
-    // Hollow proxies poll a discovery endpoint of their own, because the load of thousands would block the real proxies.
+    // Hollow proxies poll a discovery endpoint of their own, because the load of thousands would block the real
+    // proxies.
     let hollow_site = match *plan.polled.get_ref() {
         0 => None,
         nodes => Some(open(&day.clone().sized(1, nodes)?).map_err(ScaleError::HollowSite)?),
@@ -201,7 +202,7 @@
             if let Some(number) = version_in_force(&line.text) {
                 match std::mem::replace(&mut self.restarted[real], false) {
                     true => self.real.record_not_applicable(real, number),
-                    false => self.real.record(real, number, line.at),
+                    false => self.real.record(real, number, line.received_at),
                 }
             }
         }
@@ -364,11 +365,11 @@
         }
         let mut usage = BTreeMap::new();
         for (kind, of) in self.children_by_kind() {
-            let one = |n: &usize| ChildUsage {
+            let child_usage = |n: &usize| ChildUsage {
                 cpu_s: after[*n].cpu_s - before[*n].cpu_s,
                 memory_mb: after[*n].memory_mb,
             };
-            usage.insert(kind, of.iter().map(one).collect());
+            usage.insert(kind, of.iter().map(child_usage).collect());
         }
         let mut hollow = MemberReport::default();
         self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.merge(report));
--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -112,11 +112,11 @@
             let (control, listens) = (programs.control.clone(), listen.clone());
             let (name, batch) = (layout::name(role, n), batch_text(self.plan.batch.relay.0));
             let upstream = upstream.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
-            let own = name.clone();
+            let relay_name = name.clone();
             let child = self.children.add(name, move || {
                 let mut command = Command::new(&control);
                 command.args(["relay", "--listen", &listens.get().to_string(), "--upstream", &upstream]);
-                command.args(["--name", &own, "--batch", &batch]);
+                command.args(["--name", &relay_name, "--batch", &batch]);
                 command
             })?;
             children.push(child);
@@ -138,7 +138,7 @@
         service_addrs: &[Vec<SocketAddr>],
     ) -> Result<(), ScaleError> {
         for n in 0..self.plan.real() {
-            let place = layout::member(self.plan, Role::Real, n);
+            let location = layout::member(self.plan, Role::Real, n);
             let dir = folder.join(layout::name(Role::Real, n));
             let write = |name: &str, text: String| {
                 let file = dir.join(name);
@@ -149,7 +149,7 @@
             let config = proxy_config(day, n, site.discovery[n], &site.initial_lists[n]);
             let config = write("config.json", config.to_string())?;
             let services: Vec<String> =
-                service_addrs[place.site].iter().map(|a| format!("\"{a}\"")).collect();
+                service_addrs[location.site].iter().map(|a| format!("\"{a}\"")).collect();
             // The rate limit of the log must not drop lines about versions.
             let text = format!("[log]\nburst = 10000\n[control]\nservices = [{}]\n", services.join(", "));
             let operator = write("operator.toml", text)?;
--- a/crates/lab-scale/src/publish.rs
+++ b/crates/lab-scale/src/publish.rs
@@ -1,5 +1,5 @@
-//! Publishers of purges and versions. Each publisher makes one call at a time and starts each one at its due time, or once
-//! the call before has been answered.
+//! Publishers of purges and versions. Each publisher makes one call at a time and starts each one at its due time, or
+//! once the call before has been answered.
 
 use super::now;
 use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
--- a/crates/lab-scale/src/report.rs
+++ b/crates/lab-scale/src/report.rs
@@ -34,7 +34,8 @@
 
 /// The evaluation of a run against the limits of its plan.
 pub struct Evaluation {
-    /// Whether everything due was published and in force at all members, and there were no other problems.
+    /// Whether everything due was published and in force at all members, without crashes of children, rejected versions
+    /// or malformed frames.
     pub complete: bool,
     /// The JSON report.
     pub scale: Scale,
@@ -66,7 +67,8 @@
     Evaluation { complete, scale, times, problems: problems(outcome) }
 }
 
-/// Computes the propagation time of everything published; `done` returns the time when a number was in force at all members.
+/// Computes the propagation time of everything published; `done` returns the time when a number was in force at all
+/// members.
 fn propagation_times(
     plan: &Plan,
     outcome: &Outcome,
--- a/crates/lab-scale/src/tally.rs
+++ b/crates/lab-scale/src/tally.rs
@@ -1,4 +1,5 @@
-//! Records when each purge or version, identified by its number, was in force at all members. Does no I/O and reads no clock.
+//! Records when each purge or version, identified by its number, was in force at all members. Does no I/O and reads no
+//! clock.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -1,6 +1,6 @@
 //! Measures configuration versions in a fleet of real proxies behind one control service: the time from publishing a
-//! version until it is in force at all proxies, how long the swap blocks the serving thread of each proxy, and the latency
-//! that a client of one proxy observes.
+//! version until it is in force at all proxies, how long the swap blocks the serving thread of each proxy, and the
+//! latency that a client of one proxy observes.
 
 use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::Hosted;
