--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -1,5 +1,6 @@
-//! A hollow member: the real state machines of a proxy's control side on a real socket, without clients and without a
-//! cache. It records when each purge and each version was in force, and counts the traffic of its socket.
+//! A hollow member, which runs the real state machines of a proxy's control connection on a real socket, without
+//! clients and without a cache. It records when each purge and each version was in force, and counts the traffic of its
+//! socket.
 
 use super::now;
 use super::plan::Role;
@@ -20,40 +21,39 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-const TICK: Duration = Duration::from_millis(250);
-const CONNECT_WITHIN: Duration = Duration::from_secs(3);
-/// Its relay accepts a frame within this time.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time limit for writing a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest frame that it reads, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Bytes read at once.
-const READ_SIZE: usize = 64 << 10;
-/// How long it may claim to be fresh after it was told that it has everything, in nanoseconds.
-const LEASE: u64 = 5_000_000_000;
-/// What a TCP segment carries at most on an Ethernet of today, in bytes, and its header of IP and TCP with timestamps.
-pub const SEGMENT: u64 = 1448;
-/// See [`SEGMENT`].
-pub const HEADER: u64 = 52;
+/// The size of the shared read buffer.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+/// How long a member counts as up to date after the last message that confirmed it.
+const LEASE_NS: u64 = 5_000_000_000;
+/// The maximum payload of a TCP segment over Ethernet with an MTU of 1500 bytes, with TCP timestamps.
+pub const SEGMENT_PAYLOAD_BYTES: u64 = 1448;
+/// The length of the IPv4 and TCP headers of a segment, with TCP timestamps.
+pub const SEGMENT_HEADER_BYTES: u64 = 52;
 
 /// The specification of a hollow member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberSpec {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Whether it is a node; otherwise it is a proxy.
+    /// Whether the member is a node; otherwise it is a proxy.
     pub node: bool,
-    /// Region, zone and site.
+    /// The labels for region, zone and site.
     pub labels: BTreeMap<String, String>,
-    /// The services that it connects to, in the order in which it tries them.
+    /// The addresses to which the member connects, in order of preference.
     pub services: Vec<SocketAddr>,
-    /// The discovery that it polls, if it is a proxy.
+    /// The discovery address that the member polls; only proxies have one.
     pub list: Option<SocketAddr>,
-    /// Its number among the proxies, and how many proxies there are.
+    /// The member's number among the proxies, and the number of proxies.
     pub place: (u32, u32),
 }
 
 impl MemberSpec {
-    /// Its role.
+    /// Returns the member's role.
     pub fn role(&self) -> Role {
         if self.node {
             Role::Node
@@ -63,10 +63,10 @@
     }
 }
 
-/// The traffic of a member's socket.
+/// The traffic of a member's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Bytes received, frames' heads included.
+    /// Bytes received, including frame headers.
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
@@ -74,20 +74,21 @@
     pub frames_in: u64,
     /// Frames sent.
     pub frames_out: u64,
-    /// Segments of TCP, both ways, if each frame goes out in segments of its own; bare acknowledgements not counted.
+    /// The estimated number of TCP segments in both directions, if no segment contains parts of two frames. Segments
+    /// without payload are not counted.
     pub segments: u64,
 }
 
 impl Traffic {
-    /// Counts a message.
-    pub fn frame(&mut self, length: usize, out: bool) {
+    /// Counts a message of the given length.
+    pub fn count(&mut self, length: usize, out: bool) {
         let (bytes, frames) = match out {
             true => (&mut self.bytes_out, &mut self.frames_out),
             false => (&mut self.bytes_in, &mut self.frames_in),
         };
         *bytes += length as u64;
         *frames += 1;
-        self.segments += (length as u64).div_ceil(SEGMENT);
+        self.segments += (length as u64).div_ceil(SEGMENT_PAYLOAD_BYTES);
     }
 
     /// Adds other traffic.
@@ -99,49 +100,49 @@
         self.segments += other.segments;
     }
 
-    /// Payload, both ways, in bytes.
+    /// Returns the payload in both directions, in bytes.
     pub fn payload(&self) -> u64 {
         self.bytes_in + self.bytes_out
     }
 
-    /// With an estimate of the headers of IP and TCP.
+    /// Returns the payload with an estimate of the IP and TCP headers, in bytes.
     pub fn with_headers(&self) -> u64 {
-        self.payload() + self.segments * HEADER
+        self.payload() + self.segments * SEGMENT_HEADER_BYTES
     }
 }
 
-/// The state that the members of one process share.
+/// The state that the members of one host share.
 pub struct SharedState {
-    /// The members.
+    /// The specifications of the members.
     pub members: Vec<MemberSpec>,
     /// The seed of the run.
     pub seed: u64,
-    /// Whether they take purges.
+    /// Whether members follow the purge log.
     pub purging: bool,
-    /// When each purge was in force.
+    /// When each purge was in force at the members.
     pub purges: RefCell<CompletionTally>,
-    /// When each version was in force, at proxies.
+    /// When each version was in force at the proxies.
     pub versions: RefCell<CompletionTally>,
-    /// The number of each member among the proxies.
+    /// The number of each member among the proxies of this host; `None` for nodes.
     pub proxy: Vec<Option<usize>>,
-    /// The traffic of each one's connection to control.
+    /// The traffic of each member's control connection.
     pub traffic: Vec<Cell<Traffic>>,
-    /// The traffic of each one's connection to discovery.
+    /// The traffic of each member's polls of the endpoint list.
     pub list_polls: Vec<Cell<Traffic>>,
-    /// Whether each is connected, and knows its place in the purge log if it takes purges.
+    /// Whether each member is connected and, if it follows the purge log, knows its position in it.
     pub up: Vec<Cell<bool>>,
-    /// Times that members dropped everything, the first time after their start not counted.
+    /// The number of cache flushes, without the first one after each start of a member.
     pub flushes: Cell<u64>,
-    /// Connections made.
+    /// The number of connections made.
     pub connects: Cell<u64>,
-    /// Versions that were rejected, and frames that could not be read.
+    /// The number of rejected versions and malformed frames.
     pub faults: Cell<u64>,
-    /// Where bytes are read to. One buffer for all: its contents are consumed before any member waits again.
+    /// The read buffer of all members. Its contents are consumed before a member awaits again, so one buffer suffices.
     pub buffer: RefCell<Vec<u8>>,
 }
 
 impl SharedState {
-    /// Members that have not started yet.
+    /// Creates the state of members that have not started yet.
     pub fn new(members: Vec<MemberSpec>, seed: u64, purging: bool) -> Self {
         let count = members.len();
         let proxies = (0..count).scan(0, |next, n| {
@@ -159,7 +160,7 @@
             flushes: Cell::new(0),
             connects: Cell::new(0),
             faults: Cell::new(0),
-            buffer: RefCell::new(vec![0; READ_SIZE]),
+            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             members,
             seed,
             purging,
@@ -176,13 +177,13 @@
     purges: Option<Member>,
     stream: Option<TcpStream>,
     received: Vec<u8>,
-    /// It has not been told its place in the purge log since its start.
-    purges_unknown: bool,
-    /// It has not been told a version since it was started again.
+    /// Whether the member's position in the purge log is unknown since its start.
+    purge_position_unknown: bool,
+    /// Whether the member has received no version since it was restarted.
     version_unknown: bool,
 }
 
-/// Runs a member until its task is aborted; `starts`: how often it was started before.
+/// Runs a member until its task is aborted; `starts` is the number of its earlier starts.
 pub async fn run_member(n: usize, starts: u64, shared: Rc<SharedState>) {
     let spec = &shared.members[n];
     let seed = mix(shared.seed, n as u64, starts);
@@ -193,7 +194,7 @@
         max_frame_bytes: MAX_FRAME_BYTES,
     };
     let follower = Follower::new(identity.clone(), spec.services.len(), None, Times::default(), seed);
-    let purges = shared.purging.then(|| Member::new(Progress::default(), LEASE));
+    let purges = shared.purging.then(|| Member::new(Progress::default(), LEASE_NS));
     let mut hollow = HollowMember {
         n,
         shared,
@@ -202,22 +203,22 @@
         purges,
         stream: None,
         received: Vec::new(),
-        purges_unknown: true,
+        purge_position_unknown: true,
         version_unknown: starts > 0,
     };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut actions = Vec::new();
         tokio::select! {
             received = readable(&hollow.stream) => {
                 if received.and_then(|()| hollow.read(&mut actions)).is_err() {
-                    hollow.lost();
+                    hollow.handle_disconnect();
                 }
             }
             _ = ticks.tick() => hollow.follower.tick(now(), &mut actions),
         }
-        hollow.carry_out(actions).await;
+        hollow.execute(actions).await;
     }
 }
 
@@ -229,20 +230,20 @@
 }
 
 impl HollowMember {
-    fn lost(&mut self) {
+    fn handle_disconnect(&mut self) {
         self.stream = None;
         self.received = Vec::new();
         self.shared.up[self.n].set(false);
         self.follower.disconnected(now());
     }
 
-    fn count(&self, length: usize, out: bool) {
+    fn count_traffic(&self, length: usize, out: bool) {
         let mut traffic = self.shared.traffic[self.n].get();
-        traffic.frame(length, out);
+        traffic.count(length, out);
         self.shared.traffic[self.n].set(traffic);
     }
 
-    /// Reads and handles what has been received.
+    /// Reads from the connection and handles complete frames.
     fn read(&mut self, actions: &mut Vec<Action>) -> io::Result<()> {
         let Some(stream) = &self.stream else { return Ok(()) };
         {
@@ -258,34 +259,36 @@
             let before = self.received.len();
             match decode::<ServiceMessage>(&mut self.received, MAX_FRAME_BYTES) {
                 Ok(Some(frame)) => {
-                    self.count(before - self.received.len(), false);
-                    self.frame(frame, actions);
+                    self.count_traffic(before - self.received.len(), false);
+                    self.handle_frame(frame, actions);
                 }
                 Ok(None) => break,
                 Err(malformed) => {
-                    self.fault();
+                    self.count_fault();
                     self.follower.malformed(now(), &malformed.to_string(), actions);
                     break;
                 }
             }
         }
         if self.received.is_empty() {
-            // The memory of a long frame is released.
+            // Releases the memory of a long frame.
             self.received = Vec::new();
         }
         Ok(())
     }
 
-    fn fault(&self) {
+    fn count_fault(&self) {
         self.shared.faults.set(self.shared.faults.get() + 1);
     }
 
-    fn frame(&mut self, frame: ServiceMessage, actions: &mut Vec<Action>) {
+    fn handle_frame(&mut self, frame: ServiceMessage, actions: &mut Vec<Action>) {
         let at = now();
         match (&frame, &mut self.purges) {
             (ServiceMessage::Purges { epoch, after, keys }, Some(member)) => {
                 match member.receive_purges(at, *epoch, *after, &keys.0) {
-                    MemberAction::Invalidate(_) | MemberAction::InvalidateAll => self.purged(false, actions),
+                    MemberAction::Invalidate(_) | MemberAction::InvalidateAll => {
+                        self.record_purges(false, actions)
+                    }
                     MemberAction::Resync => {
                         let hello = self.hello();
                         actions.push(Action::Send(hello));
@@ -296,7 +299,7 @@
             (ServiceMessage::Flush { epoch, through }, Some(member)) => {
                 let at = Progress { epoch: *epoch, through: *through };
                 if matches!(member.receive_flush(at), MemberAction::InvalidateAll) {
-                    self.purged(true, actions);
+                    self.record_purges(true, actions);
                 }
             }
             _ => {}
@@ -304,19 +307,19 @@
         self.follower.receive(at, frame, actions);
     }
 
-    /// Every purge through its present place in the log is done.
-    fn purged(&mut self, flushed: bool, actions: &mut Vec<Action>) {
+    /// Records and acknowledges all purges through the member's current position in the log.
+    fn record_purges(&mut self, flushed: bool, actions: &mut Vec<Action>) {
         let Some(member) = &self.purges else { return };
         let Progress { epoch, through } = member.progress();
         let mut tally = self.shared.purges.borrow_mut();
-        // A member that has just started has nothing cached that was purged before.
-        if flushed && self.purges_unknown {
-            tally.excused(self.n, through);
+        // Earlier purges don't apply to a member that has just started, because its cache was empty.
+        if flushed && self.purge_position_unknown {
+            tally.record_not_applicable(self.n, through);
         } else {
-            tally.reached(self.n, through, now());
+            tally.record(self.n, through, now());
             self.shared.flushes.set(self.shared.flushes.get() + u64::from(flushed));
         }
-        self.purges_unknown = false;
+        self.purge_position_unknown = false;
         self.shared.up[self.n].set(true);
         actions.push(Action::Send(ProxyMessage::PurgeAck { epoch, through, lagging: 0, names: Vec::new() }));
     }
@@ -334,24 +337,24 @@
         }
     }
 
-    async fn carry_out(&mut self, actions: Vec<Action>) {
-        let mut waiting = VecDeque::from(actions);
-        while let Some(action) = waiting.pop_front() {
+    async fn execute(&mut self, actions: Vec<Action>) {
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
             let mut more = Vec::new();
             match action {
                 Action::Connect(service) => {
                     let services = &self.shared.members[self.n].services;
                     let addr = services[service % services.len()];
-                    match timeout(CONNECT_WITHIN, TcpStream::connect(addr)).await {
+                    match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
                         Ok(Ok(stream)) => {
-                            // It only costs time.
+                            // Without TCP_NODELAY the connection is only slower, so errors are ignored.
                             let _ = stream.set_nodelay(true);
                             self.stream = Some(stream);
                             self.shared.connects.set(self.shared.connects.get() + 1);
-                            self.shared.up[self.n].set(!self.shared.purging || !self.purges_unknown);
+                            self.shared.up[self.n].set(!self.shared.purging || !self.purge_position_unknown);
                             self.follower.connected(now(), &mut more);
                         }
-                        _ => self.lost(),
+                        _ => self.handle_disconnect(),
                     }
                 }
                 Action::Disconnect => {
@@ -368,20 +371,20 @@
                     if let Some(proxy) = self.shared.proxy[self.n] {
                         let mut tally = self.shared.versions.borrow_mut();
                         match std::mem::replace(&mut self.version_unknown, false) {
-                            true => tally.excused(proxy, version.stamp.number),
-                            false => tally.reached(proxy, version.stamp.number, now()),
+                            true => tally.record_not_applicable(proxy, version.stamp.number),
+                            false => tally.record(proxy, version.stamp.number, now()),
                         }
                     }
                     self.follower.applied(now(), Ok(()), &mut more);
                 }
                 Action::Warn(what) => {
                     if what.contains("is rejected") || what.contains("disagree") {
-                        self.fault();
+                        self.count_fault();
                     }
                 }
                 Action::Persist(_) => {}
             }
-            waiting.extend(more);
+            pending.extend(more);
         }
     }
 
@@ -389,8 +392,8 @@
         let Some(stream) = &mut self.stream else { return };
         let bytes = encode(frame).unwrap_or_default();
         match timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await {
-            Ok(Ok(())) => self.count(bytes.len(), true),
-            _ => self.lost(),
+            Ok(Ok(())) => self.count_traffic(bytes.len(), true),
+            _ => self.handle_disconnect(),
         }
     }
 }
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -1,11 +1,11 @@
-//! A run: everything starts, purges and versions are published, faults are played by the schedule, what is not yet in force
-//! is waited for, and the outcome is collected.
+//! Executes a run: starts all processes, publishes purges and versions, injects faults by the schedule, waits until
+//! everything is in force, and collects the outcome.
 
 mod start;
 
 use super::children::{Children, Line};
 use super::error::ScaleError;
-use super::host::{HostMessage, HostOrder, MemberReport};
+use super::host::{HostCommand, HostMessage, MemberReport};
 use super::layout;
 use super::link::{self, Link};
 use super::plan::{Plan, Role, Schedule, Step};
@@ -26,61 +26,61 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// All members are up and have the first version within this time of the last start.
-const UP_WITHIN: Duration = Duration::from_secs(60);
-/// Nothing happens for this long before the schedule starts.
+/// The time limit, after the last start, for all members to be up and have the first version.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
+/// The idle time before the schedule starts.
 const QUIET_TIME: Duration = Duration::from_secs(2);
-/// A host reports within this time.
-const REPORTS_WITHIN: Duration = Duration::from_secs(60);
+/// The time limit for hosts to report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Routes of a version at least.
+/// The minimum number of routes of a version.
 const MIN_ROUTES: u64 = 1;
 
-/// The programs of a run.
+/// The executables of a run.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The proxy.
+    /// The proxy's executable.
     pub proxy: PathBuf,
-    /// The control service and its relays.
+    /// The executable of the control service and of relays.
     pub control: PathBuf,
-    /// The laboratory, for hosts of hollow members.
+    /// The lab's executable, for hosts of hollow members.
     pub lab: PathBuf,
 }
 
-/// What a child used over the schedule.
+/// The resource usage of a child during the schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
-    /// Processor time, in seconds.
+pub struct ChildUsage {
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// The most memory over its run, in MB.
+    /// Peak memory since the child's start, in MB.
     pub memory_mb: f64,
 }
 
 /// The outcome of a run.
 pub struct Outcome {
-    /// How long the schedule and the wait after it took, in seconds.
+    /// The duration of the schedule and the wait after it, in seconds.
     pub seconds: f64,
-    /// Children started.
+    /// The number of children.
     pub processes: usize,
-    /// What the hollow members counted.
+    /// The merged report of the hollow members.
     pub hollow: MemberReport,
     /// When each version was in force at the real proxies.
     pub real: CompletionTally,
-    /// Purges published, in the order of their answers.
+    /// The published purges, in the order of their answers.
     pub purges: Vec<Published>,
-    /// Versions published, in the same way.
+    /// The published versions, in the order of their answers.
     pub changes: Vec<Published>,
-    /// Purges and versions that were due.
+    /// The number of purges and of versions that were due.
     pub due: (usize, usize),
-    /// Calls that failed and were retried, and the last reason.
+    /// The number of failed calls that were retried, and the last reason.
     pub retries: (usize, String),
-    /// What each child used, by kind.
-    pub used: BTreeMap<&'static str, Vec<Used>>,
-    /// Faults as they were played, with seconds from the start of the schedule.
+    /// The resource usage of each child, by kind.
+    pub usage: BTreeMap<&'static str, Vec<ChildUsage>>,
+    /// The executed steps, with their times in seconds from the start of the schedule.
     pub played: Vec<(f64, String)>,
-    /// Children that crashed, and what else went wrong.
+    /// Crashes of children and other problems.
     pub problems: Vec<String>,
-    /// The schedule.
+    /// The schedule of the run.
     pub schedule: Schedule,
 }
 
@@ -89,44 +89,45 @@
     seed: u64,
     children: Children,
     root: usize,
-    regions: Vec<usize>,
-    sites: Vec<usize>,
-    reals: Vec<usize>,
+    region_relays: Vec<usize>,
+    site_relays: Vec<usize>,
+    real_proxies: Vec<usize>,
     hosts: Vec<usize>,
-    /// By region; none where a region is neither far nor ever cut off, whose members and relays connect without one.
+    /// The link of each region; `None` for regions that have no delay and are never partitioned, whose members and
+    /// relays connect directly.
     links: Vec<Option<Link>>,
     real: CompletionTally,
-    /// Real proxies that were started again and have reported no version since.
+    /// Whether each real proxy was restarted and has logged no version since.
     restarted: Vec<bool>,
     host_progress: Vec<HostProgress>,
     reports: Vec<Option<MemberReport>>,
-    /// Children that crashed, and what else went wrong.
+    /// Crashes of children and other problems.
     problems: Vec<String>,
 }
 
-/// What hosts tell of their members.
+/// The last progress that a host reported.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostProgress {
-    /// Members that are up.
+    /// The number of members that are up.
     up: usize,
-    /// All members have the purges through this number...
+    /// The number through which all members have all purges.
     purges: u64,
-    /// ...and the versions through this one.
+    /// The number through which all proxies have all versions.
     versions: u64,
 }
 
-/// The number of a version that a proxy's line says is in force.
-pub fn in_force(line: &str) -> Option<u64> {
+/// Parses the number of the version from a proxy's log line that a version is in force.
+pub fn version_in_force(line: &str) -> Option<u64> {
     let (_, rest) = line.split_once("version ")?;
     let (stamp, _) = rest.split_once(" is in force")?;
     stamp.split_once('.')?.1.parse().ok()
 }
 
-/// Plays an experiment; `folder` takes the children's folders and log, `progress` is called with what is going on and how
-/// far it is.
+/// Executes an experiment. The directories and the log of the children are created in `folder`; `progress` is called
+/// with a description of the current activity and the completed fraction.
 ///
 /// # Errors
-/// If descriptors are short, or something could not be started.
+/// Fails if the limit of file descriptors is too low, or if a part of the run could not be started.
 pub fn run(
     plan: &Plan,
     seed: u64,
@@ -140,7 +141,8 @@
     let open = |day: &Day| Site::open(day, clock, move || Recorder::discarding(clock));
     let day = Day::open("quiet")?.sized(plan.real().max(1), *plan.listed.get_ref())?;
     let site = open(&day).map_err(ScaleError::Site)?;
-    // Thousands that poll one discovery would keep real proxies from theirs.
+    // Hollow proxies poll a discovery endpoint of their own, because the load of thousands would block the real
+    // proxies.
     let hollow_site = match *plan.polled.get_ref() {
         0 => None,
         nodes => Some(open(&day.clone().sized(1, nodes)?).map_err(ScaleError::HollowSite)?),
@@ -169,9 +171,9 @@
             seed,
             children,
             root: 0,
-            regions: Vec::new(),
-            sites: Vec::new(),
-            reals: Vec::new(),
+            region_relays: Vec::new(),
+            site_relays: Vec::new(),
+            real_proxies: Vec::new(),
             hosts: Vec::new(),
             links: Vec::new(),
             real: CompletionTally::new(plan.real()),
@@ -186,8 +188,8 @@
         self.plan.purges.per_second > 0.0
     }
 
-    /// Handles a line of a child.
-    fn take(&mut self, line: &Line) {
+    /// Handles an output line of a child.
+    fn handle_line(&mut self, line: &Line) {
         if let Some(host) = self.hosts.iter().position(|n| *n == line.child) {
             match serde_json::from_str::<HostMessage>(&line.text) {
                 Ok(HostMessage::Progress { up, purges, versions }) => {
@@ -196,23 +198,23 @@
                 Ok(HostMessage::Report(report)) => self.reports[host] = Some(*report),
                 Err(_) => {}
             }
-        } else if let Some(real) = self.reals.iter().position(|n| *n == line.child) {
-            if let Some(number) = in_force(&line.text) {
+        } else if let Some(real) = self.real_proxies.iter().position(|n| *n == line.child) {
+            if let Some(number) = version_in_force(&line.text) {
                 match std::mem::replace(&mut self.restarted[real], false) {
-                    true => self.real.excused(real, number),
-                    false => self.real.reached(real, number, line.at),
+                    true => self.real.record_not_applicable(real, number),
+                    false => self.real.record(real, number, line.received_at),
                 }
             }
         }
     }
 
-    /// Handles the lines of children for this long.
-    fn take_lines(&mut self, within: Duration) {
-        let until = Instant::now() + within;
+    /// Handles the output lines of children for the given time.
+    fn handle_lines(&mut self, within: Duration) {
+        let deadline = Instant::now() + within;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.children.next(left) {
-                Some(line) => self.take(&line),
+            let left = deadline.saturating_duration_since(Instant::now());
+            match self.children.next_line(left) {
+                Some(line) => self.handle_line(&line),
                 None => return,
             }
             if left.is_zero() {
@@ -221,17 +223,17 @@
         }
     }
 
-    /// The progress of all members, hollow and real.
+    /// Returns the progress of all members, hollow and real.
     fn progress(&self) -> HostProgress {
         let all = |number: fn(&HostProgress) -> u64| self.host_progress.iter().map(number).min().unwrap_or(0);
         HostProgress {
             up: self.host_progress.iter().map(|host| host.up).sum(),
             purges: all(|host| host.purges),
-            versions: all(|host| host.versions).min(self.real.everywhere()),
+            versions: all(|host| host.versions).min(self.real.reached_by_all()),
         }
     }
 
-    /// Waits until all members are connected and have the first version.
+    /// Publishes the first version, and waits until all members are connected and have it.
     fn wait_until_up(
         &mut self,
         operators: SocketAddr,
@@ -239,26 +241,26 @@
         progress: &dyn Fn(&str, f64),
     ) -> Result<(), ScaleError> {
         let hollow = self.plan.hollow();
-        let until = Instant::now() + UP_WITHIN;
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
         let first = publish::version(self.version_body(day, 0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(ScaleError::Runtime)?;
         let published = runtime.block_on(aniseyoke_control::operators::call(operators, &first));
         published.map_err(|e| ScaleError::Control(e.to_string()))?;
         loop {
-            self.take_lines(POLL_INTERVAL);
+            self.handle_lines(POLL_INTERVAL);
             let HostProgress { up, versions, .. } = self.progress();
-            progress("members join", up as f64 / hollow.max(1) as f64);
+            progress("members connecting", up as f64 / hollow.max(1) as f64);
             if up == hollow && versions >= 1 {
                 return Ok(());
             }
-            let ended = self.children.ended();
+            let ended = self.children.take_crashed();
             if !ended.is_empty() {
                 return Err(ScaleError::Crashed(ended));
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let (lacking, real) = (self.real.lacking(1).count(), self.plan.real());
-                let seconds = UP_WITHIN.as_secs();
+                let seconds = STARTUP_TIMEOUT.as_secs();
                 return Err(ScaleError::NotUp { seconds, up, hollow, versions, lacking, real });
             }
         }
@@ -271,47 +273,47 @@
     fn children_by_kind(&self) -> Vec<(&'static str, Vec<usize>)> {
         vec![
             ("root", vec![self.root]),
-            ("region_relay", self.regions.clone()),
-            ("site_relay", self.sites.clone()),
-            ("real", self.reals.clone()),
+            ("region_relay", self.region_relays.clone()),
+            ("site_relay", self.site_relays.clone()),
+            ("real", self.real_proxies.clone()),
             ("host", self.hosts.clone()),
         ]
     }
 
     fn usage(&mut self) -> Vec<Usage> {
-        (0..self.children.len()).map(|n| self.children.used(n)).collect()
+        (0..self.children.len()).map(|n| self.children.usage(n)).collect()
     }
 
-    fn order(&mut self, host: usize, order: HostOrder) {
-        let line = serde_json::to_string(&order).unwrap_or_default();
+    fn send_command(&mut self, host: usize, command: HostCommand) {
+        let line = serde_json::to_string(&command).unwrap_or_default();
         if let Err(why) = self.children.write(self.hosts[host], &line) {
             self.problems.push(why.to_string());
         }
     }
 
-    /// The host of a hollow member, and its number there.
-    fn host_of(&self, role: Role, n: usize) -> (usize, usize) {
+    /// Returns the host of a hollow member, and the member's index there.
+    fn locate_hollow(&self, role: Role, n: usize) -> (usize, usize) {
         let hosts = *self.plan.hosts.get_ref();
         let (host, at) = (n % hosts, n / hosts);
         let proxies = (host..self.plan.count(Role::Proxy)).step_by(hosts).len();
         (host, if role == Role::Node { proxies + at } else { at })
     }
 
-    /// Carries a step out; what was done, in words.
-    fn carry_out(&mut self, step: Step) -> String {
+    /// Executes a step and returns a description of it.
+    fn execute(&mut self, step: Step) -> String {
         let child = |run: &Self, role, n: usize| match role {
-            Role::RegionRelay => run.regions[n],
-            Role::SiteRelay => run.sites[n],
-            _ => run.reals[n],
+            Role::RegionRelay => run.region_relays[n],
+            Role::SiteRelay => run.site_relays[n],
+            _ => run.real_proxies[n],
         };
         match step {
             Step::Kill(role @ (Role::Proxy | Role::Node), n) => {
-                let (host, member) = self.host_of(role, n);
-                self.order(host, HostOrder::Kill(member));
+                let (host, member) = self.locate_hollow(role, n);
+                self.send_command(host, HostCommand::Kill(member));
             }
             Step::Start(role @ (Role::Proxy | Role::Node), n) => {
-                let (host, member) = self.host_of(role, n);
-                self.order(host, HostOrder::Start(member));
+                let (host, member) = self.locate_hollow(role, n);
+                self.send_command(host, HostCommand::Start(member));
             }
             Step::Kill(role, n) => {
                 let child = child(self, role, n);
@@ -331,13 +333,13 @@
         }
         match step {
             Step::Kill(role, n) => format!("{} killed", layout::name(role, n)),
-            Step::Start(role, n) => format!("{} started again", layout::name(role, n)),
-            Step::Cut(region) => format!("region {region} cut off"),
-            Step::Heal(region) => format!("region {region} healed"),
+            Step::Start(role, n) => format!("{} restarted", layout::name(role, n)),
+            Step::Cut(region) => format!("region {region} partitioned"),
+            Step::Heal(region) => format!("region {region} connected again"),
         }
     }
 
-    /// Plays the schedule, waits for what is not in force yet, and collects the outcome.
+    /// Executes the schedule, waits until everything is in force, and collects the outcome.
     fn play(
         mut self,
         operators: SocketAddr,
@@ -346,42 +348,42 @@
         progress: &dyn Fn(&str, f64),
     ) -> Result<Outcome, ScaleError> {
         let schedule = self.plan.schedule(self.seed);
-        self.take_lines(QUIET_TIME);
-        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Mark));
+        self.handle_lines(QUIET_TIME);
+        (0..self.hosts.len()).for_each(|host| self.send_command(host, HostCommand::Mark));
         let before = self.usage();
         let log = Arc::new(PublishLog::default());
         let start = now();
         let publishers = self.start_publishers(&schedule, &log, operators, start, day)?;
-        let played = self.follow(&schedule, &log, start, stop, progress);
+        let played = self.run_schedule(&schedule, &log, start, stop, progress);
         let seconds = Duration::from_nanos(now() - start).as_secs_f64();
         let after = self.usage();
         log.stop.store(true, Ordering::Relaxed);
         self.collect_reports();
         for publisher in publishers {
-            // Each ends once its call in flight has its answer.
+            // A publisher ends when its current call is answered or times out.
             publisher.join().map_err(|_| ScaleError::PublisherPanicked)?;
         }
-        let mut used = BTreeMap::new();
+        let mut usage = BTreeMap::new();
         for (kind, of) in self.children_by_kind() {
-            let one = |n: &usize| Used {
+            let child_usage = |n: &usize| ChildUsage {
                 cpu_s: after[*n].cpu_s - before[*n].cpu_s,
                 memory_mb: after[*n].memory_mb,
             };
-            used.insert(kind, of.iter().map(one).collect());
+            usage.insert(kind, of.iter().map(child_usage).collect());
         }
         let mut hollow = MemberReport::default();
-        self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.join(report));
-        let why = log.why.lock().map(|why| why.clone()).unwrap_or_default();
+        self.reports.iter_mut().filter_map(Option::take).for_each(|report| hollow.merge(report));
+        let why = log.last_failure.lock().map(|why| why.clone()).unwrap_or_default();
         Ok(Outcome {
             seconds,
             processes: self.children.len(),
             hollow,
             real: std::mem::take(&mut self.real),
-            purges: PublishLog::published(&log.purges),
-            changes: PublishLog::published(&log.changes),
+            purges: PublishLog::snapshot(&log.purges),
+            changes: PublishLog::snapshot(&log.changes),
             due: (schedule.purges.len(), schedule.changes.len()),
             retries: (log.retries.load(Ordering::Relaxed), why),
-            used,
+            usage,
             played,
             problems: std::mem::take(&mut self.problems),
             schedule,
@@ -410,9 +412,9 @@
         publishers.into_iter().collect::<Result<_, _>>().map_err(ScaleError::Runtime)
     }
 
-    /// Carries the schedule out until everything that was published is in force, or the time is over; the faults as they
-    /// were played, with seconds from the start.
-    fn follow(
+    /// Executes the schedule until everything that was published is in force, or the time is over. Returns the executed
+    /// steps, with their times in seconds from the start.
+    fn run_schedule(
         &mut self,
         schedule: &Schedule,
         log: &PublishLog,
@@ -425,24 +427,24 @@
         let mut played = Vec::new();
         let mut steps = schedule.steps.iter().copied().peekable();
         loop {
-            self.take_lines(POLL_INTERVAL);
+            self.handle_lines(POLL_INTERVAL);
             while let Some((_, step)) = steps.next_if(|(at, _)| *at <= elapsed()) {
-                let what = self.carry_out(step);
+                let what = self.execute(step);
                 tracing::info!("{:8.3} s  {what}", elapsed().as_secs_f64());
                 played.push((elapsed().as_secs_f64(), what));
             }
-            let crashed = self.children.ended();
+            let crashed = self.children.take_crashed();
             self.problems.extend(crashed);
-            let (purges, changes) = (PublishLog::published(&log.purges), PublishLog::published(&log.changes));
-            let HostProgress { up, purges: everywhere, versions } = self.progress();
+            let (purges, changes) = (PublishLog::snapshot(&log.purges), PublishLog::snapshot(&log.changes));
+            let HostProgress { up, purges: reached_by_all, versions } = self.progress();
             let (made, due, published) = (purges.len(), schedule.purges.len(), changes.len() + 1);
             let what =
-                format!("{up} up, purges {everywhere}/{made} of {due}, versions {versions}/{published}");
+                format!("{up} up, purges {reached_by_all}/{made} of {due}, versions {versions}/{published}");
             progress(&what, elapsed().as_secs_f64() / length.as_secs_f64());
             let newest =
                 |published: &[Published], least| published.iter().map(|m| m.number).max().unwrap_or(least);
             let all_made = made == due && changes.len() == schedule.changes.len();
-            let done = all_made && everywhere >= newest(&purges, 0) && versions >= newest(&changes, 1);
+            let done = all_made && reached_by_all >= newest(&purges, 0) && versions >= newest(&changes, 1);
             let over = elapsed() >= length && steps.peek().is_none();
             if (over && done) || elapsed() > length + settle || stop.load(Ordering::Relaxed) {
                 return played;
@@ -450,16 +452,16 @@
         }
     }
 
-    /// Collects the report of every host.
+    /// Collects the reports of all hosts.
     fn collect_reports(&mut self) {
-        (0..self.hosts.len()).for_each(|host| self.order(host, HostOrder::Report));
-        let until = Instant::now() + REPORTS_WITHIN;
-        while self.reports.iter().any(Option::is_none) && Instant::now() < until {
-            self.take_lines(POLL_INTERVAL);
+        (0..self.hosts.len()).for_each(|host| self.send_command(host, HostCommand::Report));
+        let deadline = Instant::now() + REPORT_TIMEOUT;
+        while self.reports.iter().any(Option::is_none) && Instant::now() < deadline {
+            self.handle_lines(POLL_INTERVAL);
         }
         for (host, report) in self.reports.iter().enumerate() {
             if report.is_none() {
-                self.problems.push(format!("host-{host} told nothing at the end"));
+                self.problems.push(format!("host-{host} sent no report at the end"));
             }
         }
     }
--- a/crates/lab-scale/src/play/start.rs
+++ b/crates/lab-scale/src/play/start.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a run: the control service, links and relays, real proxies, hosts of hollow members.
+//! Starts the parts of a run: the control service, links, relays, real proxies and hosts of hollow members.
 
 use super::super::error::ScaleError;
 use super::super::host::HostSpec;
@@ -17,17 +17,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A tier of relays: their numbers among the children, and their addresses.
+/// A tier of relays, with their child numbers and addresses.
 struct Tier {
     children: Vec<usize>,
     addrs: Vec<SocketAddr>,
 }
 
-/// Where operators call the control service, and where each site's members connect, in the order of preference.
+/// The addresses of the control service and its relays.
 pub(super) struct ControlAddrs {
-    /// Where operators call.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// The services of each site's members.
+    /// The addresses to which the members of each site connect, in order of preference.
     pub services: Vec<Vec<SocketAddr>>,
 }
 
@@ -54,16 +54,16 @@
         }
         let upstream = links.iter().map(|link| vec![*link]).collect();
         let regions = self.start_tier(programs, Role::RegionRelay, upstream)?;
-        self.regions = regions.children;
+        self.region_relays = regions.children;
         let upstream = (0..plan.sites()).map(|site| vec![regions.addrs[region_of(site)]]).collect();
         let sites = self.start_tier(programs, Role::SiteRelay, upstream)?;
-        self.sites = sites.children;
-        // A member whose site's relay is gone goes to its region's.
+        self.site_relays = sites.children;
+        // A member whose site relay is down connects to the relay of its region.
         let services = |site| vec![sites.addrs[site], regions.addrs[region_of(site)]];
         Ok(ControlAddrs { operators, services: (0..plan.sites()).map(services).collect() })
     }
 
-    /// Starts the control service; where proxies connect, and where operators call.
+    /// Starts the control service, and returns its addresses for proxies and for operators.
     fn start_root(
         &mut self,
         programs: &Programs,
@@ -80,11 +80,12 @@
             }
             command
         })?;
-        let found = self.children.addrs(&[self.root], &["proxies connect at ", "operators call at "])?;
+        let found =
+            self.children.wait_for_addrs(&[self.root], &["proxies connect at ", "operators call at "])?;
         Ok((found[0][0], found[0][1]))
     }
 
-    /// ConnectionPermits a link to the root for each region that is far or will be cut off.
+    /// Opens a link to the root for each region that has a delay or will be partitioned.
     fn open_links(&mut self, root: SocketAddr, link_runtime: &link::LinkRuntime) -> Result<(), ScaleError> {
         for (region, linked) in layout::linked(self.plan, self.seed).into_iter().enumerate() {
             let delay = layout::delay(self.plan, self.seed, region);
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// Starts a relay for each list of services above it.
+    /// Starts a relay for each list of upstream addresses.
     fn start_tier(
         &mut self,
         programs: &Programs,
@@ -106,28 +107,28 @@
         let mut children = Vec::new();
         let mut listening = Vec::new();
         for (n, upstream) in upstream.into_iter().enumerate() {
-            // A relay that is started again listens where it did before.
+            // After a restart a relay listens on the same address.
             let listen = Rc::new(Cell::new(SocketAddr::from(([127, 0, 0, 1], 0))));
             let (control, listens) = (programs.control.clone(), listen.clone());
             let (name, batch) = (layout::name(role, n), batch_text(self.plan.batch.relay.0));
             let upstream = upstream.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
-            let own = name.clone();
+            let relay_name = name.clone();
             let child = self.children.add(name, move || {
                 let mut command = Command::new(&control);
                 command.args(["relay", "--listen", &listens.get().to_string(), "--upstream", &upstream]);
-                command.args(["--name", &own, "--batch", &batch]);
+                command.args(["--name", &relay_name, "--batch", &batch]);
                 command
             })?;
             children.push(child);
             listening.push(listen);
         }
-        let found = self.children.addrs(&children, &["proxies connect at "])?;
+        let found = self.children.wait_for_addrs(&children, &["proxies connect at "])?;
         let addrs: Vec<SocketAddr> = found.into_iter().map(|f| f[0]).collect();
         listening.iter().zip(&addrs).for_each(|(listen, addr)| listen.set(*addr));
         Ok(Tier { children, addrs })
     }
 
-    /// Starts the real proxies, each in a folder of its own.
+    /// Starts the real proxies, each in its own directory.
     pub(super) fn start_real(
         &mut self,
         programs: &Programs,
@@ -137,7 +138,7 @@
         service_addrs: &[Vec<SocketAddr>],
     ) -> Result<(), ScaleError> {
         for n in 0..self.plan.real() {
-            let place = layout::member(self.plan, Role::Real, n);
+            let location = layout::member(self.plan, Role::Real, n);
             let dir = folder.join(layout::name(Role::Real, n));
             let write = |name: &str, text: String| {
                 let file = dir.join(name);
@@ -148,8 +149,8 @@
             let config = proxy_config(day, n, site.discovery[n], &site.initial_lists[n]);
             let config = write("config.json", config.to_string())?;
             let services: Vec<String> =
-                service_addrs[place.site].iter().map(|a| format!("\"{a}\"")).collect();
-            // Every line about a version is wanted.
+                service_addrs[location.site].iter().map(|a| format!("\"{a}\"")).collect();
+            // The rate limit of the log must not drop lines about versions.
             let text = format!("[log]\nburst = 10000\n[control]\nservices = [{}]\n", services.join(", "));
             let operator = write("operator.toml", text)?;
             let program = programs.proxy.clone();
@@ -159,13 +160,13 @@
                 command.env("ANISEYOKE_FILE", &operator).current_dir(&dir);
                 command
             })?;
-            self.reals.push(proxy);
+            self.real_proxies.push(proxy);
         }
-        let of = self.reals.clone();
-        self.children.addrs(&of, &["listening on "]).map(|_| ())
+        let of = self.real_proxies.clone();
+        self.children.wait_for_addrs(&of, &["listening on "]).map(|_| ())
     }
 
-    /// Starts the hosts, and gives each its hollow members.
+    /// Starts the hosts, and sends each the specification of its hollow members.
     pub(super) fn start_hosts(
         &mut self,
         programs: &Programs,
--- a/crates/lab-scale/src/report/tests.rs
+++ b/crates/lab-scale/src/report/tests.rs
@@ -1,6 +1,6 @@
 use super::super::figures::quantile;
 use super::super::host::{MemberReport, MemberTraffic};
-use super::super::play::Used;
+use super::super::play::ChildUsage;
 use super::super::tally::CompletionTally;
 use super::*;
 use std::collections::BTreeMap;
@@ -15,14 +15,14 @@
         ..MemberReport::default()
     };
     for member in 0..2 {
-        hollow.purges.reached(member, 1, 250_000_000);
-        hollow.versions.reached(member, 2, 300_000_000);
+        hollow.purges.record(member, 1, 250_000_000);
+        hollow.versions.record(member, 2, 300_000_000);
         let traffic = Traffic { bytes_in: 900, bytes_out: 100, frames_in: 5, frames_out: 5, segments: 10 };
         let name = format!("hollow-{member}");
         hollow.members.push(MemberTraffic { name, node: false, control: traffic, list: Traffic::default() });
     }
     let mut real = CompletionTally::new(1);
-    real.reached(0, 2, 700_000_000);
+    real.record(0, 2, 700_000_000);
     let published = |number| Published {
         number,
         due: Duration::from_millis(50),
@@ -30,7 +30,7 @@
         called_at: 51_000_000,
         answered_at: 52_000_000,
     };
-    let used = |kind| (kind, vec![Used { cpu_s: 0.1, memory_mb: 8.0 }]);
+    let usage = |kind| (kind, vec![ChildUsage { cpu_s: 0.1, memory_mb: 8.0 }]);
     Outcome {
         seconds: 10.0,
         processes: 3,
@@ -40,51 +40,51 @@
         changes: vec![published(2)],
         due: (1, 1),
         retries: (0, String::new()),
-        used: BTreeMap::from([used("root"), used("real"), used("host")]),
+        usage: BTreeMap::from([usage("root"), usage("real"), usage("host")]),
         played: Vec::new(),
         problems: Vec::new(),
         schedule: Default::default(),
     }
 }
 
-fn value(judgement: &Judgement, name: &str) -> f64 {
-    let found = judgement.scale.figures.iter().find(|f| f.name == name);
+fn value(evaluation: &Evaluation, name: &str) -> f64 {
+    let found = evaluation.scale.figures.iter().find(|f| f.name == name);
     found.unwrap_or_else(|| panic!("no figure {name}")).value
 }
 
 #[test]
-fn the_last_member_real_or_hollow_makes_the_time() {
+fn the_last_member_real_or_hollow_determines_the_propagation_time() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
-    let judgement = judge("a", "p.toml", &plan, 1, &outcome());
-    assert!(judgement.complete, "{:?}", judgement.problems);
-    assert_eq!(value(&judgement, "purge.done_everywhere.most"), 200.0);
-    assert_eq!(value(&judgement, "change.done_everywhere.p50"), 650.0);
-    assert_eq!(value(&judgement, "hollow_proxy.control.bytes.mean"), 100.0);
-    assert_eq!(value(&judgement, "hollow_proxy.control.bytes_with_headers_estimated.mean"), 152.0);
-    assert_eq!(value(&judgement, "hollow_member.core.mean"), 0.005);
-    let json = serde_json::to_value(&judgement.scale).expect("JSON");
+    let evaluation = evaluate("a", "p.toml", &plan, 1, &outcome());
+    assert!(evaluation.complete, "{:?}", evaluation.problems);
+    assert_eq!(value(&evaluation, "purge.done_everywhere.most"), 200.0);
+    assert_eq!(value(&evaluation, "change.done_everywhere.p50"), 650.0);
+    assert_eq!(value(&evaluation, "hollow_proxy.control.bytes.mean"), 100.0);
+    assert_eq!(value(&evaluation, "hollow_proxy.control.bytes_with_headers_estimated.mean"), 152.0);
+    assert_eq!(value(&evaluation, "hollow_member.core.mean"), 0.005);
+    let json = serde_json::to_value(&evaluation.scale).expect("JSON");
     assert_eq!(json["figures"][0]["name"], "run.complete");
     assert!(json["figures"][0].get("limit").is_none());
-    assert!(table(&judgement, &outcome()).contains("\ncomplete"));
+    assert!(table(&evaluation, &outcome()).contains("\ncomplete"));
 }
 
 #[test]
-fn what_one_member_lacks_is_named_and_the_run_is_not_complete() {
+fn a_purge_missing_at_one_member_is_reported_and_the_run_is_incomplete() {
     let plan = Plan::parse("p.toml", PLAN).expect("sound");
     let mut lacking = outcome();
     lacking.hollow.purges = CompletionTally::new(2);
-    lacking.hollow.purges.reached(0, 1, 1);
-    let judgement = judge("a", "p.toml", &plan, 1, &lacking);
-    assert!(!judgement.complete);
-    assert_eq!(value(&judgement, "purge.not_done_everywhere"), 1.0);
-    assert!(judgement.problems.iter().any(|t| t.contains("hollow-1@0")), "{:?}", judgement.problems);
+    lacking.hollow.purges.record(0, 1, 1);
+    let evaluation = evaluate("a", "p.toml", &plan, 1, &lacking);
+    assert!(!evaluation.complete);
+    assert_eq!(value(&evaluation, "purge.not_done_everywhere"), 1.0);
+    assert!(evaluation.problems.iter().any(|t| t.contains("hollow-1@0")), "{:?}", evaluation.problems);
     let mut unmade = outcome();
     unmade.due.0 = 2;
-    assert!(!judge("a", "p.toml", &plan, 1, &unmade).complete);
+    assert!(!evaluate("a", "p.toml", &plan, 1, &unmade).complete);
 }
 
 #[test]
-fn quantiles_are_values_that_were_there() {
+fn quantiles_are_elements_of_the_values() {
     let values: Vec<f64> = (1..=100).rev().map(f64::from).collect();
     assert_eq!([0.5, 0.99, 1.0].map(|q| quantile(&values, q)), [Some(50.0), Some(99.0), Some(100.0)]);
     assert_eq!((quantile(&[7.0], 0.01), quantile(&[], 0.5)), (Some(7.0), None));
--- a/crates/lab-scale/src/versions.rs
+++ b/crates/lab-scale/src/versions.rs
@@ -1,5 +1,6 @@
-//! Real proxies behind one control service: how long a version takes from publishing to in force at all of them, how long
-//! the swap blocks each one's serving thread, and the latency that a client of one of them observes.
+//! Measures configuration versions in a fleet of real proxies behind one control service: the time from publishing a
+//! version until it is in force at all proxies, how long the swap blocks the serving thread of each proxy, and the
+//! latency that a client of one proxy observes.
 
 use aniseyoke_control::frame::ProxyStatus;
 use aniseyoke_control::hosted::ServiceThread;
@@ -22,34 +23,34 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Enough for a version of ten thousand routes.
+/// The memory limit of a proxy, sufficient for a version with ten thousand routes.
 const MEMORY_MB: usize = 128;
-/// All proxies have a version within this time, or the measurement fails.
-const WITHIN: Duration = Duration::from_secs(60);
-/// How often the running versions are polled.
+/// The time limit for all proxies to connect or to run a version, and the read timeout of health calls.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// The interval between polls of the proxies' status.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Calls are measured for this long before anything is published, for comparison.
+/// How long calls are measured before anything is published, for comparison.
 const QUIET_TIME: Duration = Duration::from_secs(3);
-/// The pause between two calls.
-const CALL_EVERY: Duration = Duration::from_micros(500);
-/// The longest time that is told apart, in microseconds.
-const MAX_SPAN_US: u64 = 120_000_000;
+/// The pause between two calls to the health endpoint.
+const CALL_INTERVAL: Duration = Duration::from_micros(500);
+/// The maximum value of the histograms, in microseconds; longer times are recorded as this one.
+const MAX_RECORDED_US: u64 = 120_000_000;
 
-/// The size of a measurement.
+/// The size of the fleet and of its versions.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Real proxies.
+    /// The number of real proxies.
     pub proxies: usize,
-    /// Versions after the first, each with one route changed.
+    /// The number of versions after the first, each with one route changed.
     pub versions: u64,
-    /// Routes in each version.
+    /// The number of routes in each version.
     pub routes: u64,
 }
 
-/// The cost of one version.
+/// The measurements of one version.
 #[derive(Clone, Debug, Serialize)]
 pub struct VersionTiming {
-    /// From publishing to each proxy's acknowledgement that it is in force.
+    /// The time from publishing until each proxy's acknowledgement that the version is in force.
     pub in_force: Percentiles,
     /// CPU time of the service, in milliseconds.
     pub service_ms: f64,
@@ -57,41 +58,41 @@
 
 /// The result of a measurement.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
-    /// Real proxies.
+pub struct Measurement {
+    /// The number of real proxies.
     pub proxies: usize,
-    /// The length of a whole version as JSON, in bytes.
+    /// The length of a complete version as JSON, in bytes.
     pub bytes: usize,
-    /// Each version, the first of them sent whole.
+    /// The measurements of each version; the first is sent as a complete version.
     pub versions: Vec<VersionTiming>,
     /// How long swaps blocked serving threads.
     pub swaps: Percentiles,
-    /// Latency of calls at one proxy while nothing was published.
+    /// The latency of calls to one proxy while nothing was published.
     pub calls_before: Percentiles,
-    /// The same while versions came.
+    /// The latency of calls to the same proxy while versions were published.
     pub calls_during: Percentiles,
-    /// CPU time of all proxies for each version, in milliseconds a proxy.
+    /// The mean CPU time of a proxy for each version, in milliseconds.
     pub proxy_ms: f64,
-    /// The most memory of a proxy before the first version, in MB.
+    /// The highest memory usage of a proxy before the first version, in MB.
     pub memory_before_mb: f64,
-    /// The same after the last.
+    /// The highest memory usage of a proxy after the last version, in MB.
     pub memory_after_mb: f64,
 }
 
-/// Why a measurement of versions failed.
+/// An error of a measurement of versions.
 #[derive(Debug, thiserror::Error)]
 pub enum VersionsError {
-    /// The day of the stand-in site is not possible.
+    /// The day of the simulated site is invalid.
     #[error(transparent)]
     Day(#[from] DayError),
-    /// The stand-in site could not be opened.
+    /// The simulated site could not be started.
     #[error("site: {0}")]
     Site(#[source] io::Error),
     /// The control service could not be started.
     #[error("service: {0}")]
     Service(#[source] io::Error),
-    /// There is no folder for the proxies.
-    #[error("a folder: {0}")]
+    /// The directory of the proxies could not be created.
+    #[error("directory: {0}")]
     Folder(#[source] io::Error),
     /// A file can't be written.
     #[error(transparent)]
@@ -100,44 +101,44 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// Not all proxies connected to the service in time.
-    #[error("only {connected} proxies found the service")]
+    #[error("only {connected} proxies connected to the service")]
     NotConnected {
-        /// Those that did.
+        /// The number of proxies that connected.
         connected: usize,
     },
     /// The service rejected a version.
     #[error("{0}")]
     Publish(String),
     /// A proxy rejected a version.
-    #[error("version {stamp} is turned down: {}", why.join("; "))]
+    #[error("a proxy rejected version {stamp}: {}", why.join("; "))]
     Rejected {
         /// The version.
         stamp: Stamp,
-        /// Why.
+        /// The reasons.
         why: Vec<String>,
     },
-    /// A version was not in force everywhere in time.
+    /// A version was not in force at all proxies in time.
     #[error("only {running} of {proxies} proxies run version {stamp}")]
     NotInForce {
         /// The version.
         stamp: Stamp,
-        /// Proxies that run it.
+        /// The number of proxies that run it.
         running: usize,
-        /// All proxies.
+        /// The number of proxies.
         proxies: usize,
     },
-    /// The thread that calls a proxy's health panicked.
-    #[error("the watch broke")]
+    /// The thread that calls a proxy's health endpoint panicked.
+    #[error("the thread of health calls panicked")]
     CallerPanicked,
-    /// The proxy whose health is called did not answer.
-    #[error("the watched proxy: {0}")]
+    /// A call to a proxy's health endpoint failed.
+    #[error("health call to a proxy: {0}")]
     Caller(#[source] io::Error),
     /// No proxy logged a swap.
-    #[error("no proxy told of a swap")]
+    #[error("no proxy logged a swap")]
     NoSwap,
 }
 
-/// A version with this many routes, of which a different one differs in each.
+/// Builds a version with the given number of routes, where route `changed` uses a different pool.
 pub fn version_body(day: &Day, routes: u64, changed: u64) -> Value {
     let kinds: Vec<&str> = day.site.cache.kinds.iter().map(|k| k.name.as_str()).collect();
     let pool = |n| if n == changed % routes.max(1) { "b" } else { "a" };
@@ -147,10 +148,10 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_SPAN_US, 3).expect("constant bounds are sound")
+    Histogram::new_with_max(MAX_RECORDED_US, 3).expect("constant bounds are sound")
 }
 
-/// Calls a proxy's health endpoint, one call after the other, on a thread of its own.
+/// Calls a proxy's health endpoint sequentially on its own thread.
 struct HealthCaller {
     calls: Arc<Mutex<Histogram<u64>>>,
     stop: Arc<AtomicBool>,
@@ -160,39 +161,39 @@
 impl HealthCaller {
     fn start(addr: SocketAddr) -> Self {
         let (calls, stop) = (Arc::new(Mutex::new(histogram())), Arc::<AtomicBool>::default());
-        let (calls_in, stopped) = (calls.clone(), stop.clone());
+        let (recorded, stopped) = (calls.clone(), stop.clone());
         let thread = std::thread::spawn(move || {
             let mut stream: Option<BufReader<TcpStream>> = None;
             while !stopped.load(Ordering::Relaxed) {
-                std::thread::sleep(CALL_EVERY);
-                let mut peer = match stream.take() {
-                    Some(peer) => peer,
+                std::thread::sleep(CALL_INTERVAL);
+                let mut connection = match stream.take() {
+                    Some(connection) => connection,
                     None => {
-                        let fresh = TcpStream::connect(addr)?;
-                        fresh.set_nodelay(true)?;
-                        fresh.set_read_timeout(Some(WITHIN))?;
-                        BufReader::new(fresh)
+                        let new_stream = TcpStream::connect(addr)?;
+                        new_stream.set_nodelay(true)?;
+                        new_stream.set_read_timeout(Some(MAX_WAIT))?;
+                        BufReader::new(new_stream)
                     }
                 };
                 let start = Instant::now();
-                peer.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")?;
-                if health(&mut peer)? {
-                    stream = Some(peer);
+                connection.get_mut().write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")?;
+                if read_health_response(&mut connection)? {
+                    stream = Some(connection);
                 }
-                let took = start.elapsed().as_micros() as u64;
-                calls_in.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(took);
+                let latency = start.elapsed().as_micros() as u64;
+                recorded.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(latency);
             }
             Ok(())
         });
         HealthCaller { calls, stop, thread }
     }
 
-    /// The latency of calls since the last time.
+    /// Returns the latency of the calls since the previous call of this function.
     fn take(&self) -> Percentiles {
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        let took = Percentiles::from(&*calls);
+        let latencies = Percentiles::from(&*calls);
         calls.reset();
-        took
+        latencies
     }
 
     fn end(self) -> Result<(), VersionsError> {
@@ -202,12 +203,12 @@
     }
 }
 
-/// Reads a response; whether the connection may be used again.
-fn health(peer: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
-    let (mut length, mut stays) = (0, true);
+/// Reads a response, and returns whether the connection can be reused.
+fn read_health_response(connection: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
+    let (mut length, mut keep_alive) = (0, true);
     loop {
         let mut line = String::new();
-        if peer.read_line(&mut line)? == 0 {
+        if connection.read_line(&mut line)? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         let line = line.trim_end().to_ascii_lowercase();
@@ -217,16 +218,16 @@
         if let Some((name, value)) = line.split_once(':') {
             match name {
                 "content-length" => length = value.trim().parse().unwrap_or(0),
-                "connection" => stays = value.trim() != "close",
+                "connection" => keep_alive = value.trim() != "close",
                 _ => {}
             }
         }
     }
-    std::io::copy(&mut peer.by_ref().take(length), &mut std::io::sink())?;
-    Ok(stays)
+    std::io::copy(&mut connection.by_ref().take(length), &mut std::io::sink())?;
+    Ok(keep_alive)
 }
 
-/// The duration of a swap that a line of a proxy's log tells, in microseconds.
+/// Parses the duration of a swap from a proxy's log line, in microseconds.
 fn swap_duration_us(line: &str) -> Option<f64> {
     let (_, rest) = line.split_once("swapped in ")?;
     let unit = rest.find(|c: char| c != '.' && !c.is_ascii_digit())?;
@@ -245,36 +246,39 @@
     proxies.iter().filter_map(|p| p.pid().and_then(Usage::of_process)).collect()
 }
 
-/// Waits until every proxy runs a version; how long each took.
+/// Waits until every proxy runs a version, and returns their acknowledgement latencies in microseconds.
 fn wait_until_running(
     service: &ServiceThread,
     stamp: Stamp,
     proxies: usize,
 ) -> Result<Histogram<u64>, VersionsError> {
-    let until = Instant::now() + WITHIN;
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
         let rows = service.statuses();
-        let run: Vec<&ProxyStatus> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
-        if run.len() == proxies {
-            let mut took = histogram();
-            run.iter().filter_map(|r| r.ack_latency).for_each(|ns| took.saturating_record(ns / 1000));
-            return Ok(took);
+        let running: Vec<&ProxyStatus> = rows.iter().filter(|r| r.running == Some(stamp)).collect();
+        if running.len() == proxies {
+            let mut latencies = histogram();
+            running
+                .iter()
+                .filter_map(|r| r.ack_latency)
+                .for_each(|ns| latencies.saturating_record(ns / 1000));
+            return Ok(latencies);
         }
         if let Some((_, why)) = rows.iter().filter_map(|r| r.rejected.as_ref()).find(|r| r.0 == stamp) {
             return Err(VersionsError::Rejected { stamp, why: why.clone() });
         }
-        if Instant::now() > until {
-            return Err(VersionsError::NotInForce { stamp, running: run.len(), proxies });
+        if Instant::now() > deadline {
+            return Err(VersionsError::NotInForce { stamp, running: running.len(), proxies });
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Measures; `program` is the proxy.
+/// Runs a measurement; `program` is the proxy's executable.
 ///
 /// # Errors
-/// If the fleet could not be started, or a version did not come into force everywhere.
-pub fn measure(size: FleetSize, program: &Path) -> Result<Measured, VersionsError> {
+/// Fails if the fleet could not be started, or if a version did not come into force at all proxies in time.
+pub fn measure(size: FleetSize, program: &Path) -> Result<Measurement, VersionsError> {
     let mut day = Day::open("quiet")?;
     day.site.proxy.count = size.proxies;
     day.site.proxy.memory_mb = MEMORY_MB;
@@ -297,7 +301,7 @@
     site.close();
     let cpu = |usage: &[Usage]| usage.iter().map(|u| u.cpu_s).sum::<f64>();
     let memory = |usage: &[Usage]| usage.iter().map(|u| u.memory_mb).fold(0.0, f64::max);
-    Ok(Measured {
+    Ok(Measurement {
         proxies: size.proxies,
         bytes: version_body(&day, size.routes, 0).to_string().len(),
         proxy_ms: (cpu(&after) - cpu(&before)) * 1e3 / (size.proxies as f64 * (size.versions + 1) as f64),
@@ -310,7 +314,7 @@
     })
 }
 
-/// Starts the proxies of a site, with the service in their operator file.
+/// Starts the proxies of a site, whose operator files contain the address of the service.
 fn start_proxies(
     day: &Day,
     site: &Site,
@@ -319,7 +323,7 @@
     folder: &Path,
 ) -> Result<Vec<Box<dyn RunningProxy>>, VersionsError> {
     let file = folder.join("operator.toml");
-    // Every line about a swap is wanted.
+    // The rate limit of the log must not drop lines about swaps.
     let text = format!("[log]\nburst = 10000\n[control]\nservices = [\"{}\"]\n", service.addr);
     std::fs::write(&file, text).map_err(FileError::at(&file))?;
     let program = Program { operator: Some(file), ..Program::new(program.to_owned()) };
@@ -332,9 +336,9 @@
 }
 
 fn wait_until_connected(service: &ServiceThread, proxies: usize) -> Result<(), VersionsError> {
-    let until = Instant::now() + WITHIN;
+    let deadline = Instant::now() + MAX_WAIT;
     while service.statuses().len() < proxies {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return Err(VersionsError::NotConnected { connected: service.statuses().len() });
         }
         std::thread::sleep(POLL_INTERVAL);
@@ -342,7 +346,7 @@
     Ok(())
 }
 
-/// Publishes the first version and those after it, each once the one before is in force everywhere.
+/// Publishes the versions in order, each after the previous one is in force at all proxies.
 fn publish_all(
     service: &ServiceThread,
     day: &Day,
@@ -361,7 +365,7 @@
     Ok(versions)
 }
 
-/// How long swaps blocked the serving threads, by the last lines of the proxies.
+/// Collects how long swaps blocked the serving threads, from the recent log lines of the proxies.
 fn swaps(proxies: &[Box<dyn RunningProxy>]) -> Result<Percentiles, VersionsError> {
     let mut swaps = histogram();
     for proxy in proxies {
