--- a/crates/lab-capacity/src/slopes/list_server.rs
+++ b/crates/lab-capacity/src/slopes/list_server.rs
@@ -126,7 +126,7 @@
         let (mut http, mut version) = (HttpConnection::new(stream), self.version.subscribe());
         while let Some(request) = http.read_request().await? {
             http.read_body(request.framing, |_| {}).await?;
-            let parameter = |name| aniseyoke_lab_site::parameter(&request.path, name);
+            let parameter = |name| aniseyoke_lab_site::query_parameter(&request.path, name);
             let from = parameter("from");
             if let (Some(from), Some(hold)) = (from, parameter("hold_ms")) {
                 tokio::select! {
--- a/crates/lab-load/src/client.rs
+++ b/crates/lab-load/src/client.rs
@@ -286,10 +286,10 @@
             }
             Ok(Ok(Response { status, digest, retry_after, closes })) => {
                 note(Observation::Answered { request, status, digest });
-                if http.has_surplus() {
+                if http.has_buffered_input() {
                     note(Observation::Surplus { request });
                 }
-                let reusable = !closes && !http.has_surplus() && written.is_ok();
+                let reusable = !closes && !http.has_buffered_input() && written.is_ok();
                 Exchange { reusable, ..Exchange::over(AttemptEnd::Answered { status, retry_after }) }
             }
         }
@@ -325,7 +325,7 @@
 /// Reads a response; `partial` is set once a part of it has come.
 async fn read(http: &mut HttpConnection, partial: &Cell<bool>) -> io::Result<Response> {
     let head = http.read_response().await;
-    partial.set(http.has_surplus() || head.as_ref().is_ok_and(|head| head.is_some()));
+    partial.set(http.has_buffered_input() || head.as_ref().is_ok_and(|head| head.is_some()));
     let head = head?.ok_or(io::ErrorKind::UnexpectedEof)?;
     let mut digest = Xxh3Default::new();
     http.read_body(head.framing, |part| digest.update(part)).await?;
--- a/crates/lab-process/src/health.rs
+++ b/crates/lab-process/src/health.rs
@@ -20,6 +20,6 @@
     match timeout(ANSWERS_WITHIN, check).await {
         Ok(Ok(Some(response))) if response.status == 200 => Health::Healthy,
         Ok(Ok(Some(_))) => Health::Unhealthy,
-        _ => Health::Dead,
+        _ => Health::NoResponse,
     }
 }
--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -310,7 +310,7 @@
             self.watch.ended(index).await;
         }
         if signalled && action == Action::Kill {
-            self.load_balancer.record_health(index, Health::Dead);
+            self.load_balancer.record_health(index, Health::NoResponse);
         }
         format!("{action:?} proxy {index} ({pid:?}){}", if signalled { "" } else { ": it was not running" })
     }
@@ -353,7 +353,7 @@
     for index in 0..processes.len() {
         match processes.addr(index) {
             Some(addr) => drop(checks.spawn(async move { (index, check_health(addr).await) })),
-            None => load_balancer.record_health(index, Health::Dead),
+            None => load_balancer.record_health(index, Health::NoResponse),
         }
     }
     while let Some(Ok((index, health))) = checks.join_next().await {
--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -8,7 +8,7 @@
 use aniseyoke_decision::api::{Event, Outcome, ServerId, Status};
 use aniseyoke_lab_day::Idempotency;
 use aniseyoke_lab_load::Outcome as ClientOutcome;
-use aniseyoke_lab_world::{Attempt, Process};
+use aniseyoke_lab_world::{Attempt, ProcessState};
 
 impl Sim {
     pub(super) fn send(&mut self, proxy: u32, id: u64, server: ServerId, timeout: Nanos) {
@@ -88,19 +88,19 @@
         let (proxy, request, member, new_connection) =
             (attempt.proxy, attempt.request, attempt.member, attempt.new_connection);
         match self.world.process(member) {
-            Process::Up => {}
-            Process::Down => {
+            ProcessState::Up => {}
+            ProcessState::Down => {
                 let reply = if new_connection { AttemptReply::ConnectFailed } else { AttemptReply::Reset };
                 let delay = self.network_delay();
                 return self.schedule_after(delay, SimEvent::AttemptReply(attempt_id, reply));
             }
-            Process::Silent if new_connection => {
+            ProcessState::Silent if new_connection => {
                 return self.schedule_after(
                     CONNECT_TIMEOUT,
                     SimEvent::AttemptReply(attempt_id, AttemptReply::ConnectFailed),
                 )
             }
-            Process::Silent => return,
+            ProcessState::Silent => return,
         }
         attempt.reached = true;
         let origin = attempt.origin;
--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -26,7 +26,7 @@
 use aniseyoke_lab_day::Day;
 use aniseyoke_lab_load::Arrivals;
 use aniseyoke_lab_world::connection_load::{ConnectionLimits, ConnectionLoad};
-use aniseyoke_lab_world::{AttemptId, Effect, KeySpace, World};
+use aniseyoke_lab_world::{AttemptId, Effect, KeySpace, SiteModel};
 use client::ClientRequest;
 use proxy::SimProxy;
 use queue::Queue;
@@ -161,7 +161,7 @@
     day: Day,
     options: Options,
     key_space: KeySpace,
-    world: World,
+    world: SiteModel,
     arrivals: Peekable<Arrivals>,
     queue: Queue,
     now: Nanos,
@@ -194,7 +194,7 @@
     pub fn new(day: &Day, options: Options) -> Self {
         let warm_up = nanos(options.warm_up);
         let key_space = KeySpace::new(day);
-        let mut world = World::new(day, &key_space);
+        let mut world = SiteModel::new(day, &key_space);
         world.clear_caches();
         let proxies = (0..day.site.proxy.count).map(|index| SimProxy::new(day, index, &options));
         let proxies: Vec<SimProxy> = proxies.collect();
--- a/crates/lab-sim/src/run.rs
+++ b/crates/lab-sim/src/run.rs
@@ -7,7 +7,7 @@
     server_id, Action, Entry, Event, ListKind, Nanos as Time, Request, ServerId, State, Status,
 };
 use aniseyoke_lab_load::Outcome as ClientOutcome;
-use aniseyoke_lab_world::{Delivery, Endpoint, EndpointState, Process, Reply};
+use aniseyoke_lab_world::{Delivery, Endpoint, EndpointState, ProcessState, Reply};
 
 /// The module's clock begins here, since to it a start at 0 means long ago.
 pub(super) const EPOCH: Time = 1_000 * SECOND;
@@ -107,7 +107,7 @@
         match effect {
             Effect::Reply { attempt_id, reply, delivery } => {
                 let reply = match (reply, delivery) {
-                    (Reply::Served { hit, .. }, Delivery::Whole | Delivery::Fragmented(_)) => {
+                    (Reply::Served { hit, .. }, Delivery::Unmodified | Delivery::Fragmented(_)) => {
                         AttemptReply::Served { hit }
                     }
                     (Reply::Served { .. }, Delivery::Truncated) => AttemptReply::Reset,
@@ -123,7 +123,7 @@
                 self.schedule_after(delay, SimEvent::AttemptReply(attempt_id, reply));
             }
             Effect::Executed(attempt_id) => self.write_executed(attempt_id),
-            Effect::Process(member, Process::Down) => self.reset_member(member),
+            Effect::ProcessState(member, ProcessState::Down) => self.reset_member(member),
             Effect::HalfOpen(member) => {
                 // Attempts in flight get no reply; idle connections are found dead.
                 let server = self.server(member);
@@ -140,7 +140,7 @@
             Effect::Listed(_) => self.list_changed(),
             Effect::Cancelled(_)
             | Effect::Joined(_)
-            | Effect::Process(..)
+            | Effect::ProcessState(..)
             | Effect::Discovery(_)
             | Effect::RestartProxy(_) => {}
         }
--- a/crates/lab-site/src/discovery.rs
+++ b/crates/lab-site/src/discovery.rs
@@ -44,7 +44,7 @@
 }
 
 /// The value of a query parameter.
-pub fn parameter(path: &str, name: &str) -> Option<u64> {
+pub fn query_parameter(path: &str, name: &str) -> Option<u64> {
     let query = path.split_once('?')?.1;
     query
         .split('&')
@@ -71,7 +71,7 @@
         Some(member.json())
     };
     let servers: Vec<Value> = endpoints.iter().filter_map(listed).collect();
-    json!({"version": state.world.borrow().endpoint_list().version(), "full": full, "servers": servers})
+    json!({"version": state.model.borrow().endpoint_list().version(), "full": full, "servers": servers})
 }
 
 async fn serve(state: &Rc<SiteState>, proxy: usize, http: &mut HttpConnection) -> io::Result<()> {
@@ -90,8 +90,8 @@
             http.write(rejection.as_bytes()).await?;
             continue;
         }
-        let from = parameter(&head.path, "from");
-        if let (Some(from), Some(hold)) = (from, parameter(&head.path, "hold_ms")) {
+        let from = query_parameter(&head.path, "from");
+        if let (Some(from), Some(hold)) = (from, query_parameter(&head.path, "hold_ms")) {
             let hold = Duration::from_millis(hold).min(MAX_HOLD);
             tokio::select! {
                 // A newer version, or a future one that this discovery does not know.
@@ -100,7 +100,7 @@
                 () = http.closed() => return Ok(()),
             }
         }
-        let (endpoints, full) = changes_since(state.world.borrow().endpoint_list(), from);
+        let (endpoints, full) = changes_since(state.model.borrow().endpoint_list(), from);
         let body = list(state, proxy, &endpoints, full).to_string();
         state.record_notified(proxy, &endpoints, full);
         let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
--- a/crates/lab-site/src/http.rs
+++ b/crates/lab-site/src/http.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether bytes are held that nothing has asked for.
-    pub fn has_surplus(&self) -> bool {
+    pub fn has_buffered_input(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/lab-site/src/lib.rs
+++ b/crates/lab-site/src/lib.rs
@@ -10,7 +10,7 @@
 mod node;
 mod state;
 
-pub use discovery::parameter;
+pub use discovery::query_parameter;
 pub use load_balancer::{Health, LoadBalancer};
 
 use aniseyoke_lab_audit::Recorder;
@@ -175,7 +175,7 @@
         addrs.push(listener.local_addr()?);
         tokio::task::spawn_local(discovery::serve_proxy(state.clone(), proxy, listener));
     }
-    let endpoints = state.world.borrow().endpoint_list().all();
+    let endpoints = state.model.borrow().endpoint_list().all();
     let members = state.members.borrow().iter().map(|p| p.addr).collect();
     let initial_lists =
         (0..addrs.len()).map(|proxy| discovery::list(state, proxy, &endpoints, true)).collect();
--- a/crates/lab-site/src/listener.rs
+++ b/crates/lab-site/src/listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket of a member: it accepts connections, refuses them, or leaves them unanswered, always at one address.
 
-use aniseyoke_lab_world::Process;
+use aniseyoke_lab_world::ProcessState;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -48,9 +48,9 @@
     ///
     /// # Errors
     /// If the system refuses.
-    pub async fn set_process(&mut self, process: Process) -> io::Result<()> {
+    pub async fn set_process(&mut self, process: ProcessState) -> io::Result<()> {
         match process {
-            Process::Up => {
+            ProcessState::Up => {
                 self.fillers.clear();
                 // What stood in the queue of a silent machine is reset with it.
                 self.listener = None;
@@ -58,11 +58,11 @@
                 socket.listen(BACKLOG)?;
                 self.listener = Some(TcpListener::from_std(socket.into())?);
             }
-            Process::Down => {
+            ProcessState::Down => {
                 self.fillers.clear();
                 self.listener = None;
             }
-            Process::Silent => self.fill_queue().await?,
+            ProcessState::Silent => self.fill_queue().await?,
         }
         Ok(())
     }
--- a/crates/lab-site/src/load_balancer.rs
+++ b/crates/lab-site/src/load_balancer.rs
@@ -28,7 +28,7 @@
     /// It was answered with anything else.
     Unhealthy,
     /// It was not answered.
-    Dead,
+    NoResponse,
 }
 
 impl LoadBalancer {
@@ -73,7 +73,7 @@
                 Health::Healthy => (backend.healthy, backend.dead_since) = (true, None),
                 Health::Unhealthy => (backend.healthy, backend.dead_since) = (false, None),
                 // A dead one stays in rotation until it is detected.
-                Health::Dead => backend.dead_since = backend.dead_since.or(Some(Instant::now())),
+                Health::NoResponse => backend.dead_since = backend.dead_since.or(Some(Instant::now())),
             }
         });
     }
--- a/crates/lab-site/src/load_balancer/tests.rs
+++ b/crates/lab-site/src/load_balancer/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(picked(4), [0, 1, 2, 0]);
     load_balancer.record_health(1, Health::Unhealthy);
     assert_eq!(picked(3), [2, 0, 2]);
-    load_balancer.record_health(0, Health::Dead);
+    load_balancer.record_health(0, Health::NoResponse);
     std::thread::sleep(Duration::from_millis(1));
     assert_eq!(picked(2), [2, 2]);
     load_balancer.record_health(2, Health::Unhealthy);
--- a/crates/lab-site/src/node.rs
+++ b/crates/lab-site/src/node.rs
@@ -4,7 +4,7 @@
 use super::listener::MemberListener;
 use super::state::{ConnectionEpochs, MemberHandle, SiteState};
 use aniseyoke_lab_audit::Observation;
-use aniseyoke_lab_world::{Attempt, AttemptId, Delivery, Process, Reply};
+use aniseyoke_lab_world::{Attempt, AttemptId, Delivery, ProcessState, Reply};
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
@@ -75,7 +75,7 @@
     async move {
         let mut http = HttpConnection::new(stream);
         let attempt_id = Cell::new(None);
-        let origin = state.world.borrow().is_origin(member);
+        let origin = state.model.borrow().is_origin(member);
         let taken = state.connection_load.borrow_mut().opened(state.clock.now(), member, origin);
         let reset = tokio::select! {
             biased;
@@ -172,13 +172,13 @@
         http.read_body(head.framing, |_| {}).await?;
         state.recorder.note(Observation::Arrived { request, attempt });
         let dead = || member_handle.epochs.borrow().silences != opened_in.silences;
-        if dead() || *member_handle.process.borrow() == Process::Silent {
+        if dead() || *member_handle.process.borrow() == ProcessState::Silent {
             // A machine that has gone silent may have run what it got; it never says.
             http.closed().await;
             return Ok(());
         }
         let parsed = attempt_of(state, member, attempt, request, &head);
-        let origin = state.world.borrow().is_origin(member);
+        let origin = state.model.borrow().is_origin(member);
         if origin {
             state.origin_requests.set(state.origin_requests.get() + 1);
         }
@@ -208,7 +208,7 @@
     let Attempt { attempt_id, request, key, .. } = *attempt;
     let line = format!(
         "{} {request:016x} {key:016x} v{version} #{attempt_id}\n",
-        state.world.borrow().name(attempt.member).0
+        state.model.borrow().name(attempt.member).0
     );
     let mut value = Vec::with_capacity(length + line.len());
     while value.len() < length {
@@ -239,11 +239,11 @@
         }
         Reply::Error => (500, "Internal Server Error", "", Vec::new()),
         Reply::Rejected => {
-            state.connection_load.borrow_mut().rejected(state.world.borrow().is_origin(attempt.member));
+            state.connection_load.borrow_mut().rejected(state.model.borrow().is_origin(attempt.member));
             (503, "Service Unavailable", "X-Unprocessed: 1\r\n", Vec::new())
         }
     };
-    let sound = matches!(delivery, Delivery::Whole | Delivery::Fragmented(_));
+    let sound = matches!(delivery, Delivery::Unmodified | Delivery::Fragmented(_));
     let (request, attempt) = (attempt.request, attempt.attempt_id);
     let never_ran = matches!(reply, Reply::Miss | Reply::Rejected);
     state.recorder.note(Observation::Made {
@@ -269,7 +269,7 @@
     let head = |length: u64| format!("{head}Content-Length: {length}\r\n\r\n");
     let whole = || [head(body.len() as u64).as_bytes(), body].concat();
     match delivery {
-        Delivery::Whole => http.write(&whole()).await,
+        Delivery::Unmodified => http.write(&whole()).await,
         Delivery::Fragmented(size) => {
             for piece in whole().chunks(size) {
                 http.write(piece).await?;
--- a/crates/lab-site/src/node/tests.rs
+++ b/crates/lab-site/src/node/tests.rs
@@ -34,10 +34,10 @@
     let member_handle = Rc::new(MemberHandle {
         addr,
         epochs: watch::Sender::new(ConnectionEpochs::default()),
-        process: watch::Sender::new(Process::Up),
+        process: watch::Sender::new(ProcessState::Up),
     });
     let served = connection(state, 0, far.expect("accepted").0, member_handle.clone());
-    member_handle.process.send_replace(Process::Down);
+    member_handle.process.send_replace(ProcessState::Down);
     member_handle.epochs.send_modify(|epochs| epochs.resets += 1);
     timeout(RESET_WITHIN, served).await.expect("ended with its process");
     let mut near = HttpConnection::new(near.expect("connected"));
--- a/crates/lab-site/src/state.rs
+++ b/crates/lab-site/src/state.rs
@@ -6,7 +6,7 @@
 use aniseyoke_lab_day::{Day, Member};
 use aniseyoke_lab_world::connection_load::ConnectionLoad;
 use aniseyoke_lab_world::{
-    Attempt, AttemptId, Delivery, Effect, Endpoint, EndpointState, KeySpace, Process, Reply, World,
+    Attempt, AttemptId, Delivery, Effect, Endpoint, EndpointState, KeySpace, ProcessState, Reply, SiteModel,
 };
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 pub struct MemberHandle {
     pub addr: SocketAddr,
     pub epochs: watch::Sender<ConnectionEpochs>,
-    pub process: watch::Sender<Process>,
+    pub process: watch::Sender<ProcessState>,
 }
 
 /// Starts the task that accepts the connections of one member.
@@ -42,7 +42,7 @@
     pub clock: Clock,
     pub key_space: KeySpace,
     pub recorder: Recorder,
-    pub world: RefCell<World>,
+    pub model: RefCell<SiteModel>,
     pub members: RefCell<Vec<Rc<MemberHandle>>>,
     spawn_member: SpawnMember,
     waiting: RefCell<HashMap<AttemptId, Waiting>>,
@@ -94,14 +94,14 @@
         spawn_member: SpawnMember,
     ) -> Rc<Self> {
         let key_space = KeySpace::new(day);
-        let world = World::new(day, &key_space);
-        let list_version = watch::Sender::new(world.endpoint_list().version());
+        let model = SiteModel::new(day, &key_space);
+        let list_version = watch::Sender::new(model.endpoint_list().version());
         Rc::new(SiteState {
             day: day.clone(),
             clock,
             key_space,
             recorder,
-            world: RefCell::new(world),
+            model: RefCell::new(model),
             members: RefCell::default(),
             spawn_member,
             waiting: RefCell::default(),
@@ -126,13 +126,13 @@
     /// # Errors
     /// If the system has no addresses left.
     pub fn open_members(self: &Rc<Self>) -> io::Result<()> {
-        let members = self.world.borrow().members();
+        let members = self.model.borrow().members();
         (0..members).try_for_each(|m| self.open_member(m))
     }
 
     fn open_member(self: &Rc<Self>, member: usize) -> io::Result<()> {
         let listener = MemberListener::new()?;
-        let process = watch::Sender::new(Process::Up);
+        let process = watch::Sender::new(ProcessState::Up);
         let member_handle = Rc::new(MemberHandle {
             addr: listener.addr,
             epochs: watch::Sender::new(ConnectionEpochs::default()),
@@ -145,13 +145,13 @@
 
     /// Begins the day.
     pub fn begin(self: &Rc<Self>) {
-        self.drive_model(|world, now, _| world.begin(now));
+        self.drive_model(|model, now, _| model.begin(now));
     }
 
     /// An entry of the list in discovery's form; none for a member without an address.
     pub fn member(&self, endpoint: Endpoint) -> Option<Member> {
-        let world = self.world.borrow();
-        let (id, kind) = world.name(endpoint.member);
+        let model = self.model.borrow();
+        let (id, kind) = model.name(endpoint.member);
         Some(Member {
             id: id.to_owned(),
             addr: self.members.borrow().get(endpoint.member)?.addr,
@@ -192,23 +192,23 @@
     pub fn arrive(self: &Rc<Self>, attempt: Attempt) -> oneshot::Receiver<(Reply, Delivery)> {
         let (answer, answered) = oneshot::channel();
         self.waiting.borrow_mut().insert(attempt.attempt_id, Waiting { request: attempt.request, answer });
-        self.drive_model(|world, now, out| world.arrive(now, attempt, out));
+        self.drive_model(|model, now, out| model.arrive(now, attempt, out));
         answered
     }
 
     /// The proxy has cancelled an attempt.
     pub fn cancel(self: &Rc<Self>, attempt_id: AttemptId) {
-        self.drive_model(|world, _, out| world.cancel(attempt_id, out));
+        self.drive_model(|model, _, out| model.cancel(attempt_id, out));
         self.waiting.borrow_mut().remove(&attempt_id);
     }
 
-    fn drive_model(self: &Rc<Self>, act: impl FnOnce(&mut World, Nanos, &mut Vec<Effect>)) {
+    fn drive_model(self: &Rc<Self>, act: impl FnOnce(&mut SiteModel, Nanos, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         let sooner = {
-            let mut world = self.world.borrow_mut();
-            let before = world.next_due();
-            act(&mut world, self.clock.now(), &mut effects);
-            world.next_due() < before || before.is_none()
+            let mut model = self.model.borrow_mut();
+            let before = model.next_due();
+            act(&mut model, self.clock.now(), &mut effects);
+            model.next_due() < before || before.is_none()
         };
         if sooner {
             self.wake.notify_one();
@@ -221,13 +221,13 @@
     /// Handles the model's own events when they are due, for as long as the site is open.
     pub async fn drive(self: Rc<Self>) {
         loop {
-            let due = self.world.borrow().next_due();
+            let due = self.model.borrow().next_due();
             let now = self.clock.now();
             match due {
                 Some(due) if due <= now => {
                     let late = (now - due) / 1000;
                     self.lateness.borrow_mut().saturating_record(late.max(1));
-                    self.drive_model(|world, now, out| world.tick(now, out));
+                    self.drive_model(|model, now, out| model.tick(now, out));
                 }
                 Some(due) => {
                     let due = tokio::time::Instant::from_std(self.clock.instant(due));
@@ -277,13 +277,13 @@
                     tracing::error!("no address for member {member}");
                 }
             }
-            Effect::Process(member, process) => {
+            Effect::ProcessState(member, process) => {
                 let Some(member_handle) = members(member) else { return };
                 member_handle.process.send_replace(process);
                 member_handle.epochs.send_modify(|epochs| match process {
-                    Process::Down => epochs.resets += 1,
-                    Process::Silent => epochs.silences += 1,
-                    Process::Up => {}
+                    ProcessState::Down => epochs.resets += 1,
+                    ProcessState::Silent => epochs.silences += 1,
+                    ProcessState::Up => {}
                 });
             }
             Effect::HalfOpen(member) => {
@@ -295,7 +295,7 @@
             Effect::OriginOverloaded(cold_part) => note(Observation::Stopped { cold_part }),
             Effect::Listed(endpoint) => {
                 note(Observation::Listed { member: endpoint.member, standing: endpoint.state });
-                let version = self.world.borrow().endpoint_list().version();
+                let version = self.model.borrow().endpoint_list().version();
                 self.list_version.send_replace(version);
             }
             Effect::Discovery(up) => drop(self.discovery.send_replace(up)),
@@ -314,7 +314,7 @@
             });
         }
         if full {
-            let members = self.world.borrow().members();
+            let members = self.model.borrow().members();
             let lacking = (0..members).filter(|m| endpoints.iter().all(|l| l.member != *m));
             for member in lacking {
                 self.recorder.note(Observation::Told { proxy, member, standing: EndpointState::Gone });
--- a/crates/lab-world/src/apply.rs
+++ b/crates/lab-world/src/apply.rs
@@ -3,16 +3,16 @@
 use super::*;
 use aniseyoke_lab_day::clock::unit_fraction;
 
-impl World {
-    pub(super) fn set_process(&mut self, member: usize, process: Process, out: &mut Vec<Effect>) {
+impl SiteModel {
+    pub(super) fn set_process(&mut self, member: usize, process: ProcessState, out: &mut Vec<Effect>) {
         if self.members[member].process != process {
             self.members[member].process = process;
-            out.push(Effect::Process(member, process));
+            out.push(Effect::ProcessState(member, process));
         }
     }
 
     /// A machine's process ends, or goes silent, and loses its work and its cache.
-    fn stop_process(&mut self, now: Nanos, member: usize, process: Process, out: &mut Vec<Effect>) {
+    fn stop_process(&mut self, now: Nanos, member: usize, process: ProcessState, out: &mut Vec<Effect>) {
         self.members[member].machine.stop(now);
         self.members[member].machine.forecast += 1;
         self.members[member].cache.clear();
@@ -22,7 +22,7 @@
 
     pub(super) fn overload(&mut self, now: Nanos, member: usize, out: &mut Vec<Effect>) {
         let cold_fraction = self.members[member].machine.cold_fraction();
-        self.stop_process(now, member, Process::Down, out);
+        self.stop_process(now, member, ProcessState::Down, out);
         if member == self.origin {
             out.push(Effect::OriginOverloaded(cold_fraction));
             self.schedule(now + nanos(self.day.site.origin.outage), InternalEvent::OriginRestart);
@@ -45,11 +45,11 @@
     pub(super) fn apply(&mut self, now: Nanos, event: FaultEvent, out: &mut Vec<Effect>) {
         match event {
             FaultEvent::Crash(member) => {
-                self.stop_process(now, member, Process::Down, out);
+                self.stop_process(now, member, ProcessState::Down, out);
                 self.list(now, member, EndpointState::Gone, 2);
             }
             FaultEvent::Silence(member) => {
-                self.stop_process(now, member, Process::Silent, out);
+                self.stop_process(now, member, ProcessState::Silent, out);
                 let endpoint =
                     Endpoint { member, state: EndpointState::Gone, started: self.members[member].started };
                 self.schedule(
@@ -58,18 +58,18 @@
                 );
             }
             FaultEvent::Restart(member) => {
-                if self.members[member].process == Process::Silent {
+                if self.members[member].process == ProcessState::Silent {
                     // What stood open is reset once the machine is back.
-                    self.set_process(member, Process::Down, out);
+                    self.set_process(member, ProcessState::Down, out);
                 }
                 self.members[member].started = Some(now);
                 self.members[member].machine.restart(now);
-                self.set_process(member, Process::Up, out);
+                self.set_process(member, ProcessState::Up, out);
                 self.list(now, member, EndpointState::Ready, 3);
             }
             FaultEvent::Drain(member) => self.list(now, member, EndpointState::Draining, 4),
             FaultEvent::Replace(member) => {
-                self.stop_process(now, member, Process::Down, out);
+                self.stop_process(now, member, ProcessState::Down, out);
                 self.list(now, member, EndpointState::Gone, 5);
                 let next = self.members.len();
                 let mut successor = self.node(next, self.kind_of(member.min(self.day.site.cache.count - 1)));
--- a/crates/lab-world/src/lib.rs
+++ b/crates/lab-world/src/lib.rs
@@ -1,8 +1,8 @@
 //! The model of a site: cache nodes, the origin, the endpoint list and the faults of the day. It does no I/O and reads no
 //! clock: a driver passes the time in and carries out the returned effects, on sockets or in simulated time.
 //!
-//! The driver calls [`World::arrive`] and [`World::cancel`] as requests come and go, and [`World::tick`] whenever
-//! [`World::next_due`] is reached; each appends [`Effect`]s.
+//! The driver calls [`SiteModel::arrive`] and [`SiteModel::cancel`] as requests come and go, and [`SiteModel::tick`] whenever
+//! [`SiteModel::next_due`] is reached; each appends [`Effect`]s.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Whole, at once.
-    Whole,
+    Unmodified,
     /// In pieces of this many bytes.
     Fragmented(usize),
     /// The connection is reset in the middle of it.
@@ -86,7 +86,7 @@
 
 /// A process, as its peers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Process {
+pub enum ProcessState {
     /// It takes connections.
     Up,
     /// Connections are reset and rejected.
@@ -114,7 +114,7 @@
     /// A new member, to be given an address. Its number is the next one.
     Joined(usize),
     /// A member's process has changed.
-    Process(usize, Process),
+    ProcessState(usize, ProcessState),
     /// A member's open connections go dead; new ones work.
     HalfOpen(usize),
     /// A cold node went down, overloaded.
@@ -134,7 +134,7 @@
     kind: String,
     machine: Machine,
     cache: ValueCache,
-    process: Process,
+    process: ProcessState,
     started: Option<Nanos>,
 }
 
@@ -167,7 +167,7 @@
 }
 
 /// The model of a site.
-pub struct World {
+pub struct SiteModel {
     day: Day,
     members: Vec<Member>,
     origin: usize,
@@ -184,12 +184,12 @@
     scheduled: u64,
 }
 
-impl World {
+impl SiteModel {
     /// The site as it is when the day begins: every node up and warm, with the most popular values cached. No fault is
-    /// injected before [`World::begin`].
+    /// injected before [`SiteModel::begin`].
     pub fn new(day: &Day, key_space: &KeySpace) -> Self {
         let cache = &day.site.cache;
-        let mut world = World {
+        let mut model = SiteModel {
             origin: cache.count,
             endpoint_list: EndpointList::new(cache.count + 1),
             fault_events: fault_schedule::fault_events(day),
@@ -206,18 +206,18 @@
             scheduled: 0,
         };
         for n in 0..cache.count {
-            let kind = world.kind_of(n);
-            let mut member = world.node(n, kind);
+            let kind = model.kind_of(n);
+            let mut member = model.node(n, kind);
             // The most popular last, so that it is the most recently used.
-            let cache_capacity = world.cache_capacity();
+            let cache_capacity = model.cache_capacity();
             (0..cache_capacity.min(day.load.keys))
                 .rev()
                 .for_each(|rank| member.cache.store(0, key_space.key(rank), 0));
-            world.members.push(member);
+            model.members.push(member);
         }
-        let origin = world.origin();
-        world.members.push(origin);
-        world
+        let origin = model.origin();
+        model.members.push(origin);
+        model
     }
 
     /// Empties every node's cache, for a driver that fills them by load of its own.
@@ -282,7 +282,7 @@
             kind: kind.name.clone(),
             machine: Machine::new(spec),
             cache: ValueCache::new(self.cache_capacity() as usize, nanos(cache.ttl)),
-            process: Process::Up,
+            process: ProcessState::Up,
             started: None,
         }
     }
@@ -306,7 +306,7 @@
             kind: "ledger".to_owned(),
             machine: Machine::new(spec),
             cache: ValueCache::new(1, 0),
-            process: Process::Up,
+            process: ProcessState::Up,
             started: None,
         }
     }
@@ -327,7 +327,7 @@
     }
 
     /// The state of a member's process.
-    pub fn process(&self, member: usize) -> Process {
+    pub fn process(&self, member: usize) -> ProcessState {
         self.members[member].process
     }
 
@@ -370,7 +370,7 @@
     /// An attempt's last byte has arrived.
     pub fn arrive(&mut self, now: Nanos, attempt: Attempt, out: &mut Vec<Effect>) {
         let Attempt { attempt_id, member, request, class, key, write, .. } = attempt;
-        if self.members[member].process != Process::Up {
+        if self.members[member].process != ProcessState::Up {
             return;
         }
         let Some(class) = class else { return self.reply(now, attempt, Reply::Error, out) };
@@ -432,7 +432,7 @@
                         out.push(Effect::Listed(endpoint));
                     }
                 }
-                InternalEvent::OriginRestart => self.set_process(self.origin, Process::Up, out),
+                InternalEvent::OriginRestart => self.set_process(self.origin, ProcessState::Up, out),
                 InternalEvent::Fault(n) => {
                     let event = self.fault_events[n].1.clone();
                     self.apply(now, event, out);
--- a/crates/lab-world/src/serve.rs
+++ b/crates/lab-world/src/serve.rs
@@ -4,7 +4,7 @@
 use aniseyoke_lab_day::clock::unit_fraction;
 use aniseyoke_lab_day::FaultKind;
 
-impl World {
+impl SiteModel {
     /// A write counts as executed from here; of repeats with one idempotency key only the first does.
     pub(super) fn started(&mut self, now: Nanos, attempt_id: AttemptId, out: &mut Vec<Effect>) {
         let Some(work) = self.in_progress.get(&attempt_id) else { return };
@@ -53,7 +53,7 @@
             let misses = self.misses.remove(&attempt.request).unwrap_or_default();
             for member in misses.members.into_iter().take(STORED_AT) {
                 let node = &mut self.members[member];
-                if node.process == Process::Up {
+                if node.process == ProcessState::Up {
                     node.cache.store(now, attempt.key, version);
                 }
             }
@@ -82,7 +82,7 @@
     /// would pass for one that was executed.
     pub(super) fn reply(&mut self, _now: Nanos, attempt: Attempt, reply: Reply, out: &mut Vec<Effect>) {
         let served = matches!(reply, Reply::Served { .. });
-        let delivery = if served { self.delivery(&attempt) } else { Delivery::Whole };
+        let delivery = if served { self.delivery(&attempt) } else { Delivery::Unmodified };
         out.push(Effect::Reply { attempt_id: attempt.attempt_id, reply, delivery });
     }
 
@@ -105,6 +105,6 @@
                 };
             }
         }
-        Delivery::Whole
+        Delivery::Unmodified
     }
 }
--- a/crates/lab-world/src/tests.rs
+++ b/crates/lab-world/src/tests.rs
@@ -4,7 +4,7 @@
 use aniseyoke_lab_day::clock::{MILLISECOND, SECOND};
 
 struct Driver {
-    world: World,
+    model: SiteModel,
     now: Nanos,
     attempt_id: AttemptId,
 }
@@ -14,9 +14,9 @@
         let mut day = Day::open("quiet").expect("built in");
         day.site.cache.error_rate = 0.0;
         change(&mut day);
-        let mut world = World::new(&day, &KeySpace::new(&day));
-        world.begin(0);
-        Driver { world, now: 0, attempt_id: 0 }
+        let mut model = SiteModel::new(&day, &KeySpace::new(&day));
+        model.begin(0);
+        Driver { model, now: 0, attempt_id: 0 }
     }
 
     fn attempt(
@@ -32,16 +32,16 @@
         let mut out = Vec::new();
         let attempt =
             Attempt { attempt_id: self.attempt_id, member, request, class, key, write, idempotency_key };
-        self.world.arrive(self.now, attempt, &mut out);
+        self.model.arrive(self.now, attempt, &mut out);
         out
     }
 
     fn pass(&mut self, span: Nanos) -> Vec<Effect> {
         let end = self.now + span;
         let mut out = Vec::new();
-        while let Some(due) = self.world.next_due().filter(|due| *due <= end) {
+        while let Some(due) = self.model.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            self.world.tick(self.now, &mut out);
+            self.model.tick(self.now, &mut out);
         }
         self.now = end;
         out
@@ -61,7 +61,7 @@
 #[test]
 fn a_miss_is_stored_where_it_missed_and_a_write_voids_it() {
     let mut driver = Driver::new(|_| {});
-    let origin = driver.world.origin;
+    let origin = driver.model.origin;
     driver.attempt(3, 1, NEW_KEY, false, None);
     assert_eq!(Driver::replies(&driver.pass(SECOND)), [Reply::Miss]);
     driver.attempt(origin, 1, NEW_KEY, false, None);
@@ -77,7 +77,7 @@
 #[test]
 fn repeats_run_once_within_the_window_and_again_after_it() {
     let mut driver = Driver::new(|_| {});
-    let origin = driver.world.origin;
+    let origin = driver.model.origin;
     let executed = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Executed(_))).count();
     assert_eq!(executed(&driver.attempt(origin, 1, 5, true, Some(9))), 1);
     driver.pass(5 * SECOND);
@@ -92,16 +92,19 @@
         let fault = "kind = \"silence\"\nat = \"1s\"\nfor = \"3s\"\nnodes = [2]";
         day.faults.push(toml::from_str(fault).expect("a fault"));
     });
-    let popular = KeySpace::new(&driver.world.day).key(0);
+    let popular = KeySpace::new(&driver.model.day).key(0);
     driver.attempt(2, 1, popular, false, None);
     assert_eq!(Driver::replies(&driver.pass(900 * MILLISECOND)).len(), 1);
     let effects = driver.pass(200 * MILLISECOND);
-    assert!(effects.contains(&Effect::Process(2, Process::Silent)), "{effects:?}");
+    assert!(effects.contains(&Effect::ProcessState(2, ProcessState::Silent)), "{effects:?}");
     driver.attempt(2, 2, popular, false, None);
     assert_eq!(Driver::replies(&driver.pass(2 * SECOND)), []);
     let effects = driver.pass(SECOND);
-    assert!(effects.ends_with(&[Effect::Process(2, Process::Down), Effect::Process(2, Process::Up)]));
-    assert!(driver.world.is_cold(2, driver.now));
+    assert!(effects.ends_with(&[
+        Effect::ProcessState(2, ProcessState::Down),
+        Effect::ProcessState(2, ProcessState::Up)
+    ]));
+    assert!(driver.model.is_cold(2, driver.now));
     driver.attempt(2, 3, popular, false, None);
     assert_eq!(Driver::replies(&driver.pass(SECOND)), [Reply::Miss]);
 }
@@ -114,7 +117,7 @@
     let effects = driver.pass(40 * SECOND);
     let count = |f: fn(&Effect) -> bool| effects.iter().filter(|e| f(e)).count();
     assert_eq!(count(|e| matches!(e, Effect::Joined(_))), 10);
-    assert_eq!(count(|e| matches!(e, Effect::Process(_, Process::Down))), 10);
+    assert_eq!(count(|e| matches!(e, Effect::ProcessState(_, ProcessState::Down))), 10);
     let listed = |state| {
         let of = |e: &&Effect| matches!(e, Effect::Listed(endpoint) if endpoint.state == state);
         effects.iter().filter(of).count()
@@ -123,7 +126,7 @@
         (listed(EndpointState::Draining), listed(EndpointState::Ready), listed(EndpointState::Gone)),
         (10, 10, 10)
     );
-    assert_eq!(driver.world.endpoint_list().all().len(), 11);
+    assert_eq!(driver.model.endpoint_list().all().len(), 11);
 }
 
 /// Danger: an origin that cannot be overloaded would hide every thundering herd.
@@ -136,7 +139,7 @@
         day.site.cache.overload_multiple = 1000.0;
     });
     driver.pass(2100 * MILLISECOND);
-    let origin = driver.world.origin;
+    let origin = driver.model.origin;
     let mut seen = Vec::new();
     for request in 0..2000 {
         seen.extend(driver.attempt(0, request, 1000 + request, false, None));
@@ -150,9 +153,9 @@
         seen.iter()
             .find_map(|e| if let Effect::OriginOverloaded(fraction) = e { Some(*fraction) } else { None });
     assert!(fraction.is_some_and(|fraction| fraction > 0.3), "{fraction:?}");
-    assert_eq!(driver.world.process(origin), Process::Down);
+    assert_eq!(driver.model.process(origin), ProcessState::Down);
     driver.pass(5 * SECOND);
-    assert_eq!(driver.world.process(origin), Process::Up);
+    assert_eq!(driver.model.process(origin), ProcessState::Up);
 }
 
 #[test]
