--- a/crates/lab-world/src/apply.rs
+++ b/crates/lab-world/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applies faults and overload to the members: processes end and restart, and discovery lists it some time later.
+//! Applies faults and overload to members: processes end and restart, and the endpoint list changes after a delay.
 
 use super::*;
 use aniseyoke_lab_day::clock::unit_fraction;
@@ -11,7 +11,7 @@
         }
     }
 
-    /// A machine's process ends, or goes silent, and loses its work and its cache.
+    /// Ends or silences a member's process, which loses its work in progress and its cache.
     fn stop_process(&mut self, now: Nanos, member: usize, process: ProcessState, out: &mut Vec<Effect>) {
         self.members[member].machine.stop(now);
         self.members[member].machine.forecast += 1;
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Has discovery list a change, some time later.
+    /// Schedules a change of the endpoint list after the lag of discovery, drawn from the day's seed.
     fn list(&mut self, now: Nanos, member: usize, state: EndpointState, salt: u64) {
         let delays = &self.day.site.discovery;
-        let drawn = unit_fraction(mix(self.day.seed, 0x115 + salt, member as u64 ^ now));
-        let (least, most) = (nanos(delays.min_lag), nanos(delays.max_lag));
-        let lag = least + ((most - least) as f64 * drawn) as Nanos;
+        let lag_fraction = unit_fraction(mix(self.day.seed, 0x115 + salt, member as u64 ^ now));
+        let (shortest, longest) = (nanos(delays.min_lag), nanos(delays.max_lag));
+        let lag = shortest + ((longest - shortest) as f64 * lag_fraction) as Nanos;
         let started = self.members[member].started;
         self.schedule(now + lag, InternalEvent::Publish(Endpoint { member, state, started }));
     }
@@ -59,7 +59,7 @@
             }
             FaultEvent::Restart(member) => {
                 if self.members[member].process == ProcessState::Silent {
-                    // What stood open is reset once the machine is back.
+                    // Connections opened before the silence are reset when the machine returns.
                     self.set_process(member, ProcessState::Down, out);
                 }
                 self.members[member].started = Some(now);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Lists these members as draining, and tells of every member if that changed the list.
+    /// Lists these members as draining, and emits an effect for every entry if that changed the list.
     fn misreport(&mut self, members: Vec<usize>, out: &mut Vec<Effect>) {
         let before = self.endpoint_list.version();
         self.endpoint_list.misreport(members);
--- a/crates/lab-world/src/connection_load.rs
+++ b/crates/lab-world/src/connection_load.rs
@@ -1,46 +1,47 @@
-//! Connections and attempts in flight at each member, against the limits of cache nodes, and what was rejected past those.
+//! Counts connections and attempts in flight at each member, applies the connection limits of cache nodes, and counts
+//! rejections.
 
 use aniseyoke_lab_day::clock::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// The connections that a cache node accepts of all proxies together. Past that it rejects a connection's first request
-/// and closes it.
+/// Limits on the connections that a cache node accepts from all proxies together. Past a limit, the node rejects the
+/// first request of a new connection and closes it.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConnectionLimits {
-    /// Connections open at once; no limit if not given.
+    /// Maximum number of open connections; unlimited if absent.
     pub connections: Option<u64>,
-    /// Connections opened in a second; no limit if not given.
+    /// Maximum number of connections opened per second; unlimited if absent.
     pub opens_per_second: Option<u64>,
 }
 
-/// Connections and attempts at all members of a kind.
+/// Counts of connections and attempts at all cache nodes, or at the origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MemberLoad {
-    /// Connections opened, for each second from the site's opening.
+    /// Connections opened in each second since the site opened.
     pub opened: Vec<u64>,
-    /// The most opened at any one member, for each second.
+    /// Maximum number of connections opened at a single member in each second.
     #[serde(rename = "opened_most")]
     pub max_opened: Vec<u64>,
-    /// The most connections open at once at any one member.
+    /// Maximum number of open connections at a single member.
     #[serde(rename = "held_most")]
     pub max_open: u64,
-    /// The most attempts in flight at any one member.
+    /// Maximum number of attempts in flight at a single member.
     #[serde(rename = "out_most")]
     pub max_in_flight: u64,
-    /// Connections rejected for being past a node's limits, for each second.
+    /// Connections rejected because of a node's limits in each second.
     #[serde(rename = "turned")]
     pub rejected_connections: Vec<u64>,
-    /// Attempts rejected since slots and queue were full.
+    /// Attempts rejected because slots and queue were full.
     #[serde(rename = "full")]
     pub rejected_attempts: u64,
 }
 
-/// Seconds that are counted.
-const MAX_SECONDS: usize = 86_400;
+/// Seconds with a counter of their own; later events count towards the last one.
+const MAX_COUNTED_SECONDS: usize = 86_400;
 
 fn at(counts: &mut Vec<u64>, second: usize) -> &mut u64 {
-    let second = second.min(MAX_SECONDS);
+    let second = second.min(MAX_COUNTED_SECONDS);
     if counts.len() <= second {
         counts.resize(second + 1, 0);
     }
@@ -55,16 +56,16 @@
     opened: u64,
 }
 
-/// Counts connections and attempts in flight at each member.
+/// Tracks connections and attempts in flight at each member.
 pub struct ConnectionLoad {
     limits: ConnectionLimits,
     members: Vec<MemberCounts>,
-    /// At cache nodes, and at the origin.
+    /// Counts at cache nodes, then at the origin.
     load: [MemberLoad; 2],
 }
 
 impl ConnectionLoad {
-    /// Nothing counted yet, of nodes with these limits.
+    /// Creates counters at zero for nodes with these limits.
     pub fn new(limits: ConnectionLimits) -> Self {
         ConnectionLoad { limits, members: Vec::new(), load: [MemberLoad::default(), MemberLoad::default()] }
     }
@@ -76,7 +77,8 @@
         &mut self.members[member]
     }
 
-    /// A connection was opened to a member; false if it is past the member's limits.
+    /// Records a connection opened to a member; returns false if it exceeds the member's limits. The origin has no
+    /// limits.
     pub fn opened(&mut self, now: Nanos, member: usize, origin: bool) -> bool {
         let (second, limits) = ((now / SECOND) as usize, self.limits);
         let counts = self.member(member);
@@ -98,13 +100,13 @@
         !rejected_connections
     }
 
-    /// A connection to a member has ended.
+    /// Records the end of a connection to a member.
     pub fn closed(&mut self, member: usize) {
         let counts = self.member(member);
         counts.open = counts.open.saturating_sub(1);
     }
 
-    /// An attempt at a member starts, or ends.
+    /// Records the start or the end of an attempt at a member.
     pub fn in_flight(&mut self, member: usize, origin: bool, starts: bool) {
         let counts = self.member(member);
         counts.in_flight = if starts { counts.in_flight + 1 } else { counts.in_flight.saturating_sub(1) };
@@ -113,12 +115,12 @@
         load.max_in_flight = load.max_in_flight.max(in_flight);
     }
 
-    /// An attempt was rejected since slots and queue were full.
+    /// Records an attempt rejected because slots and queue were full.
     pub fn rejected(&mut self, origin: bool) {
         self.load[usize::from(origin)].rejected_attempts += 1;
     }
 
-    /// What was counted at cache nodes, and at the origin.
+    /// The counts at cache nodes, then at the origin.
     pub fn load(&self) -> [MemberLoad; 2] {
         self.load.clone()
     }
--- a/crates/lab-world/src/endpoint_list.rs
+++ b/crates/lab-world/src/endpoint_list.rs
@@ -1,21 +1,21 @@
-//! The endpoint list of discovery: its version, and the changes since a version.
+//! The endpoint list that discovery serves: its version, and the changes since an earlier version.
 
 use aniseyoke_lab_day::clock::Nanos;
 use std::collections::VecDeque;
 
-/// A member's state in the list.
+/// A member's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// No longer in the fleet.
+    /// Removed from the fleet.
     Gone,
 }
 
 impl EndpointState {
-    /// Its name in discovery's form.
+    /// The state's name in the JSON of discovery.
     pub fn name(self) -> &'static str {
         match self {
             EndpointState::Ready => "ready",
@@ -25,32 +25,32 @@
     }
 }
 
-/// How one member is listed.
+/// The entry of one member in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Endpoint {
-    /// Which member.
+    /// The member's index.
     pub member: usize,
-    /// Its state.
+    /// The listed state.
     pub state: EndpointState,
-    /// Its last start; none: long ago.
+    /// The member's last start; `None` if it was running before the day began.
     pub started: Option<Nanos>,
 }
 
-/// Changes that are kept; a caller that is further behind gets the whole list.
-const MAX_CHANGES: usize = 1024;
+/// Changes retained; a caller with an older version gets the full list.
+const MAX_RETAINED_CHANGES: usize = 1024;
 
-/// The list and its history.
+/// The endpoint list and its recent changes.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     version: u64,
     endpoints: Vec<Option<Endpoint>>,
     changes: VecDeque<(u64, Endpoint)>,
-    /// Members listed as draining, whatever they are.
+    /// Members listed as draining while they are ready.
     misreported: Vec<usize>,
 }
 
 impl EndpointList {
-    /// The list of these members, all of them ready.
+    /// Creates a list of this many members, all of them ready.
     pub fn new(members: usize) -> Self {
         let endpoint = |member| Some(Endpoint { member, state: EndpointState::Ready, started: None });
         EndpointList {
@@ -65,7 +65,7 @@
         self.version
     }
 
-    /// Lists a change.
+    /// Applies a change to the list; the version rises if the visible entry changes.
     pub fn publish(&mut self, endpoint: Endpoint) {
         if self.endpoints.len() <= endpoint.member {
             self.endpoints.resize(endpoint.member + 1, None);
@@ -81,12 +81,12 @@
         self.version += 1;
         let entry = self.entry(endpoint.member).unwrap_or(endpoint);
         self.changes.push_back((self.version, entry));
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_RETAINED_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// Lists these members as draining from now on, whatever they are, and no others.
+    /// Lists exactly these members as draining from now on if they are ready; replaces an earlier set.
     pub fn misreport(&mut self, members: Vec<usize>) {
         let before = std::mem::replace(&mut self.misreported, members);
         let changed: Vec<usize> = before
@@ -102,19 +102,19 @@
         }
     }
 
-    /// A member as the list has it.
+    /// The visible entry of a member.
     pub fn entry(&self, member: usize) -> Option<Endpoint> {
         let endpoint = self.endpoints.get(member).copied().flatten()?;
         let misreported = endpoint.state == EndpointState::Ready && self.misreported.contains(&member);
         Some(if misreported { Endpoint { state: EndpointState::Draining, ..endpoint } } else { endpoint })
     }
 
-    /// The whole list.
+    /// All entries.
     pub fn all(&self) -> Vec<Endpoint> {
         (0..self.endpoints.len()).filter_map(|m| self.entry(m)).collect()
     }
 
-    /// What has changed since a version; none if that is too long ago, or a future version.
+    /// The changes since a version; `None` if they are no longer retained, or for a future version.
     pub fn since(&self, version: u64) -> Option<Vec<Endpoint>> {
         let missed = self.version.checked_sub(version)? as usize;
         if missed > self.changes.len() {
--- a/crates/lab-world/src/fault_schedule.rs
+++ b/crates/lab-world/src/fault_schedule.rs
@@ -1,43 +1,43 @@
-//! The faults of a day as single events, each at its time, drawn by the day's seed alone.
+//! Expands the faults of a day into timed events; the result depends only on the day and its seed.
 
 use aniseyoke_lab_day::clock::{mix, nanos, Nanos, MILLISECOND, SECOND};
 use aniseyoke_lab_day::{Day, Fault, FaultKind};
 
-/// One event of a fault.
+/// One event of a fault; members and proxies are given by index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// A process dies.
+    /// A process crashes.
     Crash(usize),
-    /// It restarts, cold.
+    /// A process restarts, cold.
     Restart(usize),
-    /// A machine stops answering.
+    /// A machine stops responding.
     Silence(usize),
-    /// A node begins to drain.
+    /// A node starts to drain.
     Drain(usize),
-    /// Its process ends and a new node starts in its place.
+    /// A node's process ends and a new node starts in its place.
     Replace(usize),
-    /// A member runs at this fraction of its speed.
+    /// A member runs at this fraction of its normal speed.
     Slow(usize, f64),
-    /// A node's open connections go dead.
+    /// A node's open connections become half-open: requests on them get no response.
     HalfOpen(usize),
-    /// The day's fault `.0`, one of responses, begins or ends.
+    /// The response fault with index `.0` in the day starts (`true`) or ends.
     Responses(usize, bool),
-    /// Discovery goes down, or comes back.
+    /// Discovery comes up (`true`) or goes down.
     Discovery(bool),
-    /// Discovery lists these as draining.
+    /// Discovery lists exactly these members as draining.
     Misreport(Vec<usize>),
     /// A proxy is restarted.
     RestartProxy(usize),
 }
 
-/// Fraction of the fleet that a deploy replaces at a time.
-const DEPLOY_BATCH: f64 = 0.2;
-/// A node's process ends this long after it began to drain.
+/// Fraction of the fleet that a deploy replaces in one batch.
+const DEPLOY_BATCH_FRACTION: f64 = 0.2;
+/// Time between the start of a node's drain and the end of its process.
 const DRAIN_TIME: Nanos = 3500 * MILLISECOND;
-/// The least time between two restarts of a roll of the proxies.
+/// Minimum time between two restarts of a rolling restart of the proxies.
 const MIN_RESTART_INTERVAL: Nanos = SECOND;
 
-/// All fault events of a day, in order of time.
+/// All fault events of a day in time order.
 pub fn fault_events(day: &Day) -> Vec<(Nanos, FaultEvent)> {
     let mut fault_events = Vec::new();
     for (index, fault) in day.faults.iter().enumerate() {
@@ -47,7 +47,7 @@
     fault_events
 }
 
-/// Members that a fault hits, at least one.
+/// The members that a fault affects; at least one, unless the day lists its nodes explicitly.
 pub fn targets(day: &Day, index: usize, fault: &Fault) -> Vec<usize> {
     if let Some(nodes) = &fault.nodes {
         return nodes.clone();
@@ -77,7 +77,7 @@
             add(end, FaultEvent::Restart(*m));
         }),
         FaultKind::Deploy => {
-            let batch = ((day.site.cache.count as f64 * DEPLOY_BATCH).ceil() as usize).max(1);
+            let batch = ((day.site.cache.count as f64 * DEPLOY_BATCH_FRACTION).ceil() as usize).max(1);
             let steps = targets.len().div_ceil(batch) as u64;
             for (step, members) in targets.chunks(batch).enumerate() {
                 let from = at + step as u64 * length / steps;
--- a/crates/lab-world/src/lib.rs
+++ b/crates/lab-world/src/lib.rs
@@ -1,8 +1,8 @@
-//! The model of a site: cache nodes, the origin, the endpoint list and the faults of the day. It does no I/O and reads no
-//! clock: a driver passes the time in and carries out the returned effects, on sockets or in simulated time.
+//! The model of a site: cache nodes, the origin, the endpoint list and the faults of the day. It performs no I/O and
+//! reads no clock: a driver passes the time in and carries out the returned effects, on sockets or in simulated time.
 //!
-//! The driver calls [`SiteModel::arrive`] and [`SiteModel::cancel`] as requests come and go, and [`SiteModel::tick`] whenever
-//! [`SiteModel::next_due`] is reached; each appends [`Effect`]s.
+//! The driver calls [`SiteModel::arrive`] and [`SiteModel::cancel`] as attempts arrive and are cancelled, and
+//! [`SiteModel::tick`] whenever [`SiteModel::next_due`] is reached; each appends [`Effect`]s.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -29,103 +29,103 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use value_cache::ValueCache;
 
-/// The id of a proxy's attempt at a member, unique within the site.
+/// Id of a proxy's attempt at a member, unique within the site.
 pub type AttemptId = u64;
 
-/// An attempt whose last byte has arrived at a member.
+/// A completely received attempt at a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Its id, never used twice.
+    /// The attempt's id, never reused.
     pub attempt_id: AttemptId,
-    /// Where it arrived.
+    /// The member that received it.
     pub member: usize,
-    /// The client's request that it is for.
+    /// The client's request to which the attempt belongs.
     pub request: u64,
-    /// Its class, as the day numbers them; none: a class that the day does not have.
+    /// Index of the request's class in the day; `None` for a class that the day does not define.
     pub class: Option<usize>,
-    /// The key that it names.
+    /// The requested key.
     pub key: u64,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// A digest of its idempotency key, if it has one.
+    /// A digest of the idempotency key, if the request has one.
     pub idempotency_key: Option<u64>,
 }
 
 /// How a response is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Whole, at once.
+    /// Complete, in one write.
     Unmodified,
-    /// In pieces of this many bytes.
+    /// In fragments of this many bytes.
     Fragmented(usize),
-    /// The connection is reset in the middle of it.
+    /// The connection is reset in the middle of the response.
     Truncated,
-    /// It is no valid HTTP.
+    /// The response is not valid HTTP.
     Malformed,
-    /// It announces 3 GB and keeps coming.
+    /// The response announces 3 GB, sends part of it and stalls.
     Oversize,
 }
 
 /// A member's reply to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The value in this version, from the node's own cache, or fetched or written at the origin.
+    /// The value, from the node's own cache, or fetched or written at the origin.
     Served {
-        /// Whether the node had it cached.
+        /// Whether the value was in the node's cache.
         hit: bool,
-        /// Which version of the value.
+        /// Version of the value.
         version: u32,
     },
-    /// The node lacks the key.
+    /// The key is not in the node's cache.
     Miss,
-    /// It failed; it may have been executed.
+    /// The request failed; it may have been executed.
     Error,
-    /// Rejected; it was never executed.
+    /// The request was rejected and never executed.
     Rejected,
 }
 
-/// A process, as its peers see it.
+/// The state of a process as its peers observe it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It takes connections.
+    /// Connections are accepted.
     Up,
-    /// Connections are reset and rejected.
+    /// Open connections are reset and new ones refused.
     Down,
-    /// Nothing is answered and no connection rejected.
+    /// Nothing is answered, and connections are neither accepted nor refused.
     Silent,
 }
 
-/// What the driver is to do, or to know.
+/// An action for the driver to carry out, or an event to record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Reply to an attempt.
+    /// A reply to send to an attempt.
     Reply {
         /// The attempt.
         attempt_id: AttemptId,
         /// The reply.
         reply: Reply,
-        /// How it is written.
+        /// How the reply is written.
         delivery: Delivery,
     },
-    /// A write has begun to execute.
+    /// Execution of a write has started.
     Executed(AttemptId),
-    /// A queued attempt was dropped when its proxy cancelled it.
+    /// A queued attempt was dropped because its proxy cancelled it.
     Cancelled(AttemptId),
-    /// A new member, to be given an address. Its number is the next one.
+    /// A new member has joined and needs an address. Its index is the number of members before it.
     Joined(usize),
-    /// A member's process has changed.
+    /// A member's process has changed its state.
     ProcessState(usize, ProcessState),
-    /// A member's open connections go dead; new ones work.
+    /// A member's open connections become half-open; new ones work.
     HalfOpen(usize),
-    /// A cold node went down, overloaded.
+    /// A cold node went down under overload.
     NodeOverloaded(usize),
-    /// The origin went down, overloaded; with the fraction of its load that misses at cold nodes caused.
+    /// The origin went down under overload; `.0` is the fraction of its load that misses at cold nodes caused.
     OriginOverloaded(f64),
-    /// The endpoint list has changed in this entry.
+    /// This entry of the endpoint list has changed.
     Listed(Endpoint),
-    /// Discovery is up, or down.
+    /// Discovery has come up (`true`) or gone down.
     Discovery(bool),
-    /// A proxy is to be restarted.
+    /// The proxy with this index must be restarted.
     RestartProxy(usize),
 }
 
@@ -144,7 +144,7 @@
     version: u32,
 }
 
-/// What happens by itself, when it is due.
+/// An event that the model schedules for itself.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum InternalEvent {
     Machine { member: usize, forecast: u64 },
@@ -153,12 +153,12 @@
     Fault(usize),
 }
 
-/// Misses, and idempotency keys, that are remembered; beyond that the oldest are forgotten.
-const MAX_REMEMBERED: usize = 1 << 17;
-/// A miss is remembered for this long; the origin's reply is stored where it missed.
+/// Maximum number of retained misses, and of retained idempotency keys; beyond it the oldest are dropped.
+const MAX_HISTORY_ENTRIES: usize = 1 << 17;
+/// Retention of a miss; within it the value fetched from the origin is cached at the nodes that missed.
 const MISS_RETENTION: Nanos = 10 * aniseyoke_lab_day::clock::SECOND;
-/// A value is stored at this many of the nodes that missed, the first ones.
-const STORED_AT: usize = 2;
+/// Maximum number of nodes that cache a fetched value: the first ones that missed.
+const MAX_STORING_NODES: usize = 2;
 
 #[derive(Default)]
 struct Misses {
@@ -181,12 +181,12 @@
     executed_keys: HashMap<u64, Nanos>,
     executed_keys_order: VecDeque<(Nanos, u64)>,
     due: BinaryHeap<Reverse<(Nanos, u64, InternalEvent)>>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl SiteModel {
-    /// The site as it is when the day begins: every node up and warm, with the most popular values cached. No fault is
-    /// injected before [`SiteModel::begin`].
+    /// Creates the site in its state at the start of the day: every node is up and warm, with the most popular values
+    /// cached. No fault is injected before [`SiteModel::begin`].
     pub fn new(day: &Day, key_space: &KeySpace) -> Self {
         let cache = &day.site.cache;
         let mut model = SiteModel {
@@ -203,12 +203,12 @@
             executed_keys: HashMap::new(),
             executed_keys_order: VecDeque::new(),
             due: BinaryHeap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
         };
         for n in 0..cache.count {
             let kind = model.kind_of(n);
             let mut member = model.node(n, kind);
-            // The most popular last, so that it is the most recently used.
+            // The most popular value is stored last, so that it is the most recently used.
             let cache_capacity = model.cache_capacity();
             (0..cache_capacity.min(day.load.keys))
                 .rev()
@@ -220,25 +220,25 @@
         model
     }
 
-    /// Empties every node's cache, for a driver that fills them by load of its own.
+    /// Clears every node's cache, for a driver that fills the caches with its own load.
     pub fn clear_caches(&mut self) {
         self.members.iter_mut().for_each(|m| m.cache.clear());
     }
 
-    /// Multiplies the origin's speed from now on, while caches are filled.
+    /// Multiplies the origin's normal speed from now on; a driver uses it while it fills the caches.
     pub fn speed_up_origin(&mut self, now: Nanos, times: f64) {
         let origin = self.origin;
         self.members[origin].machine.set_speed_factor(now, times);
         self.forecast(now, origin);
     }
 
-    /// A node's load report.
+    /// A member's load report.
     pub fn load(&mut self, now: Nanos, member: usize) -> Option<Load> {
         let (busy, rate) = self.members[member].machine.load_report(now)?;
         Load::new(busy, rate)
     }
 
-    /// Begins the day: faults are injected at their times from here on.
+    /// Starts the day: faults are injected at their times, counted from `now`.
     pub fn begin(&mut self, now: Nanos) {
         for n in 0..self.fault_events.len() {
             self.schedule(now + self.fault_events[n].0, InternalEvent::Fault(n));
@@ -249,13 +249,13 @@
         (self.day.site.cache.memory_fraction * self.day.load.keys as f64).ceil() as u64
     }
 
-    /// The kind of node `n`: kinds are spread by their shares over the numbers of the nodes.
+    /// The kind of node `n`: kinds are assigned to node indices in proportion to their shares.
     fn kind_of(&self, n: usize) -> usize {
         let cache = &self.day.site.cache;
-        let mut left = (n as f64 + 0.5) / cache.count as f64;
+        let mut remaining = (n as f64 + 0.5) / cache.count as f64;
         for (k, kind) in cache.kinds.iter().enumerate() {
-            left -= kind.share;
-            if left < 0.0 {
+            remaining -= kind.share;
+            if remaining < 0.0 {
                 return k;
             }
         }
@@ -311,7 +311,7 @@
         }
     }
 
-    /// The number of members so far, the origin and those that are gone included.
+    /// The number of members so far, including the origin and members that are gone.
     pub fn members(&self) -> usize {
         self.members.len()
     }
@@ -321,7 +321,7 @@
         member == self.origin
     }
 
-    /// A member's id and kind, as discovery lists them.
+    /// A member's id and kind as listed by discovery.
     pub fn name(&self, member: usize) -> (&str, &str) {
         (&self.members[member].id, &self.members[member].kind)
     }
@@ -336,28 +336,28 @@
         self.members[member].machine.is_cold(now)
     }
 
-    /// The last start of a member that is still warming up, and the work, in nanoseconds on a core of speed 1, that it may be
-    /// sent now within the overload window; none for a warm one.
+    /// The last start of a member that is still warming up, and the work, in nanoseconds on a core of speed 1, that it
+    /// may be sent within the overload window; `None` for a warm member.
     pub fn slow_start_budget(&self, member: usize, now: Nanos) -> Option<(Nanos, f64)> {
         self.members[member].machine.slow_start_budget(now)
     }
 
-    /// The endpoint list as discovery has it.
+    /// The endpoint list that discovery serves.
     pub fn endpoint_list(&self) -> &EndpointList {
         &self.endpoint_list
     }
 
-    /// When the next event of the model is due.
+    /// The time of the model's next event.
     pub fn next_due(&self) -> Option<Nanos> {
         self.due.peek().map(|Reverse((at, ..))| *at)
     }
 
     fn schedule(&mut self, at: Nanos, event: InternalEvent) {
-        self.scheduled += 1;
-        self.due.push(Reverse((at, self.scheduled, event)));
+        self.scheduled_count += 1;
+        self.due.push(Reverse((at, self.scheduled_count, event)));
     }
 
-    /// Schedules a machine's next event anew; what was scheduled before is void.
+    /// Reschedules a machine's next event; events scheduled earlier are ignored.
     fn forecast(&mut self, now: Nanos, member: usize) {
         let machine = &mut self.members[member].machine;
         machine.forecast += 1;
@@ -367,7 +367,7 @@
         }
     }
 
-    /// An attempt's last byte has arrived.
+    /// Handles an attempt whose last byte has arrived.
     pub fn arrive(&mut self, now: Nanos, attempt: Attempt, out: &mut Vec<Effect>) {
         let Attempt { attempt_id, member, request, class, key, write, .. } = attempt;
         if self.members[member].process != ProcessState::Up {
@@ -383,8 +383,8 @@
             (true, true, _) | (false, _, true) => full_work,
             (false, _, false) => (full_work as f64 * self.day.site.cache.miss_work) as Nanos,
         };
-        let from_cold = at_origin && self.misses.get(&request).is_some_and(|m| m.cold);
-        let admitted = self.members[member].machine.admit(now, attempt_id, work, from_cold);
+        let from_cold_node = at_origin && self.misses.get(&request).is_some_and(|m| m.cold);
+        let admitted = self.members[member].machine.admit(now, attempt_id, work, from_cold_node);
         if matches!(admitted, Admitted::Started | Admitted::Queued) {
             self.in_progress.insert(attempt_id, InProgress { attempt, hit, version });
         }
@@ -397,7 +397,7 @@
         self.forecast(now, member);
     }
 
-    /// A proxy cancels an attempt.
+    /// Handles the cancellation of an attempt by its proxy.
     pub fn cancel(&mut self, attempt_id: AttemptId, out: &mut Vec<Effect>) {
         let Some(member) = self.in_progress.get(&attempt_id).map(|w| w.attempt.member) else { return };
         if self.members[member].machine.cancel(attempt_id) {
@@ -417,7 +417,7 @@
                     self.members[member].machine.update_speed(now);
                     let mut begun = Vec::new();
                     while let Some(attempt_id) =
-                        self.members[member].machine.take_done(now, |t| begun.push(t))
+                        self.members[member].machine.pop_completed(now, |t| begun.push(t))
                     {
                         self.finished(now, attempt_id, out);
                     }
--- a/crates/lab-world/src/machine.rs
+++ b/crates/lab-world/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine, a cache node or the origin: slots, queue, warm-up, and going down under overload.
+//! The machine of a cache node or the origin: slots, queue, warm-up, and failure under overload.
 
 use super::processor_sharing::ProcessorSharing;
 use super::work_window::{capacity_fraction, WorkWindow};
@@ -9,64 +9,64 @@
 /// The size and speed of a machine, and its limits.
 #[derive(Clone, Debug)]
 pub struct MachineSpec {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of each.
+    /// Speed of each core.
     pub speed: f64,
-    /// Requests processed at once.
+    /// Maximum number of requests processed concurrently.
     pub slots: usize,
-    /// Requests queued.
+    /// Maximum number of queued requests.
     pub queue_capacity: usize,
-    /// Queued work is dropped when cancelled.
+    /// Whether cancelled work is removed from the queue.
     pub cancels_queued: bool,
-    /// It has its whole capacity after this time.
+    /// Time after a start until the machine has its full capacity.
     pub warm_up: Nanos,
-    /// Fraction of its capacity that it starts with.
+    /// Fraction of its capacity right after a start.
     pub initial_capacity: f64,
-    /// It goes down when sent more than this multiple of its capacity...
+    /// The machine goes down when sent more than this multiple of its capacity within `overload_window`.
     pub overload_multiple: f64,
-    /// ...within this time.
+    /// Length of the window over which sent work is summed.
     pub overload_window: Nanos,
-    /// Whether that holds for a warm machine too.
+    /// Whether a warm machine can go down too.
     pub overloads_when_warm: bool,
 }
 
-/// A load report is made anew after this time.
+/// Interval at which the load report is refreshed.
 const REPORT_INTERVAL: Nanos = 250 * aniseyoke_lab_day::clock::MILLISECOND;
 
-/// Whether new work was admitted.
+/// The outcome of admitting new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admitted {
-    /// It is being processed.
+    /// Processing has started.
     Started,
-    /// It is queued.
+    /// The work is queued.
     Queued,
-    /// It was rejected: slots and queue are full.
+    /// The work was rejected because slots and queue are full.
     Rejected,
-    /// The machine went down under it.
+    /// The machine went down under the load.
     Overloaded,
 }
 
-/// A machine at work.
+/// The state of one machine.
 #[derive(Debug)]
 pub struct Machine {
     spec: MachineSpec,
     processor: ProcessorSharing,
     queue: VecDeque<(AttemptId, Nanos)>,
-    /// When it started; none: long ago.
+    /// The last start; `None` if the machine was running before the day began.
     started: Option<Nanos>,
-    /// Its present speed as a fraction of its normal one.
+    /// The present speed as a fraction of the normal one, set by faults.
     speed_factor: f64,
     window: WorkWindow,
-    /// Its last report: when, the busy time and the work done by then, and what was reported.
+    /// The last load report: its time, busy time and completed requests until then, and the reported values.
     last_report: (Nanos, f64, u64, Option<(f64, f64)>),
     done: u64,
-    /// Counts what makes an earlier forecast of its next event void.
+    /// Generation of the forecast of the next event; a scheduled event of an earlier generation is ignored.
     pub forecast: u64,
 }
 
 impl Machine {
-    /// A machine that has been running for long.
+    /// Creates a warm machine.
     pub fn new(spec: MachineSpec) -> Self {
         let (processor, window) =
             (ProcessorSharing::new(spec.cores, spec.speed), WorkWindow::new(spec.overload_window));
@@ -83,32 +83,32 @@
         }
     }
 
-    /// The process starts anew, cold and empty.
+    /// Restarts the process, cold and without work.
     pub fn restart(&mut self, now: Nanos) {
         self.stop(now);
         self.started = Some(now);
         self.update_speed(now);
     }
 
-    /// The process ends and loses its work.
+    /// Ends the process, which loses its work.
     pub fn stop(&mut self, now: Nanos) {
         self.processor.clear(now);
         self.queue.clear();
         self.window.clear();
     }
 
-    /// Whether it is still warming up.
+    /// Whether the machine is still warming up.
     pub fn is_cold(&self, now: Nanos) -> bool {
         self.started.is_some_and(|started| now < started + self.spec.warm_up)
     }
 
-    /// Its last start and the work that it may be sent now within the overload window, while it is warming up.
+    /// The last start and the work that the machine may be sent within the overload window; `None` for a warm machine.
     pub fn slow_start_budget(&self, now: Nanos) -> Option<(Nanos, f64)> {
         let started = self.started.filter(|_| self.is_cold(now))?;
         Some((started, self.spec.overload_multiple * self.capacity(now) * self.spec.overload_window as f64))
     }
 
-    /// Cores times speed, as far as it has warmed up, passing faults not counted.
+    /// Cores times speed times the warmed-up fraction, without the effect of faults.
     fn capacity(&self, now: Nanos) -> f64 {
         let age = self.started.map_or(Nanos::MAX, |started| now.saturating_sub(started));
         self.spec.cores
@@ -116,7 +116,7 @@
             * capacity_fraction(age, self.spec.warm_up, self.spec.initial_capacity)
     }
 
-    /// The fraction of its cores that was busy lately, and requests done a second, taken anew each [`REPORT_INTERVAL`].
+    /// The busy fraction of the cores and the requests completed per second, refreshed every [`REPORT_INTERVAL`].
     pub fn load_report(&mut self, now: Nanos) -> Option<(f64, f64)> {
         let (at, busy, done, reported) = self.last_report;
         let span = now.saturating_sub(at);
@@ -131,32 +131,38 @@
         reported
     }
 
-    /// Runs at this fraction of its speed from now on.
+    /// Sets the speed to this fraction of the normal one.
     pub fn set_speed_factor(&mut self, now: Nanos, fraction: f64) {
         self.speed_factor = fraction;
         self.update_speed(now);
     }
 
-    /// Adapts the speed to how far it has warmed up.
+    /// Adapts the speed to the current capacity during warm-up.
     pub fn update_speed(&mut self, now: Nanos) {
         let speed = self.capacity(now) / self.spec.cores * self.speed_factor;
         self.processor.set_speed(now, speed);
     }
 
-    /// Requests being processed and queued.
+    /// Number of requests in processing or queued.
     #[cfg(test)]
     pub fn pending(&self) -> usize {
         self.processor.len() + self.queue.len()
     }
 
-    /// The fraction of the work sent lately that misses at cold nodes caused.
+    /// The fraction of the work in the overload window that misses at cold nodes caused.
     pub fn cold_fraction(&self) -> f64 {
         self.window.cold_fraction()
     }
 
-    /// Takes new work; `from_cold`: a miss at a cold node caused it.
-    pub fn admit(&mut self, now: Nanos, attempt_id: AttemptId, work: Nanos, from_cold: bool) -> Admitted {
-        self.window.record(now, work, from_cold);
+    /// Admits new work; `from_cold_node` says whether a miss at a cold node caused it.
+    pub fn admit(
+        &mut self,
+        now: Nanos,
+        attempt_id: AttemptId,
+        work: Nanos,
+        from_cold_node: bool,
+    ) -> Admitted {
+        self.window.record(now, work, from_cold_node);
         let may_overload = self.spec.overloads_when_warm || self.is_cold(now);
         if may_overload && self.window.exceeds(self.spec.overload_multiple, self.capacity(now)) {
             return Admitted::Overloaded;
@@ -172,7 +178,7 @@
         Admitted::Rejected
     }
 
-    /// Cancels work; true if it was queued and is dropped. What is being processed goes on.
+    /// Cancels work; returns true if it was removed from the queue. Work in processing continues.
     pub fn cancel(&mut self, attempt_id: AttemptId) -> bool {
         if !self.spec.cancels_queued {
             return false;
@@ -182,9 +188,9 @@
         self.queue.len() < before
     }
 
-    /// Takes work that is done; `started` is called with what starts in its place.
-    pub fn take_done(&mut self, now: Nanos, mut started: impl FnMut(AttemptId)) -> Option<AttemptId> {
-        let done = self.processor.take_done(now)?;
+    /// Removes and returns completed work; `started` is called with the queued work that starts in its place.
+    pub fn pop_completed(&mut self, now: Nanos, mut started: impl FnMut(AttemptId)) -> Option<AttemptId> {
+        let done = self.processor.pop_completed(now)?;
         self.done += 1;
         if let Some((attempt_id, work)) = self.queue.pop_front() {
             self.processor.begin(now, attempt_id, work);
@@ -193,9 +199,9 @@
         Some(done)
     }
 
-    /// When its next event is due: work is done, or it has warmed up a little.
+    /// The time of the next event: work completes, or the capacity rises by one warm-up step.
     pub fn next_due(&self, now: Nanos) -> Option<Nanos> {
-        /// Steps in which capacity rises.
+        /// Interval between updates of the speed during warm-up.
         const WARM_UP_STEP: Nanos = 100 * aniseyoke_lab_day::clock::MILLISECOND;
         let done = self.processor.next_due()?;
         Some(if self.is_cold(now) { done.min(now + WARM_UP_STEP) } else { done })
--- a/crates/lab-world/src/machine/tests.rs
+++ b/crates/lab-world/src/machine/tests.rs
@@ -16,23 +16,24 @@
 }
 
 #[test]
-fn slots_then_queue_then_rejection_and_queued_work_can_be_cancelled() {
+fn work_past_slots_and_queue_is_rejected_and_queued_work_can_be_cancelled() {
     let mut machine = Machine::new(spec());
     assert_eq!(machine.admit(0, 1, 10, false), Admitted::Started);
     assert_eq!(machine.admit(0, 2, 10, false), Admitted::Queued);
     assert_eq!(machine.admit(0, 3, 10, false), Admitted::Rejected);
-    assert!(!machine.cancel(1), "what is in work goes on");
+    assert!(!machine.cancel(1), "work in processing continues");
     let mut begun = Vec::new();
-    assert_eq!(machine.take_done(10, |id| begun.push(id)), Some(1));
+    assert_eq!(machine.pop_completed(10, |id| begun.push(id)), Some(1));
     assert_eq!(begun, [2]);
     assert_eq!(machine.admit(10, 4, 10, false), Admitted::Queued);
     assert!(machine.cancel(4));
     assert_eq!(machine.pending(), 1);
 }
 
-/// Danger: the overload of a cold node is one of the rules; a model in which nothing goes down proves nothing.
+/// Guards against a model in which cold nodes never go down: the auditor's rule on overloaded cold nodes would then
+/// pass in every trial, whatever a proxy sends.
 #[test]
-fn a_cold_machine_falls_under_what_a_warm_one_bears() {
+fn a_cold_machine_goes_down_under_work_that_a_warm_one_processes() {
     let mut machine = Machine::new(MachineSpec { slots: 100, ..spec() });
     for attempt_id in 0..20 {
         assert_eq!(machine.admit(5, attempt_id, 10, false), Admitted::Started);
--- a/crates/lab-world/src/processor_sharing.rs
+++ b/crates/lab-world/src/processor_sharing.rs
@@ -1,34 +1,34 @@
-//! Processor sharing: a machine's cores divided evenly among the work in progress.
+//! Processor sharing: a machine's cores are divided evenly among the jobs in progress.
 
 use aniseyoke_lab_day::clock::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Work in progress on some cores. Each piece gets an equal share of them, and never more than one core.
+/// Jobs in progress on a set of cores. Each job gets an equal share of the cores, and never more than one core.
 ///
-/// It counts the service that a piece begun at the start would have had (`served`), so that each piece is done once
-/// that count reaches the piece's finish mark, whatever the rate did in between.
+/// `served` is the service that a job running since the beginning would have received. A job is complete when `served`
+/// reaches the job's finish mark, so changes of the rate need no update of each job.
 #[derive(Debug)]
 pub struct ProcessorSharing {
     cores: f64,
-    /// Speed of one core, times whatever slows it now.
+    /// Speed of one core, including slowdowns.
     speed: f64,
-    /// Service for each piece so far, in nanoseconds of work.
+    /// Service per job so far, in nanoseconds of work.
     served: f64,
-    /// Time that cores were busy, in nanoseconds.
+    /// Accumulated busy time of the cores, in nanoseconds.
     busy: f64,
     last: Nanos,
-    /// Finish marks and ids of the pieces.
+    /// Finish marks and ids of the jobs in progress.
     finish_marks: BinaryHeap<Reverse<(u64, u64)>>,
 }
 
 impl ProcessorSharing {
-    /// Idle cores of this speed.
+    /// Creates idle cores of this speed.
     pub fn new(cores: f64, speed: f64) -> Self {
         ProcessorSharing { cores, speed, served: 0.0, busy: 0.0, last: 0, finish_marks: BinaryHeap::new() }
     }
 
-    /// Pieces in progress.
+    /// Number of jobs in progress.
     pub fn len(&self) -> usize {
         self.finish_marks.len()
     }
@@ -46,36 +46,36 @@
         self.last = now;
     }
 
-    /// Time that cores have been busy so far, in nanoseconds.
+    /// The accumulated busy time of the cores, in nanoseconds.
     pub fn busy(&mut self, now: Nanos) -> f64 {
         self.advance(now);
         self.busy
     }
 
-    /// From now on a core has this speed.
+    /// Sets the speed of a core from now on.
     pub fn set_speed(&mut self, now: Nanos, speed: f64) {
         self.advance(now);
         self.speed = speed;
     }
 
-    /// Begins a piece of so much work, in nanoseconds on a core of speed 1.
+    /// Starts a job with this amount of work, in nanoseconds on a core of speed 1.
     pub fn begin(&mut self, now: Nanos, id: u64, work: Nanos) {
         self.advance(now);
         self.finish_marks.push(Reverse((self.served as u64 + work, id)));
     }
 
-    /// When the next piece will be done if nothing changes.
+    /// The time at which the next job completes if nothing changes.
     pub fn next_due(&self) -> Option<Nanos> {
         let Reverse((finish_mark, _)) = self.finish_marks.peek()?;
-        let left = (*finish_mark as f64 - self.served).max(0.0);
-        Some(self.last.saturating_add((left / self.rate()).ceil() as Nanos))
+        let remaining = (*finish_mark as f64 - self.served).max(0.0);
+        Some(self.last.saturating_add((remaining / self.rate()).ceil() as Nanos))
     }
 
-    /// Takes a piece that is done.
-    pub fn take_done(&mut self, now: Nanos) -> Option<u64> {
+    /// Removes and returns a completed job.
+    pub fn pop_completed(&mut self, now: Nanos) -> Option<u64> {
         self.advance(now);
         let Reverse((finish_mark, id)) = *self.finish_marks.peek()?;
-        // A nanosecond of rounding must not leave a piece for ever.
+        // Tolerates a rounding error of one nanosecond, which could otherwise keep a job from ever completing.
         if finish_mark as f64 > self.served + 1.0 {
             return None;
         }
@@ -83,7 +83,7 @@
         Some(id)
     }
 
-    /// Drops everything.
+    /// Drops all jobs.
     pub fn clear(&mut self, now: Nanos) {
         self.finish_marks.clear();
         self.last = now;
--- a/crates/lab-world/src/serve.rs
+++ b/crates/lab-world/src/serve.rs
@@ -1,11 +1,12 @@
-//! How a member serves an attempt: execution, deduplication by idempotency key, misses, stored values, the reply.
+//! Serving an attempt at a member: execution, deduplication by idempotency key, misses, cached values and the reply.
 
 use super::*;
 use aniseyoke_lab_day::clock::unit_fraction;
 use aniseyoke_lab_day::FaultKind;
 
 impl SiteModel {
-    /// A write counts as executed from here; of repeats with one idempotency key only the first does.
+    /// Handles the start of processing. A write at the origin counts as executed from here on; of the repeats with one
+    /// idempotency key within the deduplication window, only the first is executed.
     pub(super) fn started(&mut self, now: Nanos, attempt_id: AttemptId, out: &mut Vec<Effect>) {
         let Some(work) = self.in_progress.get(&attempt_id) else { return };
         if !work.attempt.write || work.attempt.member != self.origin {
@@ -14,7 +15,7 @@
         let window = nanos(self.day.site.origin.dedup_window);
         if let Some(idempotency_key) = work.attempt.idempotency_key {
             while self.executed_keys_order.front().is_some_and(|(at, _)| at + window < now)
-                || self.executed_keys_order.len() > MAX_REMEMBERED
+                || self.executed_keys_order.len() > MAX_HISTORY_ENTRIES
             {
                 let Some((at, old)) = self.executed_keys_order.pop_front() else { break };
                 if self.executed_keys.get(&old) == Some(&at) {
@@ -51,7 +52,7 @@
             *version
         } else {
             let misses = self.misses.remove(&attempt.request).unwrap_or_default();
-            for member in misses.members.into_iter().take(STORED_AT) {
+            for member in misses.members.into_iter().take(MAX_STORING_NODES) {
                 let node = &mut self.members[member];
                 if node.process == ProcessState::Up {
                     node.cache.store(now, attempt.key, version);
@@ -64,7 +65,7 @@
 
     pub(super) fn record_miss(&mut self, now: Nanos, attempt: &Attempt) {
         while self.misses_order.front().is_some_and(|(at, _)| at + MISS_RETENTION < now)
-            || self.misses_order.len() > MAX_REMEMBERED
+            || self.misses_order.len() > MAX_HISTORY_ENTRIES
         {
             let Some((_, old)) = self.misses_order.pop_front() else { break };
             self.misses.remove(&old);
@@ -78,8 +79,8 @@
         self.misses_order.push_back((now, attempt.request));
     }
 
-    /// Danger: a reply to a request of an unknown class or of a full machine must not be truncated or malformed, or it
-    /// would pass for one that was executed.
+    /// Emits the reply. Response faults apply only to served requests: a truncated or malformed reply to a rejected
+    /// request, or to one of an unknown class, would be indistinguishable from the reply to an executed one.
     pub(super) fn reply(&mut self, _now: Nanos, attempt: Attempt, reply: Reply, out: &mut Vec<Effect>) {
         let served = matches!(reply, Reply::Served { .. });
         let delivery = if served { self.delivery(&attempt) } else { Delivery::Unmodified };
--- a/crates/lab-world/src/work_window.rs
+++ b/crates/lab-world/src/work_window.rs
@@ -1,9 +1,9 @@
-//! How much work may be sent to a machine: the rule under which cold nodes and the origin go down.
+//! The work sent to a machine within a sliding window: the rule by which cold nodes and the origin go down.
 
 use aniseyoke_lab_day::clock::Nanos;
 use std::collections::VecDeque;
 
-/// The work that was sent within a sliding window of time, and how much of it misses at cold nodes caused.
+/// The work sent within a sliding time window, and the part of it that misses at cold nodes caused.
 #[derive(Debug)]
 pub struct WorkWindow {
     span: Nanos,
@@ -12,16 +12,17 @@
     cold: u64,
 }
 
-/// Entries that a window keeps; beyond that the oldest are merged. Danger: a flood must not fill memory.
+/// Maximum number of entries in a window; beyond it the oldest are dropped, so that a flood of requests cannot exhaust
+/// memory.
 const MAX_ENTRIES: usize = 1 << 16;
 
 impl WorkWindow {
-    /// A window of this length.
+    /// Creates a window of this length.
     pub fn new(span: Nanos) -> Self {
         WorkWindow { span, entries: VecDeque::new(), total: 0, cold: 0 }
     }
 
-    /// Records work, in nanoseconds on a core of speed 1, and drops what is older than the window.
+    /// Records work, in nanoseconds on a core of speed 1, and drops entries older than the window.
     pub fn record(&mut self, now: Nanos, work: Nanos, cold: bool) {
         if self.entries.len() >= MAX_ENTRIES {
             self.drop_first();
@@ -41,25 +42,26 @@
         }
     }
 
-    /// Whether more work was sent within the window than `multiple` times what a machine of this capacity (cores times
-    /// speed) processes in it.
+    /// Whether the work sent within the window exceeds `multiple` times the work that a machine of this capacity
+    /// (cores times speed) processes in that time.
     pub fn exceeds(&self, multiple: f64, capacity: f64) -> bool {
         self.total as f64 > multiple * capacity * self.span as f64
     }
 
-    /// The fraction of the work that misses at cold nodes caused.
+    /// The fraction of the work in the window that misses at cold nodes caused.
     pub fn cold_fraction(&self) -> f64 {
         self.cold as f64 / self.total.max(1) as f64
     }
 
-    /// Forgets everything.
+    /// Removes all entries.
     pub fn clear(&mut self) {
         (self.total, self.cold) = (0, 0);
         self.entries.clear();
     }
 }
 
-/// The fraction of its capacity that a machine has at an age, rising linearly from `initial` to 1.
+/// The fraction of its full capacity that a machine has at this age; rises linearly from `initial` to 1 during
+/// `warm_up`.
 pub fn capacity_fraction(age: Nanos, warm_up: Nanos, initial: f64) -> f64 {
     if age >= warm_up {
         return 1.0;
