--- a/crates/lab-site/src/discovery.rs
+++ b/crates/lab-site/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery on its sockets: the whole endpoint list, and long polls for its changes. Each proxy has an address of its own,
-//! so that it is known what each was notified of, and when.
+//! The discovery server: the full endpoint list, and long polls for its changes. Each proxy polls an address of its
+//! own, so that the evidence shows which change each proxy was notified of, and when.
 
 use super::http::HttpConnection;
 use super::state::SiteState;
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A long poll is held no longer than this.
-const MAX_HOLD: Duration = Duration::from_secs(60);
+/// Maximum wait of a long poll.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
-/// Serves the calls of one proxy for as long as the site is open.
+/// Serves the polls of one proxy while the site is open.
 pub async fn serve_proxy(state: Rc<SiteState>, proxy: usize, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::task::spawn_local(connection(state.clone(), proxy, stream))),
             Err(e) => {
-                tracing::warn!("discovery for proxy {proxy}: {e}");
+                tracing::warn!("failed to accept a discovery connection of proxy {proxy}: {e}");
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
@@ -30,7 +30,7 @@
     let mut up = state.discovery.subscribe();
     let mut http = HttpConnection::new(stream);
     let down = async {
-        // A site that ends takes discovery with it.
+        // The wait also ends when the site closes and the sender is dropped.
         let _ = up.wait_for(|up| !up).await;
     };
     let broken = tokio::select! {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The value of a query parameter.
+/// The value of a numeric query parameter.
 pub fn query_parameter(path: &str, name: &str) -> Option<u64> {
     let query = path.split_once('?')?.1;
     query
@@ -53,7 +53,8 @@
         .and_then(|(_, v)| v.parse().ok())
 }
 
-/// The answer to a caller that has version `from`: the changes since, or the whole list; and whether it is the whole list.
+/// The entries to send to a caller with version `from`: the changes since then, or the full list; and whether it is
+/// the full list.
 fn changes_since(list: &EndpointList, from: Option<u64>) -> (Vec<Endpoint>, bool) {
     match from.and_then(|from| list.since(from)) {
         Some(changes) => (changes, false),
@@ -61,7 +62,7 @@
     }
 }
 
-/// A list, or changes of one, in discovery's form, with the addresses that `proxy` is to use.
+/// The JSON of a full list or of changes, with the addresses at which `proxy` reaches the members.
 pub fn list(state: &SiteState, proxy: usize, endpoints: &[Endpoint], full: bool) -> Value {
     let listed = |endpoint: &Endpoint| {
         let mut member = state.member(*endpoint)?;
@@ -92,9 +93,9 @@
         }
         let from = query_parameter(&head.path, "from");
         if let (Some(from), Some(hold)) = (from, query_parameter(&head.path, "hold_ms")) {
-            let hold = Duration::from_millis(hold).min(MAX_HOLD);
+            let hold = Duration::from_millis(hold).min(MAX_POLL_WAIT);
             tokio::select! {
-                // A newer version, or a future one that this discovery does not know.
+                // Also returns at once if the caller's version is newer than the list.
                 _ = list_version.wait_for(|version| *version != from) => {}
                 () = tokio::time::sleep(hold) => {}
                 () = http.closed() => return Ok(()),
--- a/crates/lab-site/src/http.rs
+++ b/crates/lab-site/src/http.rs
@@ -1,74 +1,74 @@
-//! One HTTP/1.1 connection, of a client or a server: exact about when bytes came and went, strict, and able to stop
-//! anywhere in a message. Heads are parsed by httparse.
+//! A strict HTTP/1.1 connection for clients and servers. It records exactly when the first byte of a message arrives,
+//! and it can stop at any point of a message. Heads are parsed by httparse.
 
 use std::io;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A head is at most this long, in bytes.
+/// Maximum length of a head.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Headers in a head.
+/// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 64;
-/// Read at a time.
-const READ_SIZE: usize = 16 << 10;
+/// Maximum number of bytes per read.
+const READ_SIZE_BYTES: usize = 16 << 10;
 
 /// How a body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// This many bytes.
+    /// A body of this many bytes.
     Length(u64),
-    /// In chunks.
+    /// Chunked transfer encoding.
     Chunked,
-    /// Until the connection ends.
+    /// The body extends to the end of the connection.
     Close,
 }
 
-/// A request's head, as far as a site uses it.
+/// The fields of a request's head that a site uses.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The method.
+    /// The request method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// `X-Correlation-Id`.
+    /// Value of `X-Correlation-Id`.
     pub correlation_id: Option<String>,
-    /// `Idempotency-Key`.
+    /// Value of `Idempotency-Key`.
     pub idempotency_key: Option<String>,
     /// The body's framing.
     pub framing: Framing,
 }
 
-/// A response's head, as far as a client uses it.
+/// The fields of a response's head that a client uses.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The body's framing.
     pub framing: Framing,
-    /// `Retry-After`.
+    /// Value of `Retry-After`.
     pub retry_after: Option<Duration>,
-    /// Whether the connection closes after it.
+    /// Whether the connection closes after the response.
     pub closes: bool,
 }
 
-/// How slowly a peer reads: this many bytes, then a pause.
+/// Read rate of a slow reader: a pause before each read, and the maximum number of bytes per read.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadPace(pub usize, pub Duration);
 
-/// A connection.
+/// One HTTP/1.1 connection.
 pub struct HttpConnection {
-    /// The stream; the owner may shut it down.
+    /// The underlying stream; the owner may shut it down.
     pub stream: TcpStream,
     buffer: Vec<u8>,
-    /// When the first byte of the message that is being read came.
+    /// Arrival time of the first byte of the message being read.
     pub first_byte_at: Instant,
-    /// How slowly it is read; as it comes if none.
+    /// Read rate; unlimited if absent.
     pub read_pace: Option<ReadPace>,
 }
 
-fn invalid(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why.to_owned())
+fn invalid(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason.to_owned())
 }
 
 fn trimmed_text(value: &[u8]) -> Option<String> {
@@ -81,7 +81,7 @@
         (Some(_), Some(_)) => Err(invalid("both Content-Length and Transfer-Encoding")),
         (Some(length), None) => {
             let length =
-                trimmed_text(length).and_then(|l| l.parse().ok()).ok_or(invalid("bad Content-Length"))?;
+                trimmed_text(length).and_then(|l| l.parse().ok()).ok_or(invalid("invalid Content-Length"))?;
             Ok(Framing::Length(length))
         }
         (None, Some(_)) => Ok(Framing::Chunked),
@@ -90,20 +90,20 @@
 }
 
 impl HttpConnection {
-    /// Takes a stream over.
+    /// Creates a connection on an open stream.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         HttpConnection { stream, buffer: Vec::new(), first_byte_at: Instant::now(), read_pace: None }
     }
 
-    /// Reads more; 0 at the peer's end.
+    /// Reads more bytes into the buffer; returns 0 at the end of the stream.
     async fn fill_buffer(&mut self) -> io::Result<usize> {
         let part = match self.read_pace {
             Some(ReadPace(part, pause)) => {
                 tokio::time::sleep(pause).await;
                 part
             }
-            None => READ_SIZE,
+            None => READ_SIZE_BYTES,
         };
         if self.buffer.is_empty() {
             self.stream.readable().await?;
@@ -114,7 +114,7 @@
         limited.read_buf(&mut self.buffer).await
     }
 
-    /// Whether something has come that was not read, or the peer has ended.
+    /// Whether unread bytes have arrived, or the peer has closed its side of the connection.
     pub fn has_unread_input(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return true;
@@ -129,16 +129,16 @@
         }
     }
 
-    /// Whether bytes are held that nothing has asked for.
+    /// Whether the buffer contains bytes beyond the messages read so far.
     pub fn has_buffered_input(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns once the peer has ended its sending or reset the connection; what it sends meanwhile is kept.
+    /// Waits until the peer has closed its side or reset the connection; bytes received meanwhile are buffered.
     pub async fn closed(&mut self) {
         loop {
             if self.buffer.len() > MAX_HEAD_BYTES {
-                // Danger: a peer that sends on without end must not fill memory; it is read no further.
+                // Guards against memory exhaustion by a peer that never stops sending: nothing more is read.
                 std::future::pending::<()>().await;
             }
             match self.fill_buffer().await {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Reads a head with `parse`, which says how long it is; none at the peer's end between messages.
+    /// Reads a head with `parse`, which returns the head and its length; `None` if the stream ends between messages.
     async fn read_head<T>(
         &mut self,
         parse: impl Fn(&[u8]) -> io::Result<Option<(usize, T)>>,
@@ -163,7 +163,7 @@
                     return Ok(Some(head));
                 }
                 if self.buffer.len() > MAX_HEAD_BYTES {
-                    return Err(invalid("the head does not end"));
+                    return Err(invalid("the head is too long"));
                 }
             }
             if self.fill_buffer().await? == 0 {
@@ -176,7 +176,7 @@
     /// Reads a request's head.
     ///
     /// # Errors
-    /// If the connection breaks, or what comes is no request.
+    /// If the connection fails, or the bytes received are not a valid request.
     pub async fn read_request(&mut self) -> io::Result<Option<RequestHead>> {
         self.read_head(|buffer| {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -202,10 +202,10 @@
         .await
     }
 
-    /// Reads an answer's head; interim ones are passed over.
+    /// Reads a response's head; skips interim (1xx) responses.
     ///
     /// # Errors
-    /// If the connection breaks, or what comes is no answer.
+    /// If the connection fails, or the bytes received are not a valid response.
     pub async fn read_response(&mut self) -> io::Result<Option<ResponseHead>> {
         loop {
             let head = self.read_head(|buffer| {
@@ -233,10 +233,10 @@
         }
     }
 
-    /// Reads a body, each part of it into `sink`.
+    /// Reads a body and passes each part of it to `sink`.
     ///
     /// # Errors
-    /// If it does not come whole.
+    /// If the body is incomplete or malformed.
     pub async fn read_body(&mut self, framing: Framing, mut sink: impl FnMut(&[u8])) -> io::Result<()> {
         match framing {
             Framing::Length(length) => self.read_exactly(length, &mut sink).await,
@@ -250,29 +250,29 @@
             Framing::Chunked => loop {
                 let size = self.read_line().await?;
                 let size = size.split(';').next().unwrap_or("").trim();
-                let size = u64::from_str_radix(size, 16).map_err(|_| invalid("bad chunk"))?;
+                let size = u64::from_str_radix(size, 16).map_err(|_| invalid("invalid chunk size"))?;
                 self.read_exactly(size, &mut sink).await?;
                 if size == 0 {
-                    // Trailers, up to the empty line.
+                    // Skips trailers up to the empty line.
                     while !self.read_line().await?.is_empty() {}
                     return Ok(());
                 }
                 if !self.read_line().await?.is_empty() {
-                    return Err(invalid("bad end of chunk"));
+                    return Err(invalid("missing line end after a chunk"));
                 }
             },
         }
     }
 
-    async fn read_exactly(&mut self, mut left: u64, sink: &mut impl FnMut(&[u8])) -> io::Result<()> {
-        while left > 0 {
+    async fn read_exactly(&mut self, mut remaining: u64, sink: &mut impl FnMut(&[u8])) -> io::Result<()> {
+        while remaining > 0 {
             if self.buffer.is_empty() && self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            let n = self.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+            let n = self.buffer.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
             sink(&self.buffer[..n]);
             self.buffer.drain(..n);
-            left -= n as u64;
+            remaining -= n as u64;
         }
         Ok(())
     }
@@ -280,12 +280,12 @@
     async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
-                let line = trimmed_text(&self.buffer[..end]).ok_or(invalid("bad line"))?;
+                let line = trimmed_text(&self.buffer[..end]).ok_or(invalid("a line is not valid UTF-8"))?;
                 self.buffer.drain(..=end);
                 return Ok(line);
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(invalid("a line does not end"));
+                return Err(invalid("a line is too long"));
             }
             if self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -293,15 +293,15 @@
         }
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// If the connection breaks first.
+    /// If the connection fails first.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Closes with a reset instead of an orderly end.
+    /// Closes the connection with a TCP reset instead of an orderly close.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/lab-site/src/lib.rs
+++ b/crates/lab-site/src/lib.rs
@@ -1,5 +1,5 @@
-//! The model of a site on loopback sockets, in real time: cache nodes, the origin, discovery, and the load balancer in
-//! front of the proxies.
+//! Runs the model of a site on loopback sockets in real time: cache nodes, the origin, discovery, and the load
+//! balancer in front of the proxies.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -26,60 +26,61 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-/// Where proxy `.0` is to reach a member that listens at `.1` and is of kind `.2` (`ledger` for the origin): the address
-/// of a relay of the fault rig.
+/// Returns the address at which proxy `.0` reaches a member of kind `.2` (`ledger` for the origin) that listens at
+/// `.1`: the address of a relay of the fault rig.
 pub type Route = std::sync::Arc<dyn Fn(usize, SocketAddr, &str) -> SocketAddr + Send + Sync>;
 
-/// What may be asked of a site beyond its day.
+/// Options of a site in addition to its day.
 #[derive(Clone, Default)]
 pub struct SiteOptions {
-    /// Where each proxy reaches each member; at the member itself without one.
+    /// Address at which each proxy reaches each member; the member's own address if absent.
     pub route: Option<Route>,
-    /// Calls a second that discovery answers in all; past that it answers 503 with `Retry-After`.
+    /// Maximum number of calls per second at discovery over all proxies; it answers further calls with 503 and
+    /// `Retry-After`.
     pub max_list_calls_per_second: Option<u64>,
-    /// What that `Retry-After` says, in seconds.
+    /// Value of that `Retry-After`, in seconds.
     pub retry_after_s: f64,
-    /// The connections that cache nodes accept.
+    /// Connection limits of cache nodes.
     pub connection_limits: ConnectionLimits,
 }
 
-/// Restarts that may wait to be made.
+/// Capacity of the queue of proxy restarts.
 const MAX_PENDING_RESTARTS: usize = 1024;
 
-/// What a site has counted over its day.
+/// Counts of a site over its day.
 pub struct SiteCounts {
-    /// How late the model's events were handled, in microseconds.
+    /// Delay in handling the model's events, in microseconds.
     pub lateness: Histogram<u64>,
-    /// Requests that reached the origin: fetches and writes.
+    /// Requests that reached the origin (fetches and writes).
     pub origin_requests: u64,
     /// Reads served from a node's cache.
     pub hits: u64,
-    /// Reads that a node missed.
+    /// Cache misses of nodes.
     pub misses: u64,
-    /// Calls at discovery, for each second from the site's opening.
+    /// Calls at discovery in each second since the site opened.
     pub list_calls: Vec<u64>,
-    /// Of those, rejected for being past what it answers a second.
+    /// Calls at discovery that were rejected by its rate limit, in each second.
     pub list_rejected: Vec<u64>,
-    /// Connections and attempts at cache nodes, and at the origin.
+    /// Connections and attempts at cache nodes, then at the origin.
     pub member_load: [MemberLoad; 2],
 }
 
 /// An open site, on a thread of its own.
 pub struct Site {
-    /// Where discovery answers, an address for each proxy.
+    /// The address of discovery for each proxy.
     pub discovery: Vec<SocketAddr>,
-    /// Where each member listened when the site opened, the origin last.
+    /// The address of each member when the site opened, the origin last.
     pub members: Vec<SocketAddr>,
-    /// The endpoint list when the site opened, in discovery's form, for each proxy.
+    /// The endpoint list for each proxy when the site opened, in the JSON of discovery.
     pub initial_lists: Vec<Value>,
-    /// Proxies that the day wants restarted.
+    /// Proxies that must be restarted according to the day.
     pub proxy_restarts: mpsc::Receiver<usize>,
     begin: Option<oneshot::Sender<()>>,
     stop: oneshot::Sender<()>,
     thread: JoinHandle<SiteCounts>,
 }
 
-struct OpenedSite {
+struct SiteEndpoints {
     discovery: Vec<SocketAddr>,
     members: Vec<SocketAddr>,
     initial_lists: Vec<Value>,
@@ -89,7 +90,7 @@
     /// Opens a site; no fault is injected before [`Site::begin`].
     ///
     /// # Errors
-    /// If the system lacks addresses, descriptors or threads.
+    /// If addresses, file descriptors or threads are unavailable.
     pub fn open(
         day: &Day,
         clock: Clock,
@@ -98,7 +99,8 @@
         Site::open_with(day, clock, recorder, SiteOptions::default())
     }
 
-    /// Opens a site with options: the addresses at which each proxy reaches each member, and limits of discovery and nodes.
+    /// Opens a site with options: the addresses at which each proxy reaches each member, and limits of discovery and
+    /// nodes.
     ///
     /// # Errors
     /// As [`Site::open`].
@@ -110,26 +112,26 @@
     ) -> io::Result<Site> {
         let (stop, stopped) = oneshot::channel();
         let (begin, begun) = oneshot::channel();
-        let (restarts_out, proxy_restarts) = mpsc::channel(MAX_PENDING_RESTARTS);
-        let (opened_out, opened) = std::sync::mpsc::channel();
+        let (restart_tx, proxy_restarts) = mpsc::channel(MAX_PENDING_RESTARTS);
+        let (opened_tx, opened) = std::sync::mpsc::channel();
         let day = day.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let run_site = move || {
             let local = tokio::task::LocalSet::new();
-            let state = SiteState::new(&day, clock, recorder(), restarts_out, options, node::spawn_member);
-            let running = state.clone();
+            let state = SiteState::new(&day, clock, recorder(), restart_tx, options, node::spawn_member);
+            let task_state = state.clone();
             local.block_on(&runtime, async move {
-                // Who opens the site waits for this.
-                let _ = opened_out.send(open(&running).await);
-                tokio::task::spawn_local(running.clone().drive());
-                tokio::task::spawn_local(running.clone().flush_evidence());
-                let beginning = running.clone();
+                // The opener waits for this message.
+                let _ = opened_tx.send(open(&task_state).await);
+                tokio::task::spawn_local(task_state.clone().drive());
+                tokio::task::spawn_local(task_state.clone().flush_evidence());
+                let begin_state = task_state.clone();
                 tokio::task::spawn_local(async move {
                     if begun.await.is_ok() {
-                        beginning.begin();
+                        begin_state.begin();
                     }
                 });
-                // Whoever held the site and let go of it wants it closed.
+                // The site closes on request, or when its owner drops it.
                 let _ = stopped.await;
             });
             state.recorder.flush();
@@ -146,28 +148,29 @@
             counts
         };
         let thread = std::thread::Builder::new().name("site".into()).spawn(run_site)?;
-        let opened = opened.recv().map_err(|_| io::Error::other("the site did not open"))??;
-        let OpenedSite { discovery, members, initial_lists } = opened;
+        let opened =
+            opened.recv().map_err(|_| io::Error::other("the site thread ended before the site opened"))??;
+        let SiteEndpoints { discovery, members, initial_lists } = opened;
         Ok(Site { discovery, members, initial_lists, proxy_restarts, begin: Some(begin), stop, thread })
     }
 
-    /// Begins the day: faults are injected at their times from now on.
+    /// Starts the day: faults are injected at their times from now on.
     pub fn begin(&mut self) {
         if let Some(begin) = self.begin.take() {
-            // A site that has ended by itself is noticed when it is closed.
+            // If the site thread has ended early, `close` reports it.
             let _ = begin.send(());
         }
     }
 
-    /// Closes the site and returns what it counted.
+    /// Closes the site and returns its counts.
     pub fn close(self) -> SiteCounts {
-        // A site that has ended by itself has nothing to be told.
+        // Sending fails only if the site thread has already ended.
         let _ = self.stop.send(());
         self.thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
     }
 }
 
-async fn open(state: &std::rc::Rc<SiteState>) -> io::Result<OpenedSite> {
+async fn open(state: &std::rc::Rc<SiteState>) -> io::Result<SiteEndpoints> {
     state.open_members()?;
     let mut addrs = Vec::new();
     for proxy in 0..state.day.site.proxy.count {
@@ -179,5 +182,5 @@
     let members = state.members.borrow().iter().map(|p| p.addr).collect();
     let initial_lists =
         (0..addrs.len()).map(|proxy| discovery::list(state, proxy, &endpoints, true)).collect();
-    Ok(OpenedSite { discovery: addrs, members, initial_lists })
+    Ok(SiteEndpoints { discovery: addrs, members, initial_lists })
 }
--- a/crates/lab-site/src/listener.rs
+++ b/crates/lab-site/src/listener.rs
@@ -1,4 +1,5 @@
-//! The listening socket of a member: it accepts connections, refuses them, or leaves them unanswered, always at one address.
+//! The listening socket of a member: accepts connections, refuses them or leaves them unanswered, always at the same
+//! address.
 
 use aniseyoke_lab_world::ProcessState;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -7,25 +8,26 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
-/// Connections that are opened at most to fill an accept queue of length 0.
-const MAX_FILLERS: usize = 8;
-/// A connection on loopback that is not established by then will not be.
-const CONNECTS_WITHIN: Duration = Duration::from_millis(60);
+/// Length of the accept queue.
+const ACCEPT_BACKLOG: i32 = 1024;
+/// Maximum number of connections opened to fill an accept queue of length 0.
+const MAX_FILLER_CONNECTIONS: usize = 8;
+/// A loopback connection that is not established within this time is not established at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The listening socket of one member.
 pub struct MemberListener {
-    /// Its address.
+    /// The address of the member.
     pub addr: SocketAddr,
-    /// Keeps the port while nothing listens: bound, so that nobody else gets it, and refusing connections.
-    _holder: Socket,
+    /// Reserves the port while nothing listens: bound, so that no other process gets the port, but refusing
+    /// connections.
+    _port_reservation: Socket,
     listener: Option<TcpListener>,
-    /// Connections of our own that fill the queue of a silent machine.
-    fillers: Vec<TcpStream>,
+    /// Connections opened here to fill the accept queue of a silent machine.
+    filler_connections: Vec<TcpStream>,
 }
 
-fn bound(addr: SocketAddr) -> io::Result<Socket> {
+fn bind_socket(addr: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
@@ -34,32 +36,37 @@
 }
 
 impl MemberListener {
-    /// A socket that refuses connections, at a loopback address that the system chooses.
+    /// Creates a socket that refuses connections, at a loopback address that the operating system chooses.
     ///
     /// # Errors
-    /// If the system has none.
+    /// If no address is available.
     pub fn new() -> io::Result<Self> {
-        let holder = bound(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        let addr = holder.local_addr()?.as_socket().ok_or(io::ErrorKind::Unsupported)?;
-        Ok(MemberListener { addr, _holder: holder, listener: None, fillers: Vec::new() })
+        let port_reservation = bind_socket(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
+        let addr = port_reservation.local_addr()?.as_socket().ok_or(io::ErrorKind::Unsupported)?;
+        Ok(MemberListener {
+            addr,
+            _port_reservation: port_reservation,
+            listener: None,
+            filler_connections: Vec::new(),
+        })
     }
 
-    /// Accepts, refuses or ignores connections as the member's process does.
+    /// Accepts, refuses or ignores connections according to the state of the member's process.
     ///
     /// # Errors
-    /// If the system refuses.
+    /// If a socket operation fails.
     pub async fn set_process(&mut self, process: ProcessState) -> io::Result<()> {
         match process {
             ProcessState::Up => {
-                self.fillers.clear();
-                // What stood in the queue of a silent machine is reset with it.
+                self.filler_connections.clear();
+                // Closing the old socket resets the connections in the accept queue of a silent machine.
                 self.listener = None;
-                let socket = bound(self.addr)?;
-                socket.listen(BACKLOG)?;
+                let socket = bind_socket(self.addr)?;
+                socket.listen(ACCEPT_BACKLOG)?;
                 self.listener = Some(TcpListener::from_std(socket.into())?);
             }
             ProcessState::Down => {
-                self.fillers.clear();
+                self.filler_connections.clear();
                 self.listener = None;
             }
             ProcessState::Silent => self.fill_queue().await?,
@@ -67,28 +74,29 @@
         Ok(())
     }
 
-    /// Fills the accept queue, so that the kernel answers no handshake: connections are neither refused nor established.
+    /// Fills the accept queue, so that the kernel answers no handshake: connections are neither refused nor
+    /// established.
     async fn fill_queue(&mut self) -> io::Result<()> {
         let Some(listener) = &self.listener else { return Ok(()) };
         SockRef::from(listener).listen(0)?;
-        while self.fillers.len() < MAX_FILLERS {
-            let connecting = tokio::time::timeout(CONNECTS_WITHIN, TcpStream::connect(self.addr));
+        while self.filler_connections.len() < MAX_FILLER_CONNECTIONS {
+            let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr));
             match connecting.await {
-                Ok(filler) => self.fillers.push(filler?),
+                Ok(filler_connection) => self.filler_connections.push(filler_connection?),
                 Err(_) => return Ok(()),
             }
         }
         Ok(())
     }
 
-    /// The next connection; none ever comes while the socket does not accept.
+    /// Returns the next connection; never completes while the socket does not accept connections.
     pub async fn accept(&self) -> TcpStream {
         loop {
             match &self.listener {
-                Some(listener) if self.fillers.is_empty() => match listener.accept().await {
+                Some(listener) if self.filler_connections.is_empty() => match listener.accept().await {
                     Ok((stream, _)) => return stream,
                     Err(e) => {
-                        tracing::warn!("accept at {}: {e}", self.addr);
+                        tracing::warn!("failed to accept a connection at {}: {e}", self.addr);
                         tokio::time::sleep(Duration::from_millis(10)).await;
                     }
                 },
--- a/crates/lab-site/src/load_balancer/tests.rs
+++ b/crates/lab-site/src/load_balancer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn connections_go_round_the_healthy_and_to_the_dead_until_they_are_detected() {
+fn connections_rotate_over_healthy_proxies_and_reach_dead_ones_until_detection() {
     let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let load_balancer = LoadBalancer::new(&[addr(1), addr(2), addr(3)], Duration::ZERO);
     let picked = |n| (0..n).map(|_| load_balancer.pick().0).collect::<Vec<_>>();
@@ -12,7 +12,7 @@
     std::thread::sleep(Duration::from_millis(1));
     assert_eq!(picked(2), [2, 2]);
     load_balancer.record_health(2, Health::Unhealthy);
-    assert!(picked(4).iter().all(|n| *n != 0), "unhealthy before known dead");
+    assert!(picked(4).iter().all(|n| *n != 0), "an unhealthy proxy is preferred to an unresponsive one");
     load_balancer.set_addr(0, addr(9));
     assert_eq!(load_balancer.pick(), (0, addr(9)));
 }
--- a/crates/lab-site/src/node.rs
+++ b/crates/lab-site/src/node.rs
@@ -1,4 +1,4 @@
-//! Cache nodes and the origin on their sockets: connections, requests, and responses written as the model asks for.
+//! The servers of cache nodes and the origin: connections, requests, and responses written as the model specifies.
 
 use super::http::{HttpConnection, RequestHead};
 use super::listener::MemberListener;
@@ -14,12 +14,12 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The pause between two pieces of a fragmented response.
+/// Pause between two fragments of a response.
 const FRAGMENT_PAUSE: Duration = Duration::from_millis(1);
-/// What a response that does not end sends before it stalls, in bytes.
+/// Number of body bytes that an oversize response sends before it stalls.
 const MAX_OVERSIZE_BYTES: usize = 64 << 20;
 
-/// Starts to accept the connections of one member.
+/// Starts the task that accepts the connections of one member.
 pub fn spawn_member(
     state: Rc<SiteState>,
     member: usize,
@@ -29,7 +29,7 @@
     tokio::task::spawn_local(serve_member(state, member, listener, member_handle));
 }
 
-/// Accepts the connections of one member for as long as the site is open.
+/// Accepts the connections of one member while the site is open.
 async fn serve_member(
     state: Rc<SiteState>,
     member: usize,
@@ -39,7 +39,7 @@
     let mut process = member_handle.process.subscribe();
     let now = *process.borrow_and_update();
     if let Err(e) = listener.set_process(now).await {
-        tracing::error!("member {member} at {}: {e}", listener.addr);
+        tracing::error!("failed to change the listener of member {member} at {}: {e}", listener.addr);
     }
     loop {
         tokio::select! {
@@ -50,7 +50,7 @@
                 }
                 let now = *process.borrow_and_update();
                 if let Err(e) = listener.set_process(now).await {
-                    tracing::error!("member {member} at {}: {e}", listener.addr);
+                    tracing::error!("failed to change the listener of member {member} at {}: {e}", listener.addr);
                 }
             }
             stream = listener.accept() => {
@@ -60,10 +60,10 @@
     }
 }
 
-/// Serves one connection until its peer or its member's process ends it.
+/// Serves one connection until its peer closes it or its member's process ends.
 ///
-/// The epochs are read by the call and not when the future is first polled: the process may have fallen in between, and
-/// what it had accepted is reset with it.
+/// The epochs are read by the call itself and not when the future is first polled: the process may go down in between,
+/// and the connections that it had accepted must then be reset.
 fn connection(
     state: Rc<SiteState>,
     member: usize,
@@ -71,18 +71,18 @@
     member_handle: Rc<MemberHandle>,
 ) -> impl Future<Output = ()> {
     let mut epochs = member_handle.epochs.subscribe();
-    let opened_in = *epochs.borrow_and_update();
+    let epochs_at_open = *epochs.borrow_and_update();
     async move {
         let mut http = HttpConnection::new(stream);
         let attempt_id = Cell::new(None);
         let origin = state.model.borrow().is_origin(member);
-        let taken = state.connection_load.borrow_mut().opened(state.clock.now(), member, origin);
+        let accepted = state.connection_load.borrow_mut().opened(state.clock.now(), member, origin);
         let reset = tokio::select! {
             biased;
-            () = wait_for_reset(&mut epochs, opened_in) => true,
+            () = wait_for_reset(&mut epochs, epochs_at_open) => true,
             ended = async {
-                match taken {
-                    true => serve(&state, member, &mut http, &member_handle, opened_in, &attempt_id).await,
+                match accepted {
+                    true => serve(&state, member, &mut http, &member_handle, epochs_at_open, &attempt_id).await,
                     false => reject_connection(&state, member, &mut http).await,
                 }
             } => ended.is_err(),
@@ -98,15 +98,15 @@
     }
 }
 
-async fn wait_for_reset(epochs: &mut watch::Receiver<ConnectionEpochs>, opened_in: ConnectionEpochs) {
+async fn wait_for_reset(epochs: &mut watch::Receiver<ConnectionEpochs>, epochs_at_open: ConnectionEpochs) {
     loop {
-        if epochs.borrow_and_update().resets != opened_in.resets || epochs.changed().await.is_err() {
+        if epochs.borrow_and_update().resets != epochs_at_open.resets || epochs.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Rejects the first request of a connection past its member's limits, and closes it.
+/// Rejects the first request of a connection that exceeds its member's limits, and closes the connection.
 async fn reject_connection(
     state: &Rc<SiteState>,
     member: usize,
@@ -124,7 +124,7 @@
     http.write(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).await
 }
 
-/// A request at a member as an attempt of the model; class and key are in the path.
+/// Converts a request at a member to an attempt of the model; class and key are in the path.
 fn attempt_of(
     state: &SiteState,
     member: usize,
@@ -142,7 +142,7 @@
     Attempt { attempt_id, member, request, class, key, write: head.method == "PUT", idempotency_key }
 }
 
-/// A request's id: sixteen hex digits.
+/// Parses a request id of sixteen hex digits.
 pub fn request_id(id: &str) -> Option<u64> {
     (id.len() == 16).then(|| u64::from_str_radix(id, 16).ok()).flatten()
 }
@@ -152,7 +152,7 @@
     member: usize,
     http: &mut HttpConnection,
     member_handle: &MemberHandle,
-    opened_in: ConnectionEpochs,
+    epochs_at_open: ConnectionEpochs,
     open: &Cell<Option<AttemptId>>,
 ) -> io::Result<()> {
     while let Some(head) = http.read_request().await? {
@@ -167,13 +167,13 @@
             continue;
         };
         let attempt = state.next_attempt_id();
-        let first = state.clock.now().saturating_sub(http.first_byte_at.elapsed().as_nanos() as u64);
-        state.recorder.note_at(first, Observation::Reached { request, member, attempt });
+        let reached_at = state.clock.now().saturating_sub(http.first_byte_at.elapsed().as_nanos() as u64);
+        state.recorder.note_at(reached_at, Observation::Reached { request, member, attempt });
         http.read_body(head.framing, |_| {}).await?;
         state.recorder.note(Observation::Arrived { request, attempt });
-        let dead = || member_handle.epochs.borrow().silences != opened_in.silences;
-        if dead() || *member_handle.process.borrow() == ProcessState::Silent {
-            // A machine that has gone silent may have run what it got; it never says.
+        let silenced = || member_handle.epochs.borrow().silences != epochs_at_open.silences;
+        if silenced() || *member_handle.process.borrow() == ProcessState::Silent {
+            // A silent machine may have executed the request, but never responds.
             http.closed().await;
             return Ok(());
         }
@@ -193,7 +193,7 @@
         if open.take().is_some() {
             state.connection_load.borrow_mut().in_flight(member, origin, false);
         }
-        let Some((reply, delivery)) = answered.filter(|_| !dead()) else {
+        let Some((reply, delivery)) = answered.filter(|_| !silenced()) else {
             http.closed().await;
             return Ok(());
         };
@@ -202,7 +202,7 @@
     Ok(())
 }
 
-/// The value that a node returns for a request; no two responses are alike.
+/// The value that a node returns for a request; each response is unique.
 fn value(state: &SiteState, attempt: &Attempt, version: u32) -> Vec<u8> {
     let length = state.key_space.value_length(attempt.key);
     let Attempt { attempt_id, request, key, .. } = *attempt;
@@ -258,7 +258,7 @@
     write_response(http, &head, &body, delivery, attempt).await
 }
 
-/// Writes a response as the model wants it delivered; `head` lacks the length and the empty line.
+/// Writes a response with the delivery that the model specifies; `head` lacks `Content-Length` and the empty line.
 async fn write_response(
     http: &mut HttpConnection,
     head: &str,
@@ -267,12 +267,12 @@
     attempt: AttemptId,
 ) -> io::Result<()> {
     let head = |length: u64| format!("{head}Content-Length: {length}\r\n\r\n");
-    let whole = || [head(body.len() as u64).as_bytes(), body].concat();
+    let complete_response = || [head(body.len() as u64).as_bytes(), body].concat();
     match delivery {
-        Delivery::Unmodified => http.write(&whole()).await,
+        Delivery::Unmodified => http.write(&complete_response()).await,
         Delivery::Fragmented(size) => {
-            for piece in whole().chunks(size) {
-                http.write(piece).await?;
+            for fragment in complete_response().chunks(size) {
+                http.write(fragment).await?;
                 tokio::time::sleep(FRAGMENT_PAUSE).await;
             }
             Ok(())
@@ -283,14 +283,14 @@
             Err(io::ErrorKind::ConnectionAborted.into())
         }
         Delivery::Malformed => {
-            let noise: &[u8] = match attempt % 3 {
+            let malformed_response: &[u8] = match attempt % 3 {
                 0 => b"\x00\xff\xfe noise that is no answer\r\n\r\n",
                 1 => b"HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\nnothing",
                 _ => {
                     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"
                 }
             };
-            http.write(noise).await?;
+            http.write(malformed_response).await?;
             http.closed().await;
             Ok(())
         }
--- a/crates/lab-site/src/state.rs
+++ b/crates/lab-site/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of a site share on its one thread: the model, pending replies, and what is counted.
+//! The state that the tasks of a site share on its single thread: the model, pending replies and counters.
 
 use crate::listener::MemberListener;
 use aniseyoke_lab_audit::{Observation, Recorder};
@@ -17,16 +17,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 
-/// Counters by which the connections of one member learn that they are to be reset, or are dead.
+/// Counters that invalidate the connections of one member: those opened at a lower count are reset or become
+/// half-open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionEpochs {
     /// Connections opened at a lower count are reset.
     pub resets: u64,
-    /// Connections opened at a lower count are dead: read, and never answered.
+    /// Connections opened at a lower count are half-open: requests are read and never answered.
     pub silences: u64,
 }
 
-/// One member at its address: what its connections follow.
+/// The address of one member and the state that its connections watch.
 pub struct MemberHandle {
     pub addr: SocketAddr,
     pub epochs: watch::Sender<ConnectionEpochs>,
@@ -36,7 +37,7 @@
 /// Starts the task that accepts the connections of one member.
 pub type SpawnMember = fn(Rc<SiteState>, usize, MemberListener, Rc<MemberHandle>);
 
-/// All that the tasks of a site share.
+/// The state shared by the tasks of a site.
 pub struct SiteState {
     pub day: Day,
     pub clock: Clock,
@@ -45,46 +46,46 @@
     pub model: RefCell<SiteModel>,
     pub members: RefCell<Vec<Rc<MemberHandle>>>,
     spawn_member: SpawnMember,
-    waiting: RefCell<HashMap<AttemptId, Waiting>>,
+    waiting: RefCell<HashMap<AttemptId, PendingReply>>,
     last_attempt_id: Cell<AttemptId>,
     wake: Notify,
-    /// The list's current version.
+    /// Current version of the endpoint list.
     pub list_version: watch::Sender<u64>,
     /// Whether discovery is up.
     pub discovery: watch::Sender<bool>,
-    /// Proxies that are to be restarted.
+    /// Queue of proxies that must be restarted.
     proxy_restarts: mpsc::Sender<usize>,
-    /// What was asked of the site beyond its day.
+    /// Options of the site in addition to its day.
     pub options: super::SiteOptions,
-    /// Calls at discovery for each second from the opening.
+    /// Calls at discovery in each second since the site opened.
     pub list_calls: RefCell<Vec<u64>>,
-    /// Of those, rejected.
+    /// Rejected calls at discovery in each second.
     pub list_rejected: RefCell<Vec<u64>>,
-    /// Connections and attempts at members.
+    /// Counts of connections and attempts at members.
     pub connection_load: RefCell<ConnectionLoad>,
-    /// How late the model's events were handled, in microseconds.
+    /// Delay in handling the model's events, in microseconds.
     pub lateness: RefCell<Histogram<u64>>,
     /// Fetches and writes that reached the origin.
     pub origin_requests: Cell<u64>,
     /// Reads served from a node's cache.
     pub hits: Cell<u64>,
-    /// Reads that a node missed.
+    /// Cache misses of nodes.
     pub misses: Cell<u64>,
 }
 
-struct Waiting {
+struct PendingReply {
     request: u64,
     answer: oneshot::Sender<(Reply, Delivery)>,
 }
 
-/// Calls at discovery are counted for this many seconds.
-const MAX_LIST_SECONDS: usize = 86_400;
+/// Number of seconds for which calls at discovery are counted.
+const MAX_LIST_CALL_SECONDS: usize = 86_400;
 
-/// Members of a site at most, over a day.
+/// Maximum number of members of a site over a day.
 const MAX_MEMBERS: usize = 4096;
 
 impl SiteState {
-    /// A site before it opens.
+    /// Creates the state of a site that is not open yet.
     pub fn new(
         day: &Day,
         clock: Clock,
@@ -114,7 +115,9 @@
             options,
             list_calls: RefCell::default(),
             list_rejected: RefCell::default(),
-            lateness: RefCell::new(Histogram::new_with_bounds(1, 60_000_000, 2).expect("sound bounds")),
+            lateness: RefCell::new(
+                Histogram::new_with_bounds(1, 60_000_000, 2).expect("valid histogram bounds"),
+            ),
             origin_requests: Cell::new(0),
             hits: Cell::new(0),
             misses: Cell::new(0),
@@ -124,7 +127,7 @@
     /// Opens the listeners of all members.
     ///
     /// # Errors
-    /// If the system has no addresses left.
+    /// If no address is available.
     pub fn open_members(self: &Rc<Self>) -> io::Result<()> {
         let members = self.model.borrow().members();
         (0..members).try_for_each(|m| self.open_member(m))
@@ -143,12 +146,12 @@
         Ok(())
     }
 
-    /// Begins the day.
+    /// Starts the day.
     pub fn begin(self: &Rc<Self>) {
         self.drive_model(|model, now, _| model.begin(now));
     }
 
-    /// An entry of the list in discovery's form; none for a member without an address.
+    /// An endpoint list entry in the form that discovery serves; `None` for a member without an address.
     pub fn member(&self, endpoint: Endpoint) -> Option<Member> {
         let model = self.model.borrow();
         let (id, kind) = model.name(endpoint.member);
@@ -161,12 +164,12 @@
         })
     }
 
-    /// Counts a call at discovery; false if it is past what discovery answers this second.
+    /// Counts a call at discovery; returns false if it exceeds the limit of this second.
     pub fn admit_list_call(&self) -> bool {
         let second = (self.clock.now() / aniseyoke_lab_day::clock::SECOND) as usize;
         let count = |counts: &RefCell<Vec<u64>>| {
             let mut counts = counts.borrow_mut();
-            if second < MAX_LIST_SECONDS {
+            if second < MAX_LIST_CALL_SECONDS {
                 if counts.len() <= second {
                     counts.resize(second + 1, 0);
                 }
@@ -175,50 +178,52 @@
             counts.get(second).copied().unwrap_or(0)
         };
         let calls = count(&self.list_calls);
-        let taken = self.options.max_list_calls_per_second.is_none_or(|max| calls <= max);
-        if !taken {
+        let accepted = self.options.max_list_calls_per_second.is_none_or(|max| calls <= max);
+        if !accepted {
             count(&self.list_rejected);
         }
-        taken
+        accepted
     }
 
-    /// An id for a new attempt.
+    /// Allocates an id for a new attempt.
     pub fn next_attempt_id(&self) -> AttemptId {
         self.last_attempt_id.set(self.last_attempt_id.get() + 1);
         self.last_attempt_id.get()
     }
 
-    /// Hands an attempt to the model; the receiver gets its reply, if there ever is one.
+    /// Passes an attempt to the model; the receiver gets the reply, if the model ever emits one.
     pub fn arrive(self: &Rc<Self>, attempt: Attempt) -> oneshot::Receiver<(Reply, Delivery)> {
         let (answer, answered) = oneshot::channel();
-        self.waiting.borrow_mut().insert(attempt.attempt_id, Waiting { request: attempt.request, answer });
+        self.waiting
+            .borrow_mut()
+            .insert(attempt.attempt_id, PendingReply { request: attempt.request, answer });
         self.drive_model(|model, now, out| model.arrive(now, attempt, out));
         answered
     }
 
-    /// The proxy has cancelled an attempt.
+    /// Cancels an attempt whose connection has ended.
     pub fn cancel(self: &Rc<Self>, attempt_id: AttemptId) {
         self.drive_model(|model, _, out| model.cancel(attempt_id, out));
         self.waiting.borrow_mut().remove(&attempt_id);
     }
 
-    fn drive_model(self: &Rc<Self>, act: impl FnOnce(&mut SiteModel, Nanos, &mut Vec<Effect>)) {
+    fn drive_model(self: &Rc<Self>, action: impl FnOnce(&mut SiteModel, Nanos, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
-        let sooner = {
+        let due_earlier = {
             let mut model = self.model.borrow_mut();
             let before = model.next_due();
-            act(&mut model, self.clock.now(), &mut effects);
+            action(&mut model, self.clock.now(), &mut effects);
             model.next_due() < before || before.is_none()
         };
-        if sooner {
+        if due_earlier {
             self.wake.notify_one();
         }
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
     }
 
-    /// Handles the model's own events when they are due, for as long as the site is open.
+    /// Handles the model's scheduled events when they are due, while the site is open.
     pub async fn drive(self: Rc<Self>) {
         loop {
             let due = self.model.borrow().next_due();
@@ -241,7 +246,7 @@
         }
     }
 
-    /// Hands recorded evidence to the auditor now and then.
+    /// Flushes recorded evidence to the auditor every 50 ms.
     pub async fn flush_evidence(self: Rc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -249,13 +254,13 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
-        let note = |seen| self.recorder.note(seen);
+    fn apply_effect(self: &Rc<Self>, effect: Effect) {
+        let note = |observed| self.recorder.note(observed);
         let members = |member: usize| self.members.borrow().get(member).cloned();
         match effect {
             Effect::Reply { attempt_id, reply, delivery } => {
                 if let Some(waiting) = self.waiting.borrow_mut().remove(&attempt_id) {
-                    // A connection that has just ended wants no answer.
+                    // Sending fails if the connection has just ended; the reply is then not needed.
                     let _ = waiting.answer.send((reply, delivery));
                 }
             }
@@ -274,7 +279,7 @@
             Effect::Joined(member) => {
                 let opened = self.members.borrow().len() < MAX_MEMBERS && self.open_member(member).is_ok();
                 if !opened {
-                    tracing::error!("no address for member {member}");
+                    tracing::error!("failed to open a listener for member {member}");
                 }
             }
             Effect::ProcessState(member, process) => {
@@ -299,12 +304,13 @@
                 self.list_version.send_replace(version);
             }
             Effect::Discovery(up) => drop(self.discovery.send_replace(up)),
-            // Whoever runs the trial has gone if this fails.
+            // Sending fails if the trial has ended.
             Effect::RestartProxy(proxy) => drop(self.proxy_restarts.try_send(proxy)),
         }
     }
 
-    /// Records what an answer of discovery tells a proxy; a member that a full list lacks is told to be gone.
+    /// Records the entries of which an answer of discovery notifies a proxy; a member missing from a full list counts
+    /// as gone.
     pub fn record_notified(&self, proxy: usize, endpoints: &[Endpoint], full: bool) {
         for endpoint in endpoints {
             self.recorder.note(Observation::Told {
@@ -315,8 +321,8 @@
         }
         if full {
             let members = self.model.borrow().members();
-            let lacking = (0..members).filter(|m| endpoints.iter().all(|l| l.member != *m));
-            for member in lacking {
+            let missing = (0..members).filter(|m| endpoints.iter().all(|l| l.member != *m));
+            for member in missing {
                 self.recorder.note(Observation::Told { proxy, member, standing: EndpointState::Gone });
             }
         }
