--- a/crates/lab-world/src/apply.rs
+++ b/crates/lab-world/src/apply.rs
@@ -1,18 +1,18 @@
-//! Applies faults and overload to the members: processes end and restart, and discovery lists it some time later.
+//! Applies faults and overload to members: processes end and restart, and the endpoint list changes after a delay.
 
 use super::*;
 use aniseyoke_lab_day::clock::unit_fraction;
 
-impl World {
-    pub(super) fn set_process(&mut self, member: usize, process: Process, out: &mut Vec<Effect>) {
+impl SiteModel {
+    pub(super) fn set_process(&mut self, member: usize, process: ProcessState, out: &mut Vec<Effect>) {
         if self.members[member].process != process {
             self.members[member].process = process;
-            out.push(Effect::Process(member, process));
+            out.push(Effect::ProcessState(member, process));
         }
     }
 
-    /// A machine's process ends, or goes silent, and loses its work and its cache.
-    fn stop_process(&mut self, now: Nanos, member: usize, process: Process, out: &mut Vec<Effect>) {
+    /// Ends or silences a member's process, which loses its work in progress and its cache.
+    fn stop_process(&mut self, now: Nanos, member: usize, process: ProcessState, out: &mut Vec<Effect>) {
         self.members[member].machine.stop(now);
         self.members[member].machine.forecast += 1;
         self.members[member].cache.clear();
@@ -22,7 +22,7 @@
 
     pub(super) fn overload(&mut self, now: Nanos, member: usize, out: &mut Vec<Effect>) {
         let cold_fraction = self.members[member].machine.cold_fraction();
-        self.stop_process(now, member, Process::Down, out);
+        self.stop_process(now, member, ProcessState::Down, out);
         if member == self.origin {
             out.push(Effect::OriginOverloaded(cold_fraction));
             self.schedule(now + nanos(self.day.site.origin.outage), InternalEvent::OriginRestart);
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Has discovery list a change, some time later.
+    /// Schedules a change of the endpoint list after the lag of discovery, drawn from the day's seed.
     fn list(&mut self, now: Nanos, member: usize, state: EndpointState, salt: u64) {
         let delays = &self.day.site.discovery;
-        let drawn = unit_fraction(mix(self.day.seed, 0x115 + salt, member as u64 ^ now));
-        let (least, most) = (nanos(delays.min_lag), nanos(delays.max_lag));
-        let lag = least + ((most - least) as f64 * drawn) as Nanos;
+        let lag_fraction = unit_fraction(mix(self.day.seed, 0x115 + salt, member as u64 ^ now));
+        let (shortest, longest) = (nanos(delays.min_lag), nanos(delays.max_lag));
+        let lag = shortest + ((longest - shortest) as f64 * lag_fraction) as Nanos;
         let started = self.members[member].started;
         self.schedule(now + lag, InternalEvent::Publish(Endpoint { member, state, started }));
     }
@@ -45,11 +45,11 @@
     pub(super) fn apply(&mut self, now: Nanos, event: FaultEvent, out: &mut Vec<Effect>) {
         match event {
             FaultEvent::Crash(member) => {
-                self.stop_process(now, member, Process::Down, out);
+                self.stop_process(now, member, ProcessState::Down, out);
                 self.list(now, member, EndpointState::Gone, 2);
             }
             FaultEvent::Silence(member) => {
-                self.stop_process(now, member, Process::Silent, out);
+                self.stop_process(now, member, ProcessState::Silent, out);
                 let endpoint =
                     Endpoint { member, state: EndpointState::Gone, started: self.members[member].started };
                 self.schedule(
@@ -58,18 +58,18 @@
                 );
             }
             FaultEvent::Restart(member) => {
-                if self.members[member].process == Process::Silent {
-                    // What stood open is reset once the machine is back.
-                    self.set_process(member, Process::Down, out);
+                if self.members[member].process == ProcessState::Silent {
+                    // Connections opened before the silence are reset when the machine returns.
+                    self.set_process(member, ProcessState::Down, out);
                 }
                 self.members[member].started = Some(now);
                 self.members[member].machine.restart(now);
-                self.set_process(member, Process::Up, out);
+                self.set_process(member, ProcessState::Up, out);
                 self.list(now, member, EndpointState::Ready, 3);
             }
             FaultEvent::Drain(member) => self.list(now, member, EndpointState::Draining, 4),
             FaultEvent::Replace(member) => {
-                self.stop_process(now, member, Process::Down, out);
+                self.stop_process(now, member, ProcessState::Down, out);
                 self.list(now, member, EndpointState::Gone, 5);
                 let next = self.members.len();
                 let mut successor = self.node(next, self.kind_of(member.min(self.day.site.cache.count - 1)));
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Lists these members as draining, and tells of every member if that changed the list.
+    /// Lists these members as draining, and emits an effect for every entry if that changed the list.
     fn misreport(&mut self, members: Vec<usize>, out: &mut Vec<Effect>) {
         let before = self.endpoint_list.version();
         self.endpoint_list.misreport(members);
