--- a/crates/faults-preload/src/engine.rs
+++ b/crates/faults-preload/src/engine.rs
@@ -1,6 +1,6 @@
 //! The rule engine: selects the rules that affect a call, applies their effects, and logs injected faults.
 
-use aniseyoke_faults::{About, Call, Effect, Often, Plan, Rule, PLAN_VARIABLE};
+use aniseyoke_faults::{About, Call, Effect, Often, Plan, Rule, OVERRUN, PLAN_VARIABLE};
 use libc::c_int;
 use std::cell::Cell;
 use std::ffi::{CStr, OsStr};
@@ -10,7 +10,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// What a call refers to.
 #[derive(Clone, Copy)]
@@ -117,9 +117,25 @@
     unsafe { libc::raise(libc::SIGSTOP) };
 }
 
+/// Pauses the thread, and logs by how much the pause was longer than requested. The pause's own calls are not
+/// subject to the rules; in particular, its clock readings are not counted.
 fn pause(time: Duration) {
-    if !time.is_zero() {
-        std::thread::sleep(time);
+    if time.is_zero() {
+        return;
+    }
+    let within_engine = IN_ENGINE.replace(true);
+    let start = Instant::now();
+    std::thread::sleep(time);
+    if !within_engine {
+        log_overrun(start.elapsed().saturating_sub(time));
+    }
+    IN_ENGINE.set(within_engine);
+}
+
+fn log_overrun(overrun: Duration) {
+    let mut engine = ENGINE.lock().unwrap_or_else(PoisonError::into_inner);
+    if let Some(log) = engine.as_mut().and_then(|engine| engine.log.as_mut()) {
+        log_line(log, format_args!("{OVERRUN} {}", overrun.as_micros()));
     }
 }
 
@@ -245,13 +261,17 @@
 /// Maximum length of a log line in bytes; longer lines are truncated.
 const MAX_LINE_BYTES: usize = 256;
 
-/// Logs an injected fault. Danger: the call may come from a signal handler, which must not allocate, because
-/// the thread that it interrupts may hold the allocator's lock.
 fn log_fault(log: &mut File, rule: &Rule, call: Call) {
+    log_line(log, format_args!("{} {call:?} {:?}", rule.name, rule.effect));
+}
+
+/// Writes a line to the log of injected faults. It must not allocate: the call may come from a signal handler,
+/// and the thread that the handler interrupts may hold the allocator's lock.
+fn log_line(log: &mut File, text: std::fmt::Arguments<'_>) {
     let mut line = [0u8; MAX_LINE_BYTES];
     let mut unused = &mut line[..];
     // A line that does not fit is truncated.
-    let _ = writeln!(unused, "{} {call:?} {:?}", rule.name, rule.effect);
+    let _ = writeln!(unused, "{text}");
     let unused_bytes = unused.len();
     let _ = log.write_all(&line[..MAX_LINE_BYTES - unused_bytes]);
 }
--- a/crates/faults/src/armed.rs
+++ b/crates/faults/src/armed.rs
@@ -1,9 +1,10 @@
 //! Loads a fault plan into a process under test.
 
-use crate::{Call, Plan, PlanError, PLAN_VARIABLE};
+use crate::{Call, Plan, PlanError, OVERRUN, PLAN_VARIABLE};
 use std::fmt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
+use std::time::Duration;
 
 /// File name of the library that cargo builds from the preload package.
 const LIBRARY: &str = "libaniseyoke_faults_preload.so";
@@ -21,7 +22,8 @@
         plan.write(&self.plan)
     }
 
-    /// Path of the log of injected faults. Each line has the rule's name, the call and the effect.
+    /// Path of the log of injected faults. Each line has the rule's name, the call and the effect, or
+    /// [`OVERRUN`] and the time in microseconds by which a delay was longer than requested.
     pub fn log(&self) -> PathBuf {
         self.plan.with_extension("log")
     }
@@ -37,6 +39,13 @@
         self.lines().iter().filter(|line| line.split(' ').nth(1) == Some(name.as_str())).count()
     }
 
+    /// Returns by how much each injected delay was longer than requested, in the order of their ends. A
+    /// thread that sleeps wakes up late on a busy machine.
+    pub fn overruns(&self) -> Vec<Duration> {
+        let micros = |line: &String| line.strip_prefix(OVERRUN)?.trim_start().parse().ok();
+        self.lines().iter().filter_map(micros).map(Duration::from_micros).collect()
+    }
+
     fn lines(&self) -> Vec<String> {
         let text = std::fs::read_to_string(self.log()).unwrap_or_default();
         text.lines().map(str::to_owned).collect()
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -12,6 +12,9 @@
 /// Environment variable with the path of the plan's file, set for the process under test.
 pub const PLAN_VARIABLE: &str = "ANISEYOKE_FAULT_PLAN";
 
+/// First word of the log lines that report by how much a delay was longer than requested.
+pub const OVERRUN: &str = "overrun";
+
 /// Error numbers for use in rules.
 pub mod errno {
     pub use libc::{
--- a/crates/faults/tests/faults.rs
+++ b/crates/faults/tests/faults.rs
@@ -94,6 +94,20 @@
     assert_eq!(armed.forced("drawn"), 2 * failed);
 }
 
+/// Guards against delays that count their own clock readings, to which a rule about the clock would apply.
+#[test]
+fn each_delay_reports_its_overrun_and_reads_no_clock_that_rules_count() {
+    let delay = receive_rule("delayed", Effect::DelayBefore(1_000), Often::Always);
+    let reading = Rule::new("reading", &[Call::ClockGettime], Effect::DelayAfter(0));
+    let plan = Plan::new(1, &[delay, reading]);
+    let (_, armed, _folder) = run_under_two_plans(&plan, &Plan::default());
+    assert!(armed.forced("delayed") > 0, "the test must delay some calls");
+    assert_eq!(armed.overruns().len(), armed.forced("delayed"));
+    assert!(armed.overruns().iter().any(|overrun| !overrun.is_zero()), "no thread wakes up within 1 us");
+    // The runner of the subject reads the clock a few times itself.
+    assert!(armed.forced("reading") < armed.forced("delayed"), "{}", armed.forced("reading"));
+}
+
 #[test]
 fn a_rule_about_files_does_not_affect_sockets() {
     let rule = receive_rule("files", Effect::Fail(errno::EIO), Often::Always).about(About::Files("/".into()));
--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -3,8 +3,16 @@
 
 use super::rig::*;
 use aniseyoke_faults::{arm, About, Armed, Call, Effect, Often, Plan, Rule};
+use nix::sys::socket::{
+    recvmsg, setsockopt, sockopt::ReceiveTimestampns, ControlMessageOwned, MsgFlags, RecvMsg,
+};
+use nix::sys::time::TimeSpec;
+use nix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
 use std::collections::HashSet;
+use std::io::IoSliceMut;
+use std::net::TcpStream;
+use std::os::fd::AsRawFd;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Barrier, Mutex};
@@ -46,6 +54,7 @@
 
 /// A request that a node received.
 pub struct ReceivedRequest {
+    /// When the kernel received it. The node's thread may read it later on a busy machine.
     pub received_at: Instant,
     pub id: String,
     pub time_left: f64,
@@ -86,17 +95,17 @@
 }
 
 fn serve(mut peer: Peer, behavior: NodeBehavior, shared: &Shared) {
-    while let Some(request) = peer.read() {
+    report_arrivals(peer.0.get_ref());
+    loop {
+        let received_at = next_arrival(peer.0.get_ref());
+        let Some(request) = peer.read() else { return };
+        let received_at = received_at.unwrap_or_else(Instant::now);
         let header = |name| request.header(name).unwrap_or_default().to_owned();
         let id = header("x-correlation-id");
         let time_left = header("x-time-left").parse().unwrap_or_else(|_| {
             panic!("no time left given at {:?} in {request:?}", peer.0.get_ref().local_addr())
         });
-        if shared
-            .received
-            .send(ReceivedRequest { received_at: Instant::now(), id: id.clone(), time_left })
-            .is_err()
-        {
+        if shared.received.send(ReceivedRequest { received_at, id: id.clone(), time_left }).is_err() {
             return;
         }
         let marked = id.starts_with(MARKED);
@@ -119,6 +128,27 @@
     }
 }
 
+/// Has the kernel report when bytes of a connection arrive.
+pub fn report_arrivals(stream: &TcpStream) {
+    setsockopt(stream, ReceiveTimestampns, &true).expect("timestamps");
+}
+
+/// Waits for the next bytes of a connection and returns when the kernel received them, if it reports that.
+/// The bytes are left unread.
+pub fn next_arrival(stream: &TcpStream) -> Option<Instant> {
+    let (mut byte, mut control) = ([0], nix::cmsg_space!(TimeSpec));
+    let mut buffers = [IoSliceMut::new(&mut byte)];
+    let message: RecvMsg<()> =
+        recvmsg(stream.as_raw_fd(), &mut buffers, Some(&mut control), MsgFlags::MSG_PEEK).ok()?;
+    let arrived = message.cmsgs().ok()?.find_map(|control| match control {
+        ControlMessageOwned::ScmTimestampns(time) => Some(time),
+        _ => None,
+    })?;
+    let age = clock_gettime(ClockId::CLOCK_REALTIME).ok()? - arrived;
+    let age = Duration::new(u64::try_from(age.tv_sec()).ok()?, u32::try_from(age.tv_nsec()).ok()?);
+    Instant::now().checked_sub(age)
+}
+
 pub struct Site {
     pub proxy: Proxy,
     pub caches: Vec<Node>,
--- a/crates/proxy/tests/time_left.rs
+++ b/crates/proxy/tests/time_left.rs
@@ -5,6 +5,9 @@
 //! The client's time counts from when it sent its request. The proxy can't see a hold-up before it reads the
 //! request, since the kernel doesn't report when bytes of a TCP connection arrived. A hold-up of 0.15 s lies
 //! within the slack, a second one doesn't, so cases with two hold-ups are counted from the read.
+//!
+//! A hold-up uses all of the slack, and on a busy machine a thread that sleeps for it wakes up late. By this
+//! time, which the fault library logs, a hold-up exceeds 0.15 s, and the time left may too.
 
 mod held;
 mod rig;
@@ -12,6 +15,7 @@
 use held::*;
 use rig::*;
 use serde_json::{json, Value};
+use std::io::Read;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
@@ -19,14 +23,19 @@
 const MAX_EXCESS_S: f64 = 0.15;
 /// Longest time from the end of the client's time to the final answer.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// Error of a time of arrival: two clocks are read one after the other.
+const ARRIVAL_ERROR: Duration = Duration::from_millis(5);
 /// The time left that the client sends with its request.
 const CLIENT_TIME: Duration = Duration::from_millis(1000);
 
 /// The result of one case.
 #[derive(Debug)]
 struct Late {
-    /// Longest excess in seconds of the time left that a node got over what the client had left.
+    /// Longest excess in seconds of the time left that a node got over what the client had left, less the
+    /// longest overrun of a hold-up.
     told: f64,
+    /// By how many seconds the longest hold-up exceeded the injected one.
+    overrun: f64,
     attempts: usize,
     /// Seconds from the end of the client's time to its answer.
     answered: f64,
@@ -41,6 +50,7 @@
 fn run_case(site: &Site, ask: impl FnOnce(&Site, &mut Peer, &str) -> Instant) -> Late {
     let (mut client, id) = (site.client(), marked_id());
     site.earn_retry(&mut client);
+    let earlier_delays = site.faults.overruns().len();
     let sent = ask(site, &mut client, &request(&id));
     let status = client.answer().status();
     let answered = sent.elapsed().as_secs_f64() - CLIENT_TIME.as_secs_f64();
@@ -48,11 +58,14 @@
     // Attempts that were written before the answer may still be in flight.
     sleep(Duration::from_millis(20));
     let received: Vec<ReceivedRequest> = site.received().filter(|attempt| attempt.id == id).collect();
+    let longest_overrun = site.faults.overruns().into_iter().skip(earlier_delays).max().unwrap_or_default();
     let excess = |c: &ReceivedRequest| {
-        c.time_left - (CLIENT_TIME.as_secs_f64() - (c.received_at - sent).as_secs_f64())
+        c.time_left
+            - (CLIENT_TIME.as_secs_f64() - (c.received_at - sent).as_secs_f64())
+            - longest_overrun.as_secs_f64()
     };
     let told = received.iter().map(excess).fold(f64::NEG_INFINITY, f64::max);
-    Late { told, attempts: received.len(), answered, status }
+    Late { told, overrun: longest_overrun.as_secs_f64(), attempts: received.len(), answered, status }
 }
 
 /// Sends a request and returns the time when it was sent.
@@ -67,10 +80,11 @@
 fn check_cases<C: std::fmt::Debug>(rows: &[(C, Late)], what: &str, attempts_each: usize) {
     let max_excess = rows.iter().map(|(_, late)| late.told).fold(f64::NEG_INFINITY, f64::max);
     let max_answer_delay = rows.iter().map(|(_, late)| late.answered).fold(f64::NEG_INFINITY, f64::max);
+    let max_overrun = rows.iter().map(|(_, late)| late.overrun).fold(0.0, f64::max);
     let complete = rows.iter().filter(|(_, late)| late.attempts >= attempts_each).count();
     println!(
         "{what}: {} cases, {complete} with {attempts_each} attempts, \
-         time left at most {max_excess:.3} s too long, \
+         time left at most {max_excess:.3} s too long, hold-ups at most {max_overrun:.4} s longer than injected, \
          answered at most {max_answer_delay:.3} s after the client's time",
         rows.len()
     );
@@ -123,6 +137,30 @@
     check_cases(&rows, "after the close of another client", 1);
 }
 
+/// Guards against a node's thread that wakes up late: the request would seem to arrive with more time left than
+/// it was sent with.
+#[test]
+fn a_request_that_a_node_reads_late_counts_from_its_arrival() {
+    const LATE: Duration = Duration::from_millis(50);
+    let server = Server::new();
+    let mut sender = Peer::to(server.addr);
+    let mut node_end = server.accepted.recv().expect("a connection");
+    report_arrivals(&node_end);
+    // The kernel begins to record the times a moment after it was asked to.
+    until("the kernel reports times of arrival", || {
+        sender.write("a");
+        let reported = next_arrival(&node_end).is_some();
+        node_end.read_exact(&mut [0]).expect("a byte");
+        reported
+    });
+    let before = Instant::now();
+    sender.write("GET / HTTP/1.1\r\n");
+    let after = Instant::now();
+    sleep(LATE);
+    let arrived = next_arrival(&node_end).expect("the kernel reports the time");
+    assert!(arrived + ARRIVAL_ERROR >= before && arrived <= after + ARRIVAL_ERROR, "{:?}", arrived - before);
+}
+
 #[test]
 fn no_retry_tells_of_more_time_than_its_client_has_left() {
     let rows = sweep(
