--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -366,7 +366,7 @@
 ///
 /// # Errors
 /// What is wrong with the day, or with it at those sizes.
-pub fn day_of(plan: &Plan, beside: Option<&Path>) -> Result<Day, RigError> {
+pub fn open_day(plan: &Plan, beside: Option<&Path>) -> Result<Day, RigError> {
     let near = beside.and_then(Path::parent).map(|folder| folder.join(&plan.day)).filter(|p| p.is_file());
     let name = near.map_or(plan.day.clone(), |p| p.display().to_string());
     let day = Day::open(&name)?;
--- a/crates/lab/src/cli/chaos.rs
+++ b/crates/lab/src/cli/chaos.rs
@@ -5,7 +5,7 @@
 use aniseyoke_lab_day::FileError;
 use aniseyoke_lab_process::{find_file, find_proxy, Program};
 use aniseyoke_lab_rig::plan::Plan;
-use aniseyoke_lab_rig::play::{self, day_of};
+use aniseyoke_lab_rig::play::{self, open_day};
 use aniseyoke_lab_rig::report;
 use clap::Args;
 use std::path::PathBuf;
@@ -37,7 +37,7 @@
 /// Plays it; whether no rule was broken.
 pub fn run(args: &ChaosArgs) -> Result<bool, CliError> {
     let plan = Plan::parse(&args.plan.display().to_string(), &read_file(&args.plan)?)?;
-    let day = day_of(&plan, Some(&args.plan))?;
+    let day = open_day(&plan, Some(&args.plan))?;
     if args.check {
         for (at, step) in plan.schedule(args.seed).steps {
             println!("{:8.3} s  {step:?}", at.as_secs_f64());
--- a/crates/lab/tests/cold.rs
+++ b/crates/lab/tests/cold.rs
@@ -4,7 +4,7 @@
 
 use aniseyoke_lab_process::{find_proxy, Program};
 use aniseyoke_lab_rig::plan::Plan;
-use aniseyoke_lab_rig::play::{self, day_of};
+use aniseyoke_lab_rig::play::{self, open_day};
 use std::sync::atomic::AtomicBool;
 
 const PROXIES: u64 = 8;
@@ -61,7 +61,7 @@
 #[test]
 fn a_cold_start_under_faults_spares_the_list_service() {
     let plan = Plan::parse("cold", COLD).expect("a sound plan");
-    let day = day_of(&plan, None).expect("its day");
+    let day = open_day(&plan, None).expect("its day");
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("operator.toml");
     std::fs::write(&file, "[list]\nkeep = \"state\"\n[opening]\nper_node = 20.0\n").expect("written");
--- a/crates/lab/tests/rig.rs
+++ b/crates/lab/tests/rig.rs
@@ -3,7 +3,7 @@
 
 use aniseyoke_lab_process::{find_proxy, Program};
 use aniseyoke_lab_rig::plan::Plan;
-use aniseyoke_lab_rig::play::{self, day_of};
+use aniseyoke_lab_rig::play::{self, open_day};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -58,7 +58,7 @@
 #[test]
 fn six_proxies_parted_and_killed_keep_every_rule() {
     let plan = Plan::parse("parted-and-killed", PARTED_AND_KILLED).expect("a sound plan");
-    let day = day_of(&plan, None).expect("its day");
+    let day = open_day(&plan, None).expect("its day");
     let folder = tempfile::tempdir().expect("a folder");
     let program = Program::new(find_proxy(None).expect("the proxy"));
     let outcome = play::run(&plan, &day, program, 5, folder.path(), &AtomicBool::new(false)).expect("played");
@@ -94,7 +94,7 @@
 #[test]
 fn proxies_that_are_all_killed_and_started_again_at_once_are_ready_in_time() {
     let plan = Plan::parse("all-killed", ALL_KILLED).expect("a sound plan");
-    let day = day_of(&plan, None).expect("its day");
+    let day = open_day(&plan, None).expect("its day");
     let folder = tempfile::tempdir().expect("a folder");
     let program = Program::new(find_proxy(None).expect("the proxy"));
     let outcome = play::run(&plan, &day, program, 1, folder.path(), &AtomicBool::new(false)).expect("played");
