--- a/crates/lab-rig/src/board.rs
+++ b/crates/lab-rig/src/board.rs
@@ -42,28 +42,28 @@
     ///
     /// # Errors
     /// Names the word that is not a set.
-    pub fn parse(word: &str) -> Result<LinkEnds, LinkEndsError> {
+    pub fn parse(name: &str) -> Result<LinkEnds, LinkEndsError> {
         let number = |part: &str| {
-            let not_a_number = |_| LinkEndsError::NotANumber { word: word.to_owned(), part: part.to_owned() };
+            let not_a_number = |_| LinkEndsError::NotANumber { name: name.to_owned(), part: part.to_owned() };
             part.trim().parse::<usize>().map_err(not_a_number)
         };
-        match word {
+        match name {
             "proxies" => Ok(LinkEnds::Proxies),
             "discovery" => Ok(LinkEnds::Discovery),
             "ledger" | "origin" => Ok(LinkEnds::Ledger),
             "nodes" => Ok(LinkEnds::Nodes),
-            _ => match word.strip_prefix("proxy:") {
+            _ => match name.strip_prefix("proxy:") {
                 Some(span) => match span.split_once('-') {
                     Some((from, to)) => {
                         let (from, to) = (number(from)?, number(to)?);
                         if from > to {
-                            return Err(LinkEndsError::EmptyRange { word: word.to_owned(), from, to });
+                            return Err(LinkEndsError::EmptyRange { name: name.to_owned(), from, to });
                         }
                         Ok(LinkEnds::Range(from, to))
                     }
                     None => number(span).map(|n| LinkEnds::Range(n, n)),
                 },
-                None => Err(LinkEndsError::Unknown(word.to_owned())),
+                None => Err(LinkEndsError::Unknown(name.to_owned())),
             },
         }
     }
@@ -131,7 +131,7 @@
     /// What `bandwidth` lets through, in bytes a second.
     pub rate: u64,
     /// The board's count of changes when it was injected; `half-open` and `reset` hit connections opened before that.
-    pub injected_at: u64,
+    pub injected_at_change: u64,
 }
 
 impl ActiveFault {
@@ -169,13 +169,13 @@
 
 impl LinkEffect {
     /// Whether a connection opened at change `opened_at` of the board is to be reset now.
-    pub fn resets(&self, opened_at: u64) -> bool {
-        self.resets || opened_at < self.reset_before
+    pub fn resets(&self, opened_at_change: u64) -> bool {
+        self.resets || opened_at_change < self.reset_before
     }
 
     /// Whether a connection opened at change `opened_at` is half-open: silent for good.
-    pub fn half_open(&self, opened_at: u64) -> bool {
-        opened_at < self.half_open_before
+    pub fn half_open(&self, opened_at_change: u64) -> bool {
+        opened_at_change < self.half_open_before
     }
 }
 
@@ -202,9 +202,11 @@
                 Fault::Cut => effect.cut = 1.0 - (1.0 - effect.cut) * (1.0 - fault.fraction),
                 Fault::Reset => {
                     effect.resets = true;
-                    effect.reset_before = effect.reset_before.max(fault.injected_at);
+                    effect.reset_before = effect.reset_before.max(fault.injected_at_change);
+                }
+                Fault::HalfOpen => {
+                    effect.half_open_before = effect.half_open_before.max(fault.injected_at_change)
                 }
-                Fault::HalfOpen => effect.half_open_before = effect.half_open_before.max(fault.injected_at),
                 Fault::BlackHole => effect.silent = true,
                 Fault::Partition => (effect.silent, effect.unreachable) = (true, true),
                 Fault::Bandwidth => effect.rate = Some(effect.rate.map_or(fault.rate, |r| r.min(fault.rate))),
@@ -232,7 +234,7 @@
         self.faults.send_modify(|faults| {
             let faults = Arc::make_mut(faults);
             faults.changes += 1;
-            fault.injected_at = faults.changes;
+            fault.injected_at_change = faults.changes;
             faults.active.push(fault);
         });
     }
--- a/crates/lab-rig/src/board/tests.rs
+++ b/crates/lab-rig/src/board/tests.rs
@@ -11,12 +11,12 @@
         delay: Duration::from_millis(30),
         jitter: Duration::from_millis(5),
         rate: 1000,
-        injected_at: 0,
+        injected_at_change: 0,
     }
 }
 
 #[test]
-fn sets_are_read_and_wrong_words_named() {
+fn sets_are_parsed_and_invalid_names_are_reported() {
     assert_eq!(LinkEnds::parse("proxy:2-4"), Ok(LinkEnds::Range(2, 4)));
     assert_eq!(LinkEnds::parse("proxy:7"), Ok(LinkEnds::Range(7, 7)));
     assert!(LinkEnds::parse("proxy:4-2").unwrap_err().to_string().contains("4 comes after 2"));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_partition_parts_only_the_links_between_its_sides_in_both_directions() {
+fn a_partition_silences_only_the_links_between_its_sides_in_both_directions() {
     let board = FaultBoard::default();
     board.inject(fault(Fault::Partition, "proxy:0-1", "discovery"));
     let faults = board.now();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn effects_add_up_and_half_open_hits_only_what_was_open() {
+fn effects_combine_and_half_open_affects_only_open_connections() {
     let board = FaultBoard::default();
     board.inject(fault(Fault::Delay, "proxies", "nodes"));
     board.inject(fault(Fault::Delay, "proxy:0", "nodes"));
--- a/crates/lab-rig/src/error.rs
+++ b/crates/lab-rig/src/error.rs
@@ -32,12 +32,12 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// A proxy was not healthy in time.
-    #[error("proxy {index} does not get well within {within:?}")]
+    #[error("proxy {index} does not get well within {time_limit:?}")]
     Unhealthy {
         /// The proxy's number.
         index: usize,
         /// The time that it had.
-        within: std::time::Duration,
+        time_limit: std::time::Duration,
     },
     /// The thread that watches restarted proxies panicked.
     #[error("the thread that looks at restarted proxies broke")]
@@ -59,18 +59,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkEndsError {
     /// A part of it should be a number.
-    #[error("`{word}`: `{part}` is not a number")]
+    #[error("`{name}`: `{part}` is not a number")]
     NotANumber {
         /// The word.
-        word: String,
+        name: String,
         /// The part.
         part: String,
     },
     /// Its range ends before it begins.
-    #[error("`{word}`: {from} comes after {to}")]
+    #[error("`{name}`: {from} comes after {to}")]
     EmptyRange {
         /// The word.
-        word: String,
+        name: String,
         /// The range's first number.
         from: usize,
         /// The range's last number.
--- a/crates/lab-rig/src/outcome.rs
+++ b/crates/lab-rig/src/outcome.rs
@@ -71,8 +71,8 @@
 /// The outcome as a table for a reader.
 pub fn table(outcome: &Outcome) -> String {
     let mut text = format!("{} proxies, seed {}\n", outcome.proxies, outcome.seed);
-    for (at, what) in &outcome.steps {
-        text += &format!("  {at:8.3} s  {what}\n");
+    for (at, description) in &outcome.steps {
+        text += &format!("  {at:8.3} s  {description}\n");
     }
     let all = &outcome.all;
     text += &format!("requests {}, goodput {:.3}\n", all.requests, all.goodput);
@@ -112,10 +112,10 @@
 
 fn member_lines(outcome: &Outcome) -> String {
     let mut text = String::new();
-    for (who, load) in [("a node", &outcome.nodes), ("the ledger", &outcome.origin)] {
+    for (member, load) in [("a node", &outcome.nodes), ("the ledger", &outcome.origin)] {
         let (all, max) = (load.opened.iter().sum::<u64>(), load.max_opened.iter().max().unwrap_or(&0));
         text += &format!(
-            "{who}: {max} connections a second at most ({all} in all), {} held at once, {} attempts out, {} of them turned away for lack of room, {} connections turned away\n",
+            "{member}: {max} connections a second at most ({all} in all), {} held at once, {} attempts out, {} of them turned away for lack of room, {} connections turned away\n",
             load.max_open,
             load.max_in_flight,
             load.rejected_attempts,
--- a/crates/lab-rig/src/plan.rs
+++ b/crates/lab-rig/src/plan.rs
@@ -42,13 +42,13 @@
     pub connection_limits: ConnectionLimits,
     /// Processes whose wall clock is wrong, from their first start on.
     #[serde(default, rename = "clock")]
-    pub clocks: Vec<Spanned<ClockStep>>,
+    pub clocks: Vec<Spanned<ClockOffset>>,
     /// Faults on links.
     #[serde(default, rename = "link")]
-    pub links: Vec<Spanned<LinkStep>>,
+    pub links: Vec<Spanned<LinkFault>>,
     /// Faults on processes.
     #[serde(default, rename = "process")]
-    pub processes: Vec<Spanned<ProcessStep>>,
+    pub processes: Vec<Spanned<ProcessFault>>,
 }
 
 /// Limits of the stand-in for discovery.
@@ -72,7 +72,7 @@
 /// Proxies whose wall clock is wrong.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClockStep {
+pub struct ClockOffset {
     /// The proxies, as sets.
     pub proxies: Vec<String>,
     /// By how much it is ahead...
@@ -86,7 +86,7 @@
 /// A fault on the links between two sets, for a while.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LinkStep {
+pub struct LinkFault {
     /// When it is injected, from the start of the load.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
@@ -138,7 +138,7 @@
 /// The contents of its folder that a restarted proxy finds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum FolderState {
     /// What its predecessor left.
     #[default]
     Kept,
@@ -151,7 +151,7 @@
 /// A fault on proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ProcessStep {
+pub struct ProcessFault {
     /// When, from the start of the load.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
@@ -173,7 +173,7 @@
     pub restart: bool,
     /// What it then finds in its folder.
     #[serde(default)]
-    pub state: State,
+    pub state: FolderState,
 }
 
 fn all_proxies() -> Vec<String> {
@@ -198,7 +198,7 @@
     /// A paused proxy is resumed.
     Resume(usize),
     /// A proxy that ended is started again.
-    Start(usize, State),
+    Start(usize, FolderState),
 }
 
 /// The schedule of an experiment.
@@ -236,12 +236,12 @@
 
     /// By how much a proxy's clock is wrong, in the form that the proxy reads; none if it is right.
     pub fn clock(&self, proxy: usize) -> Option<String> {
-        let wrong = self.clocks.iter().map(Spanned::get_ref).find(|clock| {
+        let offset_entry = self.clocks.iter().map(Spanned::get_ref).find(|clock| {
             let sets = clock.proxies.iter().filter_map(|w| LinkEnds::parse(w).ok());
             sets.into_iter().any(|g| g.contains(LinkEnd::Proxy(proxy)))
         })?;
-        let ahead = wrong.behind.is_zero();
-        let by = if ahead { wrong.ahead } else { wrong.behind };
+        let ahead = offset_entry.behind.is_zero();
+        let by = if ahead { offset_entry.ahead } else { offset_entry.behind };
         Some(format!("{}{}", if ahead { '+' } else { '-' }, humantime::format_duration(by)))
     }
 
@@ -263,11 +263,11 @@
 }
 
 /// The sets that the words of an experiment name.
-fn sets(words: &[String]) -> Vec<LinkEnds> {
-    words.iter().filter_map(|word| LinkEnds::parse(word).ok()).collect()
+fn sets(names: &[String]) -> Vec<LinkEnds> {
+    names.iter().filter_map(|name| LinkEnds::parse(name).ok()).collect()
 }
 
-impl LinkStep {
+impl LinkFault {
     fn steps(&self, id: usize, mut rng: Xoshiro256PlusPlus) -> [(Duration, Step); 2] {
         let at = self.at + self.spread.mul_f64(rng.random::<f64>());
         let at = if self.early { Duration::ZERO } else { at };
@@ -280,14 +280,14 @@
             delay: self.delay,
             jitter: self.jitter,
             rate: self.bytes_per_second,
-            injected_at: 0,
+            injected_at_change: 0,
         };
         let inject = if self.early { Step::InjectBeforeStart(fault) } else { Step::Inject(fault) };
         [(at, inject), (at + self.span, Step::Clear(id))]
     }
 }
 
-impl ProcessStep {
+impl ProcessFault {
     fn steps(&self, proxies: usize, mut rng: Xoshiro256PlusPlus) -> Vec<(Duration, Step)> {
         let sets = sets(&self.proxies);
         let named = |proxy: &usize| sets.iter().any(|set| set.contains(LinkEnd::Proxy(*proxy)));
--- a/crates/lab-rig/src/plan/check.rs
+++ b/crates/lab-rig/src/plan/check.rs
@@ -1,6 +1,6 @@
 //! Checks an experiment for values that its file may spell but that can't be played.
 
-use super::{LinkStep, Plan, MAX_LENGTH, MAX_PROXIES};
+use super::{LinkFault, Plan, MAX_LENGTH, MAX_PROXIES};
 use crate::board::{Fault, LinkEnds};
 use std::ops::Range;
 use std::time::Duration;
@@ -8,19 +8,20 @@
 /// Every problem of an experiment, each with its place; `at` names a place of the file.
 pub fn problems(plan: &Plan, file: &str, at: &dyn Fn(Option<Range<usize>>) -> String) -> Vec<String> {
     let mut problems = Vec::new();
-    let mut report = |span: Range<usize>, why: String| problems.push(format!("{}: {why}", at(Some(span))));
+    let mut report =
+        |span: Range<usize>, reason: String| problems.push(format!("{}: {reason}", at(Some(span))));
     let proxies = plan.proxies();
     if proxies == 0 || proxies > MAX_PROXIES {
         report(plan.proxies.span(), format!("proxies = {proxies}: from 1 to {MAX_PROXIES}"));
     }
     let length = plan.length.unwrap_or(Duration::MAX);
     for step in &plan.links {
-        let mut report = |why: String| report(step.span(), why);
-        check_link(step.get_ref(), proxies, length, &mut report);
+        let mut report = |reason: String| report(step.span(), reason);
+        check_link_fault(step.get_ref(), proxies, length, &mut report);
     }
     for step in &plan.clocks {
         let clock = step.get_ref();
-        let mut report = |why: String| report(step.span(), why);
+        let mut report = |reason: String| report(step.span(), reason);
         check_sets(&clock.proxies, proxies, &mut report);
         if clock.ahead.is_zero() == clock.behind.is_zero() {
             report("a clock is wrong by `ahead` or by `behind`, one of the two".into());
@@ -28,7 +29,7 @@
     }
     for step in &plan.processes {
         let process = step.get_ref();
-        let mut report = |why: String| report(step.span(), why);
+        let mut report = |reason: String| report(step.span(), reason);
         check_sets(&process.proxies, proxies, &mut report);
         if process.pick == Some(0) {
             report("pick = 0 picks nothing".into());
@@ -45,7 +46,7 @@
     problems
 }
 
-fn check_link(link: &LinkStep, proxies: usize, length: Duration, report: &mut dyn FnMut(String)) {
+fn check_link_fault(link: &LinkFault, proxies: usize, length: Duration, report: &mut dyn FnMut(String)) {
     if link.a.is_empty() || link.b.is_empty() {
         report("a link fault needs sets on both sides, `a` and `b`".into());
     }
@@ -65,14 +66,14 @@
     }
 }
 
-fn check_sets(words: &[String], proxies: usize, report: &mut dyn FnMut(String)) {
-    for word in words {
-        match LinkEnds::parse(word) {
+fn check_sets(names: &[String], proxies: usize, report: &mut dyn FnMut(String)) {
+    for name in names {
+        match LinkEnds::parse(name) {
             Ok(set) if set.last_proxy().is_some_and(|last| last >= proxies) => {
-                report(format!("`{word}`: there are {proxies} proxies, from 0"));
+                report(format!("`{name}`: there are {proxies} proxies, from 0"));
             }
             Ok(_) => {}
-            Err(why) => report(why.to_string()),
+            Err(reason) => report(reason.to_string()),
         }
     }
 }
--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -2,7 +2,7 @@
 
 use super::board::{FaultBoard, LinkEnd};
 use super::error::RigError;
-use super::plan::{Action, Plan, Schedule, State, Step};
+use super::plan::{Action, FolderState, Plan, Schedule, Step};
 use super::processes::ProxyProcesses;
 use super::readiness::ReadinessWatch;
 use super::relays::{RelayTotals, Relays};
@@ -26,11 +26,11 @@
 /// How often steps of the schedule are carried out, and processes polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// All proxies are healthy within this time of their start.
-const HEALTHY_WITHIN: Duration = Duration::from_secs(30);
+const HEALTHY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Processes end within this time of the load's end, or are killed.
-const ENDS_WITHIN: Duration = Duration::from_secs(3);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Clients use at most one in this many of the proxies' descriptors.
-const CLIENTS_DIVISOR: usize = 3;
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 3;
 /// The load begins this long after all proxies are healthy.
 const START_DELAY: Nanos = 50 * MILLISECOND;
 
@@ -105,7 +105,7 @@
 
     /// Starts the day's load; returns the time at which it begins as well.
     fn start_load(&self, day: &Day, load_balancer: Arc<LoadBalancer>) -> Result<(Nanos, Load), RigError> {
-        let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
+        let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENT_DESCRIPTORS_DIVISOR).max(1);
         let (clock, evidence) = (self.clock, self.evidence.clone());
         let from = clock.now() + START_DELAY;
         let recorder = move || Recorder::new(clock, evidence);
@@ -151,16 +151,16 @@
         load_balancer,
         watch,
         evidence: environment.evidence.clone(),
-        steps_done: Vec::new(),
+        executed_steps: Vec::new(),
         crashes: Vec::new(),
     };
-    experiment.follow(&steps, &load, &mut environment.site, stop).await;
+    experiment.run_until_load_ends(&steps, &load, &mut environment.site, stop).await;
     let stats = load.finish();
-    let Experiment { mut processes, watch, evidence, steps_done, crashes, .. } = experiment;
+    let Experiment { mut processes, watch, evidence, executed_steps, crashes, .. } = experiment;
     // Danger: the auditor ends only once every sender is dropped.
     drop(evidence);
     let restarted = watch.finish()?;
-    processes.end(ENDS_WITHIN);
+    processes.end(SHUTDOWN_TIMEOUT);
     let starts = processes.starts();
     drop(processes);
     let (counts, links, verdict) = environment.close()?;
@@ -176,7 +176,7 @@
         list_asks: counts.list_calls,
         list_refused: counts.list_rejected,
         links,
-        steps: steps_done,
+        steps: executed_steps,
         crashes,
         starts,
         restarted,
@@ -229,7 +229,7 @@
     watch: ReadinessWatch,
     evidence: SyncSender<Vec<Evidence>>,
     /// The steps as they were carried out, with seconds on the clock.
-    steps_done: Vec<(f64, String)>,
+    executed_steps: Vec<(f64, String)>,
     crashes: Vec<String>,
 }
 
@@ -240,7 +240,13 @@
     }
 
     /// Carries the schedule out and watches the proxies until the load has ended.
-    async fn follow(&mut self, steps: &[(Duration, Step)], load: &Load, site: &mut Site, stop: &AtomicBool) {
+    async fn run_until_load_ends(
+        &mut self,
+        steps: &[(Duration, Step)],
+        load: &Load,
+        site: &mut Site,
+        stop: &AtomicBool,
+    ) {
         site.begin();
         let began = Instant::now();
         let mut next = 0;
@@ -248,18 +254,18 @@
             tokio::time::sleep(POLL_INTERVAL).await;
             let elapsed = began.elapsed();
             while let Some((due, step)) = steps.get(next).filter(|(due, _)| *due <= elapsed) {
-                let what = self.carry_out(*due, step, &steps[next..]).await;
+                let description = self.execute_step(*due, step, &steps[next..]).await;
                 let at = self.clock.now() as f64 / 1e9;
-                tracing::info!("{at:8.3} s  {what} (due {:.3} s into the load)", due.as_secs_f64());
-                self.steps_done.push((at, what));
+                tracing::info!("{at:8.3} s  {description} (due {:.3} s into the load)", due.as_secs_f64());
+                self.executed_steps.push((at, description));
                 next += 1;
             }
             while site.proxy_restarts.try_recv().is_ok() {
                 // The schedule restarts proxies; restarts that the day wants are not carried out.
             }
-            for (index, why) in self.processes.poll() {
+            for (index, reason) in self.processes.poll() {
                 self.record(Observation::Crashed { proxy: index });
-                self.crashes.push(why);
+                self.crashes.push(reason);
             }
             update_health(&self.processes, &self.load_balancer).await;
             if stop.load(Ordering::Relaxed) {
@@ -269,7 +275,7 @@
     }
 
     /// Carries out a step that was due at `due`; `rest` are the steps from it on. What was done, in words.
-    async fn carry_out(&mut self, due: Duration, step: &Step, rest: &[(Duration, Step)]) -> String {
+    async fn execute_step(&mut self, due: Duration, step: &Step, rest: &[(Duration, Step)]) -> String {
         match step {
             Step::InjectBeforeStart(fault) => {
                 format!("{:?} between {:?} and {:?} since before the start", fault.fault, fault.a, fault.b)
@@ -283,11 +289,11 @@
                 format!("link fault {id} lifted")
             }
             Step::Signal(index, action) => {
-                let returns = rest.iter().find_map(|(later, step)| match step {
+                let recovery_delay = rest.iter().find_map(|(later, step)| match step {
                     Step::Resume(other) | Step::Start(other, _) if other == index => Some(*later - due),
                     _ => None,
                 });
-                self.signal(*index, *action, returns).await
+                self.signal(*index, *action, recovery_delay).await
             }
             Step::Resume(index) => {
                 self.processes.resume(*index);
@@ -298,11 +304,11 @@
     }
 
     /// Signals a proxy that is back after `returns`, or never.
-    async fn signal(&mut self, index: usize, action: Action, returns: Option<Duration>) -> String {
+    async fn signal(&mut self, index: usize, action: Action, recovery_delay: Option<Duration>) -> String {
         let pid = self.processes.pid(index);
-        if self.processes.runs(index) && action != Action::Term {
+        if self.processes.is_running(index) && action != Action::Term {
             // Recorded before the signal: what the clients observe of it comes after.
-            let until = returns.map_or(u64::MAX, |after| self.clock.now() + after.as_nanos() as u64);
+            let until = recovery_delay.map_or(u64::MAX, |after| self.clock.now() + after.as_nanos() as u64);
             self.record(Observation::Struck { proxy: index, until });
         }
         let signalled = self.processes.signal(index, action);
@@ -315,7 +321,7 @@
         format!("{action:?} proxy {index} ({pid:?}){}", if signalled { "" } else { ": it was not running" })
     }
 
-    async fn restart(&mut self, index: usize, state: State) -> String {
+    async fn restart(&mut self, index: usize, state: FolderState) -> String {
         let since = Instant::now();
         match self.processes.restart(index, state) {
             Ok(Some(addr)) => {
@@ -325,8 +331,8 @@
                 format!("proxy {index} started again at {addr}, state {state:?}")
             }
             Ok(None) => format!("proxy {index} was not down"),
-            Err(why) => {
-                self.crashes.push(why.to_string());
+            Err(reason) => {
+                self.crashes.push(reason.to_string());
                 self.record(Observation::Crashed { proxy: index });
                 format!("proxy {index} did not start again")
             }
@@ -335,11 +341,11 @@
 }
 
 async fn wait_until_healthy(addrs: &[SocketAddr]) -> Result<(), RigError> {
-    let until = Instant::now() + HEALTHY_WITHIN;
+    let until = Instant::now() + HEALTHY_TIMEOUT;
     for (index, addr) in addrs.iter().enumerate() {
         while check_health(*addr).await != Health::Healthy {
             if Instant::now() > until {
-                return Err(RigError::Unhealthy { index, within: HEALTHY_WITHIN });
+                return Err(RigError::Unhealthy { index, time_limit: HEALTHY_TIMEOUT });
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -366,9 +372,10 @@
 ///
 /// # Errors
 /// What is wrong with the day, or with it at those sizes.
-pub fn open_day(plan: &Plan, beside: Option<&Path>) -> Result<Day, RigError> {
-    let near = beside.and_then(Path::parent).map(|folder| folder.join(&plan.day)).filter(|p| p.is_file());
-    let name = near.map_or(plan.day.clone(), |p| p.display().to_string());
+pub fn open_day(plan: &Plan, plan_path: Option<&Path>) -> Result<Day, RigError> {
+    let local_file =
+        plan_path.and_then(Path::parent).map(|folder| folder.join(&plan.day)).filter(|p| p.is_file());
+    let name = local_file.map_or(plan.day.clone(), |p| p.display().to_string());
     let day = Day::open(&name)?;
     let nodes = plan.nodes.unwrap_or(day.site.cache.count);
     let mut day = day.sized(plan.proxies(), nodes)?;
--- a/crates/lab-rig/src/processes.rs
+++ b/crates/lab-rig/src/processes.rs
@@ -1,7 +1,7 @@
 //! The real proxies of an experiment: each in a folder of its own that outlives its processes, signalled, paused,
 //! and started again as the schedule says. Every child is ended by its id.
 
-use super::plan::{Action, State};
+use super::plan::{Action, FolderState};
 use aniseyoke_lab_day::FileError;
 use aniseyoke_lab_process::{ProcessError, Program, ProxyLauncher, RunningProxy};
 use nix::sys::signal::{kill, Signal};
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A proxy that was asked to end is killed this long after if it still runs.
-const STOPS_WITHIN: Duration = Duration::from_secs(5);
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 enum ProcessState {
     Running(Box<dyn RunningProxy>),
@@ -77,7 +77,7 @@
         for config in configs {
             processes.slots.push(ProxySlot { config, state: ProcessState::Down, starts: 0 });
             let index = processes.slots.len() - 1;
-            processes.start_one(index, State::Kept)?;
+            processes.start_one(index, FolderState::Kept)?;
         }
         Ok(processes)
     }
@@ -86,12 +86,12 @@
         self.folder.join(format!("proxy-{index}"))
     }
 
-    fn start_one(&mut self, index: usize, state: State) -> Result<SocketAddr, ProcessError> {
+    fn start_one(&mut self, index: usize, state: FolderState) -> Result<SocketAddr, ProcessError> {
         let dir = self.dir(index);
-        if state == State::Cleared && dir.exists() {
+        if state == FolderState::Cleared && dir.exists() {
             std::fs::remove_dir_all(&dir).map_err(FileError::at(&dir))?;
         }
-        if state == State::Spoilt {
+        if state == FolderState::Spoilt {
             corrupt_files(&dir).map_err(FileError::at(&dir))?;
         }
         let slot = &mut self.slots[index];
@@ -133,7 +133,7 @@
     }
 
     /// Whether a proxy runs and is neither paused nor ending.
-    pub fn runs(&self, index: usize) -> bool {
+    pub fn is_running(&self, index: usize) -> bool {
         self.slots.get(index).is_some_and(|p| matches!(p.state, ProcessState::Running(_)))
     }
 
@@ -151,7 +151,7 @@
             }
             Action::Term => {
                 running.terminate();
-                ProcessState::Ending(running, Instant::now() + STOPS_WITHIN)
+                ProcessState::Ending(running, Instant::now() + TERMINATION_TIMEOUT)
             }
             Action::Pause => {
                 signal(running.as_ref(), Signal::SIGSTOP);
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// If it does not start.
-    pub fn restart(&mut self, index: usize, state: State) -> Result<Option<SocketAddr>, ProcessError> {
+    pub fn restart(&mut self, index: usize, state: FolderState) -> Result<Option<SocketAddr>, ProcessError> {
         let Some(slot) = self.slots.get_mut(index) else { return Ok(None) };
         match std::mem::replace(&mut slot.state, ProcessState::Gone) {
             ProcessState::Ending(mut running, _) => running.kill(),
@@ -195,11 +195,13 @@
         for (index, slot) in self.slots.iter_mut().enumerate() {
             match &mut slot.state {
                 ProcessState::Running(running) | ProcessState::Paused(running) => {
-                    if let Some(how) = running.ended() {
+                    if let Some(exit_status) = running.ended() {
                         let lines = running.last_lines().join("\n    ");
                         crashed.push((
                             index,
-                            format!("proxy {index} ended by itself, {how}; its last lines:\n    {lines}"),
+                            format!(
+                                "proxy {index} ended by itself, {exit_status}; its last lines:\n    {lines}"
+                            ),
                         ));
                         slot.state = ProcessState::Gone;
                     }
@@ -224,14 +226,14 @@
     }
 
     /// Ends all proxies: paused ones are resumed, all are asked to end, and killed after `within`.
-    pub fn end(&mut self, within: Duration) {
+    pub fn end(&mut self, time_limit: Duration) {
         for index in 0..self.slots.len() {
             self.resume(index);
             if let ProcessState::Running(running) = &mut self.slots[index].state {
                 running.terminate();
             }
         }
-        let until = Instant::now() + within;
+        let until = Instant::now() + time_limit;
         for slot in &mut self.slots {
             if let ProcessState::Running(running) | ProcessState::Ending(running, _) = &mut slot.state {
                 while running.ended().is_none() && Instant::now() < until {
--- a/crates/lab-rig/src/readiness.rs
+++ b/crates/lab-rig/src/readiness.rs
@@ -15,7 +15,7 @@
 /// How often each is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Orders to the thread that may wait.
-const MAX_ORDERS: usize = 256;
+const MAX_QUEUED_COMMANDS: usize = 256;
 
 /// How long the proxies that were started again took to be ready.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -34,22 +34,22 @@
 
 impl Readiness {
     /// From the times of those that got ready, in seconds, and the number of those that did not.
-    pub fn of(mut times: Vec<f64>, unready: usize) -> Self {
+    pub fn from_times(mut times: Vec<f64>, unready: usize) -> Self {
         times.sort_by(f64::total_cmp);
         let all = times.len() + unready;
-        let rank = |part: f64| times.get(((all as f64 * part).ceil() as usize).max(1) - 1).copied();
+        let rank = |fraction: f64| times.get(((all as f64 * fraction).ceil() as usize).max(1) - 1).copied();
         Readiness { ready: times.len(), unready, p50_s: rank(0.5), p90_s: rank(0.9), most_s: rank(1.0) }
     }
 }
 
-enum Order {
+enum WatchCommand {
     Started { index: usize, addr: SocketAddr, since: Instant },
     Ended { index: usize },
 }
 
 /// Watches proxies that were started again.
 pub struct ReadinessWatch {
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<WatchCommand>,
     thread: JoinHandle<Readiness>,
 }
 
@@ -59,22 +59,22 @@
     /// # Errors
     /// If the system has none, or no runtime for it.
     pub fn start() -> std::io::Result<Self> {
-        let (orders, taken) = mpsc::channel(MAX_ORDERS);
+        let (commands, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let watch = move || runtime.block_on(watch(taken));
+        let watch = move || runtime.block_on(watch(receiver));
         let thread = std::thread::Builder::new().name("ready".into()).spawn(watch)?;
-        Ok(ReadinessWatch { orders, thread })
+        Ok(ReadinessWatch { commands, thread })
     }
 
     /// A process was started at `since` and accepts clients at `addr`.
     pub async fn started(&self, index: usize, addr: SocketAddr, since: Instant) {
         // The thread is gone only if it panicked, which `finish` tells.
-        let _ = self.orders.send(Order::Started { index, addr, since }).await;
+        let _ = self.commands.send(WatchCommand::Started { index, addr, since }).await;
     }
 
     /// The rig ended a process; if it was not ready yet, it does not count.
     pub async fn ended(&self, index: usize) {
-        let _ = self.orders.send(Order::Ended { index }).await;
+        let _ = self.commands.send(WatchCommand::Ended { index }).await;
     }
 
     /// The times of all.
@@ -82,12 +82,12 @@
     /// # Errors
     /// If the thread panicked.
     pub fn finish(self) -> Result<Readiness, RigError> {
-        drop(self.orders);
+        drop(self.commands);
         self.thread.join().map_err(|_| RigError::WatchPanicked)
     }
 }
 
-async fn watch(mut orders: mpsc::Receiver<Order>) -> Readiness {
+async fn watch(mut commands: mpsc::Receiver<WatchCommand>) -> Readiness {
     let (mut checks, mut times) = (JoinSet::new(), Vec::new());
     let mut waiting: HashMap<usize, AbortHandle> = HashMap::new();
     loop {
@@ -100,8 +100,8 @@
                     times.push(time);
                 }
             }
-            order = orders.recv() => match order {
-                Some(Order::Started { index, addr, since }) => {
+            command = commands.recv() => match command {
+                Some(WatchCommand::Started { index, addr, since }) => {
                     let check = checks.spawn(async move {
                         while check_health(addr).await != Health::Healthy {
                             tokio::time::sleep(POLL_INTERVAL).await;
@@ -112,12 +112,12 @@
                         old.abort();
                     }
                 }
-                Some(Order::Ended { index }) => {
+                Some(WatchCommand::Ended { index }) => {
                     if let Some(old) = waiting.remove(&index) {
                         old.abort();
                     }
                 }
-                None => return Readiness::of(times, waiting.len()),
+                None => return Readiness::from_times(times, waiting.len()),
             },
         }
     }
--- a/crates/lab-rig/src/relay.rs
+++ b/crates/lab-rig/src/relay.rs
@@ -18,11 +18,11 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// A chunk of bytes is at most this large.
-const CHUNK: usize = 16 * 1024;
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// A relay gives up reaching its target after this time, and resets the connection that it accepted.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// A truncated connection carries fewer bytes than this.
-const CUT_WITHIN: u64 = 2048;
+const MAX_CUT_BYTES: u64 = 2048;
 
 /// What a relay has done, for reports and tests.
 #[derive(Debug, Default)]
@@ -38,13 +38,13 @@
     /// Connections held silent for a while, or for good.
     pub held: AtomicU64,
     /// Of those, given up by their callers before the silence ended: nothing that was held of them reaches the target.
-    pub given_up: AtomicU64,
+    pub abandoned: AtomicU64,
     /// Connections whose target could not be reached.
     pub unreached: AtomicU64,
     /// Bytes carried toward the target.
-    pub bytes_to: AtomicU64,
+    pub bytes_to_target: AtomicU64,
     /// Bytes carried back.
-    pub bytes_back: AtomicU64,
+    pub bytes_from_target: AtomicU64,
 }
 
 impl RelayCounters {
@@ -128,7 +128,7 @@
                 number += 1;
                 let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, addr.port().into(), number));
                 RelayCounters::add(&counts.taken, 1);
-                tokio::spawn(carry(stream, link, faults.clone(), rng, counts.clone()));
+                tokio::spawn(relay_connection(stream, link, faults.clone(), rng, counts.clone()));
             }
             Err(e) => {
                 tracing::warn!("relay {addr}: {e}");
@@ -139,7 +139,7 @@
 }
 
 /// Whether a caller has closed its connection meanwhile.
-async fn given_up(stream: &TcpStream) -> bool {
+async fn abandoned(stream: &TcpStream) -> bool {
     let writable = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
     writable.is_ok_and(|ready| ready.is_read_closed() || ready.is_write_closed())
 }
@@ -155,7 +155,7 @@
 }
 
 /// How a direction of a connection ended.
-enum Ended {
+enum EndReason {
     /// Its sender closed it.
     Closed,
     /// A fault resets the connection, or a side failed.
@@ -165,62 +165,74 @@
 }
 
 /// Carries one connection, from its acceptance to its end.
-async fn carry(
-    mut down: TcpStream,
+async fn relay_connection(
+    mut downstream: TcpStream,
     link: Link,
     mut faults: watch::Receiver<Arc<FaultSet>>,
     mut rng: Xoshiro256PlusPlus,
     counts: Arc<RelayCounters>,
 ) {
-    let _ = down.set_nodelay(true);
-    let opened_at = faults.borrow().changes;
-    let budget = match admit(&down, link, opened_at, &mut faults, &mut rng, &counts).await {
+    let _ = downstream.set_nodelay(true);
+    let opened_at_change = faults.borrow().changes;
+    let budget = match admit(&downstream, link, opened_at_change, &mut faults, &mut rng, &counts).await {
         Some(budget) => AtomicU64::new(budget),
         None => return,
     };
-    let mut up = match timeout(CONNECT_WITHIN, TcpStream::connect(link.target)).await {
-        Ok(Ok(up)) => up,
+    let mut upstream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(link.target)).await {
+        Ok(Ok(upstream)) => upstream,
         _ => {
             RelayCounters::add(&counts.unreached, 1);
-            return reset(&down);
+            return reset(&downstream);
         }
     };
-    let _ = up.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
     let seed = rng.random::<u64>();
-    let ended = {
-        let connection = Connection { link, opened_at, budget: &budget, counts: &counts };
-        let (mut down_read, mut down_write) = down.split();
-        let (mut up_read, mut up_write) = up.split();
-        let there = connection.pump(&mut down_read, &mut up_write, faults.clone(), seed, &counts.bytes_to);
-        let back = connection.pump(&mut up_read, &mut down_write, faults, seed ^ 1, &counts.bytes_back);
-        tokio::pin!(there, back);
+    let end_reason = {
+        let connection = Connection { link, opened_at_change, budget: &budget, counts: &counts };
+        let (mut downstream_read, mut downstream_write) = downstream.split();
+        let (mut upstream_read, mut upstream_write) = upstream.split();
+        let to_target = connection.relay_direction(
+            &mut downstream_read,
+            &mut upstream_write,
+            faults.clone(),
+            seed,
+            &counts.bytes_to_target,
+        );
+        let from_target = connection.relay_direction(
+            &mut upstream_read,
+            &mut downstream_write,
+            faults,
+            seed ^ 1,
+            &counts.bytes_from_target,
+        );
+        tokio::pin!(to_target, from_target);
         let (first, other) = tokio::select! {
-            ended = &mut there => (ended, true),
-            ended = &mut back => (ended, false),
+            end_reason = &mut to_target => (end_reason, true),
+            end_reason = &mut from_target => (end_reason, false),
         };
         match first {
             // One direction was closed by its sender: the other is carried to its own end.
-            Ended::Closed if other => back.await,
-            Ended::Closed => there.await,
-            ended => ended,
+            EndReason::Closed if other => from_target.await,
+            EndReason::Closed => to_target.await,
+            end_reason => end_reason,
         }
     };
-    match ended {
-        Ended::Closed => {}
-        Ended::Reset => {
+    match end_reason {
+        EndReason::Closed => {}
+        EndReason::Reset => {
             RelayCounters::add(&counts.reset, 1);
-            reset(&down);
-            reset(&up);
+            reset(&downstream);
+            reset(&upstream);
         }
-        Ended::Cut => RelayCounters::add(&counts.cut, 1),
+        EndReason::Cut => RelayCounters::add(&counts.cut, 1),
     }
 }
 
 /// Applies the faults that hit a new connection; the bytes that it may carry before it is truncated, or none if it is over.
 async fn admit(
-    down: &TcpStream,
+    downstream: &TcpStream,
     link: Link,
-    opened_at: u64,
+    opened_at_change: u64,
     faults: &mut watch::Receiver<Arc<FaultSet>>,
     rng: &mut Xoshiro256PlusPlus,
     counts: &RelayCounters,
@@ -231,15 +243,15 @@
         faults.wait_for(|f| !f.effect(link.from, link.to).silent).await.ok()?;
         // Danger: what its caller wrote to the relay and gave up meanwhile would reach the target all at once, though
         // over a real link no handshake had come about and nothing had been written.
-        if given_up(down).await {
-            RelayCounters::add(&counts.given_up, 1);
+        if abandoned(downstream).await {
+            RelayCounters::add(&counts.abandoned, 1);
             return None;
         }
     }
     let effect = faults.borrow().effect(link.from, link.to);
-    if effect.resets(opened_at) {
+    if effect.resets(opened_at_change) {
         RelayCounters::add(&counts.reset, 1);
-        reset(down);
+        reset(downstream);
         return None;
     }
     if rng.random_bool(effect.drop.clamp(0.0, 1.0)) {
@@ -247,14 +259,14 @@
         return None;
     }
     let cut = rng.random_bool(effect.cut.clamp(0.0, 1.0));
-    Some(if cut { rng.random_range(0..CUT_WITHIN) } else { u64::MAX })
+    Some(if cut { rng.random_range(0..MAX_CUT_BYTES) } else { u64::MAX })
 }
 
 /// A connection whose two directions are carried.
 struct Connection<'a> {
     link: Link,
     /// The board's count of changes when it was opened.
-    opened_at: u64,
+    opened_at_change: u64,
     /// Bytes that both directions together may still carry.
     budget: &'a AtomicU64,
     counts: &'a RelayCounters,
@@ -262,37 +274,38 @@
 
 impl Connection<'_> {
     /// Carries one direction; its bytes are counted in `carried`.
-    async fn pump(
+    async fn relay_direction(
         &self,
         read: &mut ReadHalf<'_>,
         write: &mut WriteHalf<'_>,
         mut faults: watch::Receiver<Arc<FaultSet>>,
         seed: u64,
-        carried: &AtomicU64,
-    ) -> Ended {
+        bytes_carried: &AtomicU64,
+    ) -> EndReason {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let mut buf = vec![0u8; CHUNK];
+        let mut buf = vec![0u8; MAX_CHUNK_BYTES];
         let mut due = Instant::now();
         loop {
             let n = match self.read(read, write, &mut faults, &mut buf).await {
                 Ok(n) => n,
-                Err(ended) => return ended,
+                Err(end_reason) => return end_reason,
             };
-            let (effect, held) = match self.hold(&mut faults).await {
+            let (effect, held) = match self.wait_while_silent(&mut faults).await {
                 Some(held) => held,
-                None => return Ended::Reset,
+                None => return EndReason::Reset,
             };
             // Danger: over a real link, bytes that are not acknowledged are sent again until their sender resets the
             // connection, and never after that; the relay has acknowledged what it holds.
             if held && was_reset(read.as_ref()) {
-                RelayCounters::add(&self.counts.given_up, 1);
-                return Ended::Reset;
+                RelayCounters::add(&self.counts.abandoned, 1);
+                return EndReason::Reset;
             }
             // Both directions draw on one budget; it never goes below nothing.
-            let take = |left: u64| Some(left.saturating_sub(n as u64));
-            let left = self.budget.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).unwrap_or(0);
-            let cut = left <= n as u64;
-            let chunk = if cut { &buf[..left as usize] } else { &buf[..n] };
+            let consume = |remaining: u64| Some(remaining.saturating_sub(n as u64));
+            let remaining =
+                self.budget.fetch_update(Ordering::Relaxed, Ordering::Relaxed, consume).unwrap_or(0);
+            let cut = remaining <= n as u64;
+            let chunk = if cut { &buf[..remaining as usize] } else { &buf[..n] };
             if !effect.delay.is_zero() || !effect.jitter.is_zero() {
                 let jitter = effect.jitter.mul_f64(rng.random::<f64>());
                 // Order is kept: a chunk never leaves before the one ahead of it.
@@ -303,11 +316,11 @@
                 sleep(Duration::from_secs_f64(chunk.len() as f64 / rate as f64)).await;
             }
             if write.write_all(chunk).await.is_err() {
-                return Ended::Reset;
+                return EndReason::Reset;
             }
-            RelayCounters::add(carried, chunk.len() as u64);
+            RelayCounters::add(bytes_carried, chunk.len() as u64);
             if cut {
-                return Ended::Cut;
+                return EndReason::Cut;
             }
         }
     }
@@ -319,26 +332,26 @@
         write: &mut WriteHalf<'_>,
         faults: &mut watch::Receiver<Arc<FaultSet>>,
         buf: &mut [u8],
-    ) -> Result<usize, Ended> {
+    ) -> Result<usize, EndReason> {
         loop {
             tokio::select! {
                 got = read.read(buf) => match got {
                     Ok(0) => {
                         let _ = write.shutdown().await;
-                        return Err(Ended::Closed);
+                        return Err(EndReason::Closed);
                     }
                     Ok(n) => return Ok(n),
-                    Err(_) => return Err(Ended::Reset),
+                    Err(_) => return Err(EndReason::Reset),
                 },
                 changed = faults.changed() => {
                     if changed.is_err() {
-                        return Err(Ended::Closed);
+                        return Err(EndReason::Closed);
                     }
                     let effect = faults.borrow().effect(self.link.from, self.link.to);
-                    if effect.resets(self.opened_at) {
-                        return Err(Ended::Reset);
+                    if effect.resets(self.opened_at_change) {
+                        return Err(EndReason::Reset);
                     }
-                    if effect.half_open(self.opened_at) {
+                    if effect.half_open(self.opened_at_change) {
                         RelayCounters::add(&self.counts.held, 1);
                         // Half-open for good, even after the fault is cleared.
                         std::future::pending::<()>().await;
@@ -350,21 +363,24 @@
 
     /// Waits while the link is silent; the effect after that and whether it was silent, or none if the connection is to be
     /// reset. A half-open connection never comes back.
-    async fn hold(&self, faults: &mut watch::Receiver<Arc<FaultSet>>) -> Option<(LinkEffect, bool)> {
+    async fn wait_while_silent(
+        &self,
+        faults: &mut watch::Receiver<Arc<FaultSet>>,
+    ) -> Option<(LinkEffect, bool)> {
         let mut counted = false;
         loop {
             let effect = faults.borrow_and_update().effect(self.link.from, self.link.to);
-            if effect.resets(self.opened_at) {
+            if effect.resets(self.opened_at_change) {
                 return None;
             }
-            if !effect.silent && !effect.half_open(self.opened_at) {
+            if !effect.silent && !effect.half_open(self.opened_at_change) {
                 return Some((effect, counted));
             }
             if !counted {
                 RelayCounters::add(&self.counts.held, 1);
                 counted = true;
             }
-            if effect.half_open(self.opened_at) {
+            if effect.half_open(self.opened_at_change) {
                 // Half-open: neither answered nor closed, for as long as the other side keeps it.
                 std::future::pending::<()>().await;
             }
--- a/crates/lab-rig/src/report.rs
+++ b/crates/lab-rig/src/report.rs
@@ -8,9 +8,9 @@
 use std::fmt::Write as _;
 
 /// A plot's size, in pixels.
-const SIZE: (u32, u32) = (960, 300);
+const PLOT_SIZE_PIXELS: (u32, u32) = (960, 300);
 /// Faults that are drawn; with more the plots would be all lines.
-const MAX_MARKS: usize = 60;
+const MAX_FAULT_MARKS: usize = 60;
 
 /// One line of a plot: its name, and its value in each second.
 struct Series<'a> {
@@ -27,7 +27,7 @@
     title: &str,
     from: f64,
     rows: &[Series<'_>],
-    marks: &[f64],
+    fault_times: &[f64],
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     root.fill(&WHITE)?;
     let values = || rows.iter().flat_map(|r| r.seconds.iter().copied());
@@ -40,7 +40,7 @@
         .y_label_area_size(60)
         .build_cartesian_2d(from..from + length as f64, 0.0..max * 1.05)?;
     chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw()?;
-    for at in marks {
+    for at in fault_times {
         chart.draw_series(LineSeries::new([(*at, 0.0), (*at, max * 1.05)], RED.mix(0.25)))?;
     }
     for (n, series) in rows.iter().enumerate() {
@@ -56,11 +56,11 @@
     Ok(())
 }
 
-fn plot(title: &str, from: f64, rows: &[Series<'_>], marks: &[f64]) -> Result<String, RigError> {
+fn plot(title: &str, from: f64, rows: &[Series<'_>], fault_times: &[f64]) -> Result<String, RigError> {
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        draw(&root, title, from, rows, marks)
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE_PIXELS).into_drawing_area();
+        draw(&root, title, from, rows, fault_times)
             .map_err(|source| RigError::Plot { title: title.to_owned(), source })?;
     }
     Ok(svg)
@@ -83,7 +83,7 @@
         outcome.seconds.iter().map(|s| s.get(kind).copied().unwrap_or(0)).collect()
     };
     let outcomes: Vec<Series<'_>> = kinds.iter().map(|kind| series(kind, &of(kind))).collect();
-    let marks: Vec<f64> = outcome.steps.iter().map(|(at, _)| *at).take(MAX_MARKS).collect();
+    let fault_times: Vec<f64> = outcome.steps.iter().map(|(at, _)| *at).take(MAX_FAULT_MARKS).collect();
     let list = [series("calls", &outcome.list_asks), series("refused", &outcome.list_refused)];
     let opened = [series("all nodes", &outcome.nodes.opened), series("the ledger", &outcome.origin.opened)];
     let max = [
@@ -91,10 +91,10 @@
         series("turned away, all", &outcome.nodes.rejected_connections),
     ];
     let plots = [
-        plot("requests by how they ended", outcome.began_s, &outcomes, &marks)?,
-        plot("calls at the list service", 0.0, &list, &marks)?,
-        plot("connections opened", 0.0, &opened, &marks)?,
-        plot("connections opened at one node", 0.0, &max, &marks)?,
+        plot("requests by how they ended", outcome.began_s, &outcomes, &fault_times)?,
+        plot("calls at the list service", 0.0, &list, &fault_times)?,
+        plot("connections opened", 0.0, &opened, &fault_times)?,
+        plot("connections opened at one node", 0.0, &max, &fault_times)?,
     ];
     let mut page = String::new();
     let name = escape_html(name);
--- a/crates/lab-rig/src/tests.rs
+++ b/crates/lab-rig/src/tests.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// A far end that sends back what it gets.
-async fn echo() -> SocketAddr {
+async fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -24,8 +24,8 @@
     addr
 }
 
-async fn relayed(board: &FaultBoard) -> Relay {
-    let target = echo().await;
+async fn relay_to_echo_server(board: &FaultBoard) -> Relay {
+    let target = start_echo_server().await;
     let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Discovery, target };
     relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap()
 }
@@ -40,16 +40,16 @@
         delay: Duration::from_millis(80),
         jitter: Duration::ZERO,
         rate: 64 * 1024,
-        injected_at: 0,
+        injected_at_change: 0,
     }
 }
 
 /// Sends `n` bytes and reads them back, within `within`.
-async fn round(stream: &mut TcpStream, n: usize, within: Duration) -> Result<Vec<u8>, String> {
+async fn round_trip(stream: &mut TcpStream, n: usize, time_limit: Duration) -> Result<Vec<u8>, String> {
     let sent: Vec<u8> = (0..n).map(|i| (i % 251) as u8).collect();
     stream.write_all(&sent).await.map_err(|e| e.to_string())?;
     let mut got = vec![0u8; n];
-    match timeout(within, stream.read_exact(&mut got)).await {
+    match timeout(time_limit, stream.read_exact(&mut got)).await {
         Ok(Ok(_)) if got == sent => Ok(got),
         Ok(Ok(_)) => Err("changed on the way".into()),
         Ok(Err(e)) => Err(e.to_string()),
@@ -60,33 +60,33 @@
 #[tokio::test]
 async fn bytes_pass_unchanged_and_a_delay_is_added_to_them() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let plain = Instant::now();
-    assert_eq!(round(&mut stream, 100_000, Duration::from_secs(5)).await.unwrap().len(), 100_000);
+    assert_eq!(round_trip(&mut stream, 100_000, Duration::from_secs(5)).await.unwrap().len(), 100_000);
     let plain = plain.elapsed();
     board.inject(fault(1, Fault::Delay));
     let slow = Instant::now();
-    round(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
+    round_trip(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
     // Both directions wait.
     assert!(
         slow.elapsed() >= Duration::from_millis(160),
         "{:?} with a delay, {plain:?} without",
         slow.elapsed()
     );
-    assert_eq!(RelayCounters::get(&relay.counts.bytes_back), 100_010);
+    assert_eq!(RelayCounters::get(&relay.counts.bytes_from_target), 100_010);
 }
 
 #[tokio::test]
-async fn a_partition_holds_bytes_until_it_heals_and_handshakes_of_new_connections_go_unanswered() {
+async fn a_partition_delays_bytes_until_it_ends_and_leaves_new_handshakes_unanswered() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
-    round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
+    round_trip(&mut open, 10, Duration::from_secs(5)).await.unwrap();
     // Twice, since what keeps handshakes unanswered has to come and go with the fault.
     for id in [1, 2] {
         board.inject(fault(id, Fault::Partition));
-        assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
+        assert_eq!(round_trip(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
         for _ in 0..3 {
             let connecting = TcpStream::connect(relay.addr);
             assert!(
@@ -94,15 +94,15 @@
                 "a handshake was answered"
             );
         }
-        let waits = TcpStream::connect(relay.addr);
-        let heals = async {
+        let waiting_client = TcpStream::connect(relay.addr);
+        let clear_fault = async {
             tokio::time::sleep(Duration::from_millis(200)).await;
             board.clear(id);
         };
         // What was held comes through once it heals, and the handshake of who still waits.
-        let (waited, ()) = tokio::join!(timeout(Duration::from_secs(5), waits), heals);
+        let (waited, ()) = tokio::join!(timeout(Duration::from_secs(5), waiting_client), clear_fault);
         let mut new = waited.expect("in time").expect("connected");
-        round(&mut new, 10, Duration::from_secs(5)).await.unwrap();
+        round_trip(&mut new, 10, Duration::from_secs(5)).await.unwrap();
         let mut rest = [0u8; 10];
         timeout(Duration::from_secs(5), open.read_exact(&mut rest)).await.unwrap().unwrap();
     }
@@ -117,18 +117,18 @@
 /// Danger: over a real link a segment that was not acknowledged is sent again after an orderly close, and not after a
 /// reset; the relay has acknowledged what it holds.
 #[tokio::test]
-async fn what_a_partition_holds_of_a_connection_comes_through_after_a_close_and_not_after_a_reset() {
+async fn bytes_delayed_by_a_partition_are_delivered_after_a_close_and_discarded_after_a_reset() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     let mut open = Vec::new();
     for _ in 0..2 {
         let mut stream = TcpStream::connect(relay.addr).await.unwrap();
-        round(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
+        round_trip(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
         open.push(stream);
     }
     board.inject(fault(1, Fault::Partition));
     for stream in &mut open {
-        assert_eq!(round(stream, 100, Duration::from_millis(200)).await, Err("silent".into()));
+        assert_eq!(round_trip(stream, 100, Duration::from_millis(200)).await, Err("silent".into()));
     }
     let reset = open.pop().unwrap();
     socket2::SockRef::from(&reset).set_linger(Some(Duration::ZERO)).unwrap();
@@ -136,28 +136,28 @@
     drop(open);
     board.clear(1);
     let counts = relay.counts.clone();
-    let came = || (RelayCounters::get(&counts.bytes_to), RelayCounters::get(&counts.given_up));
+    let progress = || (RelayCounters::get(&counts.bytes_to_target), RelayCounters::get(&counts.abandoned));
     let both = async {
-        while came() != (120, 1) {
+        while progress() != (120, 1) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(Duration::from_secs(5), both).await.unwrap_or_else(|_| panic!("{:?}", came()));
+    timeout(Duration::from_secs(5), both).await.unwrap_or_else(|_| panic!("{:?}", progress()));
     // Longer than anything that was held takes to come through.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(came(), (120, 1));
+    assert_eq!(progress(), (120, 1));
 }
 
 #[tokio::test]
-async fn a_black_hole_holds_bytes_until_it_ends_and_new_connections_are_taken_and_go_unanswered() {
+async fn a_black_hole_delays_bytes_until_it_ends_and_accepts_new_connections_without_answering() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
-    round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
+    round_trip(&mut open, 10, Duration::from_secs(5)).await.unwrap();
     board.inject(fault(1, Fault::BlackHole));
-    assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
+    assert_eq!(round_trip(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
-    assert_eq!(round(&mut new, 10, Duration::from_millis(300)).await, Err("silent".into()));
+    assert_eq!(round_trip(&mut new, 10, Duration::from_millis(300)).await, Err("silent".into()));
     board.clear(1);
     // What was held comes through once it ends, on both.
     let mut rest = [0u8; 10];
@@ -167,7 +167,7 @@
 }
 
 /// A far end that counts the connections that it takes and reads them to their ends.
-async fn counting() -> (SocketAddr, std::sync::Arc<std::sync::atomic::AtomicU64>) {
+async fn start_counting_server() -> (SocketAddr, std::sync::Arc<std::sync::atomic::AtomicU64>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let (addr, taken) =
         (listener.local_addr().unwrap(), std::sync::Arc::<std::sync::atomic::AtomicU64>::default());
@@ -186,39 +186,42 @@
 
 /// Danger: over a real link no handshake comes about in a partition, so that callers that gave up leave nothing behind.
 #[tokio::test]
-async fn callers_that_gave_up_in_a_black_hole_do_not_reach_the_target_when_it_ends() {
+async fn connections_abandoned_during_a_black_hole_do_not_reach_the_target() {
     let board = FaultBoard::default();
-    let (target, taken) = counting().await;
+    let (target, taken) = start_counting_server().await;
     let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Discovery, target };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
     board.inject(fault(1, Fault::BlackHole));
     for resets in [false, true] {
-        let mut gave_up = TcpStream::connect(relay.addr).await.unwrap();
-        gave_up.write_all(b"asked").await.unwrap();
+        let mut abandoned_client = TcpStream::connect(relay.addr).await.unwrap();
+        abandoned_client.write_all(b"asked").await.unwrap();
         if resets {
-            socket2::SockRef::from(&gave_up).set_linger(Some(Duration::ZERO)).unwrap();
+            socket2::SockRef::from(&abandoned_client).set_linger(Some(Duration::ZERO)).unwrap();
         }
     }
-    let mut waits = TcpStream::connect(relay.addr).await.unwrap();
-    assert!(round(&mut waits, 100, Duration::from_millis(200)).await.is_err());
+    let mut waiting_client = TcpStream::connect(relay.addr).await.unwrap();
+    assert!(round_trip(&mut waiting_client, 100, Duration::from_millis(200)).await.is_err());
     board.clear(1);
     let mut back = vec![0; 100];
-    timeout(Duration::from_secs(2), waits.read_exact(&mut back)).await.expect("in time").expect("answered");
+    timeout(Duration::from_secs(2), waiting_client.read_exact(&mut back))
+        .await
+        .expect("in time")
+        .expect("answered");
     assert_eq!(taken.load(std::sync::atomic::Ordering::Relaxed), 1);
-    assert_eq!(RelayCounters::get(&relay.counts.given_up), 2);
+    assert_eq!(RelayCounters::get(&relay.counts.abandoned), 2);
 }
 
 #[tokio::test]
-async fn drops_resets_and_cuts_end_connections_each_in_its_way() {
+async fn drop_closes_reset_resets_and_cut_truncates_connections() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     board.inject(fault(1, Fault::Drop));
     let mut dropped = TcpStream::connect(relay.addr).await.unwrap();
     let mut byte = [0u8; 1];
     assert_eq!(timeout(Duration::from_secs(5), dropped.read(&mut byte)).await.unwrap().unwrap(), 0);
     board.clear(1);
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
-    round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
+    round_trip(&mut open, 10, Duration::from_secs(5)).await.unwrap();
     board.inject(fault(2, Fault::Reset));
     let reset = timeout(Duration::from_secs(5), open.read(&mut byte)).await.unwrap();
     assert!(matches!(&reset, Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset), "{reset:?}");
@@ -242,35 +245,35 @@
 }
 
 #[tokio::test]
-async fn half_open_connections_stay_silent_while_new_ones_are_carried() {
+async fn half_open_connections_stay_silent_while_new_ones_work() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
-    round(&mut open, 10, Duration::from_secs(5)).await.unwrap();
+    round_trip(&mut open, 10, Duration::from_secs(5)).await.unwrap();
     board.inject(fault(1, Fault::HalfOpen));
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
-    round(&mut new, 10, Duration::from_secs(5)).await.unwrap();
+    round_trip(&mut new, 10, Duration::from_secs(5)).await.unwrap();
     board.clear(1);
-    assert_eq!(round(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
+    assert_eq!(round_trip(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
 }
 
 #[tokio::test]
-async fn a_cap_on_bandwidth_slows_a_large_transfer() {
+async fn a_bandwidth_limit_slows_a_large_transfer() {
     let board = FaultBoard::default();
-    let relay = relayed(&board).await;
+    let relay = relay_to_echo_server(&board).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     board.inject(fault(1, Fault::Bandwidth));
     let began = Instant::now();
     // 64 KiB each way at 64 KiB a second.
-    round(&mut stream, 64 * 1024, Duration::from_secs(10)).await.unwrap();
+    round_trip(&mut stream, 64 * 1024, Duration::from_secs(10)).await.unwrap();
     assert!(began.elapsed() >= Duration::from_millis(900), "{:?}", began.elapsed());
 }
 
 #[tokio::test]
-async fn a_target_that_is_gone_is_a_reset() {
+async fn a_connection_to_an_unreachable_target_is_reset() {
     let board = FaultBoard::default();
-    let gone = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
-    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Ledger, target: gone };
+    let closed_addr = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
+    let link = Link { from: LinkEnd::Proxy(0), to: LinkEnd::Ledger, target: closed_addr };
     let relay = relay::open(&tokio::runtime::Handle::current(), link, board.watch(), 7).unwrap();
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let mut byte = [0u8; 1];
@@ -280,11 +283,11 @@
 }
 
 /// The median time of a small round trip, of so many.
-async fn median(stream: &mut TcpStream, rounds: usize) -> Duration {
+async fn median_round_trip(stream: &mut TcpStream, rounds: usize) -> Duration {
     let mut times = Vec::with_capacity(rounds);
     for _ in 0..rounds {
         let start = Instant::now();
-        round(stream, 64, Duration::from_secs(5)).await.unwrap();
+        round_trip(stream, 64, Duration::from_secs(5)).await.unwrap();
         times.push(start.elapsed());
     }
     times.sort_unstable();
@@ -295,23 +298,24 @@
 #[tokio::test]
 async fn a_relay_adds_less_than_a_millisecond_at_the_median() {
     let board = FaultBoard::default();
-    let mut straight = TcpStream::connect(echo().await).await.unwrap();
-    let mut through = TcpStream::connect(relayed(&board).await.addr).await.unwrap();
-    let (straight, through) = (median(&mut straight, 400).await, median(&mut through, 400).await);
-    println!("median round trip: {straight:?} straight, {through:?} through a relay");
-    assert!(through < straight + Duration::from_millis(1), "{straight:?} and {through:?}");
+    let mut direct = TcpStream::connect(start_echo_server().await).await.unwrap();
+    let mut via_relay = TcpStream::connect(relay_to_echo_server(&board).await.addr).await.unwrap();
+    let (direct, via_relay) =
+        (median_round_trip(&mut direct, 400).await, median_round_trip(&mut via_relay, 400).await);
+    println!("median round trip: {direct:?} straight, {via_relay:?} through a relay");
+    assert!(via_relay < direct + Duration::from_millis(1), "{direct:?} and {via_relay:?}");
 }
 
 /// Danger: what never got ready would not show in the times of those that did.
 #[test]
-fn those_that_never_got_ready_count_as_the_last() {
+fn processes_that_never_got_ready_count_as_the_slowest() {
     let times = |n: u32| (1..=n).rev().map(f64::from).collect::<Vec<_>>();
-    let all = Readiness::of(times(10), 0);
+    let all = Readiness::from_times(times(10), 0);
     assert_eq!((all.p50_s, all.p90_s, all.most_s), (Some(5.0), Some(9.0), Some(10.0)));
-    let one_not = Readiness::of(times(9), 1);
+    let one_not = Readiness::from_times(times(9), 1);
     assert_eq!((one_not.ready, one_not.unready), (9, 1));
     assert_eq!((one_not.p50_s, one_not.p90_s, one_not.most_s), (Some(5.0), Some(9.0), None));
-    let two_not = Readiness::of(times(8), 2);
+    let two_not = Readiness::from_times(times(8), 2);
     assert_eq!((two_not.p90_s, two_not.most_s), (None, None));
-    assert_eq!(Readiness::of(Vec::new(), 0), Readiness::default());
+    assert_eq!(Readiness::from_times(Vec::new(), 0), Readiness::default());
 }
