--- a/crates/lab-rig/src/board.rs
+++ b/crates/lab-rig/src/board.rs
@@ -1,6 +1,7 @@
-//! The ends of links, the faults that can be injected on links, and the board of the active ones.
+//! Link ends, the faults that can be injected on links, and the set of active faults.
 //!
-//! No I/O and no clock: the schedule injects and clears faults; relays read the effect on their link.
+//! This module has no I/O and no clock: the schedule injects and clears faults, and each relay reads the combined effect on
+//! its link.
 
 use super::error::LinkEndsError;
 use serde::Deserialize;
@@ -12,36 +13,36 @@
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkEnd {
-    /// A proxy, by its number in the experiment.
+    /// A proxy, by its index in the experiment.
     Proxy(usize),
-    /// Discovery.
+    /// The discovery service.
     Discovery,
-    /// The origin; experiments and reports call it ledger.
+    /// The origin, called `ledger` in plans and reports.
     Ledger,
-    /// A cache node, by the address at which the site opened it.
+    /// A cache node, by its listening address.
     Node(SocketAddr),
 }
 
-/// A set of ends, as an experiment names it: `proxies`, `proxy:3`, `proxy:0-4`, `discovery`, `ledger`, `nodes`.
+/// A set of link ends, as a plan names it: `proxies`, `proxy:3`, `proxy:0-4`, `discovery`, `ledger`, `nodes`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEnds {
     /// Every proxy.
     Proxies,
-    /// Proxies from the first number to the last, inclusive.
+    /// Proxies from the first index to the last, inclusive.
     Range(usize, usize),
-    /// Discovery.
+    /// The discovery service.
     Discovery,
-    /// The origin; experiments and reports call it ledger.
+    /// The origin, called `ledger` in plans and reports.
     Ledger,
     /// Every cache node.
     Nodes,
 }
 
 impl LinkEnds {
-    /// Reads one name of a set.
+    /// Parses the name of a set.
     ///
     /// # Errors
-    /// Names the word that is not a set.
+    /// Returns an error if the name does not denote a set.
     pub fn parse(name: &str) -> Result<LinkEnds, LinkEndsError> {
         let number = |part: &str| {
             let not_a_number = |_| LinkEndsError::NotANumber { name: name.to_owned(), part: part.to_owned() };
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether an end belongs to the set.
+    /// Returns whether the set contains a link end.
     pub fn contains(&self, end: LinkEnd) -> bool {
         match (self, end) {
             (LinkEnds::Proxies, LinkEnd::Proxy(_)) => true,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The highest proxy that it names, if it names proxies by number.
+    /// Returns the highest proxy index of the set, if it names proxies by index.
     pub fn last_proxy(&self) -> Option<usize> {
         match self {
             LinkEnds::Range(_, to) => Some(*to),
@@ -88,49 +89,51 @@
     }
 }
 
-/// The kinds of faults on links.
+/// A kind of link fault.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Every chunk of bytes is delayed, by up to `jitter` more; order is kept.
+    /// Each chunk of bytes is delayed by `delay` plus a random time up to `jitter`; the order of bytes is preserved.
     Delay,
-    /// A fraction of new connections is closed as soon as they are accepted.
+    /// A fraction of new connections is closed immediately after it is accepted.
     Drop,
-    /// A fraction of connections is closed in the middle of their bytes.
+    /// A fraction of new connections is truncated: closed after a limited number of bytes.
     Cut,
-    /// Open connections and new ones are reset.
+    /// Open and new connections are reset.
     Reset,
-    /// Connections are accepted and not answered; open ones go silent; bytes come through when it ends.
+    /// New connections are accepted but not served, and open ones stall; pending bytes are delivered when the fault is
+    /// cleared.
     BlackHole,
-    /// Open connections go silent for good and are never closed; new ones work.
+    /// Open connections stall permanently and are never closed; new ones work.
     HalfOpen,
-    /// Bandwidth is limited in each direction of a connection.
+    /// The bandwidth of each direction of a connection is limited.
     Bandwidth,
-    /// Nothing passes between the two sets until it is cleared: open connections are silent both ways, and the handshakes
-    /// of new ones stay unanswered.
+    /// No bytes pass between the two sets until the fault is cleared: open connections stall in both directions, and the
+    /// TCP handshakes of new ones stay unanswered.
     Partition,
 }
 
-/// A fault on the links between two sets.
+/// A fault that is active on the links between two sets of link ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveFault {
-    /// Its id in the schedule.
+    /// The id of the fault in the schedule.
     pub id: usize,
-    /// Its kind.
+    /// The kind of fault.
     pub fault: Fault,
-    /// One side.
+    /// One side of the links.
     pub a: Vec<LinkEnds>,
-    /// The other side.
+    /// The other side of the links.
     pub b: Vec<LinkEnds>,
-    /// The fraction of connections that `drop` and `cut` hit.
+    /// The fraction of connections affected by `drop` and `cut`.
     pub fraction: f64,
-    /// What `delay` adds.
+    /// The delay added by `delay`.
     pub delay: Duration,
-    /// Up to this much more for `delay`.
+    /// The maximum random time that `delay` adds to the delay.
     pub jitter: Duration,
-    /// What `bandwidth` lets through, in bytes a second.
+    /// The limit of `bandwidth`, in bytes per second.
     pub rate: u64,
-    /// The board's count of changes when it was injected; `half-open` and `reset` hit connections opened before that.
+    /// The value of [`FaultSet::changes`] when the fault was injected; `half-open` and `reset` affect connections opened before
+    /// that change.
     pub injected_at_change: u64,
 }
 
@@ -141,55 +144,55 @@
     }
 }
 
-/// The effect of the active faults on one link. Effects of several faults combine: delays add, the lowest bandwidth limit
-/// holds, silence wins.
+/// The combined effect of the active faults on one link: delays add up, the lowest bandwidth limit applies, and a fault that
+/// silences the link overrides the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkEffect {
-    /// Bytes are delayed by this.
+    /// The delay of each chunk of bytes.
     pub delay: Duration,
-    /// And by up to this much more.
+    /// The maximum random time added to the delay.
     pub jitter: Duration,
-    /// The limit in bytes a second, if any.
+    /// The bandwidth limit in bytes per second, if any.
     pub rate: Option<u64>,
-    /// The fraction of new connections closed at once.
+    /// The fraction of new connections that are closed immediately.
     pub drop: f64,
-    /// The fraction of connections truncated.
+    /// The fraction of connections that are truncated.
     pub cut: f64,
-    /// Connections opened before this change of the board are reset.
+    /// Connections opened before this change of the active faults are reset.
     pub reset_before: u64,
     /// Whether new connections are reset too.
     pub resets: bool,
-    /// Connections opened before this change of the board are silent for good.
+    /// Connections opened before this change of the active faults stall permanently.
     pub half_open_before: u64,
-    /// Whether nothing passes.
+    /// Whether no bytes pass.
     pub silent: bool,
-    /// Whether the handshakes of new connections stay unanswered.
+    /// Whether the TCP handshakes of new connections stay unanswered.
     pub unreachable: bool,
 }
 
 impl LinkEffect {
-    /// Whether a connection opened at change `opened_at` of the board is to be reset now.
+    /// Returns whether a connection opened at change `opened_at_change` has to be reset.
     pub fn resets(&self, opened_at_change: u64) -> bool {
         self.resets || opened_at_change < self.reset_before
     }
 
-    /// Whether a connection opened at change `opened_at` is half-open: silent for good.
+    /// Returns whether a connection opened at change `opened_at_change` is half-open, that is, stalled permanently.
     pub fn half_open(&self, opened_at_change: u64) -> bool {
         opened_at_change < self.half_open_before
     }
 }
 
-/// The active faults, and the number of changes so far.
+/// The active faults, and the number of changes to them so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultSet {
-    /// The number of changes.
+    /// The number of faults injected and cleared so far.
     pub changes: u64,
     /// The active faults.
     pub active: Vec<ActiveFault>,
 }
 
 impl FaultSet {
-    /// The effect on the link between two ends.
+    /// Returns the combined effect on the link between two ends.
     pub fn effect(&self, from: LinkEnd, to: LinkEnd) -> LinkEffect {
         let mut effect = LinkEffect::default();
         for fault in self.active.iter().filter(|a| a.applies_to(from, to)) {
@@ -216,7 +219,7 @@
     }
 }
 
-/// The active faults, which the schedule changes and relays follow.
+/// The shared set of active faults: the schedule changes it, and relays watch it.
 #[derive(Clone)]
 pub struct FaultBoard {
     faults: watch::Sender<Arc<FaultSet>>,
@@ -229,7 +232,7 @@
 }
 
 impl FaultBoard {
-    /// Injects a fault; it also hits connections that are open now.
+    /// Injects a fault, which also affects connections that are already open.
     pub fn inject(&self, mut fault: ActiveFault) {
         self.faults.send_modify(|faults| {
             let faults = Arc::make_mut(faults);
@@ -239,7 +242,7 @@
         });
     }
 
-    /// Clears fault `id`; connections that it made half-open or reset stay so.
+    /// Clears fault `id`; connections that it made half-open stay so, and connections that it reset stay closed.
     pub fn clear(&self, id: usize) {
         self.faults.send_modify(|faults| {
             let faults = Arc::make_mut(faults);
@@ -248,12 +251,12 @@
         });
     }
 
-    /// Follows the active faults.
+    /// Returns a receiver that is notified of each change of the active faults.
     pub fn watch(&self) -> watch::Receiver<Arc<FaultSet>> {
         self.faults.subscribe()
     }
 
-    /// The faults that are active now.
+    /// Returns a snapshot of the active faults.
     pub fn now(&self) -> Arc<FaultSet> {
         self.faults.borrow().clone()
     }
--- a/crates/lab-rig/src/board/tests.rs
+++ b/crates/lab-rig/src/board/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(LinkEnds::parse("proxy:7"), Ok(LinkEnds::Range(7, 7)));
     assert!(LinkEnds::parse("proxy:4-2").unwrap_err().to_string().contains("4 comes after 2"));
     assert!(LinkEnds::parse("proxy:x").unwrap_err().to_string().contains("`x` is not a number"));
-    assert!(LinkEnds::parse("cluster").unwrap_err().to_string().contains("`cluster` is no set"));
+    assert!(LinkEnds::parse("cluster").unwrap_err().to_string().contains("`cluster` is not a set"));
     assert!(
         LinkEnds::Range(2, 4).contains(LinkEnd::Proxy(3))
             && !LinkEnds::Range(2, 4).contains(LinkEnd::Proxy(5))
--- a/crates/lab-rig/src/error.rs
+++ b/crates/lab-rig/src/error.rs
@@ -1,82 +1,82 @@
-//! Why an experiment could not be played.
+//! Errors of the fault rig.
 
 use aniseyoke_lab_day::DayError;
 use aniseyoke_lab_process::ProcessError;
 use std::io;
 
-/// Why an experiment could not be played, or its outcome not be drawn.
+/// An error that prevents an experiment from running, or its outcome from being plotted.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// There is no runtime.
+    /// The async runtime could not be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
     /// The relays' thread could not be started.
     #[error("relays: {0}")]
     Relays(#[source] io::Error),
-    /// The site could not be opened.
+    /// The simulated site could not be opened.
     #[error("site: {0}")]
     Site(#[source] io::Error),
-    /// The log of all processes could not be created.
+    /// The combined log of all processes could not be created.
     #[error("processes.log: {0}")]
     Log(#[source] io::Error),
-    /// The thread that watches restarted proxies could not be started.
+    /// The thread that checks the readiness of restarted proxies could not be started.
     #[error("watch: {0}")]
     Watch(#[source] io::Error),
-    /// The load could not be started.
+    /// The load generator could not be started.
     #[error("load: {0}")]
     Load(#[source] io::Error),
-    /// The day does not fit the experiment.
+    /// The day could not be opened, or is invalid at the sizes of the experiment.
     #[error(transparent)]
     Day(#[from] DayError),
     /// A proxy could not be started.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A proxy was not healthy in time.
-    #[error("proxy {index} does not get well within {time_limit:?}")]
+    /// A proxy did not become healthy within the time limit.
+    #[error("proxy {index} did not become healthy within {time_limit:?}")]
     Unhealthy {
-        /// The proxy's number.
+        /// The proxy's index.
         index: usize,
-        /// The time that it had.
+        /// The time limit.
         time_limit: std::time::Duration,
     },
-    /// The thread that watches restarted proxies panicked.
-    #[error("the thread that looks at restarted proxies broke")]
+    /// The thread that checks the readiness of restarted proxies panicked.
+    #[error("the readiness thread of restarted proxies panicked")]
     WatchPanicked,
     /// The auditor's thread panicked.
-    #[error("the auditor broke")]
+    #[error("the auditor thread panicked")]
     AuditorPanicked,
     /// A plot could not be drawn.
     #[error("{title}: {source}")]
     Plot {
         /// The plot's title.
         title: String,
-        /// Why.
+        /// The cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
-/// A word that names no set of ends of links.
+/// A name that does not denote a set of link ends.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkEndsError {
-    /// A part of it should be a number.
+    /// A part of the name is not a number.
     #[error("`{name}`: `{part}` is not a number")]
     NotANumber {
-        /// The word.
+        /// The name.
         name: String,
-        /// The part.
+        /// The part that is not a number.
         part: String,
     },
-    /// Its range ends before it begins.
+    /// The range ends before it begins.
     #[error("`{name}`: {from} comes after {to}")]
     EmptyRange {
-        /// The word.
+        /// The name.
         name: String,
-        /// The range's first number.
+        /// The first proxy of the range.
         from: usize,
-        /// The range's last number.
+        /// The last proxy of the range.
         to: usize,
     },
-    /// It is no set at all.
-    #[error("`{0}` is no set of processes: proxies, proxy:N, proxy:N-M, discovery, ledger or nodes")]
+    /// The name is unknown.
+    #[error("`{0}` is not a set of processes: proxies, proxy:N, proxy:N-M, discovery, ledger or nodes")]
     Unknown(String),
 }
--- a/crates/lab-rig/src/handshakes.rs
+++ b/crates/lab-rig/src/handshakes.rs
@@ -1,53 +1,53 @@
-//! A listening socket that can stop answering handshakes, like an unreachable machine: a caller's SYN is lost, its machine
-//! sends it again after 1 s, 3 s and so on, and nothing that the caller would write is sent at all.
+//! A listening socket that can stop answering TCP handshakes, like an unreachable host: the client's SYN is lost and
+//! retransmitted after 1 s, 3 s and so on, and the client can't send any data.
 //!
-//! The kernel drops SYNs silently when the queue of connections to be accepted is full. So the queue is shortened to one,
-//! and filled with a connection of the relay's own.
+//! The kernel silently drops SYNs when the accept queue is full. To stop answering, the listener shortens the queue to one
+//! connection and fills it with a connection of its own.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted while handshakes are answered.
+/// The length of the accept queue while handshakes are answered.
 const BACKLOG: i32 = 1024;
-/// The shortest queue that the kernel has holds one connection.
+/// The backlog of the shortest accept queue of the kernel, which has a length of one connection.
 const MIN_BACKLOG: i32 = 0;
 
-/// A listener, and the connection that fills its queue while it answers no handshake.
+/// A listener, and the connection that fills its accept queue while it does not answer handshakes.
 pub struct HandshakeListener {
     listener: TcpListener,
     addr: SocketAddr,
     answering: bool,
-    /// Kept until it is accepted, so that no caller gets its port.
+    /// The connection that fills the queue; it stays open until it is accepted, so that no client gets its port.
     filler: Option<Socket>,
 }
 
 impl HandshakeListener {
-    /// A listener that answers handshakes.
+    /// Wraps a listener; it answers handshakes at first.
     ///
     /// # Errors
-    /// If the system does not tell the listener's address.
+    /// Returns an error if the system does not return the local address of the listener.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         let addr = listener.local_addr()?;
         Ok(HandshakeListener { listener, addr, answering: true, filler: None })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Answers handshakes from now on, or leaves them unanswered. Connections whose handshake is complete stay.
+    /// Starts or stops answering handshakes. Connections whose handshake is complete stay open.
     ///
     /// # Errors
-    /// If the system refuses.
+    /// Returns an error if a call on a socket fails.
     pub fn set_answering(&mut self, answering: bool) -> io::Result<()> {
         if answering == self.answering {
             return Ok(());
         }
         if answering {
-            // If callers had filled the queue themselves, the filler was never established, and must not be accepted.
+            // If clients filled the queue first, the filler connection was never established and must not be accepted.
             self.filler.take_if(|filler| filler.peer_addr().is_err());
             SockRef::from(&self.listener).listen(BACKLOG)?;
         } else {
@@ -60,10 +60,10 @@
         Ok(())
     }
 
-    /// The next caller's connection.
+    /// Accepts the next connection of a client.
     ///
     /// # Errors
-    /// If the system refuses.
+    /// Returns an error if `accept` fails.
     pub async fn accept(&mut self) -> io::Result<TcpStream> {
         loop {
             let (stream, from) = self.listener.accept().await?;
@@ -76,7 +76,7 @@
     }
 }
 
-/// A connection that is established at once if the listener's queue has room for it.
+/// Starts a connection that is established immediately if the listener's accept queue has capacity for it.
 fn start_connecting(addr: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/crates/lab-rig/src/lib.rs
+++ b/crates/lab-rig/src/lib.rs
@@ -1,16 +1,16 @@
-//! The fault rig: real proxies beside the site's stand-ins, a relay on every link, faults by a schedule
-//! (`docs/design-rig.md`).
+//! The fault rig: runs real proxies against a simulated site, with a relay on each link from a proxy, and injects faults on
+//! links and processes by a schedule (`docs/design-rig.md`).
 //!
-//! - [`board`]: the ends of links, faults, and the board of the active faults; no I/O.
+//! - [`board`]: link ends, link faults, and the set of active faults; no I/O.
 //! - [`handshakes`]: a listening socket that can stop answering handshakes.
-//! - [`plan`]: an experiment's file and the schedule that a seed makes of it.
-//! - [`play`]: one experiment from start to end.
-//! - [`outcome`]: what an experiment came to.
-//! - [`processes`]: the real proxies, signalled and started again.
-//! - [`readiness`]: how long proxies that were started again take to be ready.
+//! - [`plan`]: the fault plan of an experiment, and the schedule derived from it and a seed.
+//! - [`play`]: runs one experiment from start to end.
+//! - [`outcome`]: the results of an experiment.
+//! - [`processes`]: starts, signals and restarts the real proxies.
+//! - [`readiness`]: measures how long restarted proxies take to become ready.
 //! - [`relay`]: a relay on one link.
-//! - [`relays`]: all relays of an experiment, on a thread of their own.
-//! - [`report`]: the outcome as a page with plots.
+//! - [`relays`]: all relays of an experiment, on a separate thread.
+//! - [`report`]: the outcome as an HTML page with plots.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
