--- a/crates/lab-rig/src/outcome.rs
+++ b/crates/lab-rig/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of an experiment, and its table for a reader.
+//! The outcome of an experiment, and its summary as plain text.
 
 use super::readiness::Readiness;
 use super::relays::RelayTotals;
@@ -11,64 +11,64 @@
 /// The outcome of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// The seed of its schedule.
+    /// The seed of the schedule.
     pub seed: u64,
-    /// Real proxies.
+    /// The number of real proxies.
     pub proxies: usize,
-    /// Requests by outcome, over all.
+    /// The number of requests by outcome, over the whole load.
     pub all: OutcomeSummary,
-    /// For each second of the load: requests by outcome.
+    /// For each second of the load, the number of requests by outcome.
     pub seconds: Vec<BTreeMap<String, u64>>,
-    /// Calls at discovery for each second from the site's opening, before the load and during it.
+    /// The number of calls to the discovery service in each second since the site was opened, before and during the load.
     pub list_asks: Vec<u64>,
-    /// Of those, rejected as past what it answers.
+    /// The number of these calls that the discovery service rejected for exceeding its limit.
     pub list_refused: Vec<u64>,
-    /// When the load began, in seconds from the site's opening.
+    /// The start of the load, in seconds since the site was opened.
     pub began_s: f64,
     /// Connections and attempts at cache nodes.
     pub nodes: MemberLoad,
     /// Connections and attempts at the origin.
     #[serde(rename = "ledger")]
     pub origin: MemberLoad,
-    /// What the relays did, summed.
+    /// The counters of the relays, summed.
     pub links: RelayTotals,
-    /// The steps of the schedule as they were carried out, in seconds on the clock of the audit (from the rig's start, the
-    /// load beginning a little later).
+    /// The executed steps of the schedule, with their times in seconds on the clock of the audit. The clock starts with the
+    /// rig, shortly before the load.
     #[serde(rename = "done")]
     pub steps: Vec<(f64, String)>,
-    /// Proxies that crashed, or could not be started again.
+    /// Proxies that crashed or failed to restart.
     pub crashes: Vec<String>,
-    /// Processes that each proxy had.
+    /// The number of times that each proxy was started.
     pub starts: Vec<u32>,
-    /// How long those that were started again took to be ready.
+    /// How long restarted proxies took to become ready.
     pub restarted: Readiness,
     /// The auditor's verdict.
     pub verdict: Verdict,
 }
 
 impl Outcome {
-    /// Whether no rule was broken and no proxy crashed.
+    /// Returns whether no rule was broken and no proxy crashed.
     pub fn clean(&self) -> bool {
         self.verdict.clean() && self.crashes.is_empty()
     }
 }
 
-/// The fraction of the requests that is served in time in steady service.
+/// The minimum fraction of requests served in time in a second of steady service.
 const STEADY_FRACTION: f64 = 0.95;
 
-/// The second of the load from which on every second is one of steady service; none if its last is not.
+/// Returns the second of the load from which on every second is one of steady service, or `None` if the last one is not.
 pub fn steady_after(outcome: &Outcome) -> Option<usize> {
     let steady = |counts: &BTreeMap<String, u64>| {
         let all: u64 = counts.values().sum();
         all == 0 || counts.get("served").copied().unwrap_or(0) as f64 >= STEADY_FRACTION * all as f64
     };
-    // The last second has been cut short by the end.
+    // The last second is incomplete.
     let seconds = outcome.seconds.split_last().map_or(&[][..], |(_, rest)| rest);
     let after = seconds.iter().rposition(|counts| !steady(counts)).map_or(0, |last| last + 1);
     (after < seconds.len()).then_some(after)
 }
 
-/// The outcome as a table for a reader.
+/// Formats the outcome as a plain-text summary.
 pub fn table(outcome: &Outcome) -> String {
     let mut text = format!("{} proxies, seed {}\n", outcome.proxies, outcome.seed);
     for (at, description) in &outcome.steps {
@@ -88,7 +88,7 @@
     }
     let RelayTotals { relays, taken, dropped, cut, reset, held, unreached, .. } = outcome.links;
     text += &format!(
-        "links: {relays} relays, {taken} connections; dropped {dropped}, cut {cut}, reset {reset}, held silent {held}, target gone {unreached}\n"
+        "links: {relays} relays, {taken} connections; dropped {dropped}, cut {cut}, reset {reset}, stalled {held}, target unreachable {unreached}\n"
     );
     text += &audit_lines(&outcome.verdict);
     for crash in &outcome.crashes {
@@ -102,7 +102,7 @@
     let mut sorted = outcome.list_asks.clone();
     sorted.sort_unstable();
     format!(
-        "list service: {} calls, at most {} in a second, median {} a second, {} refused\n",
+        "list service: {} calls, at most {} in a second, median {} a second, {} rejected\n",
         sorted.iter().sum::<u64>(),
         sorted.last().copied().unwrap_or(0),
         sorted.get(sorted.len() / 2).copied().unwrap_or(0),
@@ -115,7 +115,7 @@
     for (member, load) in [("a node", &outcome.nodes), ("the ledger", &outcome.origin)] {
         let (all, max) = (load.opened.iter().sum::<u64>(), load.max_opened.iter().max().unwrap_or(&0));
         text += &format!(
-            "{member}: {max} connections a second at most ({all} in all), {} held at once, {} attempts out, {} of them turned away for lack of room, {} connections turned away\n",
+            "{member}: {max} connections a second at most ({all} in all), {} open at once, {} attempts in flight at most, {} attempts rejected for lack of capacity, {} connections rejected\n",
             load.max_open,
             load.max_in_flight,
             load.rejected_attempts,
@@ -142,12 +142,12 @@
 
 fn audit_lines(verdict: &Verdict) -> String {
     let mut text = format!(
-        "audit: {} requests, {} unanswered where the rig struck, {} closed at the door, broken {:?}\n",
+        "audit: {} requests, {} unanswered due to a fault of their proxy, {} closed before forwarding, broken {:?}\n",
         verdict.requests, verdict.proxy_faulted, verdict.closed_before_forwarding, verdict.broken
     );
     if !verdict.repeated_after_kill.is_empty() {
         text += &format!(
-            "ran twice after a kill, asked again elsewhere (no takeover yet): {:?}\n",
+            "ran twice after a kill and a retry at another proxy (no takeover yet): {:?}\n",
             verdict.repeated_after_kill
         );
     }
--- a/crates/lab-rig/src/plan.rs
+++ b/crates/lab-rig/src/plan.rs
@@ -1,5 +1,6 @@
-//! An experiment of the rig as one TOML file: the site's size, the load, and faults on links and processes by time. It is
-//! checked whole, each problem with its place (`file:line:col`), and made into a schedule that follows from the seed alone.
+//! The fault plan of an experiment, read from one TOML file: the size of the site, the load, and timed faults on links and
+//! processes. All problems of a file are reported at once, each with its position (`file:line:col`). The schedule of an
+//! experiment is determined by its plan and a seed.
 
 mod check;
 
@@ -14,33 +15,33 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Real proxies of one experiment at most.
+/// The maximum number of real proxies in one experiment.
 pub const MAX_PROXIES: usize = 128;
-/// The longest experiment.
+/// The maximum length of an experiment.
 pub const MAX_LENGTH: Duration = Duration::from_secs(30 * 60);
 
-/// An experiment.
+/// The fault plan of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The day that gives site, classes and load: a built-in name or a file.
+    /// The day that defines the site, the classes and the load: a built-in name or a file.
     pub day: String,
-    /// Real proxies.
+    /// The number of real proxies.
     pub proxies: Spanned<usize>,
-    /// Cache nodes, if not the day's; load and origin scale with them.
+    /// The number of cache nodes, overriding that of the day; the load and the origin are scaled accordingly.
     pub nodes: Option<usize>,
-    /// For how long requests arrive, if not the day's.
+    /// How long requests arrive, overriding the day.
     #[serde(default, with = "humantime_serde")]
     pub length: Option<Duration>,
-    /// Requests a second, if not the day's.
+    /// Requests per second, overriding the day.
     pub rate: Option<f64>,
-    /// Limits of discovery.
+    /// Limits of the discovery service.
     #[serde(default)]
     pub list: ListService,
-    /// The connections that cache nodes accept.
+    /// The connection limits of cache nodes.
     #[serde(default, rename = "bears")]
     pub connection_limits: ConnectionLimits,
-    /// Processes whose wall clock is wrong, from their first start on.
+    /// Wall-clock offsets of proxies, in effect from their first start.
     #[serde(default, rename = "clock")]
     pub clocks: Vec<Spanned<ClockOffset>>,
     /// Faults on links.
@@ -51,14 +52,14 @@
     pub processes: Vec<Spanned<ProcessFault>>,
 }
 
-/// Limits of the stand-in for discovery.
+/// Limits of the simulated discovery service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListService {
-    /// Calls a second in all that it answers; past that, 503 with `Retry-After`. No limit if not given.
+    /// The total number of calls per second that it answers; excess calls get 503 with `Retry-After`. Unlimited if absent.
     #[serde(rename = "asks_per_second")]
     pub calls_per_second: Option<u64>,
-    /// The `Retry-After` of its rejections.
+    /// The `Retry-After` value of rejected calls.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
 }
@@ -69,52 +70,53 @@
     }
 }
 
-/// Proxies whose wall clock is wrong.
+/// A wall-clock offset of proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClockOffset {
-    /// The proxies, as sets.
+    /// The names of the sets of proxies.
     pub proxies: Vec<String>,
-    /// By how much it is ahead...
+    /// How far the clock is ahead; `behind` must be 0.
     #[serde(default, with = "humantime_serde")]
     pub ahead: Duration,
-    /// ...or behind.
+    /// How far the clock is behind; `ahead` must be 0.
     #[serde(default, with = "humantime_serde")]
     pub behind: Duration,
 }
 
-/// A fault on the links between two sets, for a while.
+/// A temporary fault on the links between two sets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkFault {
-    /// When it is injected, from the start of the load.
+    /// When the fault is injected, counted from the start of the load.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// For how long.
+    /// How long the fault stays active.
     #[serde(rename = "for", with = "humantime_serde")]
     pub span: Duration,
-    /// Up to this much later, drawn from the seed.
+    /// The maximum random delay of the injection, derived from the seed.
     #[serde(default, with = "humantime_serde")]
     pub spread: Duration,
-    /// The fault.
+    /// The kind of fault.
     pub fault: Fault,
-    /// One side, as sets: `proxies`, `proxy:N`, `proxy:N-M`, `discovery`, `ledger`, `nodes`.
+    /// The names of the sets on one side: `proxies`, `proxy:N`, `proxy:N-M`, `discovery`, `ledger`, `nodes`.
     pub a: Vec<String>,
-    /// The other side.
+    /// The names of the sets on the other side.
     pub b: Vec<String>,
-    /// The fraction of connections that `drop` and `cut` hit.
+    /// The fraction of connections affected by `drop` and `cut`.
     #[serde(default = "all_connections", rename = "part")]
     pub fraction: f64,
-    /// What `delay` adds.
+    /// The delay added by `delay`.
     #[serde(default, with = "humantime_serde")]
     pub delay: Duration,
-    /// Up to this much more.
+    /// The maximum random time that `delay` adds to the delay.
     #[serde(default, with = "humantime_serde")]
     pub jitter: Duration,
-    /// What `bandwidth` lets through, in bytes a second.
+    /// The limit of `bandwidth`, in bytes per second.
     #[serde(default)]
     pub bytes_per_second: u64,
-    /// Whether it is injected before the proxies start, whatever `at` says; `for` still counts from the start of the load.
+    /// Whether the fault is injected before the proxies start, regardless of `at`; `for` still counts from the start of the
+    /// load.
     #[serde(default)]
     pub early: bool,
 }
@@ -123,55 +125,55 @@
     1.0
 }
 
-/// A signal to a process.
+/// The action of a process fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// SIGKILL; started again after `for` if `restart`.
+    /// Sends SIGKILL; the proxy is restarted after `for` if `restart` is set.
     Kill,
-    /// SIGTERM: it drains and ends; started again after `for` if `restart`.
+    /// Sends SIGTERM, so that the proxy drains and exits; it is restarted after `for` if `restart` is set.
     Term,
-    /// SIGSTOP, and SIGCONT after `for`.
+    /// Sends SIGSTOP, and SIGCONT after `for`.
     Pause,
 }
 
-/// The contents of its folder that a restarted proxy finds.
+/// The state of a proxy's directory at its restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FolderState {
-    /// What its predecessor left.
+    /// The files of the previous process are unchanged.
     #[default]
     Kept,
-    /// None.
+    /// The directory is removed.
     Cleared,
-    /// What its predecessor left, with a byte changed in the middle of each file.
+    /// Each file of the previous process has one byte changed in its middle.
     Spoilt,
 }
 
-/// A fault on proxies.
+/// A fault on proxy processes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessFault {
-    /// When, from the start of the load.
+    /// When the action is performed, counted from the start of the load.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// Up to this much later, drawn from the seed for each proxy.
+    /// The maximum random delay of the action, derived from the seed for each proxy.
     #[serde(default, with = "humantime_serde")]
     pub spread: Duration,
-    /// The signal.
+    /// The action.
     pub action: Action,
-    /// The proxies, as sets.
+    /// The names of the sets of proxies.
     #[serde(default = "all_proxies")]
     pub proxies: Vec<String>,
-    /// This many of them, drawn from the seed; all if not given.
+    /// The number of these proxies that are affected, chosen by the seed; all if absent.
     pub pick: Option<usize>,
-    /// How long a pause lasts, or how long a proxy stays down.
+    /// How long a pause lasts, or how long a terminated proxy stays down.
     #[serde(rename = "for", with = "humantime_serde")]
     pub span: Duration,
-    /// Whether a proxy that ended is started again.
+    /// Whether a terminated proxy is restarted.
     #[serde(default = "default_restart")]
     pub restart: bool,
-    /// What it then finds in its folder.
+    /// The state of the proxy's directory at the restart.
     #[serde(default)]
     pub state: FolderState,
 }
@@ -184,35 +186,35 @@
     true
 }
 
-/// One step of a schedule.
+/// A step of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// A fault is injected on links before the proxies start.
+    /// Injects a link fault before the proxies start.
     InjectBeforeStart(ActiveFault),
-    /// A fault is injected on links.
+    /// Injects a link fault.
     Inject(ActiveFault),
-    /// Fault `.0` is cleared.
+    /// Clears the link fault with this id.
     Clear(usize),
-    /// A proxy is signalled.
+    /// Performs an action on a proxy.
     Signal(usize, Action),
-    /// A paused proxy is resumed.
+    /// Resumes a paused proxy.
     Resume(usize),
-    /// A proxy that ended is started again.
+    /// Restarts a terminated proxy.
     Start(usize, FolderState),
 }
 
 /// The schedule of an experiment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// Steps with their times from the start of the load, in order of time.
+    /// The steps with their times, counted from the start of the load, in order of time.
     pub steps: Vec<(Duration, Step)>,
 }
 
 impl Plan {
-    /// Reads an experiment from its text; `file` is named in errors.
+    /// Parses a plan; errors name it `file`.
     ///
     /// # Errors
-    /// Every problem found, each as `file:line:col: reason`.
+    /// Returns every problem found, each as `file:line:col: reason`.
     pub fn parse(file: &str, text: &str) -> Result<Plan, PlanError> {
         let at = |span: Option<std::ops::Range<usize>>| {
             let (line, col) = line_and_column(text, span.map_or(0, |s| s.start));
@@ -229,12 +231,12 @@
         }
     }
 
-    /// The number of real proxies.
+    /// Returns the number of real proxies.
     pub fn proxies(&self) -> usize {
         *self.proxies.get_ref()
     }
 
-    /// By how much a proxy's clock is wrong, in the form that the proxy reads; none if it is right.
+    /// Returns the wall-clock offset of a proxy in the format that the proxy parses, or `None` if it has no offset.
     pub fn clock(&self, proxy: usize) -> Option<String> {
         let offset_entry = self.clocks.iter().map(Spanned::get_ref).find(|clock| {
             let sets = clock.proxies.iter().filter_map(|w| LinkEnds::parse(w).ok());
@@ -245,7 +247,7 @@
         Some(format!("{}{}", if ahead { '+' } else { '-' }, humantime::format_duration(by)))
     }
 
-    /// The schedule that a seed makes of it.
+    /// Derives the schedule from the plan and a seed.
     pub fn schedule(&self, seed: u64) -> Schedule {
         let mut steps = Vec::new();
         for (id, step) in self.links.iter().enumerate() {
@@ -256,13 +258,13 @@
             let rng = Xoshiro256PlusPlus::seed_from_u64(mix(seed, 0x9c0, n as u64));
             steps.extend(step.get_ref().steps(self.proxies(), rng));
         }
-        // Stable: steps due at one time are carried out in the order of the file.
+        // The sort is stable: steps due at the same time are executed in the order of the file.
         steps.sort_by_key(|(at, _)| *at);
         Schedule { steps }
     }
 }
 
-/// The sets that the words of an experiment name.
+/// Parses the names of sets.
 fn sets(names: &[String]) -> Vec<LinkEnds> {
     names.iter().filter_map(|name| LinkEnds::parse(name).ok()).collect()
 }
--- a/crates/lab-rig/src/plan/check.rs
+++ b/crates/lab-rig/src/plan/check.rs
@@ -1,11 +1,11 @@
-//! Checks an experiment for values that its file may spell but that can't be played.
+//! Validates a plan: rejects values that are well-formed but can't be executed.
 
 use super::{LinkFault, Plan, MAX_LENGTH, MAX_PROXIES};
 use crate::board::{Fault, LinkEnds};
 use std::ops::Range;
 use std::time::Duration;
 
-/// Every problem of an experiment, each with its place; `at` names a place of the file.
+/// Returns every problem of a plan, each with its position; `at` formats a position in the file.
 pub fn problems(plan: &Plan, file: &str, at: &dyn Fn(Option<Range<usize>>) -> String) -> Vec<String> {
     let mut problems = Vec::new();
     let mut report =
@@ -24,7 +24,7 @@
         let mut report = |reason: String| report(step.span(), reason);
         check_sets(&clock.proxies, proxies, &mut report);
         if clock.ahead.is_zero() == clock.behind.is_zero() {
-            report("a clock is wrong by `ahead` or by `behind`, one of the two".into());
+            report("a clock needs exactly one of `ahead` and `behind`".into());
         }
     }
     for step in &plan.processes {
@@ -32,16 +32,16 @@
         let mut report = |reason: String| report(step.span(), reason);
         check_sets(&process.proxies, proxies, &mut report);
         if process.pick == Some(0) {
-            report("pick = 0 picks nothing".into());
+            report("pick = 0: at least 1".into());
         }
         if process.at + process.spread + process.span > length {
-            report("it would outlast the experiment's length".into());
+            report("the fault would last beyond the end of the experiment".into());
         }
     }
     if plan.length.is_some_and(|length| length.is_zero() || length > MAX_LENGTH) {
-        // A duration's place is not kept by its reader; the key is named instead.
+        // The parser of durations does not retain positions, so the message names the key instead.
         let max = humantime::format_duration(MAX_LENGTH);
-        problems.push(format!("{file}: length: more than nothing and at most {max}"));
+        problems.push(format!("{file}: length: more than 0 and at most {max}"));
     }
     problems
 }
@@ -53,7 +53,7 @@
     check_sets(&link.a, proxies, report);
     check_sets(&link.b, proxies, report);
     if !(0.0..=1.0).contains(&link.fraction) {
-        report(format!("part = {}: a part from 0 to 1", link.fraction));
+        report(format!("part = {}: a fraction from 0 to 1", link.fraction));
     }
     if link.fault == Fault::Delay && link.delay.is_zero() && link.jitter.is_zero() {
         report("a delay needs `delay` or `jitter`".into());
@@ -62,7 +62,7 @@
         report("bandwidth needs `bytes_per_second` above 0".into());
     }
     if link.at + link.spread + link.span > length {
-        report("it would outlast the experiment's length".into());
+        report("the fault would last beyond the end of the experiment".into());
     }
 }
 
--- a/crates/lab-rig/src/processes.rs
+++ b/crates/lab-rig/src/processes.rs
@@ -1,5 +1,5 @@
-//! The real proxies of an experiment: each in a folder of its own that outlives its processes, signalled, paused,
-//! and started again as the schedule says. Every child is ended by its id.
+//! The real proxies of an experiment: signals, pauses and restarts them according to the schedule. Each proxy has a directory
+//! of its own that persists across restarts. Processes are signalled by their process id only.
 
 use super::plan::{Action, FolderState};
 use aniseyoke_lab_day::FileError;
@@ -11,17 +11,17 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A proxy that was asked to end is killed this long after if it still runs.
+/// How long after SIGTERM a proxy that is still running is killed.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 enum ProcessState {
     Running(Box<dyn RunningProxy>),
     Paused(Box<dyn RunningProxy>),
-    /// Asked to end by SIGTERM; killed if it has not ended by then.
+    /// Terminated by SIGTERM; killed if it is still running at the given time.
     Ending(Box<dyn RunningProxy>, Instant),
-    /// Ended by the rig; waits to be started again.
+    /// Ended by the rig; may be restarted.
     Down,
-    /// It crashed.
+    /// Crashed.
     Gone,
 }
 
@@ -38,7 +38,7 @@
     slots: Vec<ProxySlot>,
 }
 
-/// Changes a byte in the middle of each file in a folder.
+/// Changes one byte in the middle of each file in a directory and its subdirectories.
 fn corrupt_files(folder: &Path) -> std::io::Result<()> {
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
@@ -58,16 +58,16 @@
 
 fn signal(running: &dyn RunningProxy, signal: Signal) {
     if let Some(pid) = running.pid() {
-        // One that has just ended is noticed by the next poll.
+        // An error means that the process has just ended; the next poll detects that.
         let _ = kill(Pid::from_raw(pid as i32), signal);
     }
 }
 
 impl ProxyProcesses {
-    /// Starts one proxy for each configuration, in `folder/proxy-N`.
+    /// Starts one proxy for each configuration, each in the directory `folder/proxy-N`.
     ///
     /// # Errors
-    /// Which proxy did not start, and its last lines.
+    /// Returns an error that names the proxy that did not start, with its last log lines.
     pub fn start(
         program: Program,
         configs: Vec<Value>,
@@ -102,17 +102,17 @@
         Ok(addr)
     }
 
-    /// The number of proxies.
+    /// Returns the number of proxies.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no proxies.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Where a proxy accepts clients, if it runs.
+    /// Returns the address on which a proxy accepts clients, if it is running.
     pub fn addr(&self, index: usize) -> Option<SocketAddr> {
         match &self.slots.get(index)?.state {
             ProcessState::Running(running)
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A proxy's process id, if it runs.
+    /// Returns the process id of a proxy, if it is running.
     pub fn pid(&self, index: usize) -> Option<u32> {
         match &self.slots.get(index)?.state {
             ProcessState::Running(running)
@@ -132,12 +132,12 @@
         }
     }
 
-    /// Whether a proxy runs and is neither paused nor ending.
+    /// Returns whether a proxy is running and is neither paused nor terminating.
     pub fn is_running(&self, index: usize) -> bool {
         self.slots.get(index).is_some_and(|p| matches!(p.state, ProcessState::Running(_)))
     }
 
-    /// Kills, ends or pauses a proxy; false if it was not running.
+    /// Kills, terminates or pauses a proxy; returns false if it was not running.
     pub fn signal(&mut self, index: usize, action: Action) -> bool {
         let Some(slot) = self.slots.get_mut(index) else { return false };
         let ProcessState::Running(mut running) = std::mem::replace(&mut slot.state, ProcessState::Gone)
@@ -170,11 +170,11 @@
         }
     }
 
-    /// Starts a proxy again that the rig ended; one that is still ending is killed first. Its new address, or none if it was
-    /// not down.
+    /// Restarts a proxy that the rig ended; one that is still terminating is killed first. Returns its new address, or
+    /// `None` if it was not down.
     ///
     /// # Errors
-    /// If it does not start.
+    /// Returns an error if the proxy does not start.
     pub fn restart(&mut self, index: usize, state: FolderState) -> Result<Option<SocketAddr>, ProcessError> {
         let Some(slot) = self.slots.get_mut(index) else { return Ok(None) };
         match std::mem::replace(&mut slot.state, ProcessState::Gone) {
@@ -188,8 +188,8 @@
         self.start_one(index, state).map(Some)
     }
 
-    /// Proxies that have crashed since the last poll, with their last lines. Those that were asked to end and outlast their
-    /// time are killed.
+    /// Returns the proxies that have crashed since the last poll, with their last log lines. Kills terminating proxies whose
+    /// time limit has expired.
     pub fn poll(&mut self) -> Vec<(usize, String)> {
         let mut crashed = Vec::new();
         for (index, slot) in self.slots.iter_mut().enumerate() {
@@ -220,12 +220,12 @@
         crashed
     }
 
-    /// The number of processes that each proxy has had.
+    /// Returns how many times each proxy was started.
     pub fn starts(&self) -> Vec<u32> {
         self.slots.iter().map(|p| p.starts).collect()
     }
 
-    /// Ends all proxies: paused ones are resumed, all are asked to end, and killed after `within`.
+    /// Ends all proxies: resumes paused ones, sends SIGTERM to all, and kills those still running after `time_limit`.
     pub fn end(&mut self, time_limit: Duration) {
         for index in 0..self.slots.len() {
             self.resume(index);
@@ -248,7 +248,7 @@
 
 impl Drop for ProxyProcesses {
     fn drop(&mut self) {
-        // Each child is killed by its own drop; paused ones are resumed so that nothing is left stopped.
+        // Each child is killed when its handle is dropped; paused ones are resumed so that no process stays stopped.
         for index in 0..self.slots.len() {
             self.resume(index);
         }
--- a/crates/lab-rig/src/readiness.rs
+++ b/crates/lab-rig/src/readiness.rs
@@ -1,5 +1,5 @@
-//! How long proxies that were started again take to be ready, that is healthy at their listener. They are checked from a
-//! thread of their own, since the rig's thread blocks while it starts a process.
+//! Measures how long restarted proxies take to become ready, that is, to pass the health check at their listener. The checks
+//! run on a separate thread, since the thread of the rig blocks while it starts a process.
 
 use super::error::RigError;
 use aniseyoke_lab_process::check_health;
@@ -12,28 +12,28 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// How often each is checked.
+/// The interval between health checks of one proxy.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Orders to the thread that may wait.
+/// The capacity of the command queue of the thread.
 const MAX_QUEUED_COMMANDS: usize = 256;
 
-/// How long the proxies that were started again took to be ready.
+/// How long restarted proxies took to become ready.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Readiness {
-    /// Processes started again that got ready.
+    /// The number of restarted processes that became ready.
     pub ready: usize,
-    /// Those that were not ready when the load was over, and were not ended by the rig.
+    /// The number of restarted processes that were not ready at the end of the load, and were not ended by the rig before.
     pub unready: usize,
-    /// Half of all were ready this long after their start, in seconds; none if they were not.
+    /// The median time to readiness, in seconds, over all restarted processes; `None` if fewer than half became ready.
     pub p50_s: Option<f64>,
-    /// The same for nine in ten.
+    /// The 90th percentile of the time to readiness, in seconds; `None` if fewer than 90% became ready.
     pub p90_s: Option<f64>,
-    /// The same for all.
+    /// The longest time to readiness, in seconds; `None` if any process did not become ready.
     pub most_s: Option<f64>,
 }
 
 impl Readiness {
-    /// From the times of those that got ready, in seconds, and the number of those that did not.
+    /// Computes the percentiles from the times to readiness in seconds and the number of processes that did not become ready.
     pub fn from_times(mut times: Vec<f64>, unready: usize) -> Self {
         times.sort_by(f64::total_cmp);
         let all = times.len() + unready;
@@ -47,7 +47,7 @@
     Ended { index: usize },
 }
 
-/// Watches proxies that were started again.
+/// Measures the time to readiness of restarted proxies.
 pub struct ReadinessWatch {
     commands: mpsc::Sender<WatchCommand>,
     thread: JoinHandle<Readiness>,
@@ -57,7 +57,7 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// If the system has none, or no runtime for it.
+    /// Returns an error if the thread or its runtime could not be created.
     pub fn start() -> std::io::Result<Self> {
         let (commands, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -66,21 +66,21 @@
         Ok(ReadinessWatch { commands, thread })
     }
 
-    /// A process was started at `since` and accepts clients at `addr`.
+    /// Reports that a process was started at `since` and accepts clients at `addr`.
     pub async fn started(&self, index: usize, addr: SocketAddr, since: Instant) {
-        // The thread is gone only if it panicked, which `finish` tells.
+        // The send fails only if the thread has panicked, which `finish` reports.
         let _ = self.commands.send(WatchCommand::Started { index, addr, since }).await;
     }
 
-    /// The rig ended a process; if it was not ready yet, it does not count.
+    /// Reports that the rig ended a process; if it was not ready yet, it is not counted.
     pub async fn ended(&self, index: usize) {
         let _ = self.commands.send(WatchCommand::Ended { index }).await;
     }
 
-    /// The times of all.
+    /// Stops the thread and returns the result.
     ///
     /// # Errors
-    /// If the thread panicked.
+    /// Returns an error if the thread panicked.
     pub fn finish(self) -> Result<Readiness, RigError> {
         drop(self.commands);
         self.thread.join().map_err(|_| RigError::WatchPanicked)
@@ -94,7 +94,7 @@
         tokio::select! {
             biased;
             Some(check) = checks.join_next(), if !checks.is_empty() => {
-                // A check that was aborted has no time.
+                // An aborted check yields no time.
                 if let Ok((index, time)) = check {
                     waiting.remove(&index);
                     times.push(time);
