--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -1,4 +1,4 @@
-//! One experiment from start to end: site, relays, real proxies, load, the schedule of faults, the audit.
+//! Runs one experiment from start to end: the site, relays, real proxies, load, the fault schedule and the audit.
 
 use super::board::{FaultBoard, LinkEnd};
 use super::error::RigError;
@@ -23,21 +23,22 @@
 
 pub use super::outcome::{steady_after, table, Outcome};
 
-/// How often steps of the schedule are carried out, and processes polled.
+/// The interval at which due steps of the schedule are executed and processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// All proxies are healthy within this time of their start.
+/// The time limit for all proxies to become healthy after their start.
 const HEALTHY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Processes end within this time of the load's end, or are killed.
+/// How long after the end of the load processes that are still running are killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Clients use at most one in this many of the proxies' descriptors.
+/// The load opens at most one connection for each of this many descriptors of all proxies.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 3;
-/// The load begins this long after all proxies are healthy.
+/// The delay between the time when all proxies are healthy and the beginning of the load.
 const START_DELAY: Nanos = 50 * MILLISECOND;
 
-/// Plays an experiment; `folder` takes the proxies' folders and the log of all processes (`processes.log`).
+/// Runs an experiment. The directories of the proxies and the combined log of all processes (`processes.log`) are created in
+/// `folder`.
 ///
 /// # Errors
-/// If it could not be played: the system lacks something, or a proxy did not start.
+/// Returns an error if the experiment could not be run: a system resource is missing, or a proxy did not start.
 pub fn run(
     plan: &Plan,
     day: &Day,
@@ -47,11 +48,11 @@
     stop: &AtomicBool,
 ) -> Result<Outcome, RigError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    // Children are killed with this thread, which lives until they have all ended.
+    // Children are killed when this thread ends, so it runs until all of them have ended.
     runtime.map_err(RigError::Runtime)?.block_on(play(plan, day, program, seed, folder, stop))
 }
 
-/// What an experiment needs beside its proxies.
+/// The parts of an experiment other than its proxies.
 struct Environment {
     clock: Clock,
     board: FaultBoard,
@@ -63,7 +64,7 @@
 }
 
 impl Environment {
-    /// Opens the site, with a relay on every link, and starts the auditor.
+    /// Opens the site, with a relay on each link, and starts the auditor.
     fn open(plan: &Plan, day: &Day, seed: u64, folder: &Path) -> Result<Self, RigError> {
         let clock = Clock::start();
         let (evidence, auditor) = aniseyoke_lab_audit::start(day);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Starts all proxies of the plan.
+    /// Starts all proxies of a plan.
     fn start_proxies(
         &self,
         plan: &Plan,
@@ -103,7 +104,7 @@
         Ok(ProxyProcesses::start(program, configs, &folder.join("proxies"))?)
     }
 
-    /// Starts the day's load; returns the time at which it begins as well.
+    /// Starts the load of the day; returns the time at which it begins, and the load.
     fn start_load(&self, day: &Day, load_balancer: Arc<LoadBalancer>) -> Result<(Nanos, Load), RigError> {
         let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENT_DESCRIPTORS_DIVISOR).max(1);
         let (clock, evidence) = (self.clock, self.evidence.clone());
@@ -114,7 +115,7 @@
         Ok((from, load))
     }
 
-    /// Closes site and relays and waits for the auditor; nobody else may hold a sender of evidence any more.
+    /// Closes the site and the relays and waits for the auditor. All other senders of evidence must have been dropped.
     fn close(self) -> Result<(SiteCounts, RelayTotals, Verdict), RigError> {
         let counts = self.site.close();
         let links = self.relays.totals();
@@ -157,7 +158,7 @@
     experiment.run_until_load_ends(&steps, &load, &mut environment.site, stop).await;
     let stats = load.finish();
     let Experiment { mut processes, watch, evidence, executed_steps, crashes, .. } = experiment;
-    // Danger: the auditor ends only once every sender is dropped.
+    // Guards against a hang: the auditor ends only after every sender is dropped.
     drop(evidence);
     let restarted = watch.finish()?;
     processes.end(SHUTDOWN_TIMEOUT);
@@ -184,7 +185,7 @@
     })
 }
 
-/// Opens the site of an experiment, with a relay on every link.
+/// Opens the site of an experiment, with a relay on each link.
 fn open_site(
     plan: &Plan,
     day: &Day,
@@ -206,7 +207,7 @@
     Site::open_with(day, clock, recorder, options).map_err(RigError::Site)
 }
 
-/// For each second of the load: requests by outcome.
+/// Returns the number of requests by outcome, for each second of the load.
 fn outcomes_by_second(stats: &LoadStats) -> Vec<BTreeMap<String, u64>> {
     let name = |n: usize| format!("{:?}", OUTCOMES[n]).to_lowercase();
     let named = |counts: &[u64; OUTCOMES.len()]| {
@@ -220,7 +221,7 @@
     stats.outcomes.iter().map(named).collect()
 }
 
-/// What a running experiment acts on.
+/// The state of a running experiment.
 struct Experiment {
     clock: Clock,
     board: FaultBoard,
@@ -228,18 +229,18 @@
     load_balancer: Arc<LoadBalancer>,
     watch: ReadinessWatch,
     evidence: SyncSender<Vec<Evidence>>,
-    /// The steps as they were carried out, with seconds on the clock.
+    /// The executed steps, with their times in seconds on the clock.
     executed_steps: Vec<(f64, String)>,
     crashes: Vec<String>,
 }
 
 impl Experiment {
     fn record(&self, observed: Observation) {
-        // An auditor that has ended wants no more.
+        // Fails only if the auditor has ended, which needs no more evidence.
         let _ = self.evidence.send(vec![Evidence { at: self.clock.now(), observed }]);
     }
 
-    /// Carries the schedule out and watches the proxies until the load has ended.
+    /// Executes the schedule and polls the proxies until the load has ended.
     async fn run_until_load_ends(
         &mut self,
         steps: &[(Duration, Step)],
@@ -261,7 +262,7 @@
                 next += 1;
             }
             while site.proxy_restarts.try_recv().is_ok() {
-                // The schedule restarts proxies; restarts that the day wants are not carried out.
+                // Restarts requested by the day are discarded; only the schedule restarts proxies.
             }
             for (index, reason) in self.processes.poll() {
                 self.record(Observation::Crashed { proxy: index });
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Carries out a step that was due at `due`; `rest` are the steps from it on. What was done, in words.
+    /// Executes a step that was due at `due`; `rest` are the steps from this one on. Returns a description of the step.
     async fn execute_step(&mut self, due: Duration, step: &Step, rest: &[(Duration, Step)]) -> String {
         match step {
             Step::InjectBeforeStart(fault) => {
@@ -303,11 +304,11 @@
         }
     }
 
-    /// Signals a proxy that is back after `returns`, or never.
+    /// Performs an action on a proxy that is resumed or restarted after `recovery_delay`, or never.
     async fn signal(&mut self, index: usize, action: Action, recovery_delay: Option<Duration>) -> String {
         let pid = self.processes.pid(index);
         if self.processes.is_running(index) && action != Action::Term {
-            // Recorded before the signal: what the clients observe of it comes after.
+            // Recorded before the signal is sent, so that it precedes all observations of clients that result from it.
             let until = recovery_delay.map_or(u64::MAX, |after| self.clock.now() + after.as_nanos() as u64);
             self.record(Observation::Struck { proxy: index, until });
         }
@@ -353,7 +354,7 @@
     Ok(())
 }
 
-/// Checks all proxies at once, so that paused ones cost one time-out, not one each.
+/// Checks the health of all proxies concurrently, so that the check takes one timeout in total, not one for each paused proxy.
 async fn update_health(processes: &ProxyProcesses, load_balancer: &LoadBalancer) {
     let mut checks = tokio::task::JoinSet::new();
     for index in 0..processes.len() {
@@ -367,11 +368,11 @@
     }
 }
 
-/// The day of an experiment: the one it names, with its sizes, length and rate. A day's file is looked for beside the
-/// experiment's file first.
+/// Opens the day that a plan names, and applies the sizes, the length and the rate of the plan. The file of a day is searched
+/// first in the directory of the plan file, `plan_path`.
 ///
 /// # Errors
-/// What is wrong with the day, or with it at those sizes.
+/// Returns an error if the day can't be opened, or is invalid at these sizes.
 pub fn open_day(plan: &Plan, plan_path: Option<&Path>) -> Result<Day, RigError> {
     let local_file =
         plan_path.and_then(Path::parent).map(|folder| folder.join(&plan.day)).filter(|p| p.is_file());
--- a/crates/lab-rig/src/relay.rs
+++ b/crates/lab-rig/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay on one link: accepts the connections of one end for the other and carries their bytes, under the active faults.
+//! A relay on one link: accepts connections from one end, forwards their bytes to the other, and applies the active faults.
 
 use super::board::{FaultSet, LinkEffect, LinkEnd};
 use super::handshakes::HandshakeListener;
@@ -17,38 +17,38 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A chunk of bytes is at most this large.
+/// The maximum size of a chunk of bytes that is read at once.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
-/// A relay gives up reaching its target after this time, and resets the connection that it accepted.
+/// The time limit for connecting to the target; after it the relay resets the accepted connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A truncated connection carries fewer bytes than this.
+/// A connection truncated by `cut` transfers fewer bytes than this.
 const MAX_CUT_BYTES: u64 = 2048;
 
-/// What a relay has done, for reports and tests.
+/// The counters of a relay, for reports and tests.
 #[derive(Debug, Default)]
 pub struct RelayCounters {
     /// Connections accepted.
     pub taken: AtomicU64,
-    /// Connections closed at once by `drop`.
+    /// Connections closed immediately by `drop`.
     pub dropped: AtomicU64,
     /// Connections truncated by `cut`.
     pub cut: AtomicU64,
     /// Connections reset.
     pub reset: AtomicU64,
-    /// Connections held silent for a while, or for good.
+    /// Connections stalled temporarily or permanently.
     pub held: AtomicU64,
-    /// Of those, given up by their callers before the silence ended: nothing that was held of them reaches the target.
+    /// Stalled connections that their clients closed or reset before the fault ended; their pending bytes are not forwarded.
     pub abandoned: AtomicU64,
     /// Connections whose target could not be reached.
     pub unreached: AtomicU64,
-    /// Bytes carried toward the target.
+    /// Bytes forwarded to the target.
     pub bytes_to_target: AtomicU64,
-    /// Bytes carried back.
+    /// Bytes forwarded from the target.
     pub bytes_from_target: AtomicU64,
 }
 
 impl RelayCounters {
-    /// The current value of a counter.
+    /// Returns the value of a counter.
     pub fn get(counter: &AtomicU64) -> u64 {
         counter.load(Ordering::Relaxed)
     }
@@ -58,29 +58,30 @@
     }
 }
 
-/// The two ends of a link and where its far end listens.
+/// The two ends of a link, and the address of its target.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    /// Who opens connections.
+    /// The end that opens connections.
     pub from: LinkEnd,
-    /// Who accepts them.
+    /// The end that accepts connections.
     pub to: LinkEnd,
-    /// Where the far end listens.
+    /// The address on which `to` listens.
     pub target: SocketAddr,
 }
 
 /// An open relay.
 pub struct Relay {
-    /// Where it accepts connections.
+    /// The address on which it accepts connections.
     pub addr: SocketAddr,
-    /// What it has done.
+    /// Its counters.
     pub counts: Arc<RelayCounters>,
 }
 
-/// Opens a relay on `handle`'s runtime; its randomness follows from `seed` and the number of each connection.
+/// Opens a relay on the runtime of `handle`. Its random choices for a connection are determined by `seed`, the relay's port
+/// and the sequence number of the connection.
 ///
 /// # Errors
-/// If no port on loopback could be had.
+/// Returns an error if no port on the loopback interface could be opened.
 pub fn open(
     handle: &Handle,
     link: Link,
@@ -95,13 +96,13 @@
     handle.spawn(async move {
         match TcpListener::from_std(listener).and_then(HandshakeListener::new) {
             Ok(listener) => accept_connections(listener, link, faults, seed, shared).await,
-            Err(e) => tracing::error!("relay {addr}: {e}"),
+            Err(e) => tracing::error!("relay {addr}: failed to start accepting connections: {e}"),
         }
     });
     Ok(Relay { addr, counts })
 }
 
-/// Accepts connections for as long as the board exists, while the link's far end is reachable.
+/// Accepts connections while the target is reachable, until the set of active faults is dropped.
 async fn accept_connections(
     mut listener: HandshakeListener,
     link: Link,
@@ -114,7 +115,7 @@
     loop {
         let unreachable = faults.borrow_and_update().effect(link.from, link.to).unreachable;
         if let Err(e) = listener.set_answering(!unreachable) {
-            tracing::warn!("relay {addr}: {e}");
+            tracing::warn!("relay {addr}: failed to start or stop answering handshakes: {e}");
         }
         let accepted = tokio::select! {
             accepted = listener.accept(), if !unreachable => accepted,
@@ -131,40 +132,40 @@
                 tokio::spawn(relay_connection(stream, link, faults.clone(), rng, counts.clone()));
             }
             Err(e) => {
-                tracing::warn!("relay {addr}: {e}");
+                tracing::warn!("relay {addr}: failed to accept a connection: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
     }
 }
 
-/// Whether a caller has closed its connection meanwhile.
+/// Returns whether the client has closed or reset its connection.
 async fn abandoned(stream: &TcpStream) -> bool {
     let writable = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
     writable.is_ok_and(|ready| ready.is_read_closed() || ready.is_write_closed())
 }
 
-/// Whether the kernel says that a connection's peer has reset it.
+/// Returns whether the kernel reports an error on a connection, such as a reset by its peer.
 fn was_reset(stream: &TcpStream) -> bool {
     !matches!(socket2::SockRef::from(stream).take_error(), Ok(None))
 }
 
 fn reset(stream: &TcpStream) {
-    // A socket that is gone already needs no reset.
+    // Fails only if the socket is closed already, which needs no reset.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// How a direction of a connection ended.
+/// Why a direction of a connection ended.
 enum EndReason {
-    /// Its sender closed it.
+    /// The sender closed it.
     Closed,
-    /// A fault resets the connection, or a side failed.
+    /// A fault reset the connection, or an I/O error occurred on one side.
     Reset,
     /// A fault truncated it.
     Cut,
 }
 
-/// Carries one connection, from its acceptance to its end.
+/// Relays one connection until it ends.
 async fn relay_connection(
     mut downstream: TcpStream,
     link: Link,
@@ -211,7 +212,7 @@
             end_reason = &mut from_target => (end_reason, false),
         };
         match first {
-            // One direction was closed by its sender: the other is carried to its own end.
+            // The sender closed one direction; the other one continues until it ends.
             EndReason::Closed if other => from_target.await,
             EndReason::Closed => to_target.await,
             end_reason => end_reason,
@@ -228,7 +229,8 @@
     }
 }
 
-/// Applies the faults that hit a new connection; the bytes that it may carry before it is truncated, or none if it is over.
+/// Applies the faults that affect a new connection. Returns the number of bytes that the connection may transfer before it is
+/// truncated, or `None` if it has ended.
 async fn admit(
     downstream: &TcpStream,
     link: Link,
@@ -239,10 +241,11 @@
 ) -> Option<u64> {
     if faults.borrow().effect(link.from, link.to).silent {
         RelayCounters::add(&counts.held, 1);
-        // Accepted and not answered until the silence ends, as a SYN that is sent again would find it.
+        // The connection stays unanswered until the link is no longer silent, as with a retransmitted SYN.
         faults.wait_for(|f| !f.effect(link.from, link.to).silent).await.ok()?;
-        // Danger: what its caller wrote to the relay and gave up meanwhile would reach the target all at once, though
-        // over a real link no handshake had come about and nothing had been written.
+        // Guards against forwarding the bytes of connections that their clients have abandoned: all of them would reach
+        // the target at once, although over a real link the handshake would not have completed and the clients would not
+        // have sent any bytes.
         if abandoned(downstream).await {
             RelayCounters::add(&counts.abandoned, 1);
             return None;
@@ -262,18 +265,18 @@
     Some(if cut { rng.random_range(0..MAX_CUT_BYTES) } else { u64::MAX })
 }
 
-/// A connection whose two directions are carried.
+/// A connection whose two directions are relayed.
 struct Connection<'a> {
     link: Link,
-    /// The board's count of changes when it was opened.
+    /// The value of [`FaultSet::changes`] when the connection was opened.
     opened_at_change: u64,
-    /// Bytes that both directions together may still carry.
+    /// The number of bytes that both directions together may still transfer.
     budget: &'a AtomicU64,
     counts: &'a RelayCounters,
 }
 
 impl Connection<'_> {
-    /// Carries one direction; its bytes are counted in `carried`.
+    /// Relays one direction and counts its bytes in `bytes_carried`.
     async fn relay_direction(
         &self,
         read: &mut ReadHalf<'_>,
@@ -294,13 +297,13 @@
                 Some(held) => held,
                 None => return EndReason::Reset,
             };
-            // Danger: over a real link, bytes that are not acknowledged are sent again until their sender resets the
-            // connection, and never after that; the relay has acknowledged what it holds.
+            // Guards against forwarding bytes after a reset: over a real link, unacknowledged bytes are retransmitted only
+            // until their sender resets the connection, but the relay has already acknowledged the bytes that it buffers.
             if held && was_reset(read.as_ref()) {
                 RelayCounters::add(&self.counts.abandoned, 1);
                 return EndReason::Reset;
             }
-            // Both directions draw on one budget; it never goes below nothing.
+            // Both directions share one budget, which does not go below 0.
             let consume = |remaining: u64| Some(remaining.saturating_sub(n as u64));
             let remaining =
                 self.budget.fetch_update(Ordering::Relaxed, Ordering::Relaxed, consume).unwrap_or(0);
@@ -308,7 +311,7 @@
             let chunk = if cut { &buf[..remaining as usize] } else { &buf[..n] };
             if !effect.delay.is_zero() || !effect.jitter.is_zero() {
                 let jitter = effect.jitter.mul_f64(rng.random::<f64>());
-                // Order is kept: a chunk never leaves before the one ahead of it.
+                // Preserves the order: no chunk is sent before the previous one.
                 due = due.max(Instant::now() + effect.delay + jitter);
                 tokio::time::sleep_until(due).await;
             }
@@ -325,7 +328,7 @@
         }
     }
 
-    /// Reads the next chunk, or how the direction ended; follows the faults meanwhile.
+    /// Reads the next chunk, while watching the active faults. Returns an error with the reason if the direction has ended.
     async fn read(
         &self,
         read: &mut ReadHalf<'_>,
@@ -353,7 +356,7 @@
                     }
                     if effect.half_open(self.opened_at_change) {
                         RelayCounters::add(&self.counts.held, 1);
-                        // Half-open for good, even after the fault is cleared.
+                        // The connection stays half-open, even after the fault is cleared.
                         std::future::pending::<()>().await;
                     }
                 }
@@ -361,8 +364,8 @@
         }
     }
 
-    /// Waits while the link is silent; the effect after that and whether it was silent, or none if the connection is to be
-    /// reset. A half-open connection never comes back.
+    /// Waits while the link is silent. Returns the current effect and whether the link was silent, or `None` if the
+    /// connection has to be reset. Never returns for a half-open connection.
     async fn wait_while_silent(
         &self,
         faults: &mut watch::Receiver<Arc<FaultSet>>,
@@ -381,7 +384,7 @@
                 counted = true;
             }
             if effect.half_open(self.opened_at_change) {
-                // Half-open: neither answered nor closed, for as long as the other side keeps it.
+                // A half-open connection is neither answered nor closed, as long as the other side keeps it open.
                 std::future::pending::<()>().await;
             }
             if faults.changed().await.is_err() {
--- a/crates/lab-rig/src/relays.rs
+++ b/crates/lab-rig/src/relays.rs
@@ -1,5 +1,5 @@
-//! The relays of an experiment, on a thread and runtime of their own: one for each link from a proxy, opened the first time
-//! that the link is named.
+//! The relays of an experiment, which run on a separate thread and runtime. There is one relay for each link from a proxy,
+//! opened when the link is first requested.
 
 use super::board::{FaultBoard, LinkEnd};
 use super::relay::{self, Link, Relay, RelayCounters};
@@ -12,7 +12,7 @@
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
 
-/// Relays open at once at most; a link past that goes straight to its target, and is counted.
+/// The maximum number of open relays. Links beyond it connect directly to their targets, and are counted.
 const MAX_RELAYS: usize = 20_000;
 
 /// All relays of an experiment.
@@ -30,38 +30,39 @@
     unrelayed: u64,
 }
 
-/// What the relays did, summed over all relays of the experiment.
+/// The counters of all relays of an experiment, summed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct RelayTotals {
     /// Relays opened.
     pub relays: u64,
     /// Connections accepted.
     pub taken: u64,
-    /// Connections closed at once by `drop`.
+    /// Connections closed immediately by `drop`.
     pub dropped: u64,
     /// Connections truncated by `cut`.
     pub cut: u64,
     /// Connections reset.
     pub reset: u64,
-    /// Connections held silent.
+    /// Connections stalled temporarily or permanently.
     pub held: u64,
     /// Connections whose target could not be reached.
     pub unreached: u64,
-    /// Links past the limit of relays, which went straight to their targets.
+    /// Requests for a link that got the address of the target, since the limit of relays was reached or the relay could not be
+    /// opened.
     pub unrelayed: u64,
 }
 
 impl Relays {
-    /// Starts the relays' thread.
+    /// Starts the thread of the relays.
     ///
     /// # Errors
-    /// If no thread or runtime could be had.
+    /// Returns an error if the thread or its runtime could not be created.
     pub fn start(board: FaultBoard, seed: u64) -> io::Result<Arc<Relays>> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = std::thread::Builder::new().name("relays".into()).spawn(move || {
-            // Ended when the sender is used or dropped.
+            // Returns when the sender is used or dropped.
             let _ = runtime.block_on(stopped);
         })?;
         Ok(Arc::new(Relays {
@@ -73,7 +74,7 @@
         }))
     }
 
-    /// The address at which `proxy` is to reach the end `to` that listens at `target`.
+    /// Returns the address at which `proxy` connects to the link end `to` that listens at `target`.
     pub fn route(&self, proxy: usize, target: SocketAddr, to: LinkEnd) -> SocketAddr {
         let mut relays = self.relays.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some(relay) = relays.by_link.get(&(proxy, target)) {
@@ -92,14 +93,16 @@
                 addr
             }
             Err(e) => {
-                tracing::error!("no relay for proxy {proxy} to {target}: {e}");
+                tracing::error!(
+                    "failed to open a relay from proxy {proxy} to {target}, connecting directly: {e}"
+                );
                 relays.unrelayed += 1;
                 target
             }
         }
     }
 
-    /// What all relays have done so far.
+    /// Returns the counters of all relays, summed.
     pub fn totals(&self) -> RelayTotals {
         let relays = self.relays.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let mut totals = RelayTotals {
@@ -119,7 +122,7 @@
         totals
     }
 
-    /// Ends every relay and its connections.
+    /// Closes all relays and their connections.
     pub fn close(&self) {
         let stop = self.stop.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take();
         if let Some((stop, thread)) = stop {
--- a/crates/lab-rig/src/report.rs
+++ b/crates/lab-rig/src/report.rs
@@ -1,5 +1,5 @@
-//! The outcome of an experiment as one HTML page: outcomes, calls at discovery and connections by second, with the times of
-//! the faults on each plot.
+//! The outcome of an experiment as one HTML page: plots of request outcomes, calls to the discovery service and connections by
+//! second, with the times of the faults marked on each plot.
 
 use super::error::RigError;
 use super::outcome::{table, Outcome};
@@ -7,12 +7,12 @@
 use plotters::prelude::*;
 use std::fmt::Write as _;
 
-/// A plot's size, in pixels.
+/// The size of a plot, in pixels.
 const PLOT_SIZE_PIXELS: (u32, u32) = (960, 300);
-/// Faults that are drawn; with more the plots would be all lines.
+/// The maximum number of faults marked on a plot; more marks would obscure the plot.
 const MAX_FAULT_MARKS: usize = 60;
 
-/// One line of a plot: its name, and its value in each second.
+/// A data series of a plot: its name, and its value in each second.
 struct Series<'a> {
     name: &'a str,
     seconds: Vec<f64>,
@@ -71,10 +71,10 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The page.
+/// Renders the outcome as an HTML page.
 ///
 /// # Errors
-/// If a plot can't be drawn.
+/// Returns an error if a plot can't be drawn.
 pub fn page(name: &str, outcome: &Outcome) -> Result<String, RigError> {
     let mut kinds: Vec<&String> = outcome.seconds.iter().flat_map(|s| s.keys()).collect();
     kinds.sort_unstable();
@@ -88,11 +88,11 @@
     let opened = [series("all nodes", &outcome.nodes.opened), series("the ledger", &outcome.origin.opened)];
     let max = [
         series("busiest node", &outcome.nodes.max_opened),
-        series("turned away, all", &outcome.nodes.rejected_connections),
+        series("rejected, all nodes", &outcome.nodes.rejected_connections),
     ];
     let plots = [
-        plot("requests by how they ended", outcome.began_s, &outcomes, &fault_times)?,
-        plot("calls at the list service", 0.0, &list, &fault_times)?,
+        plot("requests by outcome", outcome.began_s, &outcomes, &fault_times)?,
+        plot("calls to the list service", 0.0, &list, &fault_times)?,
         plot("connections opened", 0.0, &opened, &fault_times)?,
         plot("connections opened at one node", 0.0, &max, &fault_times)?,
     ];
@@ -103,9 +103,9 @@
         "<style>body{font:14px sans-serif;max-width:980px;margin:2em auto}pre{overflow-x:auto}</style>";
     let title = format!("{name}, seed {}", outcome.seed);
     let verdict = if outcome.clean() { "no rule broken" } else { "rules broken or a proxy crashed" };
-    // Writing to a String does not fail.
+    // Writing to a `String` does not fail.
     let _ = write!(page, "{head}<title>{title}</title>{style}</head><body><h1>{title}</h1>");
-    let _ = write!(page, "<p>{verdict}. Red lines: faults struck or lifted.</p>{}", plots.concat());
+    let _ = write!(page, "<p>{verdict}. Red lines: faults injected or cleared.</p>{}", plots.concat());
     let _ = write!(page, "<pre>{}</pre></body></html>", escape_html(&table(outcome)));
     Ok(page)
 }
--- a/crates/lab-rig/src/tests.rs
+++ b/crates/lab-rig/src/tests.rs
@@ -1,4 +1,4 @@
-//! The relay is on the path: each fault changes what passes, and nothing else does.
+//! Tests of a relay under each kind of fault, and of the percentiles of readiness.
 
 use super::board::{ActiveFault, Fault, FaultBoard, LinkEnd, LinkEnds};
 use super::readiness::Readiness;
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// A far end that sends back what it gets.
+/// Starts a server that echoes the bytes it receives.
 async fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -44,14 +44,14 @@
     }
 }
 
-/// Sends `n` bytes and reads them back, within `within`.
+/// Sends `n` bytes and reads them back within `time_limit`.
 async fn round_trip(stream: &mut TcpStream, n: usize, time_limit: Duration) -> Result<Vec<u8>, String> {
     let sent: Vec<u8> = (0..n).map(|i| (i % 251) as u8).collect();
     stream.write_all(&sent).await.map_err(|e| e.to_string())?;
     let mut got = vec![0u8; n];
     match timeout(time_limit, stream.read_exact(&mut got)).await {
         Ok(Ok(_)) if got == sent => Ok(got),
-        Ok(Ok(_)) => Err("changed on the way".into()),
+        Ok(Ok(_)) => Err("changed in transit".into()),
         Ok(Err(e)) => Err(e.to_string()),
         Err(_) => Err("silent".into()),
     }
@@ -68,7 +68,7 @@
     board.inject(fault(1, Fault::Delay));
     let slow = Instant::now();
     round_trip(&mut stream, 10, Duration::from_secs(5)).await.unwrap();
-    // Both directions wait.
+    // The delay applies to both directions.
     assert!(
         slow.elapsed() >= Duration::from_millis(160),
         "{:?} with a delay, {plain:?} without",
@@ -83,7 +83,7 @@
     let relay = relay_to_echo_server(&board).await;
     let mut open = TcpStream::connect(relay.addr).await.unwrap();
     round_trip(&mut open, 10, Duration::from_secs(5)).await.unwrap();
-    // Twice, since what keeps handshakes unanswered has to come and go with the fault.
+    // Two partitions, since the listener has to stop and resume answering handshakes each time.
     for id in [1, 2] {
         board.inject(fault(id, Fault::Partition));
         assert_eq!(round_trip(&mut open, 10, Duration::from_millis(300)).await, Err("silent".into()));
@@ -99,7 +99,7 @@
             tokio::time::sleep(Duration::from_millis(200)).await;
             board.clear(id);
         };
-        // What was held comes through once it heals, and the handshake of who still waits.
+        // After the fault, the delayed bytes are delivered and the handshake of the waiting client completes.
         let (waited, ()) = tokio::join!(timeout(Duration::from_secs(5), waiting_client), clear_fault);
         let mut new = waited.expect("in time").expect("connected");
         round_trip(&mut new, 10, Duration::from_secs(5)).await.unwrap();
@@ -110,12 +110,12 @@
     assert_eq!(
         (RelayCounters::get(&counts.taken), RelayCounters::get(&counts.held)),
         (3, 2),
-        "none but who waited was taken"
+        "only the client that kept waiting was accepted"
     );
 }
 
-/// Danger: over a real link a segment that was not acknowledged is sent again after an orderly close, and not after a
-/// reset; the relay has acknowledged what it holds.
+/// Guards against forwarding buffered bytes after a reset: over a real link, unacknowledged segments are retransmitted after
+/// an orderly close but not after a reset, while the relay has already acknowledged the bytes that it buffers.
 #[tokio::test]
 async fn bytes_delayed_by_a_partition_are_delivered_after_a_close_and_discarded_after_a_reset() {
     let board = FaultBoard::default();
@@ -143,7 +143,7 @@
         }
     };
     timeout(Duration::from_secs(5), both).await.unwrap_or_else(|_| panic!("{:?}", progress()));
-    // Longer than anything that was held takes to come through.
+    // Longer than the delivery of buffered bytes takes.
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(progress(), (120, 1));
 }
@@ -159,14 +159,14 @@
     let mut new = TcpStream::connect(relay.addr).await.unwrap();
     assert_eq!(round_trip(&mut new, 10, Duration::from_millis(300)).await, Err("silent".into()));
     board.clear(1);
-    // What was held comes through once it ends, on both.
+    // After the fault, the delayed bytes are delivered on both connections.
     let mut rest = [0u8; 10];
     timeout(Duration::from_secs(5), open.read_exact(&mut rest)).await.unwrap().unwrap();
     timeout(Duration::from_secs(5), new.read_exact(&mut rest)).await.unwrap().unwrap();
     assert_eq!(RelayCounters::get(&relay.counts.held), 2);
 }
 
-/// A far end that counts the connections that it takes and reads them to their ends.
+/// Starts an echo server that counts the connections it accepts.
 async fn start_counting_server() -> (SocketAddr, std::sync::Arc<std::sync::atomic::AtomicU64>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let (addr, taken) =
@@ -184,7 +184,8 @@
     (addr, taken)
 }
 
-/// Danger: over a real link no handshake comes about in a partition, so that callers that gave up leave nothing behind.
+/// Guards against forwarding connections that their clients abandoned during the fault: over a real link no handshake
+/// completes, so nothing of them reaches the target.
 #[tokio::test]
 async fn connections_abandoned_during_a_black_hole_do_not_reach_the_target() {
     let board = FaultBoard::default();
@@ -232,7 +233,7 @@
     let _ = cut.write_all(&sent).await;
     let mut got = Vec::new();
     let _ = timeout(Duration::from_secs(5), cut.read_to_end(&mut got)).await.unwrap();
-    assert!(got.len() < sent.len(), "all {} bytes came through a cut", got.len());
+    assert!(got.len() < sent.len(), "all {} bytes passed despite the cut", got.len());
     let counts = &relay.counts;
     assert_eq!(
         (
@@ -264,7 +265,7 @@
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     board.inject(fault(1, Fault::Bandwidth));
     let began = Instant::now();
-    // 64 KiB each way at 64 KiB a second.
+    // 64 KiB in each direction at 64 KiB per second.
     round_trip(&mut stream, 64 * 1024, Duration::from_secs(10)).await.unwrap();
     assert!(began.elapsed() >= Duration::from_millis(900), "{:?}", began.elapsed());
 }
@@ -282,7 +283,7 @@
     assert_eq!(RelayCounters::get(&relay.counts.unreached), 1);
 }
 
-/// The median time of a small round trip, of so many.
+/// Returns the median time of `rounds` small round trips.
 async fn median_round_trip(stream: &mut TcpStream, rounds: usize) -> Duration {
     let mut times = Vec::with_capacity(rounds);
     for _ in 0..rounds {
@@ -294,7 +295,7 @@
     times[rounds / 2]
 }
 
-/// Danger: a relay that adds much would make the figures of proxies its own.
+/// Guards against relay latency that distorts the measured latency of proxies.
 #[tokio::test]
 async fn a_relay_adds_less_than_a_millisecond_at_the_median() {
     let board = FaultBoard::default();
@@ -302,11 +303,11 @@
     let mut via_relay = TcpStream::connect(relay_to_echo_server(&board).await.addr).await.unwrap();
     let (direct, via_relay) =
         (median_round_trip(&mut direct, 400).await, median_round_trip(&mut via_relay, 400).await);
-    println!("median round trip: {direct:?} straight, {via_relay:?} through a relay");
+    println!("median round trip: {direct:?} direct, {via_relay:?} via a relay");
     assert!(via_relay < direct + Duration::from_millis(1), "{direct:?} and {via_relay:?}");
 }
 
-/// Danger: what never got ready would not show in the times of those that did.
+/// Guards against percentiles that ignore processes that never became ready.
 #[test]
 fn processes_that_never_got_ready_count_as_the_slowest() {
     let times = |n: u32| (1..=n).rev().map(f64::from).collect::<Vec<_>>();
