--- a/crates/lab-rig/src/board.rs
+++ b/crates/lab-rig/src/board.rs
@@ -134,7 +134,7 @@
     pub rate: u64,
     /// The value of [`FaultSet::changes`] when the fault was injected; `half-open` and `reset` affect connections opened before
     /// that change.
-    pub injected_at_change: u64,
+    pub injected_at: u64,
 }
 
 impl ActiveFault {
@@ -205,11 +205,9 @@
                 Fault::Cut => effect.cut = 1.0 - (1.0 - effect.cut) * (1.0 - fault.fraction),
                 Fault::Reset => {
                     effect.resets = true;
-                    effect.reset_before = effect.reset_before.max(fault.injected_at_change);
-                }
-                Fault::HalfOpen => {
-                    effect.half_open_before = effect.half_open_before.max(fault.injected_at_change)
+                    effect.reset_before = effect.reset_before.max(fault.injected_at);
                 }
+                Fault::HalfOpen => effect.half_open_before = effect.half_open_before.max(fault.injected_at),
                 Fault::BlackHole => effect.silent = true,
                 Fault::Partition => (effect.silent, effect.unreachable) = (true, true),
                 Fault::Bandwidth => effect.rate = Some(effect.rate.map_or(fault.rate, |r| r.min(fault.rate))),
@@ -237,7 +235,7 @@
         self.faults.send_modify(|faults| {
             let faults = Arc::make_mut(faults);
             faults.changes += 1;
-            fault.injected_at_change = faults.changes;
+            fault.injected_at = faults.changes;
             faults.active.push(fault);
         });
     }
--- a/crates/lab-rig/src/board/tests.rs
+++ b/crates/lab-rig/src/board/tests.rs
@@ -11,7 +11,7 @@
         delay: Duration::from_millis(30),
         jitter: Duration::from_millis(5),
         rate: 1000,
-        injected_at_change: 0,
+        injected_at: 0,
     }
 }
 
--- a/crates/lab-rig/src/plan.rs
+++ b/crates/lab-rig/src/plan.rs
@@ -282,7 +282,7 @@
             delay: self.delay,
             jitter: self.jitter,
             rate: self.bytes_per_second,
-            injected_at_change: 0,
+            injected_at: 0,
         };
         let inject = if self.early { Step::InjectBeforeStart(fault) } else { Step::Inject(fault) };
         [(at, inject), (at + self.span, Step::Clear(id))]
--- a/crates/lab-rig/src/tests.rs
+++ b/crates/lab-rig/src/tests.rs
@@ -40,7 +40,7 @@
         delay: Duration::from_millis(80),
         jitter: Duration::ZERO,
         rate: 64 * 1024,
-        injected_at_change: 0,
+        injected_at: 0,
     }
 }
 
