--- a/crates/lab-sim/src/counts.rs
+++ b/crates/lab-sim/src/counts.rs
@@ -1,6 +1,6 @@
 //! What is counted: how each client's attempt ended and why, and the proxies' attempts by member, second by second.
 
-use super::{Ramped, SimEvent};
+use super::{SimEvent, SlowStartStats};
 use aniseyoke_lab_day::Day;
 use aniseyoke_lab_load::{Goodput, LoadStats, Outcome};
 use aniseyoke_lab_world::connection_load::MemberLoad;
@@ -120,7 +120,7 @@
     /// Connections and attempts at nodes and at the origin, for each second from the start; connections held are not known here.
     pub load: [MemberLoad; 2],
     /// What cold nodes got, compared with what the settings allow them.
-    pub slow_start: Ramped,
+    pub slow_start: SlowStartStats,
     /// Events of the simulation, warm-up included.
     pub events: u64,
 }
@@ -141,7 +141,7 @@
             list_calls: Vec::new(),
             list_rejected: 0,
             load: [MemberLoad::default(), MemberLoad::default()],
-            slow_start: Ramped::default(),
+            slow_start: SlowStartStats::default(),
             events: 0,
         }
     }
--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use counts::{Counts, Second, CAUSES};
 pub use list_service::ListService;
-pub use ramp::{Fullest, Ramped};
+pub use ramp::{SlowStartStats, SlowStartWindow};
 
 use aniseyoke_lab_day::clock::{mix, nanos, unit_fraction, Nanos, MILLISECOND, SECOND};
 use aniseyoke_lab_day::Day;
@@ -240,7 +240,7 @@
     }
 
     /// The parts of a day that are not simulated, by the names in its file.
-    pub fn left_out(day: &Day) -> Vec<&'static str> {
+    pub fn unsimulated_parts(day: &Day) -> Vec<&'static str> {
         use aniseyoke_lab_day::FaultKind::{DiscoveryDown, Pieces, ProxyRoll};
         let fault = |kind| day.faults.iter().any(|t| t.kind == kind);
         let misbehaving = &day.load.misbehaving;
--- a/crates/lab-sim/src/ramp.rs
+++ b/crates/lab-sim/src/ramp.rs
@@ -11,7 +11,7 @@
 
 /// The fullest span of one node while it warmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Fullest {
+pub struct SlowStartWindow {
     /// The node, as the model numbers its members.
     pub member: usize,
     /// How old it was, in milliseconds.
@@ -26,7 +26,7 @@
     pub bound: f64,
 }
 
-impl Fullest {
+impl SlowStartWindow {
     /// What it got over what is allowed.
     pub fn ratio(&self) -> f64 {
         self.got as f64 / self.allowed.max(f64::MIN_POSITIVE)
@@ -45,7 +45,7 @@
 
 /// The count over all nodes that were cold.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Ramped {
+pub struct SlowStartStats {
     /// Starts of nodes that got anything while they were cold.
     pub starts: u64,
     /// Of those, the ones that once got more than N.
@@ -55,11 +55,11 @@
     /// Of those, the ones of which over two thirds came from proxies that had been notified of the start: these break the rule.
     pub broken: u64,
     /// The span with the most requests for what is allowed.
-    pub fullest: Fullest,
+    pub fullest: SlowStartWindow,
     /// The span that came closest to its bound, or went furthest past it.
-    pub closest: Fullest,
+    pub closest: SlowStartWindow,
     /// The same by what proxies sent that had been notified.
-    pub closest_notified: Fullest,
+    pub closest_notified: SlowStartWindow,
 }
 
 #[derive(Default)]
@@ -110,14 +110,14 @@
     /// Mean work of a request, in nanoseconds on a core of speed 1.
     work: f64,
     nodes: FxHashMap<usize, Node>,
-    found: Ramped,
+    found: SlowStartStats,
 }
 
 impl Ramp {
     /// Nothing yet, by a day's rule on cold nodes.
     pub fn new(day: &Day) -> Self {
         let span = nanos(day.site.cache.overload_window);
-        Ramp { span, work: mean_work(day), nodes: FxHashMap::default(), found: Ramped::default() }
+        Ramp { span, work: mean_work(day), nodes: FxHashMap::default(), found: SlowStartStats::default() }
     }
 
     /// A request has come to a member that is cold.
@@ -132,7 +132,7 @@
         let (got, allowed) = (node.got.len() as u64, allowed / self.work);
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let age_ms = now.saturating_sub(started) / aniseyoke_lab_day::clock::MILLISECOND;
-        let span = Fullest { member, age_ms, got, notified: node.notified, allowed, bound };
+        let span = SlowStartWindow { member, age_ms, got, notified: node.notified, allowed, bound };
         let found = &mut self.found;
         if span.ratio() > found.fullest.ratio() {
             found.fullest = span;
@@ -150,7 +150,7 @@
     }
 
     /// What was found.
-    pub fn found(&self) -> Ramped {
+    pub fn found(&self) -> SlowStartStats {
         self.found.clone()
     }
 }
--- a/crates/lab-sim/src/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -86,8 +86,8 @@
 
 #[test]
 fn what_of_a_day_is_not_played_is_named() {
-    assert!(Sim::left_out(&Day::open("join").expect("built in")).is_empty());
-    assert_eq!(Sim::left_out(&Day::open("roll").expect("built in")), ["proxy-roll"]);
+    assert!(Sim::unsimulated_parts(&Day::open("join").expect("built in")).is_empty());
+    assert_eq!(Sim::unsimulated_parts(&Day::open("roll").expect("built in")), ["proxy-roll"]);
 }
 
 #[test]
--- a/crates/lab-starts/src/log_pipe.rs
+++ b/crates/lab-starts/src/log_pipe.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether a line holds this text.
-    pub fn tells(&self, text: &str) -> bool {
+    pub fn has_line_containing(&self, text: &str) -> bool {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).iter().any(|line| line.contains(text))
     }
 
--- a/crates/lab-starts/src/plan.rs
+++ b/crates/lab-starts/src/plan.rs
@@ -31,7 +31,7 @@
 
 /// Whose calls are held up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum HeldThread {
+pub enum DelayedThread {
     /// Those of the serving thread.
     Serving,
     /// Those of the thread that writes the log.
@@ -40,22 +40,22 @@
 
 /// The calls that are held up in turn, and how many of each, from the first on: about as many as a proxy makes until it listens, or
 /// from SIGTERM on.
-pub const HELD_CALLS: [(HeldThread, Call, u64); 15] = [
-    (HeldThread::Log, Call::Write, 3),
-    (HeldThread::Log, Call::SchedYield, 8),
-    (HeldThread::Log, Call::Futex, 4),
-    (HeldThread::Serving, Call::Futex, 6),
-    (HeldThread::Serving, Call::SignalMask, 4),
-    (HeldThread::Serving, Call::Socket, 2),
-    (HeldThread::Serving, Call::Connect, 2),
-    (HeldThread::Serving, Call::Read, 4),
-    (HeldThread::Serving, Call::Recv, 3),
-    (HeldThread::Serving, Call::Send, 2),
-    (HeldThread::Serving, Call::WallClock, 3),
-    (HeldThread::Serving, Call::Open, 12),
-    (HeldThread::Serving, Call::Write, 12),
-    (HeldThread::Serving, Call::EpollWait, 16),
-    (HeldThread::Serving, Call::ClockGettime, 24),
+pub const DELAYED_CALLS: [(DelayedThread, Call, u64); 15] = [
+    (DelayedThread::Log, Call::Write, 3),
+    (DelayedThread::Log, Call::SchedYield, 8),
+    (DelayedThread::Log, Call::Futex, 4),
+    (DelayedThread::Serving, Call::Futex, 6),
+    (DelayedThread::Serving, Call::SignalMask, 4),
+    (DelayedThread::Serving, Call::Socket, 2),
+    (DelayedThread::Serving, Call::Connect, 2),
+    (DelayedThread::Serving, Call::Read, 4),
+    (DelayedThread::Serving, Call::Recv, 3),
+    (DelayedThread::Serving, Call::Send, 2),
+    (DelayedThread::Serving, Call::WallClock, 3),
+    (DelayedThread::Serving, Call::Open, 12),
+    (DelayedThread::Serving, Call::Write, 12),
+    (DelayedThread::Serving, Call::EpollWait, 16),
+    (DelayedThread::Serving, Call::ClockGettime, 24),
 ];
 
 /// When the count of calls begins.
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Hold {
     /// Whose call.
-    pub thread: HeldThread,
+    pub thread: DelayedThread,
     /// Which kind.
     pub call: Call,
     /// Which one of this kind, counted from 1.
@@ -155,16 +155,16 @@
     }
 
     /// How long the harness itself holds the process up, at most.
-    pub fn held(&self) -> Duration {
+    pub fn injected_delay(&self) -> Duration {
         Duration::from_millis(self.hold.hold_ms)
     }
 }
 
 /// The call whose turn it is, and which one of its kind.
-fn held_call(turn: u64) -> (HeldThread, Call, u64) {
-    let count: u64 = HELD_CALLS.iter().map(|(_, _, most)| most).sum();
+fn held_call(turn: u64) -> (DelayedThread, Call, u64) {
+    let count: u64 = DELAYED_CALLS.iter().map(|(_, _, most)| most).sum();
     let mut left = turn % count;
-    for (thread, call, most) in HELD_CALLS {
+    for (thread, call, most) in DELAYED_CALLS {
         if left < most {
             return (thread, call, left + 1);
         }
@@ -190,8 +190,8 @@
         let effect = if self.after { Effect::DelayAfter(micros) } else { Effect::DelayBefore(micros) };
         let thread = match self.thread {
             // The first thread of a process has the program's name, as far as it goes.
-            HeldThread::Serving => program.chars().take(MAX_THREAD_NAME).collect(),
-            HeldThread::Log => "log".to_owned(),
+            DelayedThread::Serving => program.chars().take(MAX_THREAD_NAME).collect(),
+            DelayedThread::Log => "log".to_owned(),
         };
         let about = About::Thread(thread);
         Rule::new(RULE, &[self.call], effect).about(about).often(Often::Only(self.nth))
--- a/crates/lab-starts/src/run.rs
+++ b/crates/lab-starts/src/run.rs
@@ -3,8 +3,8 @@
 use crate::log_pipe::LogPipe;
 use crate::plan::{Phase, Reader, StartPlan, Terminate, IN_FORCE_RULE, RULE};
 use crate::ready::listens;
-use crate::threads::{sample, ThreadWatch};
-use crate::verdict::{allowed_end, End, Fault, StartReport, LISTENING_LINE, READY_WITHIN};
+use crate::threads::{sample, ThreadMonitor};
+use crate::verdict::{allowed_end, End, Fault, StartReport, LISTENING_LINE, READY_TIMEOUT};
 use crate::StartsError;
 use aniseyoke_faults::{arm, Armed};
 use aniseyoke_lab_day::{proxy_config, Day, FileError};
@@ -38,7 +38,7 @@
     /// The program.
     pub program: PathBuf,
     /// Whether its calls are held up.
-    pub hold_calls: bool,
+    pub delay_calls: bool,
 }
 
 impl Subject {
@@ -75,7 +75,7 @@
     started: Instant,
     pipe: LogPipe,
     armed: Option<Armed>,
-    watch: ThreadWatch,
+    watch: ThreadMonitor,
     looked: Instant,
     report: StartReport,
 }
@@ -87,13 +87,13 @@
         command.stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(standard_error.map_or_else(Stdio::null, Stdio::from));
         let armed = subject
-            .hold_calls
+            .delay_calls
             .then(|| arm(&mut command, folder, &plan.hold.plan(Phase::Start, &subject.name())));
         let armed = armed.transpose().map_err(StartsError::Arm)?;
         kill_with_parent(&mut command);
         let started = Instant::now();
         let child = command.spawn().map_err(StartsError::Process)?;
-        let watch = ThreadWatch::new(child.id());
+        let watch = ThreadMonitor::new(child.id());
         let report = StartReport::new(plan);
         Ok(Start { name: subject.name(), child, started, pipe, armed, watch, looked: started, report })
     }
@@ -144,7 +144,7 @@
         let log_is_read = self.report.plan.reader == Reader::Reads;
         loop {
             let pid = self.child.id();
-            if if log_is_read { self.pipe.tells(LISTENING_LINE) } else { listens(pid) } {
+            if if log_is_read { self.pipe.has_line_containing(LISTENING_LINE) } else { listens(pid) } {
                 self.report.ready_after = Some(self.started.elapsed());
                 return Ok(true);
             }
@@ -152,7 +152,7 @@
                 return Ok(false);
             }
             let elapsed = self.started.elapsed();
-            if elapsed > READY_WITHIN + self.report.plan.held() {
+            if elapsed > READY_TIMEOUT + self.report.plan.injected_delay() {
                 self.report.faults.push(Fault::NotReady(elapsed));
                 self.report.threads = sample(pid).into_values().collect();
                 return Ok(false);
@@ -217,7 +217,7 @@
             return;
         }
         self.looked = Instant::now();
-        for spent in self.watch.look() {
+        for spent in self.watch.take_sample() {
             if spent.starves() {
                 self.report.starved.push(spent.clone());
             }
--- a/crates/lab-starts/src/tests.rs
+++ b/crates/lab-starts/src/tests.rs
@@ -1,5 +1,5 @@
-use crate::plan::{HeldThread, Phase, Reader, StartPlan, Terminate, HELD_CALLS, RULE};
-use crate::threads::Spent;
+use crate::plan::{DelayedThread, Phase, Reader, StartPlan, Terminate, DELAYED_CALLS, RULE};
+use crate::threads::ThreadUsage;
 use crate::verdict::{allowed_end, End, Fault, StartReport};
 use aniseyoke_faults::About;
 use std::collections::HashSet;
@@ -12,7 +12,7 @@
     let text = |seed, number| format!("{:?}", StartPlan::draw(seed, number));
     assert_eq!(text(7, 123), text(7, 123));
     assert_ne!(text(7, 123), text(8, 123));
-    let calls: u64 = HELD_CALLS.iter().map(|(_, _, most)| most).sum();
+    let calls: u64 = DELAYED_CALLS.iter().map(|(_, _, most)| most).sum();
     let all = 2 * calls;
     let holds = (0..all).map(|number| StartPlan::draw(7, number).hold);
     let kinds: HashSet<String> =
@@ -32,21 +32,22 @@
 /// Guards against a rule that strikes nothing, where the program's file has another name.
 #[test]
 fn the_serving_thread_is_the_one_with_the_name_of_the_program() {
-    let hold = (0..).map(|number| StartPlan::draw(7, number).hold).find(|h| h.thread == HeldThread::Serving);
+    let hold =
+        (0..).map(|number| StartPlan::draw(7, number).hold).find(|h| h.thread == DelayedThread::Serving);
     let hold = hold.expect("one");
     let about = hold.plan(hold.phase, "a-program-with-a-long-name").rules.pop().map(|rule| rule.about);
     assert_eq!(about, Some(About::Thread("a-program-with-".into())));
 }
 
-fn spent(ran_ms: u64, waited_ms: u64) -> Spent {
+fn spent(ran_ms: u64, waited_ms: u64) -> ThreadUsage {
     let [elapsed, ran, waited] = [1000, ran_ms, waited_ms].map(Duration::from_millis);
-    Spent { thread: "log".into(), elapsed, ran, waited }
+    ThreadUsage { thread: "log".into(), elapsed, ran, waited }
 }
 
 /// A thread that is kept from a processor is the machine's doing, and one that never sleeps is not.
 #[test]
 fn a_thread_that_spins_is_told_from_one_that_starves_and_from_one_that_works() {
-    let judged = |spent: Spent| (spent.spins(), spent.starves());
+    let judged = |spent: ThreadUsage| (spent.spins(), spent.starves());
     assert_eq!(judged(spent(970, 10)), (true, false));
     assert_eq!(judged(spent(300, 690)), (true, true), "it spins on a busy machine");
     assert_eq!(judged(spent(50, 900)), (false, true), "it starves");
--- a/crates/lab-starts/src/threads.rs
+++ b/crates/lab-starts/src/threads.rs
@@ -66,7 +66,7 @@
 
 /// How a thread spent a window of time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Spent {
+pub struct ThreadUsage {
     /// Its name.
     pub thread: String,
     /// The length of the window.
@@ -77,7 +77,7 @@
     pub waited: Duration,
 }
 
-impl Spent {
+impl ThreadUsage {
     /// Whether it used a processor whenever it could, and slept hardly ever.
     pub fn spins(&self) -> bool {
         let could_run = self.elapsed.saturating_sub(self.waited);
@@ -91,19 +91,19 @@
 }
 
 /// Watches the threads of a process.
-pub struct ThreadWatch {
+pub struct ThreadMonitor {
     pid: u32,
     first: HashMap<u32, (Instant, ThreadSample)>,
 }
 
-impl ThreadWatch {
+impl ThreadMonitor {
     /// Watches this process.
     pub fn new(pid: u32) -> Self {
-        ThreadWatch { pid, first: HashMap::new() }
+        ThreadMonitor { pid, first: HashMap::new() }
     }
 
     /// Takes a sample; how each thread spent its window, where one has passed.
-    pub fn look(&mut self) -> Vec<Spent> {
+    pub fn take_sample(&mut self) -> Vec<ThreadUsage> {
         let mut spent = Vec::new();
         for (tid, now) in sample(self.pid) {
             let at = Instant::now();
@@ -112,7 +112,7 @@
             if elapsed >= WINDOW {
                 let ran = now.ran.saturating_sub(first.ran);
                 let waited = now.waited.saturating_sub(first.waited);
-                spent.push(Spent { thread: now.name.clone(), elapsed, ran, waited });
+                spent.push(ThreadUsage { thread: now.name.clone(), elapsed, ran, waited });
                 (*begun, *first) = (at, now);
             }
         }
--- a/crates/lab-starts/src/verdict.rs
+++ b/crates/lab-starts/src/verdict.rs
@@ -1,7 +1,7 @@
 //! What a start came to.
 
 use crate::plan::{Reader, StartPlan, Terminate};
-use crate::threads::{Spent, ThreadSample};
+use crate::threads::{ThreadSample, ThreadUsage};
 use serde::Serialize;
 use std::fmt;
 use std::os::unix::process::ExitStatusExt;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A process listens within this time of its start.
-pub const READY_WITHIN: Duration = Duration::from_secs(30);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// A deadline that is longer counts as this.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// The platform kills a process this long after SIGTERM and the longest deadline.
@@ -38,7 +38,7 @@
     /// Its exit status is not the one that it should have.
     WrongStatus(String),
     /// A thread uses a processor without getting anywhere.
-    Spins(Spent),
+    Spins(ThreadUsage),
     /// A line that must be in the log is not.
     LineMissing(&'static str),
 }
@@ -55,7 +55,7 @@
                 write!(f, "had not ended {took:.3?} after SIGTERM, {allowed:.3?} are allowed; killed")
             }
             Fault::WrongStatus(status) => write!(f, "ended with the wrong status: {status}"),
-            Fault::Spins(Spent { thread, elapsed, ran, waited }) => write!(
+            Fault::Spins(ThreadUsage { thread, elapsed, ran, waited }) => write!(
                 f,
                 "thread {thread} spins: ran {ran:.2?} of {elapsed:.2?}, waited for a processor {waited:.2?}"
             ),
@@ -87,7 +87,7 @@
     /// Calls that were in fact held up.
     pub held_calls: usize,
     /// How often a thread was found to starve: the machine had no processor for it.
-    pub starved: Vec<Spent>,
+    pub starved: Vec<ThreadUsage>,
     /// What must not be.
     pub faults: Vec<Fault>,
     /// The threads when a time had passed, before the process was killed.
@@ -143,8 +143,8 @@
     let longest = Duration::from_millis(plan.longest_deadline_ms).min(MAX_DEADLINE);
     let to_start = match plan.terminate {
         // What is left of the start is due within the time of a start.
-        Terminate::AfterSpawn(_) => READY_WITHIN,
+        Terminate::AfterSpawn(_) => READY_TIMEOUT,
         Terminate::AfterReady(_) => Duration::ZERO,
     };
-    longest + KILL_MARGIN + plan.held() + to_start
+    longest + KILL_MARGIN + plan.injected_delay() + to_start
 }
--- a/crates/lab-starts/tests/planted.rs
+++ b/crates/lab-starts/tests/planted.rs
@@ -16,7 +16,7 @@
     plan.longest_deadline_ms = 200;
     let program = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/planted").join(name);
     let folder = tempfile::tempdir().expect("a folder");
-    run(plan, &Subject { program, hold_calls: false }, folder.path()).expect("played")
+    run(plan, &Subject { program, delay_calls: false }, folder.path()).expect("played")
 }
 
 #[test]
--- a/crates/lab-starts/tests/starts.rs
+++ b/crates/lab-starts/tests/starts.rs
@@ -16,7 +16,7 @@
 fn starts_and_ends_with_calls_held_up_and_a_log_that_is_not_read() {
     let folder = tempfile::tempdir().expect("a folder");
     let program = find_proxy(None).expect("the proxy");
-    let subject = Subject { program, hold_calls: true };
+    let subject = Subject { program, delay_calls: true };
     let batch = Batch {
         seed: SEED,
         first: 0,
--- a/crates/lab/src/cli/sim.rs
+++ b/crates/lab/src/cli/sim.rs
@@ -100,7 +100,7 @@
         (args.proxies.unwrap_or(day.site.proxy.count), args.nodes.unwrap_or(day.site.cache.count));
     let day = day.sized(proxies, nodes)?;
     let options = options(args)?;
-    let left_out = Sim::left_out(&day);
+    let left_out = Sim::unsimulated_parts(&day);
     if !left_out.is_empty() {
         println!("not played in simulated time: {}", left_out.join(", "));
     }
--- a/crates/lab/src/cli/starts.rs
+++ b/crates/lab/src/cli/starts.rs
@@ -50,7 +50,7 @@
     let program = find_proxy(args.proxy.clone())?;
     let folder = output_folder(args.out.as_deref(), "starts-")?.canonicalize().map_err(CliError::System)?;
     let subject =
-        Subject { program: program.canonicalize().map_err(CliError::System)?, hold_calls: !args.no_holds };
+        Subject { program: program.canonicalize().map_err(CliError::System)?, delay_calls: !args.no_holds };
     let batch = Batch {
         seed: args.seed,
         first: args.first,
