--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -67,8 +67,8 @@
         let (proxy, member, origin, by) =
             (attempt.proxy, attempt.member, attempt.origin, attempt.permit_by.unwrap_or(now));
         let server = self.server(member);
-        if let Some((opens, _)) = &mut self.proxies[proxy as usize].opens {
-            if let Err(wait) = opens.try_acquire(EPOCH + now, server) {
+        if let Some((permits, _)) = &mut self.proxies[proxy as usize].permits {
+            if let Err(wait) = permits.try_acquire(EPOCH + now, server) {
                 if now + wait > by {
                     return self.end_attempt(attempt_id, Status::NotSent);
                 }
@@ -153,8 +153,8 @@
         let first = !std::mem::replace(&mut pending.answered, true);
         let (slot, number, arrived) = (pending.client, pending.attempt_number, pending.arrived);
         if first {
-            let aim = nanos(self.day.load.classes[pending.class].latency_objective);
-            let late = self.now > self.clients[slot as usize].due + aim;
+            let latency_objective = nanos(self.day.load.classes[pending.class].latency_objective);
+            let late = self.now > self.clients[slot as usize].due + latency_objective;
             let cause = match (late, hit) {
                 (true, _) => Cause::Late,
                 (_, true) => Cause::Hit,
@@ -238,8 +238,8 @@
     pub(super) fn non_idempotent_request(&self, attempt_id: AttemptId) -> Option<u64> {
         let attempt = self.in_flight.get(&attempt_id)?;
         let pending = self.proxies[attempt.proxy as usize].pending.get(&attempt.request)?;
-        let unsafe_class = self.day.load.classes[pending.class].idempotency == Idempotency::NotIdempotent;
-        unsafe_class.then(|| self.clients[pending.client as usize].arrival.number)
+        let non_idempotent = self.day.load.classes[pending.class].idempotency == Idempotency::NotIdempotent;
+        non_idempotent.then(|| self.clients[pending.client as usize].arrival.number)
     }
 
     /// The column of a member in the counts: warm nodes, cold ones, the origin.
--- a/crates/lab-sim/src/client.rs
+++ b/crates/lab-sim/src/client.rs
@@ -1,30 +1,30 @@
-//! Clients' requests: their attempts, and what a client does after each.
+//! Requests of clients: their attempts, and whether and when a client retries.
 
 use super::*;
 use aniseyoke_lab_day::Idempotency;
 use aniseyoke_lab_load::{attempt_limits, retry_delay, Arrival, ClientBehavior, Outcome, ABORTS_AFTER};
 
-/// A request of a client that has not ended.
+/// A client's request that has not ended.
 pub struct ClientRequest {
     pub arrival: Arrival,
     /// The id of its current attempt.
     pub request_id: u64,
-    /// Which attempt it is at, from 0.
+    /// The number of the current attempt, from 0.
     pub attempt_number: u32,
-    /// The proxy of the current attempt, and that proxy's id for it.
+    /// The proxy that handles the current attempt, and the request id at that proxy.
     pub proxy_request: Option<(u32, u64)>,
-    /// Counted from the start of the warm-up.
+    /// The time at which the request is due, measured from the start of the warm-up.
     pub due: Nanos,
-    /// Set for one of the crowd: it retries at once, at most this often.
+    /// Set for requests of the crowd: the maximum number of retries.
     pub crowd: Option<u32>,
     pub outcome: Outcome,
 }
 
-/// A crowd's client retries after this time.
+/// Delay before a client of the crowd retries.
 const CROWD_RETRY_DELAY: Nanos = 5 * MILLISECOND;
 
 impl Sim {
-    /// The day's next request is due.
+    /// Starts the day's next request and schedules the one after it.
     pub(super) fn next_request_due(&mut self) {
         let Some(arrival) = self.arrivals.next() else { return };
         self.start_request(arrival, None);
@@ -82,7 +82,7 @@
         self.start_attempt(slot);
     }
 
-    /// The proxy that an attempt is sent to.
+    /// Chooses the proxy that an attempt is sent to.
     fn choose_proxy(&mut self, slot: u32) -> u32 {
         let all = self.weights.last().copied().unwrap_or(1.0);
         let fraction = match (self.clients[slot as usize].crowd, &self.options.crowd) {
@@ -93,12 +93,12 @@
         self.weights.partition_point(|sum| *sum <= drawn).min(self.proxies.len() - 1) as u32
     }
 
-    /// A client sends its next attempt, if there is time for one.
+    /// Sends a client's next attempt, or ends the request if less than 5 ms remain.
     pub(super) fn start_attempt(&mut self, slot: u32) {
         let client = &self.clients[slot as usize];
         let class = &self.day.load.classes[client.arrival.class];
-        let give_up = client.due + nanos(class.deadline);
-        let left = give_up.saturating_sub(self.now);
+        let deadline_at = client.due + nanos(class.deadline);
+        let left = deadline_at.saturating_sub(self.now);
         let (_, patience) = attempt_limits(&self.day, &client.arrival, left);
         if left < 5 * MILLISECOND {
             return self.end_request(slot);
@@ -116,7 +116,7 @@
         self.arrive(proxy, slot, patience);
     }
 
-    /// An attempt has ended for its client.
+    /// Handles the end of a client's attempt: ends the request or schedules a retry.
     pub(super) fn attempt_ended(
         &mut self,
         slot: u32,
@@ -138,9 +138,9 @@
         let class = &self.day.load.classes[client.arrival.class];
         let max_retries = client.crowd.unwrap_or(attempt_limits(&self.day, &client.arrival, 0).0);
         let done = matches!(client.outcome, Outcome::Served | Outcome::Late | Outcome::Left);
-        // The client cannot know whether a request that is not idempotent was executed: it does not retry.
-        let unsure = class.idempotency == Idempotency::NotIdempotent && outcome != Outcome::Refused;
-        if done || unsure || number >= max_retries {
+        // A client cannot tell whether a non-idempotent request was executed, so it does not retry it.
+        let maybe_executed = class.idempotency == Idempotency::NotIdempotent && outcome != Outcome::Refused;
+        if done || maybe_executed || number >= max_retries {
             return self.end_request(slot);
         }
         let retry_after = retry_after.filter(|_| client.arrival.honors_retry_after);
@@ -153,7 +153,7 @@
         self.schedule_after(delay, SimEvent::ClientAttempt(slot));
     }
 
-    /// A request has ended, with all its attempts.
+    /// Records the outcome of a request and releases its slot.
     fn end_request(&mut self, slot: u32) {
         let client = &self.clients[slot as usize];
         let latency = self.now.saturating_sub(client.due);
--- a/crates/lab-sim/src/counts.rs
+++ b/crates/lab-sim/src/counts.rs
@@ -1,4 +1,5 @@
-//! What is counted: how each client's attempt ended and why, and the proxies' attempts by member, second by second.
+//! The counts of a simulation: how each client attempt ended and why, and the proxies' attempts by kind of member, for each
+//! second.
 
 use super::{SimEvent, SlowStartStats};
 use aniseyoke_lab_day::Day;
@@ -6,41 +7,41 @@
 use aniseyoke_lab_world::connection_load::MemberLoad;
 use serde::Serialize;
 
-/// How a client's attempt ended, as its proxy saw it.
+/// How a client's attempt ended, as its proxy observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// A node served it from its cache, in time.
+    /// Served by a node from its cache, within the latency objective.
     Hit,
-    /// The origin served it, in time.
+    /// Served by the origin, within the latency objective.
     Fetched,
-    /// Served past the latency objective.
+    /// Served later than the latency objective.
     Late,
-    /// Refused before anything was sent.
+    /// Rejected before any attempt was sent.
     #[serde(rename = "unsent")]
     RejectedUnsent,
-    /// Its node missed, and nothing was sent to the origin.
+    /// A cache miss at the node, after which no attempt was sent to the origin.
     #[serde(rename = "ledger-shut")]
     OriginNotAsked,
-    /// A node gave no answer in time.
+    /// A node did not answer in time.
     #[serde(rename = "node-silent")]
     NodeTimeout,
-    /// A node rejected it, failed, or could not be reached.
+    /// A node rejected the attempt, failed, or could not be reached.
     #[serde(rename = "node-bad")]
     NodeFailed,
-    /// The origin gave no answer in time.
+    /// The origin did not answer in time.
     #[serde(rename = "ledger-silent")]
     OriginTimeout,
-    /// The origin rejected it, failed, or could not be reached.
+    /// The origin rejected the attempt, failed, or could not be reached.
     #[serde(rename = "ledger-bad")]
     OriginFailed,
-    /// No final answer before its time was over.
+    /// No final response before the deadline.
     Unanswered,
-    /// Its client disconnected.
+    /// The client disconnected.
     Left,
 }
 
-/// All causes, in the order of the table.
+/// All causes, in the order of the table's columns.
 pub const CAUSES: [Cause; 11] = [
     Cause::Hit,
     Cause::Fetched,
@@ -56,7 +57,7 @@
 ];
 
 impl Cause {
-    /// Its name in a table.
+    /// The name of the cause in the table.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Hit => "hit",
@@ -74,54 +75,55 @@
     }
 }
 
-/// One second of the day.
+/// Counts of one second of the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Clients' attempts that ended, by cause, in the order of [`CAUSES`].
+    /// Client attempts that arrived in this second, by cause of their end, in the order of [`CAUSES`].
     pub causes: [u64; CAUSES.len()],
-    /// First attempts that clients sent.
+    /// First attempts sent by clients.
     pub first: u64,
-    /// All attempts that clients sent.
+    /// All attempts sent by clients.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Proxies' attempts at warm nodes, cold ones, and the origin.
+    /// Attempts sent by proxies to warm nodes, to cold nodes and to the origin.
     pub sent: [u64; 3],
-    /// Of those, timed out, in the same order.
+    /// Attempts that timed out, in the same order as `sent`.
     pub timed_out: [u64; 3],
-    /// Connections opened to nodes and the origin.
+    /// Connections opened to nodes and to the origin.
     pub opened: u64,
 }
 
-/// Everything that was counted from the start of what is reported.
+/// Counts from the start of the reported part on.
 #[derive(Clone, Debug)]
 pub struct Counts {
-    /// Outcomes of the day's own requests, over all their attempts.
+    /// Outcomes of the day's requests, over all their attempts.
     pub stats: LoadStats,
     /// Outcomes of the crowd's requests.
     pub crowd: LoadStats,
-    /// By second.
+    /// Counts for each second.
     pub seconds: Vec<Second>,
     /// Connections that carried more than one attempt.
     pub reused: u64,
-    /// Cold nodes that went down, overloaded.
+    /// Cold nodes that failed from overload.
     pub node_overloads: u64,
-    /// Times that the origin went down, overloaded.
+    /// The number of times that the origin failed from overload.
     pub origin_overloads: u64,
-    /// Requests that are not idempotent and were executed twice.
+    /// Non-idempotent requests that were executed twice.
     pub executed_twice: u64,
-    /// Attempts sent to a node over two seconds after its proxy was told that it drains or is gone.
+    /// Attempts sent to a node more than two seconds after its proxy was notified that the node is draining or gone.
     pub drain_violations: u64,
-    /// Final answers beyond one for a request, which a proxy must never give.
+    /// Final responses to requests that already had one. A proxy must send exactly one.
     pub answered_twice: u64,
-    /// Calls at the list service, for each second from the start, warm-up included; rejected ones among them.
+    /// Calls to the list service in each second, including the warm-up and rejected calls.
     pub list_calls: Vec<u64>,
-    /// Of those, rejected.
+    /// The number of those calls that were rejected.
     pub list_rejected: u64,
-    /// Connections and attempts at nodes and at the origin, for each second from the start; connections held are not known here.
+    /// Connections and attempts at nodes and at the origin, for each second including the warm-up. The number of open
+    /// connections is not modelled.
     pub load: [MemberLoad; 2],
-    /// What cold nodes got, compared with what the settings allow them.
+    /// Requests to cold nodes compared with their slow-start budget.
     pub slow_start: SlowStartStats,
-    /// Events of the simulation, warm-up included.
+    /// Events of the simulation, including the warm-up.
     pub events: u64,
 }
 
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Whether a rule was broken.
+    /// Whether any rule was violated.
     pub fn broken(&self) -> bool {
         self.node_overloads
             + self.origin_overloads
@@ -160,24 +162,25 @@
         self.seconds.get_mut(second?)
     }
 
-    /// The weight served in time over the weight offered, of requests due in these seconds.
+    /// The weight served in time divided by the weight offered, for requests due in these seconds.
     pub fn goodput(&self, seconds: std::ops::Range<usize>) -> f64 {
         Goodput::sum(self.stats.seconds.get(seconds).unwrap_or_default()).ratio()
     }
 
-    /// The second from which on every second's goodput is at least this; none if the last one's is not.
-    pub fn steady_after(&self, part: f64) -> Option<usize> {
+    /// The first second from which every second's goodput is at least `min_goodput`; `None` if that of the last second is lower.
+    pub fn steady_after(&self, min_goodput: f64) -> Option<usize> {
         let seconds = self.stats.seconds.len().saturating_sub(1);
-        let after = (0..seconds).rev().find(|s| self.goodput(*s..*s + 1) < part).map_or(0, |last| last + 1);
+        let after =
+            (0..seconds).rev().find(|s| self.goodput(*s..*s + 1) < min_goodput).map_or(0, |last| last + 1);
         (after < seconds).then_some(after)
     }
 
-    /// The day's own requests: those served in time, and all.
+    /// The number of the day's requests that were served in time, and of all its requests.
     pub fn served(&self) -> (u64, u64) {
         (self.stats.all.count(Outcome::Served), self.stats.all.requests())
     }
 
-    /// The table of seconds, with a line for each `step` of them.
+    /// Formats the counts as a table with one line for each `step` seconds.
     pub fn table(&self, step: usize) -> String {
         let mut text = format!("{:>6}{:>8}{:>7}", "from s", "tries", "a req.");
         CAUSES.iter().for_each(|c| text += &format!("{:>14}", c.name()));
@@ -202,7 +205,7 @@
 }
 
 impl SimEvent {
-    /// Whether it belongs to the load, which ends with the day; the rest runs on until all is answered.
+    /// Whether the event generates load. Load ends with the day; other events are processed until every request has ended.
     pub(super) fn is_load(self) -> bool {
         matches!(self, SimEvent::NextRequest | SimEvent::CrowdRequest)
     }
--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -1,9 +1,10 @@
-//! Simulated time: the real decision module, one instance for each proxy, over the model of the site, without sockets. Whole
-//! fleets of hundreds of proxies fit in one process, and a day follows from its file, seed and sizes alone.
+//! A discrete-event simulation of a fleet of proxies. Each proxy runs the real decision module against the model of the
+//! site, without sockets and in simulated time. A fleet of hundreds of proxies fits in one process, and the result depends
+//! only on the day file, the seed and the sizes of the fleet.
 //!
-//! Left out, compared with a trial on sockets: the proxies' own cost in time, bytes and their fragments, the load balancer's
-//! detection of dead proxies (none dies here), discovery's own load, limits that an operator file sets, and what connections
-//! cost a node. A new connection costs a round trip.
+//! Compared with a trial on sockets, the simulation omits: the proxies' own processing time, the transfer of bytes and
+//! fragments, the load balancer's detection of failed proxies (no proxy fails here), the load on discovery, the limits set
+//! by an operator file, and the cost of connections to a node. A new connection costs one round trip.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -30,25 +31,26 @@
 use client::ClientRequest;
 use proxy::SimProxy;
 use queue::Queue;
-use ramp::Ramp;
+use ramp::SlowStartCounter;
 use rustc_hash::FxHashMap;
 use std::iter::Peekable;
 use std::time::Duration;
 
-/// How a day is simulated.
+/// Options of a simulation, beyond the day file.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The day's load runs this long before what is reported, with an origin that is fast enough for all of it, so that caches fill.
+    /// The day's load runs for this long before the reported part begins, with an origin fast enough for all of it, so
+    /// that the caches fill.
     pub warm_up: Duration,
-    /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight; 0: evenly.
+    /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight. 0 spreads them evenly.
     pub unevenness: f64,
-    /// The fraction of all attempts that goes to the first proxy beside its share of the rest; below 1.
+    /// The fraction of all attempts that goes to the first proxy in addition to its share of the rest; below 1.
     pub first_proxy_fraction: f64,
-    /// Clients beside the day's own, if any.
+    /// Additional clients besides those of the day, if any.
     pub crowd: Option<Crowd>,
-    /// The list service; without it proxies get each change at once, and calls are not counted.
+    /// The list service. Without it, proxies receive each change at once and calls are not counted.
     pub list: Option<ListService>,
-    /// Connections a second that all proxies together may open to a node and to the origin; no limit if none.
+    /// Connections per second that all proxies together may open to a node and to the origin; unlimited if `None`.
     pub connection_rates: Option<(f64, f64)>,
 }
 
@@ -65,30 +67,30 @@
     }
 }
 
-/// Requests beside the day's own, all of one tenant and class.
+/// Additional requests, all of one tenant and one class.
 #[derive(Clone, Debug)]
 pub struct Crowd {
-    /// From when, counted from the start of what is reported.
+    /// When the requests begin, measured from the start of the reported part.
     pub at: Duration,
-    /// For how long.
+    /// How long the requests continue.
     pub length: Duration,
-    /// Requests a second, over all proxies.
+    /// Requests per second, over all proxies.
     pub rate: f64,
-    /// The fraction of the proxies that they are sent to.
+    /// The fraction of the proxies that receive these requests.
     pub proxies: f64,
-    /// The tenant, as the day numbers them.
+    /// The index of the tenant in the day file.
     pub tenant: usize,
-    /// They retry at most this often after a failed attempt, at once and ignoring `Retry-After`.
+    /// The maximum number of retries per request. The clients retry immediately and ignore `Retry-After`.
     pub retries: u32,
 }
 
-/// The origin's speed is multiplied by this while caches fill.
+/// Factor on the speed of the origin during the warm-up, while caches fill.
 const WARM_UP_ORIGIN_SPEED: f64 = 20.0;
-/// The delay between any two machines, at least and at most.
+/// Minimum and maximum network delay between any two machines.
 const NETWORK_DELAY: (Nanos, Nanos) = (MILLISECOND / 5, MILLISECOND / 2);
-/// An unanswered connection attempt is given up after this time.
+/// Timeout of a connection attempt that is not answered.
 const CONNECT_TIMEOUT: Nanos = 250 * MILLISECOND;
-/// A proxy gets at most this many times the mean of what clients send, and at least this fraction.
+/// Bounds the weight of a proxy: at most this factor, and at least its inverse.
 const MAX_UNEVENNESS: f64 = 6.0;
 
 /// An event of the simulation.
@@ -98,37 +100,37 @@
     NextRequest,
     /// The crowd's next request is due.
     CrowdRequest,
-    /// The model has something due.
+    /// An event of the site model is due.
     WorldDue,
-    /// The reported part begins.
+    /// The reported part of the day begins.
     DayBegins,
-    /// A client sends its next attempt: its slot.
+    /// A client sends its next attempt: the client's slot.
     ClientAttempt(u32),
-    /// A client disconnects before its response: its slot, and which attempt.
+    /// A client disconnects before its response: the client's slot and the attempt number.
     ClientAbort(u32, u32),
-    /// A proxy's request has run out of time.
+    /// The deadline of a request at a proxy: the proxy and the request id.
     Deadline(u32, u64),
-    /// A proxy's timer.
+    /// A timer of a proxy expires: the proxy and the timer's token.
     Timer(u32, u64),
-    /// A proxy's attempt arrives at its member.
+    /// An attempt arrives at its member.
     AttemptArrival(AttemptId),
-    /// The outcome of an attempt has reached its proxy.
+    /// The outcome of an attempt reaches its proxy.
     AttemptReply(AttemptId, AttemptReply),
-    /// A proxy waits no longer for an attempt.
+    /// An attempt times out at its proxy.
     AttemptTimeout(AttemptId),
-    /// A proxy is sent the endpoint list.
+    /// A proxy receives the endpoint list.
     ListAnswer(u32),
     /// A proxy's call reaches the list service.
     ListCall(u32),
-    /// A proxy's watch has been held for its time: the watch's number.
+    /// A watch of a proxy expires: the proxy and the number of the watch.
     WatchExpiry(u32, u32),
-    /// A proxy's call has failed, or was refused.
+    /// A proxy's call to the list service has failed, or was rejected if the flag is set.
     ListFailure(u32, bool),
-    /// A proxy asks for a permit to open a connection for an attempt.
+    /// A proxy requests a permit to open a connection for an attempt.
     OpenConnection(AttemptId),
 }
 
-/// How an attempt ended, as its proxy sees it.
+/// The outcome of an attempt as its proxy observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum AttemptReply {
     Served { hit: bool },
@@ -143,20 +145,20 @@
 struct InFlightAttempt {
     proxy: u32,
     request: u64,
-    /// Which of its request's attempts it is.
+    /// The index of the attempt among those of its request.
     index: u32,
     member: usize,
-    /// Over a connection that was opened for it.
+    /// Whether the connection was opened for this attempt.
     new_connection: bool,
     reached: bool,
-    /// Its connection is half-open: nothing comes back over it.
+    /// Whether its connection is half-open, so that no reply is received on it.
     dead: bool,
     origin: bool,
-    /// When its wait for a permit to open a connection ends; none if it needs no permit.
+    /// The deadline for obtaining a permit to open a connection; `None` if no permit is needed.
     permit_by: Option<Nanos>,
 }
 
-/// A day in simulated time.
+/// A simulation of one day.
 pub struct Sim {
     day: Day,
     options: Options,
@@ -165,12 +167,12 @@
     arrivals: Peekable<Arrivals>,
     queue: Queue,
     now: Nanos,
-    /// When what is reported begins.
+    /// The time at which the reported part begins.
     reported_from: Nanos,
     proxies: Vec<SimProxy>,
-    /// Cumulated weights of the proxies, by which attempts are spread.
+    /// Cumulative weights of the proxies, by which client attempts are distributed.
     weights: Vec<f64>,
-    /// The requests that have not ended, by slot.
+    /// Client requests by slot; a slot is reused once its request has ended.
     clients: Vec<ClientRequest>,
     free_clients: Vec<u32>,
     crowd: u64,
@@ -178,19 +180,19 @@
     attempt_count: AttemptId,
     draws: u64,
     executions: FxHashMap<u64, u32>,
-    /// Members by the id that the module knows them by.
+    /// Members by their server id in the decision module.
     members_by_server: FxHashMap<u64, usize>,
-    /// The due time of the model's event that was last queued.
+    /// The due time of the model event that was queued last.
     world_due: Option<Nanos>,
     effects: Vec<Effect>,
     connection_load: ConnectionLoad,
-    ramp: Ramp,
-    /// What was counted.
+    ramp: SlowStartCounter,
+    /// The counts so far.
     pub counts: Counts,
 }
 
 impl Sim {
-    /// A day before it begins, its proxies and nodes as the day's file has them.
+    /// Creates a simulation at the start of a day, with the proxies and nodes of the day file.
     pub fn new(day: &Day, options: Options) -> Self {
         let warm_up = nanos(options.warm_up);
         let key_space = KeySpace::new(day);
@@ -232,14 +234,14 @@
             world_due: None,
             effects: Vec::new(),
             connection_load: ConnectionLoad::new(ConnectionLimits::default()),
-            ramp: Ramp::new(day),
+            ramp: SlowStartCounter::new(day),
             options,
         };
         sim.start();
         sim
     }
 
-    /// The parts of a day that are not simulated, by the names in its file.
+    /// The parts of a day that are not simulated, by their names in the day file.
     pub fn unsimulated_parts(day: &Day) -> Vec<&'static str> {
         use aniseyoke_lab_day::FaultKind::{DiscoveryDown, Pieces, ProxyRoll};
         let fault = |kind| day.faults.iter().any(|t| t.kind == kind);
@@ -256,7 +258,7 @@
         all.into_iter().filter(|(there, _)| *there).map(|(_, name)| name).collect()
     }
 
-    /// A number in [0, 1) that follows from the seed and the count of earlier ones.
+    /// A pseudo-random number in [0, 1) that depends on the seed and on the number of earlier draws.
     fn draw(&mut self) -> f64 {
         self.draws += 1;
         unit_fraction(mix(self.day.seed, 0xd4a5, self.draws))
@@ -270,7 +272,7 @@
         self.queue.push(self.now.saturating_add(delay), event);
     }
 
-    /// The second of the reported part in which something happens; none before it.
+    /// The second of the reported part that a time falls into; `None` during the warm-up.
     fn second(&self, at: Nanos) -> Option<usize> {
         Some((at.checked_sub(self.reported_from)? / SECOND) as usize)
     }
--- a/crates/lab-sim/src/list_service.rs
+++ b/crates/lab-sim/src/list_service.rs
@@ -20,15 +20,15 @@
 }
 
 /// The longest and the shortest wait of a proxy whose calls are not paced.
-const HOLD: (Nanos, Nanos) = (SECOND, 20 * SECOND);
+const WATCH_DURATION_RANGE: (Nanos, Nanos) = (SECOND, 20 * SECOND);
 /// What `[list]` in the operator file sets where it says nothing else.
 const MAX_BACK_OFF: Nanos = 3600 * MILLISECOND;
 /// See `MAX_BACK_OFF`.
-const ANSWER_TIMEOUT: (Nanos, Nanos) = (1200 * MILLISECOND, 3600 * MILLISECOND);
+const ANSWER_TIMEOUTS: (Nanos, Nanos) = (1200 * MILLISECOND, 3600 * MILLISECOND);
 
 /// One proxy's side of it.
 #[derive(Default)]
-pub struct ListCaller {
+pub struct ListClient {
     polls: Option<PollSchedule>,
     /// Whether a call is in flight, or waits for its slot.
     busy: bool,
@@ -37,29 +37,29 @@
     watches: u32,
 }
 
-impl ListCaller {
+impl ListClient {
     /// Proxy `me` of a day.
     pub fn new(day: &Day, index: usize, service: Option<&ListService>) -> Self {
         let slot = FleetPosition::new(index as u32, day.site.proxy.count as u32);
         let rules = PollRules {
             interval: PollRules::default_interval(nanos(day.site.discovery.poll_within)),
             max_backoff: MAX_BACK_OFF,
-            answer_timeout: ANSWER_TIMEOUT.0,
-            max_answer_timeout: ANSWER_TIMEOUT.1,
+            answer_timeout: ANSWER_TIMEOUTS.0,
+            max_answer_timeout: ANSWER_TIMEOUTS.1,
         };
         let polls = service.filter(|s| s.paced).map(|_| PollSchedule::new(rules, slot, 0, 0));
-        ListCaller { polls, ..ListCaller::default() }
+        ListClient { polls, ..ListClient::default() }
     }
 }
 
 impl Sim {
     /// A proxy's module wants the list followed, or its last call has been answered.
     pub(super) fn call_list(&mut self, proxy: u32, restarted: bool) {
-        let (now, caller) = (self.now, &mut self.proxies[proxy as usize].caller);
-        if restarted && std::mem::replace(&mut caller.busy, true) {
+        let (now, list_client) = (self.now, &mut self.proxies[proxy as usize].list_client);
+        if restarted && std::mem::replace(&mut list_client.busy, true) {
             return;
         }
-        let at = caller.polls.as_ref().map_or(now, |polls| polls.next_poll(now));
+        let at = list_client.polls.as_ref().map_or(now, |polls| polls.next_poll(now));
         self.queue.push(at, SimEvent::ListCall(proxy));
     }
 
@@ -75,7 +75,7 @@
         calls[second] += 1;
         let over = service.max_per_second.is_some_and(|max| calls[second] > max);
         let sim_proxy = &mut self.proxies[proxy as usize];
-        sim_proxy.caller.polls.iter_mut().for_each(|p| p.poll_started(now));
+        sim_proxy.list_client.polls.iter_mut().for_each(|p| p.poll_started(now));
         let delay = self.network_delay();
         if now < nanos(service.down) {
             return self.schedule_after(delay, SimEvent::ListFailure(proxy, false));
@@ -89,20 +89,24 @@
             return self.schedule_after(delay, SimEvent::ListAnswer(proxy));
         }
         let must = nanos(self.day.site.discovery.poll_within) / 2;
-        let caller = &mut sim_proxy.caller;
-        let hold =
-            caller.polls.as_ref().map_or(must.clamp(HOLD.0, HOLD.1), |polls| polls.watch_duration(now));
-        caller.watches += 1;
-        caller.watch = Some(caller.watches);
-        let number = caller.watches;
+        let list_client = &mut sim_proxy.list_client;
+        let hold = list_client
+            .polls
+            .as_ref()
+            .map_or(must.clamp(WATCH_DURATION_RANGE.0, WATCH_DURATION_RANGE.1), |polls| {
+                polls.watch_duration(now)
+            });
+        list_client.watches += 1;
+        list_client.watch = Some(list_client.watches);
+        let number = list_client.watches;
         self.schedule_after(hold, SimEvent::WatchExpiry(proxy, number));
     }
 
     /// A watch has been held for as long as it was to be.
     pub(super) fn watch_expired(&mut self, proxy: u32, number: u32) {
-        let caller = &mut self.proxies[proxy as usize].caller;
-        if caller.watch == Some(number) {
-            caller.watch = None;
+        let list_client = &mut self.proxies[proxy as usize].list_client;
+        if list_client.watch == Some(number) {
+            list_client.watch = None;
             let delay = self.network_delay();
             self.schedule_after(delay, SimEvent::ListAnswer(proxy));
         }
@@ -112,11 +116,11 @@
     pub(super) fn list_changed(&mut self) {
         for proxy in 0..self.proxies.len() as u32 {
             let sim_proxy = &mut self.proxies[proxy as usize];
-            let wakes = match self.options.list {
-                Some(_) => sim_proxy.caller.watch.take().is_some(),
+            let notifies = match self.options.list {
+                Some(_) => sim_proxy.list_client.watch.take().is_some(),
                 None => sim_proxy.subscribed,
             };
-            if wakes {
+            if notifies {
                 let delay = self.network_delay();
                 self.schedule_after(delay, SimEvent::ListAnswer(proxy));
             }
@@ -127,7 +131,7 @@
     pub(super) fn list_answered(&mut self, proxy: u32) {
         self.deliver_list(proxy);
         if self.options.list.is_some() {
-            self.proxies[proxy as usize].caller.polls.iter_mut().for_each(PollSchedule::answered);
+            self.proxies[proxy as usize].list_client.polls.iter_mut().for_each(PollSchedule::answered);
             self.call_list(proxy, false);
         }
     }
@@ -136,9 +140,9 @@
     pub(super) fn list_call_failed(&mut self, proxy: u32, refused: bool) {
         let now = self.now;
         let after = self.options.list.as_ref().map(|s| nanos(s.retry_after)).filter(|_| refused);
-        let caller = &mut self.proxies[proxy as usize].caller;
-        caller.busy = false;
-        if let Some(polls) = &mut caller.polls {
+        let list_client = &mut self.proxies[proxy as usize].list_client;
+        list_client.busy = false;
+        if let Some(polls) = &mut list_client.polls {
             match refused {
                 true => polls.rejected(now, after),
                 false => polls.failed(now),
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -1,6 +1,6 @@
 //! One simulated proxy: the decision module, and the state that the core keeps beside it.
 
-use super::list_service::ListCaller;
+use super::list_service::ListClient;
 use super::Options;
 use aniseyoke_core::deadline_margin;
 use aniseyoke_decision::api::{Action, Entry, Event, ListKind, RequestId, ServerId, State, Status};
@@ -48,9 +48,9 @@
     pub version: u64,
     pub subscribed: bool,
     /// Its side of the list service.
-    pub caller: ListCaller,
+    pub list_client: ListClient,
     /// Permits to open connections, with the rates of all proxies to a node and to the origin, where these are limited.
-    pub opens: Option<(ConnectionPermits, (f64, f64))>,
+    pub permits: Option<(ConnectionPermits, (f64, f64))>,
     /// The last start of each server that it has been notified of, on the decision module's clock.
     notified_start: FxHashMap<ServerId, Nanos>,
     origin_kind: u32,
@@ -64,8 +64,8 @@
         let slot = FleetPosition::new(settings.proxy_index, settings.proxies);
         let seed = mix(day.seed, 0x5eed, index as u64);
         SimProxy {
-            caller: ListCaller::new(day, index, options.list.as_ref()),
-            opens: options.connection_rates.map(|rates| (ConnectionPermits::new(slot, 0, 0), rates)),
+            list_client: ListClient::new(day, index, options.list.as_ref()),
+            permits: options.connection_rates.map(|rates| (ConnectionPermits::new(slot, 0, 0), rates)),
             notified_start: FxHashMap::default(),
             origin_kind: day.site.cache.kinds.len() as u32,
             conn_idle: settings.idle_timeout,
@@ -103,18 +103,18 @@
 
     /// Adapts the permits to open connections to the list.
     fn update_permits(&mut self, now: Nanos, kind: ListKind, entries: &[Entry]) {
-        let Some((opens, (node, origin))) = &mut self.opens else { return };
+        let Some((permits, (node, origin))) = &mut self.permits else { return };
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            opens.retain(|server| entries.iter().any(|e| e.server == server));
+            permits.retain(|server| entries.iter().any(|e| e.server == server));
         }
         for entry in entries {
             let restarted =
                 self.notified_start.get(&entry.server).is_some_and(|started| *started != entry.started);
             if restarted || entry.state == State::Gone {
-                opens.remove_node(entry.server);
+                permits.remove_node(entry.server);
             }
             if entry.state != State::Gone {
-                opens.add_node(
+                permits.add_node(
                     now,
                     entry.server,
                     if entry.kind == self.origin_kind { *origin } else { *node },
@@ -158,10 +158,10 @@
     pub fn connection(&mut self, now: Nanos, server: ServerId) -> Option<bool> {
         // The proxy leaves the last quarter of the time to its node, whose clock runs apart.
         let idle = self.conn_idle / 4 * 3;
-        let idles = self.idle.get_mut(&server)?;
-        while let Some((since, twice)) = idles.pop() {
+        let connections = self.idle.get_mut(&server)?;
+        while let Some((since, reused)) = connections.pop() {
             if now.saturating_sub(since) < idle {
-                return Some(twice);
+                return Some(reused);
             }
         }
         None
--- a/crates/lab-sim/src/queue.rs
+++ b/crates/lab-sim/src/queue.rs
@@ -1,4 +1,4 @@
-//! Events in order of their time; those due at the same time in the order in which they were queued.
+//! The event queue. Events are ordered by time, and events due at the same time by the order in which they were queued.
 
 use super::SimEvent;
 use aniseyoke_lab_day::clock::Nanos;
@@ -13,18 +13,18 @@
 }
 
 impl Queue {
-    /// Puts something in.
+    /// Queues an event.
     pub fn push(&mut self, at: Nanos, event: SimEvent) {
         self.pushed += 1;
         self.heap.push(Reverse((at, self.pushed, event)));
     }
 
-    /// Takes what is due next, with its time.
+    /// Removes the event that is due next and returns it with its time.
     pub fn pop(&mut self) -> Option<(Nanos, SimEvent)> {
         self.heap.pop().map(|Reverse((at, _, event))| (at, event))
     }
 
-    /// The number of events ever queued.
+    /// The number of events queued since the start.
     pub fn pushed(&self) -> u64 {
         self.pushed
     }
--- a/crates/lab-sim/src/ramp.rs
+++ b/crates/lab-sim/src/ramp.rs
@@ -1,4 +1,5 @@
-//! What cold nodes are sent by all proxies together, against what the settings allow them while they warm.
+//! Counts the requests that all proxies together send to cold nodes, and compares them with the slow-start budget of the
+//! settings.
 
 use aniseyoke_lab_day::clock::{nanos, Nanos};
 use aniseyoke_lab_day::Day;
@@ -6,91 +7,94 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Arrivals that are kept of one node's span; past that the oldest are forgotten.
-const KEPT_MOST: usize = 1 << 16;
+/// Maximum number of arrivals tracked in the window of one node; beyond it the oldest ones are dropped.
+const MAX_TRACKED_ARRIVALS: usize = 1 << 16;
 
-/// The fullest span of one node while it warmed.
+/// The requests that a warming node received within one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SlowStartWindow {
-    /// The node, as the model numbers its members.
+    /// The index of the node among the members of the model.
     pub member: usize,
-    /// How old it was, in milliseconds.
+    /// The age of the node at the end of the window, in milliseconds.
     pub age_ms: u64,
-    /// Requests that it got from all proxies within the span up to then, each counted as one of mean work.
+    /// Requests received from all proxies within the window, each counted as a request of mean work.
     pub got: u64,
-    /// Those from proxies that had been notified of its start.
+    /// Requests from proxies that had been notified of the node's start.
     pub notified: u64,
-    /// Requests of mean work that the settings allow it in a span at that age: N.
+    /// Requests of mean work that the settings allow in a window at that age: N.
     pub allowed: f64,
-    /// N + 2 root of N + 2: past that it is no chance.
+    /// N + 2 sqrt(N) + 2. A count above this bound is not random variation.
     pub bound: f64,
 }
 
 impl SlowStartWindow {
-    /// What it got over what is allowed.
+    /// The ratio of the requests received to those allowed.
     pub fn ratio(&self) -> f64 {
         self.got as f64 / self.allowed.max(f64::MIN_POSITIVE)
     }
 
-    /// What proxies sent that had been notified of its start, over the bound.
+    /// The ratio of the requests from notified proxies to the bound.
     pub fn notified_ratio(&self) -> f64 {
         self.notified as f64 / self.bound.max(f64::MIN_POSITIVE)
     }
 
-    /// Whether it is past the bound, and over two thirds of it came from proxies that had been notified.
+    /// Whether the count exceeds the bound and over two thirds of it came from notified proxies.
     fn breaks_rule(&self) -> bool {
         self.got as f64 > self.bound && 3 * self.notified > 2 * self.got
     }
 }
 
-/// The count over all nodes that were cold.
+/// Slow-start statistics over all cold nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SlowStartStats {
-    /// Starts of nodes that got anything while they were cold.
+    /// Starts of nodes that received at least one request while they were cold.
     pub starts: u64,
-    /// Of those, the ones that once got more than N.
+    /// Of those, the starts with more than N requests in some window.
     pub past_allowed: u64,
-    /// Of those, the ones that once got more than N + 2 root of N + 2.
+    /// Of those, the starts with more than N + 2 sqrt(N) + 2 requests in some window.
     pub past_bound: u64,
-    /// Of those, the ones of which over two thirds came from proxies that had been notified of the start: these break the rule.
+    /// Of those, the starts for which over two thirds of the requests came from proxies that had been notified of the
+    /// start: these violate the rule.
     pub broken: u64,
-    /// The span with the most requests for what is allowed.
+    /// The window with the highest ratio of received to allowed requests.
     pub fullest: SlowStartWindow,
-    /// The span that came closest to its bound, or went furthest past it.
+    /// The window with the highest ratio of received requests to its bound.
     pub closest: SlowStartWindow,
-    /// The same by what proxies sent that had been notified.
+    /// The window with the highest ratio of requests from notified proxies to its bound.
     pub closest_notified: SlowStartWindow,
 }
 
 #[derive(Default)]
 struct Node {
-    born: Nanos,
-    /// When requests came, and whether their proxies had been notified of the start.
+    started_at: Nanos,
+    /// Arrival times, and whether the sending proxies had been notified of the start.
     got: VecDeque<(Nanos, bool)>,
-    /// Those of `got` whose proxies had been notified.
+    /// The number of entries in `got` whose proxies had been notified.
     notified: u64,
     past_allowed: bool,
     past_bound: bool,
     broken: bool,
 }
 
-/// A request that has come to a node that is cold.
+/// A request that has arrived at a cold node.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdArrival {
-    /// The node, as the model numbers its members.
+    /// The index of the node among the members of the model.
     pub member: usize,
-    /// When it started.
+    /// The start time of the node.
     pub started: Nanos,
-    /// The work that it may be sent in a span now, in nanoseconds on a core of speed 1.
+    /// The work that the node may receive in a window at its current age, in nanoseconds on a core of speed 1.
     pub allowed: f64,
-    /// Whether the proxy had been notified of that start.
+    /// Whether the proxy had been notified of the start.
     pub notified: bool,
 }
 
 impl Node {
-    /// Adds an arrival, and forgets what is older than the span.
-    fn add(&mut self, now: Nanos, span: Nanos, notified: bool) {
-        while self.got.front().is_some_and(|(at, _)| at + span < now) || self.got.len() >= KEPT_MOST {
+    /// Adds an arrival and drops those older than the window.
+    fn add(&mut self, now: Nanos, window: Nanos, notified: bool) {
+        while self.got.front().is_some_and(|(at, _)| at + window < now)
+            || self.got.len() >= MAX_TRACKED_ARRIVALS
+        {
             let oldest = self.got.pop_front();
             self.notified -= u64::from(oldest.is_some_and(|(_, notified)| notified));
         }
@@ -99,57 +103,62 @@
     }
 }
 
-/// The mean work of a day's requests, in nanoseconds on a core of speed 1.
+/// The mean work of a request of the day, in nanoseconds on a core of speed 1.
 pub fn mean_work(day: &Day) -> f64 {
     day.load.classes.iter().map(|c| c.share * nanos(c.work) as f64).sum::<f64>().max(1.0)
 }
 
-/// Counts arrivals at cold nodes.
-pub struct Ramp {
-    span: Nanos,
+/// Counts arrivals at cold nodes against their slow-start budget.
+pub struct SlowStartCounter {
+    window: Nanos,
     /// Mean work of a request, in nanoseconds on a core of speed 1.
     work: f64,
     nodes: FxHashMap<usize, Node>,
     found: SlowStartStats,
 }
 
-impl Ramp {
-    /// Nothing yet, by a day's rule on cold nodes.
+impl SlowStartCounter {
+    /// Creates an empty counter with the overload window of the day.
     pub fn new(day: &Day) -> Self {
-        let span = nanos(day.site.cache.overload_window);
-        Ramp { span, work: mean_work(day), nodes: FxHashMap::default(), found: SlowStartStats::default() }
+        let window = nanos(day.site.cache.overload_window);
+        SlowStartCounter {
+            window,
+            work: mean_work(day),
+            nodes: FxHashMap::default(),
+            found: SlowStartStats::default(),
+        }
     }
 
-    /// A request has come to a member that is cold.
+    /// Records a request that has arrived at a cold node.
     pub fn arrived(&mut self, now: Nanos, arrival: ColdArrival) {
         let ColdArrival { member, started, allowed, notified } = arrival;
         let node = self.nodes.entry(member).or_default();
-        if node.got.is_empty() || node.born != started {
-            *node = Node { born: started, ..Node::default() };
+        if node.got.is_empty() || node.started_at != started {
+            *node = Node { started_at: started, ..Node::default() };
             self.found.starts += 1;
         }
-        node.add(now, self.span, notified);
+        node.add(now, self.window, notified);
         let (got, allowed) = (node.got.len() as u64, allowed / self.work);
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let age_ms = now.saturating_sub(started) / aniseyoke_lab_day::clock::MILLISECOND;
-        let span = SlowStartWindow { member, age_ms, got, notified: node.notified, allowed, bound };
+        let window = SlowStartWindow { member, age_ms, got, notified: node.notified, allowed, bound };
         let found = &mut self.found;
-        if span.ratio() > found.fullest.ratio() {
-            found.fullest = span;
+        if window.ratio() > found.fullest.ratio() {
+            found.fullest = window;
         }
         if found.closest.got == 0 || got as f64 / bound > found.closest.got as f64 / found.closest.bound {
-            found.closest = span;
+            found.closest = window;
         }
-        if span.notified_ratio() > found.closest_notified.notified_ratio() {
-            found.closest_notified = span;
+        if window.notified_ratio() > found.closest_notified.notified_ratio() {
+            found.closest_notified = window;
         }
         let past = |is: bool, was: &mut bool| u64::from(is && !std::mem::replace(was, *was || is));
         found.past_allowed += past(got as f64 > allowed, &mut node.past_allowed);
         found.past_bound += past(got as f64 > bound, &mut node.past_bound);
-        found.broken += past(span.breaks_rule(), &mut node.broken);
+        found.broken += past(window.breaks_rule(), &mut node.broken);
     }
 
-    /// What was found.
+    /// The statistics so far.
     pub fn found(&self) -> SlowStartStats {
         self.found.clone()
     }
--- a/crates/lab-sim/src/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -1,5 +1,5 @@
 use super::counts::Cause;
-use super::ramp::{mean_work, ColdArrival, Ramp};
+use super::ramp::{mean_work, ColdArrival, SlowStartCounter};
 use super::*;
 use aniseyoke_lab_day::{Fault, FaultKind};
 use aniseyoke_lab_load::Outcome;
@@ -152,7 +152,7 @@
     }
 }
 
-/// Every node is restarted while hundreds of proxies start, so that each change of the list wakes all that watch it.
+/// Every node is restarted while hundreds of proxies start, so that each change of the list notifies all that watch it.
 fn all_restarted(proxies: usize, nodes: usize, options: Options) -> Counts {
     let mut day = still(proxies, nodes, 12);
     let (at, length) = (Duration::ZERO, Duration::from_millis(100));
@@ -222,7 +222,7 @@
 #[test]
 fn a_cold_node_past_its_budget_is_counted_once_for_each_start() {
     let day = still(1, 1, 1);
-    let (work, mut ramp) = (mean_work(&day), Ramp::new(&day));
+    let (work, mut ramp) = (mean_work(&day), SlowStartCounter::new(&day));
     let arrival = |started| ColdArrival { member: 0, started, allowed: 4.0 * work, notified: true };
     // Four are allowed; with chance it is 4 + 4 + 2.
     (1..=10).for_each(|n| ramp.arrived(n * SECOND / 100, arrival(1)));
@@ -232,7 +232,7 @@
     let found = ramp.found();
     assert_eq!((found.past_allowed, found.past_bound, found.broken, found.fullest.got), (1, 1, 1, 12));
     assert!((found.fullest.ratio() - 3.0).abs() < 1e-9 && (found.fullest.bound - 10.0).abs() < 1e-9);
-    // What is older than the span counts no more, and another start is another node's.
+    // What is older than the window counts no more, and another start is another node's.
     ramp.arrived(SECOND / 8 + nanos(day.site.cache.overload_window), arrival(1));
     ramp.arrived(20 * SECOND, arrival(20 * SECOND));
     let found = ramp.found();
@@ -242,7 +242,7 @@
 #[test]
 fn a_budget_is_broken_where_over_two_thirds_came_from_notified_proxies() {
     let day = still(1, 1, 1);
-    let (work, mut ramp) = (mean_work(&day), Ramp::new(&day));
+    let (work, mut ramp) = (mean_work(&day), SlowStartCounter::new(&day));
     let mut arrives = |member: usize, of_12: u64| {
         for n in 1..=12 {
             let notified = n <= of_12;
