--- a/crates/lab-sim/src/attempts.rs
+++ b/crates/lab-sim/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Proxies' attempts at members: from the send over connection and reply to the outcome that the module is told.
+//! Attempts that proxies send to members: opening a connection, arrival, reply, and the outcome that is
+//! reported to the decision module.
 
 use super::counts::Cause;
 use super::proxy::{ProxyAttempt, SimProxy};
@@ -52,7 +53,7 @@
         let wait = if timeout == 0 { left } else { timeout.min(left) };
         self.schedule_after(wait, SimEvent::AttemptTimeout(attempt_id));
         if idle_connection.is_none() {
-            // As the proxy does: no longer than half of the attempt's time is spent on waiting for a permit.
+            // As in the real proxy, an attempt waits for a permit for at most half of its timeout.
             self.in_flight.get_mut(&attempt_id).into_iter().for_each(|o| o.permit_by = Some(now + wait / 2));
             return self.open_connection(attempt_id);
         }
@@ -60,7 +61,7 @@
         self.schedule_after(delay, SimEvent::AttemptArrival(attempt_id));
     }
 
-    /// Opens the connection that an attempt needs, or has it wait for a permit.
+    /// Opens a connection for an attempt, or waits for a permit to do so.
     pub(super) fn open_connection(&mut self, attempt_id: AttemptId) {
         let now = self.now;
         let Some(attempt) = self.in_flight.get(&attempt_id) else { return };
@@ -82,7 +83,7 @@
         self.schedule_after(delay, SimEvent::AttemptArrival(attempt_id));
     }
 
-    /// An attempt's last byte arrives at its member.
+    /// Handles the arrival of an attempt's last byte at its member.
     pub(super) fn attempt_arrived(&mut self, attempt_id: AttemptId) {
         let Some(attempt) = self.in_flight.get_mut(&attempt_id) else { return };
         let (proxy, request, member, new_connection) =
@@ -126,7 +127,7 @@
         self.effects = effects;
     }
 
-    /// A response, or the end of the connection, has reached the proxy.
+    /// Handles a response, or the end of the connection, at the proxy.
     pub(super) fn attempt_replied(&mut self, attempt_id: AttemptId, reply: AttemptReply) {
         let Some(attempt) = self.in_flight.get(&attempt_id).filter(|o| !o.dead) else { return };
         let (proxy, member, origin) = (attempt.proxy, attempt.member, attempt.origin);
@@ -172,7 +173,7 @@
         self.end_attempt_as(attempt_id, status, (status == Status::Miss).then_some(false));
     }
 
-    /// Ends an attempt and tells the module.
+    /// Ends an attempt and reports its outcome to the decision module.
     pub(super) fn end_attempt_as(&mut self, attempt_id: AttemptId, status: Status, hit: Option<bool>) {
         let Some(attempt) = self.in_flight.remove(&attempt_id) else { return };
         if attempt.reached {
@@ -214,7 +215,8 @@
         }
     }
 
-    /// A member's process has died: attempts in flight there are reset, idle connections are gone.
+    /// Handles the end of a member's process: resets the attempts in flight at it and drops idle connections
+    /// to it.
     pub(super) fn reset_member(&mut self, member: usize) {
         let server = self.server(member);
         self.proxies.iter_mut().for_each(|h| drop(h.idle.remove(&server)));
@@ -227,7 +229,7 @@
         }
     }
 
-    /// A write was executed; counts one that is not idempotent for its client's request, whichever attempt it was.
+    /// Counts the execution of a non-idempotent write for its client's request, over all attempts.
     pub(super) fn write_executed(&mut self, attempt_id: AttemptId) {
         let Some(number) = self.non_idempotent_request(attempt_id) else { return };
         let executions = self.executions.entry(number).or_insert(0);
@@ -242,7 +244,7 @@
         non_idempotent.then(|| self.clients[pending.client as usize].arrival.number)
     }
 
-    /// The column of a member in the counts: warm nodes, cold ones, the origin.
+    /// The column of a member in the counts: warm nodes, cold nodes, or the origin.
     fn target_column(&self, member: usize) -> usize {
         if self.world.is_origin(member) {
             2
--- a/crates/lab-sim/src/counts.rs
+++ b/crates/lab-sim/src/counts.rs
@@ -1,5 +1,5 @@
-//! The counts of a simulation: how each client attempt ended and why, and the proxies' attempts by kind of member, for each
-//! second.
+//! The counts of a simulation: how each client attempt ended and why, and the proxies' attempts by kind of
+//! member, for each second.
 
 use super::{SimEvent, SlowStartStats};
 use aniseyoke_lab_day::Day;
@@ -110,7 +110,8 @@
     pub origin_overloads: u64,
     /// Non-idempotent requests that were executed twice.
     pub executed_twice: u64,
-    /// Attempts sent to a node more than two seconds after its proxy was notified that the node is draining or gone.
+    /// Attempts sent to a node more than two seconds after its proxy was notified that the node is draining
+    /// or gone.
     pub drain_violations: u64,
     /// Final responses to requests that already had one. A proxy must send exactly one.
     pub answered_twice: u64,
@@ -118,8 +119,8 @@
     pub list_calls: Vec<u64>,
     /// The number of those calls that were rejected.
     pub list_rejected: u64,
-    /// Connections and attempts at nodes and at the origin, for each second including the warm-up. The number of open
-    /// connections is not modelled.
+    /// Connections and attempts at nodes and at the origin, for each second including the warm-up. The number
+    /// of open connections is not modelled.
     pub load: [MemberLoad; 2],
     /// Requests to cold nodes compared with their slow-start budget.
     pub slow_start: SlowStartStats,
@@ -167,7 +168,8 @@
         Goodput::sum(self.stats.seconds.get(seconds).unwrap_or_default()).ratio()
     }
 
-    /// The first second from which every second's goodput is at least `min_goodput`; `None` if that of the last second is lower.
+    /// The first second from which every second's goodput is at least `min_goodput`; `None` if that of the
+    /// last second is lower.
     pub fn steady_after(&self, min_goodput: f64) -> Option<usize> {
         let seconds = self.stats.seconds.len().saturating_sub(1);
         let after =
@@ -193,11 +195,11 @@
             }
             text += &format!("{:>6}{attempts:>8}{:>7.2}", n * step, attempts as f64 / first.max(1) as f64);
             (0..CAUSES.len()).for_each(|c| text += &format!("{:>14}", sum(&|s| s.causes[c])));
-            let three = |of: &dyn Fn(&Second) -> [u64; 3]| {
+            let columns = |of: &dyn Fn(&Second) -> [u64; 3]| {
                 let at = |slot: usize| part.iter().map(|s| of(s)[slot]).sum::<u64>();
                 format!("{}/{}/{}", at(0), at(1), at(2))
             };
-            let (sent, late) = (three(&|s| s.sent), three(&|s| s.timed_out));
+            let (sent, late) = (columns(&|s| s.sent), columns(&|s| s.timed_out));
             text += &format!("{sent:>24}{late:>21}{:>9}\n", sum(&|s| s.opened));
         }
         text
@@ -205,7 +207,8 @@
 }
 
 impl SimEvent {
-    /// Whether the event generates load. Load ends with the day; other events are processed until every request has ended.
+    /// Whether the event generates load. Load ends with the day; other events are processed until every
+    /// request has ended.
     pub(super) fn is_load(self) -> bool {
         matches!(self, SimEvent::NextRequest | SimEvent::CrowdRequest)
     }
--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -1,10 +1,11 @@
-//! A discrete-event simulation of a fleet of proxies. Each proxy runs the real decision module against the model of the
-//! site, without sockets and in simulated time. A fleet of hundreds of proxies fits in one process, and the result depends
-//! only on the day file, the seed and the sizes of the fleet.
+//! A discrete-event simulation of a fleet of proxies. Each proxy runs the real decision module against the
+//! model of the site, without sockets and in simulated time. A fleet of hundreds of proxies fits in one
+//! process, and the result depends only on the day file, the seed and the sizes of the fleet.
 //!
-//! Compared with a trial on sockets, the simulation omits: the proxies' own processing time, the transfer of bytes and
-//! fragments, the load balancer's detection of failed proxies (no proxy fails here), the load on discovery, the limits set
-//! by an operator file, and the cost of connections to a node. A new connection costs one round trip.
+//! Compared with a trial on sockets, the simulation omits: the proxies' own processing time, the transfer of
+//! bytes and fragments, the load balancer's detection of failed proxies (no proxy fails here), the load on
+//! discovery, the limits set by an operator file, and the cost of connections to a node. A new connection
+//! costs one round trip.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -39,18 +40,21 @@
 /// Options of a simulation, beyond the day file.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The day's load runs for this long before the reported part begins, with an origin fast enough for all of it, so
-    /// that the caches fill.
+    /// The day's load runs for this long before the reported part begins, with an origin fast enough for all
+    /// of it, so that the caches fill.
     pub warm_up: Duration,
-    /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight. 0 spreads them evenly.
+    /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight. 0 spreads them
+    /// evenly.
     pub unevenness: f64,
-    /// The fraction of all attempts that goes to the first proxy in addition to its share of the rest; below 1.
+    /// The fraction of all attempts that goes to the first proxy in addition to its share of the rest; below
+    /// 1.
     pub first_proxy_fraction: f64,
     /// Additional clients besides those of the day, if any.
     pub crowd: Option<Crowd>,
     /// The list service. Without it, proxies receive each change at once and calls are not counted.
     pub list: Option<ListService>,
-    /// Connections per second that all proxies together may open to a node and to the origin; unlimited if `None`.
+    /// Connections per second that all proxies together may open to a node and to the origin; unlimited if
+    /// `None`.
     pub connection_rates: Option<(f64, f64)>,
 }
 
@@ -211,7 +215,7 @@
         let first_proxy_fraction = options.first_proxy_fraction.clamp(0.0, 0.99);
         weights
             .iter_mut()
-            .for_each(|upto| *upto += first_proxy_fraction / (1.0 - first_proxy_fraction) * sum);
+            .for_each(|cumulative| *cumulative += first_proxy_fraction / (1.0 - first_proxy_fraction) * sum);
         let mut sim = Sim {
             arrivals: Arrivals::with_warm_up(day, options.warm_up).peekable(),
             counts: Counts::new(day),
@@ -255,7 +259,7 @@
             (misbehaving.slow_writers > 0.0, "load.rude.slow_writers"),
             (misbehaving.abort_sending > 0.0, "load.rude.leave_asking"),
         ];
-        all.into_iter().filter(|(there, _)| *there).map(|(_, name)| name).collect()
+        all.into_iter().filter(|(configured, _)| *configured).map(|(_, name)| name).collect()
     }
 
     /// A pseudo-random number in [0, 1) that depends on the seed and on the number of earlier draws.
--- a/crates/lab-sim/src/list_service.rs
+++ b/crates/lab-sim/src/list_service.rs
@@ -1,44 +1,44 @@
-//! The list service in simulated time: each proxy's calls and watches as its discovery makes them, counted, rejected past
-//! the service's limit, and failed while it is down.
+//! A simulated list service. Each proxy makes the calls and watches of its discovery component; calls are
+//! counted, rejected above the service's limit, and fail while the service is down.
 
 use super::*;
 use aniseyoke_decision::api::{Event, ListKind};
 use aniseyoke_pace::PollRules;
 use aniseyoke_pace::{FleetPosition, PollSchedule};
 
-/// The list service, and how proxies call it.
+/// Settings of the list service, and how proxies call it.
 #[derive(Clone, Debug, Default)]
 pub struct ListService {
-    /// Whether proxies call in their own slots.
+    /// Whether each proxy polls in its own time slot.
     pub paced: bool,
-    /// Calls a second that it answers; past that it rejects.
+    /// Calls per second that the service answers; further calls are rejected.
     pub max_per_second: Option<u64>,
-    /// The `Retry-After` of its rejections.
+    /// The `Retry-After` of a rejection.
     pub retry_after: Duration,
-    /// It is down for this long from the start.
+    /// How long the service is down from the start of the simulation.
     pub down: Duration,
 }
 
-/// The longest and the shortest wait of a proxy whose calls are not paced.
+/// The shortest and longest watch of a proxy whose calls are not paced.
 const WATCH_DURATION_RANGE: (Nanos, Nanos) = (SECOND, 20 * SECOND);
-/// What `[list]` in the operator file sets where it says nothing else.
+/// The default maximum backoff of `[list]` in the operator file.
 const MAX_BACK_OFF: Nanos = 3600 * MILLISECOND;
-/// See `MAX_BACK_OFF`.
+/// The default initial and maximum answer timeout of `[list]` in the operator file.
 const ANSWER_TIMEOUTS: (Nanos, Nanos) = (1200 * MILLISECOND, 3600 * MILLISECOND);
 
-/// One proxy's side of it.
+/// The list-service client of one proxy.
 #[derive(Default)]
 pub struct ListClient {
     polls: Option<PollSchedule>,
-    /// Whether a call is in flight, or waits for its slot.
+    /// Whether a call is in flight or scheduled for its slot.
     busy: bool,
-    /// The number of the watch that is held, if any.
+    /// The number of the open watch, if any.
     watch: Option<u32>,
     watches: u32,
 }
 
 impl ListClient {
-    /// Proxy `me` of a day.
+    /// Creates the client of the proxy with this index.
     pub fn new(day: &Day, index: usize, service: Option<&ListService>) -> Self {
         let slot = FleetPosition::new(index as u32, day.site.proxy.count as u32);
         let rules = PollRules {
@@ -53,7 +53,8 @@
 }
 
 impl Sim {
-    /// A proxy's module wants the list followed, or its last call has been answered.
+    /// Schedules a proxy's next call: its module has subscribed to the list, or its last call has been
+    /// answered.
     pub(super) fn call_list(&mut self, proxy: u32, restarted: bool) {
         let (now, list_client) = (self.now, &mut self.proxies[proxy as usize].list_client);
         if restarted && std::mem::replace(&mut list_client.busy, true) {
@@ -63,7 +64,7 @@
         self.queue.push(at, SimEvent::ListCall(proxy));
     }
 
-    /// A proxy's call reaches the service.
+    /// Handles a proxy's call at the service: answers it, rejects it, lets it fail or opens a watch.
     pub(super) fn list_call_arrived(&mut self, proxy: u32) {
         let Some(service) = self.options.list.clone() else { return };
         let now = self.now;
@@ -88,21 +89,21 @@
         if !sim_proxy.subscribed || sim_proxy.version != self.world.endpoint_list().version() {
             return self.schedule_after(delay, SimEvent::ListAnswer(proxy));
         }
-        let must = nanos(self.day.site.discovery.poll_within) / 2;
+        let half_poll_within = nanos(self.day.site.discovery.poll_within) / 2;
         let list_client = &mut sim_proxy.list_client;
-        let hold = list_client
+        let watch_duration = list_client
             .polls
             .as_ref()
-            .map_or(must.clamp(WATCH_DURATION_RANGE.0, WATCH_DURATION_RANGE.1), |polls| {
+            .map_or(half_poll_within.clamp(WATCH_DURATION_RANGE.0, WATCH_DURATION_RANGE.1), |polls| {
                 polls.watch_duration(now)
             });
         list_client.watches += 1;
         list_client.watch = Some(list_client.watches);
         let number = list_client.watches;
-        self.schedule_after(hold, SimEvent::WatchExpiry(proxy, number));
+        self.schedule_after(watch_duration, SimEvent::WatchExpiry(proxy, number));
     }
 
-    /// A watch has been held for as long as it was to be.
+    /// Answers a watch whose duration has elapsed, if it is still open.
     pub(super) fn watch_expired(&mut self, proxy: u32, number: u32) {
         let list_client = &mut self.proxies[proxy as usize].list_client;
         if list_client.watch == Some(number) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The list has changed: watches end.
+    /// The list has changed: answers all open watches.
     pub(super) fn list_changed(&mut self) {
         for proxy in 0..self.proxies.len() as u32 {
             let sim_proxy = &mut self.proxies[proxy as usize];
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A proxy has had its answer, and asks on.
+    /// Delivers the list to a proxy and schedules the proxy's next call.
     pub(super) fn list_answered(&mut self, proxy: u32) {
         self.deliver_list(proxy);
         if self.options.list.is_some() {
@@ -136,14 +137,14 @@
         }
     }
 
-    /// A proxy's call was refused, or failed.
-    pub(super) fn list_call_failed(&mut self, proxy: u32, refused: bool) {
+    /// Handles a call that was rejected or has failed: backs off and notifies the module.
+    pub(super) fn list_call_failed(&mut self, proxy: u32, rejected: bool) {
         let now = self.now;
-        let after = self.options.list.as_ref().map(|s| nanos(s.retry_after)).filter(|_| refused);
+        let after = self.options.list.as_ref().map(|s| nanos(s.retry_after)).filter(|_| rejected);
         let list_client = &mut self.proxies[proxy as usize].list_client;
         list_client.busy = false;
         if let Some(polls) = &mut list_client.polls {
-            match refused {
+            match rejected {
                 true => polls.rejected(now, after),
                 false => polls.failed(now),
             }
--- a/crates/lab-sim/src/proxy.rs
+++ b/crates/lab-sim/src/proxy.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: the decision module, and the state that the core keeps beside it.
+//! A simulated proxy: the decision module, and the state that the proxy core maintains for it.
 
 use super::list_service::ListClient;
 use super::Options;
@@ -11,7 +11,7 @@
 use aniseyoke_pace::{ConnectionPermits, FleetPosition};
 use rustc_hash::FxHashMap;
 
-/// An attempt as its proxy sees it.
+/// An attempt, as recorded by its proxy.
 pub struct ProxyAttempt {
     pub server: ServerId,
     pub attempt_id: u64,
@@ -21,37 +21,38 @@
 
 /// A request that its proxy has accepted.
 pub struct PendingRequest {
-    /// The client's slot.
+    /// The slot of the client.
     pub client: u32,
-    /// Which of the client's attempts it is.
+    /// The number of the client's attempt.
     pub attempt_number: u32,
     pub arrived: Nanos,
     pub deadline: Nanos,
     pub class: usize,
-    /// Whether it has had its final response.
+    /// Whether the final response has been sent.
     pub answered: bool,
     pub attempts: Vec<ProxyAttempt>,
-    /// How the attempt that ended last did so, and whether that was at the origin.
+    /// The status of the attempt that ended last, and whether it was sent to the origin.
     pub last: Option<(Status, bool)>,
 }
 
-/// A proxy.
+/// A simulated proxy.
 pub struct SimProxy {
     pub balancer: Balancer,
     pub pending: FxHashMap<RequestId, PendingRequest>,
     pub next: RequestId,
-    /// Idle connections to each server, by the time since which they are idle, and whether they carried two attempts.
+    /// Idle connections to each server: the time since which a connection is idle, and whether it has been
+    /// reused.
     pub idle: FxHashMap<ServerId, Vec<(Nanos, bool)>>,
     /// When each server was first listed as draining or gone.
     pub listed_down_since: FxHashMap<ServerId, Nanos>,
-    /// The version of the list that it has.
+    /// The version of the endpoint list that the proxy has.
     pub version: u64,
     pub subscribed: bool,
-    /// Its side of the list service.
     pub list_client: ListClient,
-    /// Permits to open connections, with the rates of all proxies to a node and to the origin, where these are limited.
+    /// Permits to open connections, with the rates over all proxies to a node and to the origin; `None` if
+    /// unlimited.
     pub permits: Option<(ConnectionPermits, (f64, f64))>,
-    /// The last start of each server that it has been notified of, on the decision module's clock.
+    /// The latest start of each server that the proxy has been notified of, on the decision module's clock.
     notified_start: FxHashMap<ServerId, Nanos>,
     origin_kind: u32,
     conn_idle: Nanos,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Gives the module an event; its actions are left in `actions`.
+    /// Passes an event to the module, which adds its actions to `actions`.
     pub fn feed(&mut self, now: Nanos, event: Event) {
         if let Event::EndpointList { kind, entries } = &event {
             self.update_permits(now, *kind, entries);
@@ -96,12 +97,13 @@
         self.balancer.handle(now, event, &mut self.actions);
     }
 
-    /// Whether it has been notified of this start of a server, on the decision module's clock.
+    /// Whether the proxy has been notified of this start of a server. `started` is on the decision module's
+    /// clock.
     pub fn knows_start(&self, server: ServerId, started: Nanos) -> bool {
         self.notified_start.get(&server).is_some_and(|notified| *notified >= started)
     }
 
-    /// Adapts the permits to open connections to the list.
+    /// Updates the permits to open connections from the endpoint list.
     fn update_permits(&mut self, now: Nanos, kind: ListKind, entries: &[Entry]) {
         let Some((permits, (node, origin))) = &mut self.permits else { return };
         if matches!(kind, ListKind::Full | ListKind::Cached) {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Accepts a request; its id, and the time left as the module is told.
+    /// Accepts a request and returns its id and the time left that is passed to the module.
     pub fn accept(
         &mut self,
         now: Nanos,
@@ -149,14 +151,16 @@
         (id, left)
     }
 
-    /// After this time a request that the module leaves unanswered is ended.
+    /// The time after which the proxy ends a request that the module has not answered.
     pub fn deadline(patience: Nanos) -> Nanos {
         patience - deadline_margin(patience) / 2
     }
 
-    /// Takes an idle connection to a server, with whether it carried two attempts; none if one has to be opened.
+    /// Takes an idle connection to a server and returns whether it has been reused before; `None` if a
+    /// connection has to be opened.
     pub fn connection(&mut self, now: Nanos, server: ServerId) -> Option<bool> {
-        // The proxy leaves the last quarter of the time to its node, whose clock runs apart.
+        // The proxy does not use the last quarter of the idle timeout, since the node's timer is not
+        // synchronised with its own.
         let idle = self.conn_idle / 4 * 3;
         let connections = self.idle.get_mut(&server)?;
         while let Some((since, reused)) = connections.pop() {
@@ -167,12 +171,13 @@
         None
     }
 
-    /// Whether sending to a server now breaks the rule on drains.
+    /// Whether sending to a server now violates the drain rule, that is more than 2.05 s after the server was
+    /// first listed as draining or gone.
     pub fn violates_drain(&self, now: Nanos, server: ServerId) -> bool {
         self.listed_down_since.get(&server).is_some_and(|at| now > at + 2 * SECOND + 50 * MILLISECOND)
     }
 
-    /// Drops a request that has had its response and has no attempt in flight.
+    /// Removes a request that has been answered and has no attempt in flight.
     pub fn remove_if_done(&mut self, id: RequestId) {
         if self.pending.get(&id).is_some_and(|p| p.answered && p.attempts.iter().all(|a| a.ended)) {
             self.pending.remove(&id);
--- a/crates/lab-sim/src/queue.rs
+++ b/crates/lab-sim/src/queue.rs
@@ -1,4 +1,5 @@
-//! The event queue. Events are ordered by time, and events due at the same time by the order in which they were queued.
+//! The event queue. Events are ordered by time, and events due at the same time by the order in which they
+//! were queued.
 
 use super::SimEvent;
 use aniseyoke_lab_day::clock::Nanos;
--- a/crates/lab-sim/src/ramp.rs
+++ b/crates/lab-sim/src/ramp.rs
@@ -1,5 +1,5 @@
-//! Counts the requests that all proxies together send to cold nodes, and compares them with the slow-start budget of the
-//! settings.
+//! Counts the requests that all proxies together send to cold nodes, and compares them with the slow-start
+//! budget of the settings.
 
 use aniseyoke_lab_day::clock::{nanos, Nanos};
 use aniseyoke_lab_day::Day;
@@ -39,7 +39,7 @@
     }
 
     /// Whether the count exceeds the bound and over two thirds of it came from notified proxies.
-    fn breaks_rule(&self) -> bool {
+    fn violates_rule(&self) -> bool {
         self.got as f64 > self.bound && 3 * self.notified > 2 * self.got
     }
 }
@@ -53,8 +53,8 @@
     pub past_allowed: u64,
     /// Of those, the starts with more than N + 2 sqrt(N) + 2 requests in some window.
     pub past_bound: u64,
-    /// Of those, the starts for which over two thirds of the requests came from proxies that had been notified of the
-    /// start: these violate the rule.
+    /// Of those, the starts for which over two thirds of the requests came from proxies that had been
+    /// notified of the start: these violate the rule.
     pub broken: u64,
     /// The window with the highest ratio of received to allowed requests.
     pub fullest: SlowStartWindow,
@@ -83,7 +83,7 @@
     pub member: usize,
     /// The start time of the node.
     pub started: Nanos,
-    /// The work that the node may receive in a window at its current age, in nanoseconds on a core of speed 1.
+    /// The work allowed in a window at the node's current age, in nanoseconds on a core of speed 1.
     pub allowed: f64,
     /// Whether the proxy had been notified of the start.
     pub notified: bool,
@@ -114,7 +114,7 @@
     /// Mean work of a request, in nanoseconds on a core of speed 1.
     work: f64,
     nodes: FxHashMap<usize, Node>,
-    found: SlowStartStats,
+    stats: SlowStartStats,
 }
 
 impl SlowStartCounter {
@@ -125,7 +125,7 @@
             window,
             work: mean_work(day),
             nodes: FxHashMap::default(),
-            found: SlowStartStats::default(),
+            stats: SlowStartStats::default(),
         }
     }
 
@@ -135,31 +135,31 @@
         let node = self.nodes.entry(member).or_default();
         if node.got.is_empty() || node.started_at != started {
             *node = Node { started_at: started, ..Node::default() };
-            self.found.starts += 1;
+            self.stats.starts += 1;
         }
         node.add(now, self.window, notified);
         let (got, allowed) = (node.got.len() as u64, allowed / self.work);
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let age_ms = now.saturating_sub(started) / aniseyoke_lab_day::clock::MILLISECOND;
         let window = SlowStartWindow { member, age_ms, got, notified: node.notified, allowed, bound };
-        let found = &mut self.found;
-        if window.ratio() > found.fullest.ratio() {
-            found.fullest = window;
+        let stats = &mut self.stats;
+        if window.ratio() > stats.fullest.ratio() {
+            stats.fullest = window;
         }
-        if found.closest.got == 0 || got as f64 / bound > found.closest.got as f64 / found.closest.bound {
-            found.closest = window;
+        if stats.closest.got == 0 || got as f64 / bound > stats.closest.got as f64 / stats.closest.bound {
+            stats.closest = window;
         }
-        if window.notified_ratio() > found.closest_notified.notified_ratio() {
-            found.closest_notified = window;
+        if window.notified_ratio() > stats.closest_notified.notified_ratio() {
+            stats.closest_notified = window;
         }
-        let past = |is: bool, was: &mut bool| u64::from(is && !std::mem::replace(was, *was || is));
-        found.past_allowed += past(got as f64 > allowed, &mut node.past_allowed);
-        found.past_bound += past(got as f64 > bound, &mut node.past_bound);
-        found.broken += past(window.breaks_rule(), &mut node.broken);
+        let newly_set = |is: bool, was: &mut bool| u64::from(is && !std::mem::replace(was, *was || is));
+        stats.past_allowed += newly_set(got as f64 > allowed, &mut node.past_allowed);
+        stats.past_bound += newly_set(got as f64 > bound, &mut node.past_bound);
+        stats.broken += newly_set(window.violates_rule(), &mut node.broken);
     }
 
     /// The statistics so far.
-    pub fn found(&self) -> SlowStartStats {
-        self.found.clone()
+    pub fn stats(&self) -> SlowStartStats {
+        self.stats.clone()
     }
 }
--- a/crates/lab-sim/src/run.rs
+++ b/crates/lab-sim/src/run.rs
@@ -1,4 +1,5 @@
-//! The event loop: takes the next event, has decision module and model handle it, and counts.
+//! The event loop: takes the next event from the queue, passes it to the decision modules and the site model,
+//! and counts.
 
 use super::counts::Cause;
 use super::proxy::{PendingRequest, SimProxy};
@@ -9,9 +10,10 @@
 use aniseyoke_lab_load::Outcome as ClientOutcome;
 use aniseyoke_lab_world::{Delivery, Endpoint, EndpointState, ProcessState, Reply};
 
-/// The module's clock begins here, since to it a start at 0 means long ago.
+/// Start of the decision module's clock. It is above 0 because a start time of 0 means long ago to the
+/// module.
 pub(super) const EPOCH: Time = 1_000 * SECOND;
-/// Without a list service, a proxy has the list this long after it asked.
+/// Without a list service, a proxy receives the list this long after it subscribes.
 const LIST_DELAY: Nanos = 5 * MILLISECOND;
 
 impl Sim {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Plays the day until every request has ended.
+    /// Runs the simulation until the day is over and every request has ended.
     pub fn run(mut self) -> Counts {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
@@ -45,7 +47,7 @@
         }
         self.counts.events = self.queue.pushed();
         self.counts.load = self.connection_load.load();
-        self.counts.slow_start = self.ramp.found();
+        self.counts.slow_start = self.ramp.stats();
         self.counts
     }
 
@@ -82,12 +84,12 @@
             SimEvent::ListAnswer(proxy) => self.list_answered(proxy),
             SimEvent::ListCall(proxy) => self.list_call_arrived(proxy),
             SimEvent::WatchExpiry(proxy, number) => self.watch_expired(proxy, number),
-            SimEvent::ListFailure(proxy, refused) => self.list_call_failed(proxy, refused),
+            SimEvent::ListFailure(proxy, rejected) => self.list_call_failed(proxy, rejected),
             SimEvent::OpenConnection(attempt_id) => self.open_connection(attempt_id),
         }
     }
 
-    /// Lets the model handle what is due, and applies its effects.
+    /// Advances the model to the current time, applies its effects and schedules its next event.
     fn advance_model(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         self.world.tick(self.now, &mut effects);
@@ -125,11 +127,11 @@
             Effect::Executed(attempt_id) => self.write_executed(attempt_id),
             Effect::ProcessState(member, ProcessState::Down) => self.reset_member(member),
             Effect::HalfOpen(member) => {
-                // Attempts in flight get no reply; idle connections are found dead.
+                // Attempts in flight receive no reply; idle connections are dropped.
                 let server = self.server(member);
                 self.proxies.iter_mut().for_each(|h| drop(h.idle.remove(&server)));
-                let there = self.in_flight.values_mut().filter(|o| o.member == member && o.reached);
-                there.for_each(|o| o.dead = true);
+                let affected = self.in_flight.values_mut().filter(|o| o.member == member && o.reached);
+                affected.for_each(|o| o.dead = true);
             }
             Effect::NodeOverloaded(_) => {
                 self.counts.node_overloads += u64::from(self.now >= self.reported_from)
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Gives a proxy the changes of the list since its version.
+    /// Delivers to a proxy the list changes since its version, or the full list.
     pub(super) fn deliver_list(&mut self, proxy: u32) {
         let since = self.proxies[proxy as usize].version;
         let (kind, endpoints) =
@@ -183,7 +185,7 @@
         self.feed(proxy, Event::EndpointList { kind, entries });
     }
 
-    /// Gives a proxy's module an event, and performs its actions.
+    /// Passes an event to a proxy's decision module and performs the resulting actions.
     pub(super) fn feed(&mut self, proxy: u32, event: Event) {
         self.proxies[proxy as usize].feed(EPOCH + self.now, event);
         let mut actions = std::mem::take(&mut self.proxies[proxy as usize].actions);
@@ -210,7 +212,7 @@
         }
     }
 
-    /// A client's attempt arrives at a proxy.
+    /// Handles the arrival of a client's attempt at a proxy.
     pub(super) fn arrive(&mut self, proxy: u32, slot: u32, patience: Nanos) {
         let client = &self.clients[slot as usize];
         let arrival = client.arrival;
@@ -241,7 +243,7 @@
         self.members_by_server.get(&server).copied()
     }
 
-    /// The module's final response to a request.
+    /// Handles the module's final rejection or failure of a request.
     pub(super) fn answer(&mut self, proxy: u32, id: u64, outcome: ClientOutcome, wait: Option<Duration>) {
         let Some(pending) = self.proxies[proxy as usize].pending.get_mut(&id) else { return };
         if std::mem::replace(&mut pending.answered, true) {
@@ -261,14 +263,15 @@
         self.counts.at(second).into_iter().for_each(|s| s.causes[at] += 1);
     }
 
-    /// Ends the attempts in flight of a request that is over.
+    /// Cancels the attempts in flight of a request that has ended.
     pub(super) fn end_attempts(&mut self, proxy: u32, id: u64) {
         let attempts = self.proxies[proxy as usize].pending.get(&id).map_or(0, |p| p.attempts.len());
         (0..attempts).for_each(|number| self.cancel_attempt(proxy, id, number));
         self.proxies[proxy as usize].remove_if_done(id);
     }
 
-    /// Ends a request whose client has disconnected or whose time is over.
+    /// Ends a request whose client has disconnected or whose deadline has passed; returns whether it was
+    /// still open.
     fn abandon(&mut self, proxy: u32, id: u64, cause: Cause) -> bool {
         let Some(pending) = self.proxies[proxy as usize].pending.get_mut(&id) else { return false };
         if std::mem::replace(&mut pending.answered, true) {
@@ -290,7 +293,7 @@
     }
 }
 
-/// Why a request failed, by how its last attempt ended.
+/// The cause of a request's failure, derived from the end of its last attempt.
 fn failure_cause(pending: &PendingRequest) -> Cause {
     match pending.last {
         None => Cause::RejectedUnsent,
