--- a/crates/lab-sim/src/lib.rs
+++ b/crates/lab-sim/src/lib.rs
@@ -46,8 +46,8 @@
     /// How unevenly clients are spread over the proxies: the sigma of a log-normal weight. 0 spreads them
     /// evenly.
     pub unevenness: f64,
-    /// The fraction of all attempts that goes to the first proxy in addition to its share of the rest; below
-    /// 1.
+    /// The fraction of all attempts that goes to the first proxy in addition to its share of the rest. It must
+    /// be below 1.
     pub first_proxy_fraction: f64,
     /// Additional clients besides those of the day, if any.
     pub crowd: Option<Crowd>,
--- a/crates/lab-starts/src/batch.rs
+++ b/crates/lab-starts/src/batch.rs
@@ -1,4 +1,4 @@
-//! Many starts, several at a time.
+//! Runs many starts, several at a time.
 
 use crate::plan::StartPlan;
 use crate::run::{run, Subject};
@@ -11,55 +11,55 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Starts at once at most.
+/// Maximum number of starts at a time.
 pub const MAX_JOBS: usize = 48;
-/// Busy threads beside them at most.
+/// Maximum number of busy threads that run alongside.
 pub const MAX_BUSY_THREADS: usize = 256;
-/// What came of a start, in the folder of one that failed.
+/// File name of the report in the folder of a failed start.
 const REPORT_FILE: &str = "report.json";
 
-/// Starts to be played.
+/// A batch of starts.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// What is drawn from.
+    /// The seed that the starts are drawn from.
     pub seed: u64,
-    /// The first one's number.
+    /// The number of the first start.
     pub first: u64,
-    /// How many.
+    /// The number of starts.
     pub starts: u64,
-    /// So many at once.
+    /// The number of starts that run at a time.
     pub jobs: usize,
-    /// So many busy threads beside them.
+    /// The number of busy threads that run alongside.
     pub busy_threads: usize,
-    /// What is started.
+    /// The program under test.
     pub subject: Subject,
-    /// Takes a folder for each start; that of a clean one is removed.
+    /// Parent of the folders of the starts. The folder of a start without faults is removed.
     pub folder: PathBuf,
 }
 
-/// What a batch came to.
+/// The totals of a batch.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Totals {
-    /// Starts that were played.
+    /// Starts that were run.
     pub played: u64,
-    /// Starts that could not be played.
+    /// Starts that could not be run.
     pub not_played: u64,
-    /// Starts of which something was not as it should be.
+    /// Starts with at least one fault.
     pub failed: u64,
-    /// Starts that were seen to listen before SIGTERM.
+    /// Starts that were ready before SIGTERM.
     pub ready: u64,
-    /// Starts of which a call was held up.
+    /// Starts in which a call was delayed.
     pub held_up: u64,
-    /// Starts of which a thread starved: the machine had no processor for it.
+    /// Starts in which a thread starved because the machine had no free processor.
     pub starved: u64,
-    /// The longest time to be ready.
+    /// The longest time from the start to readiness.
     pub longest_ready: Duration,
-    /// The longest time from SIGTERM to the end.
+    /// The longest time from SIGTERM to the exit.
     pub longest_end: Duration,
 }
 
 impl Totals {
-    /// Counts a start.
+    /// Adds the result of a start.
     pub fn add(&mut self, result: &Result<StartReport, StartsError>) {
         let Ok(report) = result else {
             self.not_played += 1;
@@ -74,19 +74,19 @@
         self.longest_end = self.longest_end.max(report.ended_after.unwrap_or_default());
     }
 
-    /// Whether every start was played and clean.
+    /// Whether every start was run and had no fault.
     pub fn is_clean(&self) -> bool {
         self.failed == 0 && self.not_played == 0
     }
 }
 
 impl Batch {
-    /// Where the report of a start is kept.
+    /// The folder of a start, which contains its report if it failed.
     pub fn folder_of(&self, number: u64) -> PathBuf {
         self.folder.join(format!("start-{number}"))
     }
 
-    /// Plays all starts; `each` is called with each result as it comes.
+    /// Runs all starts and calls `each` with every result as soon as it is available.
     pub fn play(&self, each: impl FnMut(u64, &Result<StartReport, StartsError>) + Send) -> Totals {
         let _busy = BusyThreads::start(self.busy_threads.min(MAX_BUSY_THREADS));
         let next = AtomicU64::new(self.first);
@@ -115,7 +115,7 @@
             remove(&folder);
         } else {
             let text = serde_json::to_vec_pretty(&report).unwrap_or_default();
-            // A full disk loses the report, not the batch.
+            // If the report cannot be written, for example because the disk is full, the batch continues.
             let _ = std::fs::write(folder.join(REPORT_FILE), text);
         }
         Ok(report)
@@ -123,6 +123,6 @@
 }
 
 fn remove(folder: &Path) {
-    // What stays behind is in nobody's way.
+    // A folder that cannot be removed does no harm.
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/lab-starts/src/lib.rs
+++ b/crates/lab-starts/src/lib.rs
@@ -1,15 +1,15 @@
-//! Starts and ends of the real proxy, without load (`docs/lab.md`).
+//! Starts and stops the real proxy under injected faults, without load (`docs/lab.md`).
 //!
-//! A seed and a number decide everything of a start: which call of which thread is held up and for how long, whether the log is
-//! read, when SIGHUP and SIGTERM come. What must hold is what the platform's pages ask of any process, and that no thread
-//! uses a processor without getting anywhere; see [`verdict`].
+//! A seed and a number determine each start: which call of which thread is delayed and for how long, whether
+//! the log is read, and when SIGHUP and SIGTERM are sent. The process must meet the platform's rules for
+//! every process, and no thread may spin without making progress; see [`verdict`].
 //!
-//! - [`plan`]: what a seed decides; no I/O.
-//! - [`threads`]: the threads of a process as `/proc` has them, and which of them spin.
-//! - [`log_pipe`]: the process's standard error, read or not.
-//! - [`run`]: one start from the beginning to the end of the process.
-//! - [`verdict`]: what a start came to.
-//! - [`batch`]: many starts, several at a time.
+//! - [`plan`]: derives a start from a seed; no I/O.
+//! - [`threads`]: the threads of a process as reported by `/proc`, and detection of spinning threads.
+//! - [`log_pipe`]: the pipe for the standard error of the process, read or unread.
+//! - [`run`]: runs one start, from spawning the process to its exit.
+//! - [`verdict`]: the rules and the report of a start.
+//! - [`batch`]: runs many starts, several at a time.
 #![forbid(unsafe_code)]
 
 pub mod batch;
--- a/crates/lab-starts/src/log_pipe.rs
+++ b/crates/lab-starts/src/log_pipe.rs
@@ -1,4 +1,4 @@
-//! The standard error of the process: a pipe that is read, or full, or has no reader.
+//! The pipe for the standard error of the process: read, full, or without a reader.
 
 use crate::plan::Reader;
 use crate::StartsError;
@@ -7,22 +7,22 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// Lines as they come.
+/// The lines read so far.
 type Lines = Arc<Mutex<Vec<String>>>;
 
-/// The reading side of the log.
+/// The read end of the log pipe.
 pub struct LogPipe {
-    /// It is not read yet.
+    /// The read end, if reading has not begun.
     unread: Option<PipeReader>,
     lines: Lines,
     thread: Option<JoinHandle<()>>,
 }
 
 impl LogPipe {
-    /// Makes the pipe as a plan says; what is returned beside it is the process's standard error, if it has one.
+    /// Creates the pipe; also returns the standard error for the process, if it has one.
     ///
     /// # Errors
-    /// If no pipe can be made.
+    /// If the pipe cannot be created.
     pub fn open(reader: Reader) -> Result<(LogPipe, Option<PipeWriter>), StartsError> {
         let (read_end, mut write_end) = std::io::pipe().map_err(StartsError::Pipe)?;
         let mut pipe = LogPipe { unread: Some(read_end), lines: Lines::default(), thread: None };
@@ -35,7 +35,7 @@
         Ok((pipe, Some(write_end)))
     }
 
-    /// Begins to read, if nobody does.
+    /// Begins to read, unless reading has already begun.
     pub fn read(&mut self) {
         let Some(unread) = self.unread.take() else { return };
         let lines = self.lines.clone();
@@ -48,25 +48,26 @@
         }));
     }
 
-    /// Whether a line holds this text.
+    /// Whether a line contains this text.
     pub fn has_line_containing(&self, text: &str) -> bool {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).iter().any(|line| line.contains(text))
     }
 
-    /// All lines, to the end: the process has ended.
+    /// Reads to the end and returns all lines. The process must have ended.
     pub fn close(mut self) -> Vec<String> {
         if let Some(thread) = self.thread.take() {
-            // A reader can't panic.
+            // The reading thread does not panic.
             let _ = thread.join();
         }
         std::mem::take(&mut *self.lines.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// Writes empty lines until no more fit.
+/// Fills the pipe with empty lines.
 fn fill(pipe: &mut PipeWriter) -> std::io::Result<()> {
     fcntl(&*pipe, FcntlArg::F_SETFL(OFlag::O_NONBLOCK))?;
-    // Danger: a write of up to a page is made whole or not at all, so that single bytes fill what is left.
+    // Guards against a pipe that is not full: a write of up to a page is atomic, so the remaining space is
+    // filled with single bytes.
     for length in [4096, 1] {
         loop {
             match pipe.write(&[b'\n'; 4096][..length]) {
--- a/crates/lab-starts/src/plan.rs
+++ b/crates/lab-starts/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed and a number decide of a start.
+//! Derives the plan of a start from a seed and a number.
 
 use aniseyoke_faults::{About, Call, Effect, Often, Plan, Rule};
 use rand::rngs::Xoshiro256PlusPlus;
@@ -6,40 +6,41 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The name of the rule that holds a call up.
-pub(crate) const RULE: &str = "hold";
-/// The name of the rule that tells that a plan is in force.
-pub(crate) const IN_FORCE_RULE: &str = "in-force";
-/// Characters of a thread's name at most.
+/// The name of the rule that delays a call.
+pub(crate) const DELAY_RULE: &str = "hold";
+/// The name of the rule that shows that a fault plan is active.
+pub(crate) const ACTIVE_RULE: &str = "in-force";
+/// Maximum length of a thread's name in Linux, in characters.
 const MAX_THREAD_NAME: usize = 15;
-/// How long a call is held up, in milliseconds; one of these is drawn.
-const HOLDS_MS: [u64; 6] = [1, 5, 20, 60, 200, 500];
-/// The longest deadline of the classes, in milliseconds; one of these is drawn.
+/// Possible delays of a call, in milliseconds.
+const DELAYS_MS: [u64; 6] = [1, 5, 20, 60, 200, 500];
+/// Possible deadlines of all classes, in milliseconds.
 const DEADLINES_MS: [u64; 3] = [200, 1000, 4000];
-/// SIGTERM comes this long after the process was started at the latest, where it does not wait for the proxy.
-const EARLY_WITHIN_US: u64 = 60_000;
-/// SIGTERM comes this long after the proxy listens at the latest.
-const LATER_WITHIN_MS: u64 = 300;
-/// A proxy that is watched while it is idle is told to stop after this time, in milliseconds.
+/// Upper bound of the time from spawning the process to SIGTERM, if SIGTERM does not wait until the proxy
+/// listens.
+const MAX_TERM_AFTER_SPAWN_US: u64 = 60_000;
+/// Upper bound of the time from the proxy's readiness to SIGTERM.
+const MAX_TERM_AFTER_READY_MS: u64 = 300;
+/// Time for which an idle proxy is observed before SIGTERM.
 const IDLE_MS: u64 = 1300;
-/// One start in so many is watched while idle.
+/// One start in this many is observed while idle.
 const IDLE_ONE_IN: u64 = 25;
-/// A log that is stalled is read this long after SIGTERM at the latest.
-const STALLED_WITHIN_MS: u64 = 300;
-/// SIGHUP comes so many times at most.
+/// Maximum time from SIGTERM until a stalled log is read.
+const MAX_STALL_MS: u64 = 300;
+/// Maximum number of SIGHUPs.
 const MAX_HANGUPS: u64 = 6;
 
-/// Whose calls are held up.
+/// The thread whose call is delayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum DelayedThread {
-    /// Those of the serving thread.
+    /// The thread that serves requests.
     Serving,
-    /// Those of the thread that writes the log.
+    /// The thread that writes the log.
     Log,
 }
 
-/// The calls that are held up in turn, and how many of each, from the first on: about as many as a proxy makes until it listens, or
-/// from SIGTERM on.
+/// The calls that are delayed in turn, with the number of calls of each kind, counted from the first: about
+/// as many as a proxy makes until it listens, or after SIGTERM.
 pub const DELAYED_CALLS: [(DelayedThread, Call, u64); 15] = [
     (DelayedThread::Log, Call::Write, 3),
     (DelayedThread::Log, Call::SchedYield, 8),
@@ -58,110 +59,111 @@
     (DelayedThread::Serving, Call::ClockGettime, 24),
 ];
 
-/// When the count of calls begins.
+/// The phase in which calls are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Phase {
-    /// With the process.
+    /// From the start of the process.
     Start,
-    /// Just before the signals, where these wait until the proxy listens.
+    /// From just before the signals, if these wait until the proxy listens.
     End,
 }
 
-/// One call that is held up.
+/// The delay of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Hold {
-    /// Whose call.
+    /// The thread that makes the call.
     pub thread: DelayedThread,
-    /// Which kind.
+    /// The kind of call.
     pub call: Call,
-    /// Which one of this kind, counted from 1.
+    /// The number of the call among those of its kind, counted from 1.
     pub nth: u64,
-    /// From when on it is counted.
+    /// The phase in which the calls are counted.
     pub phase: Phase,
-    /// For how long, in milliseconds.
+    /// The delay in milliseconds.
     pub hold_ms: u64,
-    /// After the call was made; before it otherwise.
+    /// Whether the delay is after the call instead of before it.
     pub after: bool,
 }
 
-/// What becomes of the log.
+/// How the process's log is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Reader {
-    /// It is read as it comes.
+    /// The log is read continuously.
     Reads,
-    /// Its pipe is full, and is read from this time after SIGTERM on, in milliseconds.
+    /// The pipe is full, and is read only from this time after SIGTERM on, in milliseconds.
     Stalled(u64),
-    /// Its pipe is full, and is not read.
+    /// The pipe is full and is never read.
     NeverReads,
-    /// Its reader has gone.
+    /// The read end of the pipe is closed.
     Gone,
     /// Standard error is closed.
     Closed,
 }
 
-/// When SIGTERM comes.
+/// When SIGTERM is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Terminate {
-    /// So many microseconds after the process was started.
+    /// This many microseconds after the process was spawned.
     AfterSpawn(u64),
-    /// So many milliseconds after the proxy listens.
+    /// This many milliseconds after the proxy listens.
     AfterReady(u64),
 }
 
-/// A start.
+/// The plan of one start.
 #[derive(Clone, Debug, Serialize)]
 pub struct StartPlan {
-    /// What was drawn from.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
-    /// Which start of this seed.
+    /// The number of the start among those of the seed.
     pub number: u64,
-    /// The call that is held up.
+    /// The call that is delayed.
     pub hold: Hold,
-    /// What becomes of the log.
+    /// How the process's log is read.
     pub reader: Reader,
-    /// The longest deadline of the classes, in milliseconds.
+    /// The deadline of all classes, in milliseconds.
     pub longest_deadline_ms: u64,
-    /// How many SIGHUP come one after the other before SIGTERM, once the proxy listens.
+    /// The number of SIGHUPs sent in sequence just before SIGTERM, if the proxy listens by then.
     pub hangups: u64,
-    /// When SIGTERM comes.
+    /// When SIGTERM is sent.
     pub terminate: Terminate,
 }
 
 impl StartPlan {
-    /// Draws a start. Which call is held up goes through all of them in turn; the rest is drawn.
+    /// Draws the plan of a start. The delayed call cycles through [`DELAYED_CALLS`] by number; the rest is
+    /// random.
     pub fn draw(seed: u64, number: u64) -> Self {
         let mut random =
             Xoshiro256PlusPlus::seed_from_u64(aniseyoke_lab_day::clock::mix(seed, 0x57a7, number));
         let phase = if number.is_multiple_of(2) { Phase::Start } else { Phase::End };
-        let (thread, call, nth) = held_call(number / 2);
-        let hold_ms = HOLDS_MS[random.random_range(0..HOLDS_MS.len())];
+        let (thread, call, nth) = delayed_call(number / 2);
+        let hold_ms = DELAYS_MS[random.random_range(0..DELAYS_MS.len())];
         let hold = Hold { thread, call, nth, phase, hold_ms, after: random.random() };
         let reader = match random.random_range(0..10) {
             0..5 => Reader::Reads,
-            5..7 => Reader::Stalled(random.random_range(0..=STALLED_WITHIN_MS)),
+            5..7 => Reader::Stalled(random.random_range(0..=MAX_STALL_MS)),
             7 => Reader::NeverReads,
             8 => Reader::Gone,
             _ => Reader::Closed,
         };
         let terminate = match random.random_range(0..10) {
             _ if random.random_range(0..IDLE_ONE_IN) == 0 => Terminate::AfterReady(IDLE_MS),
-            0..3 => Terminate::AfterSpawn(random.random_range(0..EARLY_WITHIN_US)),
+            0..3 => Terminate::AfterSpawn(random.random_range(0..MAX_TERM_AFTER_SPAWN_US)),
             3..7 => Terminate::AfterReady(0),
-            _ => Terminate::AfterReady(random.random_range(0..LATER_WITHIN_MS)),
+            _ => Terminate::AfterReady(random.random_range(0..MAX_TERM_AFTER_READY_MS)),
         };
         let longest_deadline_ms = DEADLINES_MS[random.random_range(0..DEADLINES_MS.len())];
         let hangups = if random.random() { random.random_range(1..=MAX_HANGUPS) } else { 0 };
         StartPlan { seed, number, hold, reader, longest_deadline_ms, hangups, terminate }
     }
 
-    /// How long the harness itself holds the process up, at most.
+    /// The longest delay that the harness itself adds to the process.
     pub fn injected_delay(&self) -> Duration {
         Duration::from_millis(self.hold.hold_ms)
     }
 }
 
-/// The call whose turn it is, and which one of its kind.
-fn held_call(turn: u64) -> (DelayedThread, Call, u64) {
+/// The call that is delayed in this turn, and its number among those of its kind.
+fn delayed_call(turn: u64) -> (DelayedThread, Call, u64) {
     let count: u64 = DELAYED_CALLS.iter().map(|(_, _, most)| most).sum();
     let mut left = turn % count;
     for (thread, call, most) in DELAYED_CALLS {
@@ -174,10 +176,10 @@
 }
 
 impl Hold {
-    /// The plan of the preload library for a phase, for a program of this name. Its first rule delays nothing, and tells that the plan is in force.
+    /// The fault plan of the preload library for a phase and a program of this name. Its first rule adds no
+    /// delay; its record shows that the plan is active.
     pub fn plan(&self, phase: Phase, program: &str) -> Plan {
-        let in_force =
-            Rule::new(IN_FORCE_RULE, &[Call::ClockGettime, Call::EpollWait], Effect::DelayBefore(0));
+        let in_force = Rule::new(ACTIVE_RULE, &[Call::ClockGettime, Call::EpollWait], Effect::DelayBefore(0));
         let mut rules = vec![in_force.often(Often::First(1))];
         if phase == self.phase {
             rules.push(self.rule(program));
@@ -189,11 +191,11 @@
         let micros = self.hold_ms * 1000;
         let effect = if self.after { Effect::DelayAfter(micros) } else { Effect::DelayBefore(micros) };
         let thread = match self.thread {
-            // The first thread of a process has the program's name, as far as it goes.
+            // The first thread of a process is named after the program, truncated to the maximum length.
             DelayedThread::Serving => program.chars().take(MAX_THREAD_NAME).collect(),
             DelayedThread::Log => "log".to_owned(),
         };
         let about = About::Thread(thread);
-        Rule::new(RULE, &[self.call], effect).about(about).often(Often::Only(self.nth))
+        Rule::new(DELAY_RULE, &[self.call], effect).about(about).often(Often::Only(self.nth))
     }
 }
--- a/crates/lab-starts/src/ready.rs
+++ b/crates/lab-starts/src/ready.rs
@@ -1,15 +1,15 @@
-//! Whether a process listens, without its log.
+//! Detects that a process listens without reading its log.
 
 use std::collections::HashSet;
 use std::fs;
 
 /// The state of a listening socket in `/proc/net/tcp`.
 const LISTENING: &str = "0A";
-/// The fields of a line of that file that tell the state and the inode.
+/// The fields of a line of `/proc/net/tcp` that contain the state and the inode.
 const STATE_FIELD: usize = 3;
 const INODE_FIELD: usize = 9;
 
-/// Whether the process holds a listening TCP socket.
+/// Whether the process has a listening TCP socket.
 pub(crate) fn listens(pid: u32) -> bool {
     let Ok(descriptors) = fs::read_dir(format!("/proc/{pid}/fd")) else { return false };
     let target = |entry: fs::DirEntry| fs::read_link(entry.path()).ok()?.to_str().map(str::to_owned);
--- a/crates/lab-starts/src/run.rs
+++ b/crates/lab-starts/src/run.rs
@@ -1,7 +1,7 @@
-//! One start from the beginning to the end of the process.
+//! Runs one start, from spawning the process to its exit.
 
 use crate::log_pipe::LogPipe;
-use crate::plan::{Phase, Reader, StartPlan, Terminate, IN_FORCE_RULE, RULE};
+use crate::plan::{Phase, Reader, StartPlan, Terminate, ACTIVE_RULE, DELAY_RULE};
 use crate::ready::listens;
 use crate::threads::{sample, ThreadMonitor};
 use crate::verdict::{allowed_end, End, Fault, StartReport, LISTENING_LINE, READY_TIMEOUT};
@@ -17,58 +17,60 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// The built-in day whose configuration each proxy has.
+/// The built-in day from which the proxy's configuration is derived.
 const BASE_DAY: &str = "quiet";
-/// Nothing listens there: the list service refuses connections.
+/// An address without a listener: connections to the list service are refused.
 const NO_LIST_SERVICE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
-/// How often it is looked whether something has come.
+/// Poll interval while waiting for an event.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How often the threads are looked at while something is waited for.
-const THREADS_INTERVAL: Duration = Duration::from_millis(100);
-/// A process that is late is watched for this time before it is killed, so that its threads are seen to spin or to wait.
-const LATE_WATCH: Duration = Duration::from_millis(2500);
-/// A process that listens makes a call by which it takes up another plan within this time.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(30);
-/// The shell's line that starts a program without standard error.
-const WITHOUT_STANDARD_ERROR: &str = r#"exec "$0" "$@" 2>&-"#;
-
-/// What is started.
+/// Interval of thread samples while waiting for an event.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// A process that exits late is observed for this time before it is killed, to see whether its
+/// threads spin or wait.
+const LATE_OBSERVATION: Duration = Duration::from_millis(2500);
+/// Maximum time until a listening process makes a call that loads a new fault plan.
+const ACTIVE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Shell command that runs a program with standard error closed.
+const CLOSE_STDERR_COMMAND: &str = r#"exec "$0" "$@" 2>&-"#;
+
+/// The program under test.
 #[derive(Clone, Debug)]
 pub struct Subject {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Whether its calls are held up.
+    /// Whether calls of the program are delayed.
     pub delay_calls: bool,
 }
 
 impl Subject {
-    /// The name of the program's file.
+    /// The file name of the program.
     fn name(&self) -> String {
         self.program.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default()
     }
 }
 
-/// Plays a start; `folder` is its own.
+/// Runs a start, using `folder` exclusively for it.
 ///
 /// # Errors
-/// If it could not be played.
+/// If the start could not be run.
 pub fn run(plan: StartPlan, subject: &Subject, folder: &Path) -> Result<StartReport, StartsError> {
     std::fs::create_dir_all(folder).map_err(FileError::at(folder))?;
     let mut start = Start::open(plan, subject, folder)?;
     let outcome = start.play();
-    // Whatever came of it, no process stays behind; one that has been waited for is not there to be killed.
+    // Leaves no process behind in any case. Both calls fail harmlessly if the process has already been waited
+    // for.
     let _ = start.child.kill();
     let _ = start.child.wait();
     let Start { pipe, armed, mut report, .. } = start;
     report.lines = pipe.close();
-    report.held_calls = armed.map_or(0, |armed| armed.forced(RULE));
+    report.held_calls = armed.map_or(0, |armed| armed.forced(DELAY_RULE));
     if outcome?.is_some_and(|status| status.success()) {
         report.judge_log();
     }
     Ok(report)
 }
 
-/// A process that was started.
+/// A started process and its observation.
 struct Start {
     name: String,
     child: Child,
@@ -76,7 +78,7 @@
     pipe: LogPipe,
     armed: Option<Armed>,
     watch: ThreadMonitor,
-    looked: Instant,
+    last_sample: Instant,
     report: StartReport,
 }
 
@@ -95,15 +97,15 @@
         let child = command.spawn().map_err(StartsError::Process)?;
         let watch = ThreadMonitor::new(child.id());
         let report = StartReport::new(plan);
-        Ok(Start { name: subject.name(), child, started, pipe, armed, watch, looked: started, report })
+        Ok(Start { name: subject.name(), child, started, pipe, armed, watch, last_sample: started, report })
     }
 
-    /// Plays the plan; how the process ended, if it did by itself.
+    /// Runs the plan; returns the exit status if the process ended without being killed.
     fn play(&mut self) -> Result<Option<ExitStatus>, StartsError> {
         match self.report.plan.terminate {
             Terminate::AfterSpawn(micros) => std::thread::sleep(Duration::from_micros(micros)),
             Terminate::AfterReady(millis) => {
-                if !self.wait_until_ready()? || !self.stay(Duration::from_millis(millis))? {
+                if !self.wait_until_ready()? || !self.run_for(Duration::from_millis(millis))? {
                     return Ok(None);
                 }
                 if !self.begin_end_phase()? {
@@ -116,18 +118,20 @@
         self.wait_for_end()
     }
 
-    /// Puts the plan of the end in force; whether the process is still there. Danger: the library takes memory to read a plan, which
-    /// the signal handler of the process must not do, so that no signal is sent before the plan was read.
+    /// Activates the fault plan of the end phase; returns whether the process is still running.
+    ///
+    /// Guards against an allocation in a signal handler: the preload library allocates memory to read a plan,
+    /// which the process's signal handler must not do, so no signal is sent before the plan has been read.
     fn begin_end_phase(&mut self) -> Result<bool, StartsError> {
         let Some(armed) = self.armed.clone() else { return Ok(true) };
-        let before = armed.forced(IN_FORCE_RULE);
+        let before = armed.forced(ACTIVE_RULE);
         armed.change(&self.report.plan.hold.plan(Phase::End, &self.name)).map_err(StartsError::Plan)?;
-        let until = Instant::now() + IN_FORCE_WITHIN;
-        while armed.forced(IN_FORCE_RULE) == before {
+        let until = Instant::now() + ACTIVE_TIMEOUT;
+        while armed.forced(ACTIVE_RULE) == before {
             if Instant::now() > until {
-                return Err(StartsError::NotInForce(IN_FORCE_WITHIN));
+                return Err(StartsError::NotInForce(ACTIVE_TIMEOUT));
             }
-            if !self.stay(POLL_INTERVAL)? {
+            if !self.run_for(POLL_INTERVAL)? {
                 return Ok(false);
             }
         }
@@ -135,11 +139,11 @@
     }
 
     fn send(&self, signal: Signal) {
-        // A process that has ended is not waited for yet, so that its id is still its own.
+        // A process that has ended is not yet reaped here, so its id has not been reused.
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Whether it listens in time.
+    /// Waits until the process listens; returns whether it did so in time.
     fn wait_until_ready(&mut self) -> Result<bool, StartsError> {
         let log_is_read = self.report.plan.reader == Reader::Reads;
         loop {
@@ -148,7 +152,7 @@
                 self.report.ready_after = Some(self.started.elapsed());
                 return Ok(true);
             }
-            if self.has_ended_before()? {
+            if self.exited_early()? {
                 return Ok(false);
             }
             let elapsed = self.started.elapsed();
@@ -157,54 +161,54 @@
                 self.report.threads = sample(pid).into_values().collect();
                 return Ok(false);
             }
-            self.look_at_threads();
+            self.sample_threads();
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Lets it serve for a while; whether it is still there.
-    fn stay(&mut self, time: Duration) -> Result<bool, StartsError> {
+    /// Lets the process run for a time; returns whether it is still running.
+    fn run_for(&mut self, time: Duration) -> Result<bool, StartsError> {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            if self.has_ended_before()? {
+            if self.exited_early()? {
                 return Ok(false);
             }
-            self.look_at_threads();
+            self.sample_threads();
             std::thread::sleep(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
         }
         Ok(true)
     }
 
-    /// Waits for the end after SIGTERM.
+    /// Waits for the exit after SIGTERM, and kills the process if it does not exit in time.
     fn wait_for_end(&mut self) -> Result<Option<ExitStatus>, StartsError> {
-        let told = Instant::now();
-        let late = told + allowed_end(&self.report.plan);
+        let term_sent = Instant::now();
+        let term_deadline = term_sent + allowed_end(&self.report.plan);
         loop {
             if let Some(status) = self.child.try_wait().map_err(StartsError::Process)? {
-                self.report.judge_end(&End { took: told.elapsed(), status, killed: false });
+                self.report.judge_end(&End { took: term_sent.elapsed(), status, killed: false });
                 return Ok(Some(status));
             }
             let now = Instant::now();
             if let Reader::Stalled(after_ms) = self.report.plan.reader {
-                if now >= told + Duration::from_millis(after_ms) {
+                if now >= term_sent + Duration::from_millis(after_ms) {
                     self.pipe.read();
                 }
             }
-            if now > late && self.report.threads.is_empty() {
+            if now > term_deadline && self.report.threads.is_empty() {
                 self.report.threads = sample(self.child.id()).into_values().collect();
             }
-            if now > late + LATE_WATCH {
+            if now > term_deadline + LATE_OBSERVATION {
                 self.child.kill().map_err(StartsError::Process)?;
                 let status = self.child.wait().map_err(StartsError::Process)?;
-                self.report.judge_end(&End { took: told.elapsed(), status, killed: true });
+                self.report.judge_end(&End { took: term_sent.elapsed(), status, killed: true });
                 return Ok(None);
             }
-            self.look_at_threads();
+            self.sample_threads();
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn has_ended_before(&mut self) -> Result<bool, StartsError> {
+    fn exited_early(&mut self) -> Result<bool, StartsError> {
         let status = self.child.try_wait().map_err(StartsError::Process)?;
         if let Some(status) = status {
             self.report.faults.push(Fault::EndedBefore(status.to_string()));
@@ -212,11 +216,11 @@
         Ok(status.is_some())
     }
 
-    fn look_at_threads(&mut self) {
-        if self.looked.elapsed() < THREADS_INTERVAL {
+    fn sample_threads(&mut self) {
+        if self.last_sample.elapsed() < SAMPLE_INTERVAL {
             return;
         }
-        self.looked = Instant::now();
+        self.last_sample = Instant::now();
         for spent in self.watch.take_sample() {
             if spent.starves() {
                 self.report.starved.push(spent.clone());
@@ -228,7 +232,7 @@
     }
 }
 
-/// The command that starts the program, with a configuration of its own.
+/// Creates the command that starts the program, and writes its configuration file.
 fn command(plan: &StartPlan, subject: &Subject, folder: &Path) -> Result<Command, StartsError> {
     let day = Day::open(BASE_DAY)?;
     let known = json!({"version": 1, "full": true, "servers": []});
@@ -240,7 +244,7 @@
     std::fs::write(&file, config.to_string()).map_err(FileError::at(&file))?;
     let mut command = if plan.reader == Reader::Closed {
         let mut shell = Command::new("/bin/sh");
-        shell.args(["-c", WITHOUT_STANDARD_ERROR]).arg(&subject.program);
+        shell.args(["-c", CLOSE_STDERR_COMMAND]).arg(&subject.program);
         shell
     } else {
         Command::new(&subject.program)
--- a/crates/lab-starts/src/tests.rs
+++ b/crates/lab-starts/src/tests.rs
@@ -1,4 +1,4 @@
-use crate::plan::{DelayedThread, Phase, Reader, StartPlan, Terminate, DELAYED_CALLS, RULE};
+use crate::plan::{DelayedThread, Phase, Reader, StartPlan, Terminate, DELAYED_CALLS, DELAY_RULE};
 use crate::threads::ThreadUsage;
 use crate::verdict::{allowed_end, End, Fault, StartReport};
 use aniseyoke_faults::About;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_start_is_drawn_again_the_same_and_each_call_has_its_turn() {
+fn start_plans_are_repeatable_and_cover_every_call() {
     let text = |seed, number| format!("{:?}", StartPlan::draw(seed, number));
     assert_eq!(text(7, 123), text(7, 123));
     assert_ne!(text(7, 123), text(8, 123));
@@ -23,15 +23,16 @@
 }
 
 #[test]
-fn a_call_is_held_up_in_its_phase_alone() {
+fn a_call_is_delayed_only_in_its_phase() {
     let hold = StartPlan::draw(7, 0).hold;
-    let held = |phase| hold.plan(phase, "a").rules.iter().filter(|rule| rule.name == RULE).count();
-    assert_eq!((hold.phase, held(Phase::Start), held(Phase::End)), (Phase::Start, 1, 0));
+    let delay_rules =
+        |phase| hold.plan(phase, "a").rules.iter().filter(|rule| rule.name == DELAY_RULE).count();
+    assert_eq!((hold.phase, delay_rules(Phase::Start), delay_rules(Phase::End)), (Phase::Start, 1, 0));
 }
 
-/// Guards against a rule that strikes nothing, where the program's file has another name.
+/// Guards against a rule that matches no thread because the program's file has another name.
 #[test]
-fn the_serving_thread_is_the_one_with_the_name_of_the_program() {
+fn a_rule_for_the_serving_thread_names_the_truncated_program_name() {
     let hold =
         (0..).map(|number| StartPlan::draw(7, number).hold).find(|h| h.thread == DelayedThread::Serving);
     let hold = hold.expect("one");
@@ -44,9 +45,10 @@
     ThreadUsage { thread: "log".into(), elapsed, ran, waited }
 }
 
-/// A thread that is kept from a processor is the machine's doing, and one that never sleeps is not.
+/// A thread that waits for a processor is due to the machine's load; a thread that never sleeps is a fault of
+/// the program.
 #[test]
-fn a_thread_that_spins_is_told_from_one_that_starves_and_from_one_that_works() {
+fn spinning_starving_and_working_threads_are_distinguished() {
     let judged = |spent: ThreadUsage| (spent.spins(), spent.starves());
     assert_eq!(judged(spent(970, 10)), (true, false));
     assert_eq!(judged(spent(300, 690)), (true, true), "it spins on a busy machine");
@@ -72,20 +74,20 @@
 }
 
 #[test]
-fn an_end_is_judged_by_its_time_and_its_status() {
+fn an_exit_is_judged_by_its_time_and_status() {
     let (early, late) = (Terminate::AfterSpawn(0), Terminate::AfterReady(0));
-    // The longest deadline counts as 3 s, 0.7 s come on top, and the harness held it up for 0.06 s.
+    // The longest deadline is capped at 3 s, the margin is 0.7 s, and the harness adds a delay of 0.06 s.
     assert_eq!(allowed_end(&plan(late)), Duration::from_millis(3760));
     assert_eq!(ended(late, true, 0, 3760), []);
     assert!(matches!(ended(late, true, 0, 3761)[..], [Fault::EndsLate { .. }]));
     assert!(matches!(ended(late, true, 1 << 8, 0)[..], [Fault::WrongStatus(_)]));
     assert!(matches!(ended(late, true, nix::libc::SIGTERM, 0)[..], [Fault::WrongStatus(_)]));
-    assert_eq!(ended(early, false, nix::libc::SIGTERM, 0), [], "it was not handled yet");
+    assert_eq!(ended(early, false, nix::libc::SIGTERM, 0), [], "SIGTERM was not handled yet");
     assert!(matches!(ended(early, false, nix::libc::SIGABRT, 0)[..], [Fault::WrongStatus(_)]));
 }
 
 #[test]
-fn the_lines_of_start_and_end_must_be_there_where_the_log_is_read() {
+fn a_log_that_is_read_must_contain_the_listening_and_draining_lines() {
     let mut report = StartReport::new(plan(Terminate::AfterReady(0)));
     report.lines = vec!["aniseyoke: listening on 127.0.0.1:1".into()];
     report.judge_log();
--- a/crates/lab-starts/src/threads.rs
+++ b/crates/lab-starts/src/threads.rs
@@ -1,4 +1,4 @@
-//! The threads of a process as `/proc` has them, and which of them spin or starve.
+//! The threads of a process as reported by `/proc`, and detection of threads that spin or starve.
 
 use serde::Serialize;
 use std::collections::HashMap;
@@ -7,29 +7,29 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A thread is judged over at least this time.
+/// Minimum time over which a thread is judged.
 const WINDOW: Duration = Duration::from_secs(1);
-/// A thread spins that was running for this part of the time in which it had not to wait for a processor,
-const SPIN_PART: f64 = 0.9;
-/// and has used a processor for at least this time.
-const SPIN_MIN: Duration = Duration::from_millis(200);
-/// A thread starves that waited for a processor for this part of the time.
-const STARVED_PART: f64 = 0.5;
+/// A thread spins if it ran for at least this fraction of the time in which it did not wait for a processor,
+const MIN_SPIN_FRACTION: f64 = 0.9;
+/// and used at least this much processor time.
+const MIN_SPIN_TIME: Duration = Duration::from_millis(200);
+/// A thread starves if it waited for a processor for at least this fraction of the time.
+const MIN_STARVED_FRACTION: f64 = 0.5;
 
-/// One thread at one time.
+/// A sample of one thread.
 #[derive(Clone, Debug, Serialize)]
 pub struct ThreadSample {
-    /// Its name.
+    /// The name of the thread.
     pub name: String,
-    /// Its state, by the letter of `/proc/PID/task/TID/stat`.
+    /// The state of the thread, as the letter in `/proc/PID/task/TID/stat`.
     pub state: String,
-    /// Processor time so far.
+    /// Processor time used so far.
     pub ran: Duration,
-    /// Time spent ready to run, without a processor.
+    /// Time spent runnable while waiting for a processor.
     pub waited: Duration,
-    /// What it waits for in the kernel.
+    /// The kernel function in which the thread waits.
     pub wait_channel: String,
-    /// Its system call with the arguments.
+    /// The current system call with its arguments.
     pub system_call: String,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The threads of a process, by id; none if it has ended.
+/// Samples the threads of a process, by id. The map is empty if the process has ended.
 pub fn sample(pid: u32) -> HashMap<u32, ThreadSample> {
     let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else { return HashMap::new() };
     let of_task =
@@ -64,58 +64,58 @@
     })
 }
 
-/// How a thread spent a window of time.
+/// How a thread spent one observation window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ThreadUsage {
-    /// Its name.
+    /// The name of the thread.
     pub thread: String,
     /// The length of the window.
     pub elapsed: Duration,
-    /// Processor time in it.
+    /// Processor time used in the window.
     pub ran: Duration,
-    /// Time in it spent ready to run, without a processor.
+    /// Time in the window spent runnable while waiting for a processor.
     pub waited: Duration,
 }
 
 impl ThreadUsage {
-    /// Whether it used a processor whenever it could, and slept hardly ever.
+    /// Whether the thread spun: it ran almost whenever a processor was available and hardly slept.
     pub fn spins(&self) -> bool {
         let could_run = self.elapsed.saturating_sub(self.waited);
-        self.ran >= SPIN_MIN && self.ran >= could_run.mul_f64(SPIN_PART)
+        self.ran >= MIN_SPIN_TIME && self.ran >= could_run.mul_f64(MIN_SPIN_FRACTION)
     }
 
-    /// Whether the machine had no processor for it for much of the time.
+    /// Whether the thread starved: the machine had no free processor for it for much of the time.
     pub fn starves(&self) -> bool {
-        self.waited >= self.elapsed.mul_f64(STARVED_PART)
+        self.waited >= self.elapsed.mul_f64(MIN_STARVED_FRACTION)
     }
 }
 
-/// Watches the threads of a process.
+/// Monitors the threads of a process.
 pub struct ThreadMonitor {
     pid: u32,
     first: HashMap<u32, (Instant, ThreadSample)>,
 }
 
 impl ThreadMonitor {
-    /// Watches this process.
+    /// Creates a monitor of this process.
     pub fn new(pid: u32) -> Self {
         ThreadMonitor { pid, first: HashMap::new() }
     }
 
-    /// Takes a sample; how each thread spent its window, where one has passed.
+    /// Samples all threads; returns the usage of each thread whose window has elapsed.
     pub fn take_sample(&mut self) -> Vec<ThreadUsage> {
-        let mut spent = Vec::new();
+        let mut usages = Vec::new();
         for (tid, now) in sample(self.pid) {
             let at = Instant::now();
-            let (begun, first) = self.first.entry(tid).or_insert_with(|| (at, now.clone()));
-            let elapsed = at - *begun;
+            let (window_start, first) = self.first.entry(tid).or_insert_with(|| (at, now.clone()));
+            let elapsed = at - *window_start;
             if elapsed >= WINDOW {
                 let ran = now.ran.saturating_sub(first.ran);
                 let waited = now.waited.saturating_sub(first.waited);
-                spent.push(ThreadUsage { thread: now.name.clone(), elapsed, ran, waited });
-                (*begun, *first) = (at, now);
+                usages.push(ThreadUsage { thread: now.name.clone(), elapsed, ran, waited });
+                (*window_start, *first) = (at, now);
             }
         }
-        spent
+        usages
     }
 }
--- a/crates/lab-starts/src/verdict.rs
+++ b/crates/lab-starts/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What a start came to.
+//! The rules for a start, and the report of its result.
 
 use crate::plan::{Reader, StartPlan, Terminate};
 use crate::threads::{ThreadSample, ThreadUsage};
@@ -8,38 +8,38 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// A process listens within this time of its start.
+/// A process must listen within this time after its start.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// A deadline that is longer counts as this.
+/// Longer deadlines are capped at this value.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// The platform kills a process this long after SIGTERM and the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The line that tells where clients are accepted.
+/// Part of the log line that contains the address on which clients are accepted.
 pub const LISTENING_LINE: &str = "listening on ";
-/// The line that tells that the process was told to stop.
+/// Part of the log line that shows that the process has begun a graceful shutdown.
 const DRAINING_LINE: &str = "draining";
 
-/// What must not be.
+/// A rule that was violated.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Fault {
-    /// It did not listen in time.
+    /// The process did not listen in time.
     NotReady(Duration),
-    /// It ended by itself before it was told to.
+    /// The process exited before SIGTERM.
     EndedBefore(String),
-    /// It did not end in time after SIGTERM.
+    /// The process did not exit in time after SIGTERM.
     EndsLate {
-        /// The time that it took; until it was killed, if it did not end at all.
+        /// The time from SIGTERM to the exit, or until the process was killed.
         took: Duration,
-        /// The time that it had.
+        /// The time allowed.
         allowed: Duration,
-        /// Whether it had to be killed.
+        /// Whether the process had to be killed.
         killed: bool,
     },
-    /// Its exit status is not the one that it should have.
+    /// The exit status is not the expected one.
     WrongStatus(String),
-    /// A thread uses a processor without getting anywhere.
+    /// A thread uses a processor without making progress.
     Spins(ThreadUsage),
-    /// A line that must be in the log is not.
+    /// A required line is missing from the log.
     LineMissing(&'static str),
 }
 
@@ -47,57 +47,57 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::NotReady(after) => write!(f, "not ready after {after:.1?}"),
-            Fault::EndedBefore(status) => write!(f, "ended before it was told to: {status}"),
+            Fault::EndedBefore(status) => write!(f, "exited before SIGTERM: {status}"),
             Fault::EndsLate { took, allowed, killed: false } => {
-                write!(f, "ended {took:.3?} after SIGTERM, {allowed:.3?} are allowed")
+                write!(f, "exited {took:.3?} after SIGTERM, {allowed:.3?} allowed")
             }
             Fault::EndsLate { took, allowed, killed: true } => {
-                write!(f, "had not ended {took:.3?} after SIGTERM, {allowed:.3?} are allowed; killed")
+                write!(f, "killed {took:.3?} after SIGTERM without having exited, {allowed:.3?} allowed")
             }
-            Fault::WrongStatus(status) => write!(f, "ended with the wrong status: {status}"),
+            Fault::WrongStatus(status) => write!(f, "exited with the wrong status: {status}"),
             Fault::Spins(ThreadUsage { thread, elapsed, ran, waited }) => write!(
                 f,
                 "thread {thread} spins: ran {ran:.2?} of {elapsed:.2?}, waited for a processor {waited:.2?}"
             ),
-            Fault::LineMissing(line) => write!(f, "no line {line:?} in the log"),
+            Fault::LineMissing(line) => write!(f, "line {line:?} is missing from the log"),
         }
     }
 }
 
-/// What was seen of a process that ended, or was killed.
+/// How a process ended or was killed.
 #[derive(Debug)]
 pub struct End {
-    /// The time from SIGTERM to the end.
+    /// The time from SIGTERM to the exit.
     pub took: Duration,
-    /// How it ended.
+    /// The exit status.
     pub status: ExitStatus,
-    /// Whether the harness killed it.
+    /// Whether the harness killed the process.
     pub killed: bool,
 }
 
-/// A start and what came of it.
+/// The report of a start.
 #[derive(Clone, Debug, Serialize)]
 pub struct StartReport {
-    /// What was drawn.
+    /// The plan of the start.
     pub plan: StartPlan,
-    /// The time from the start to the first sight of its listening; none if SIGTERM came before.
+    /// The time from the start until the process was first seen to listen; `None` if SIGTERM was sent before.
     pub ready_after: Option<Duration>,
-    /// The time from SIGTERM to the end.
+    /// The time from SIGTERM to the exit.
     pub ended_after: Option<Duration>,
-    /// Calls that were in fact held up.
+    /// The number of calls that were delayed.
     pub held_calls: usize,
-    /// How often a thread was found to starve: the machine had no processor for it.
+    /// The windows in which a thread starved because the machine had no free processor.
     pub starved: Vec<ThreadUsage>,
-    /// What must not be.
+    /// The violated rules.
     pub faults: Vec<Fault>,
-    /// The threads when a time had passed, before the process was killed.
+    /// A sample of the threads, taken when a time limit was exceeded and before the process was killed.
     pub threads: Vec<ThreadSample>,
-    /// The log, as far as it was read.
+    /// The lines of the log that were read.
     pub lines: Vec<String>,
 }
 
 impl StartReport {
-    /// A report of which nothing is known yet.
+    /// Creates an empty report for a plan.
     pub fn new(plan: StartPlan) -> Self {
         StartReport {
             plan,
@@ -111,21 +111,22 @@
         }
     }
 
-    /// Judges how the process ended. What the harness itself held up is not held against it.
+    /// Checks how the process ended. Delays injected by the harness are added to the allowed time.
     pub fn judge_end(&mut self, end: &End) {
         self.ended_after = Some(end.took);
         let allowed = allowed_end(&self.plan);
         if end.killed || end.took > allowed {
             self.faults.push(Fault::EndsLate { took: end.took, allowed, killed: end.killed });
         }
-        // Until SIGTERM is handled it ends a process as the system does, and the proxy handles it before it listens.
-        let unhandled = end.status.signal() == Some(nix::libc::SIGTERM) && self.ready_after.is_none();
-        if !end.killed && !end.status.success() && !unhandled {
+        // Before the proxy installs its SIGTERM handler, the default action ends the process. The handler is
+        // installed before the proxy listens.
+        let default_action = end.status.signal() == Some(nix::libc::SIGTERM) && self.ready_after.is_none();
+        if !end.killed && !end.status.success() && !default_action {
             self.faults.push(Fault::WrongStatus(end.status.to_string()));
         }
     }
 
-    /// Judges the log of a process that has ended by itself with status 0.
+    /// Checks the log of a process that exited with status 0.
     pub fn judge_log(&mut self) {
         if !matches!(self.plan.reader, Reader::Reads | Reader::Stalled(_)) {
             return;
@@ -138,11 +139,11 @@
     }
 }
 
-/// How long after SIGTERM the process has ended.
+/// The time after SIGTERM within which the process must exit.
 pub fn allowed_end(plan: &StartPlan) -> Duration {
     let longest = Duration::from_millis(plan.longest_deadline_ms).min(MAX_DEADLINE);
     let to_start = match plan.terminate {
-        // What is left of the start is due within the time of a start.
+        // The remaining part of the start must complete within the time allowed for a start.
         Terminate::AfterSpawn(_) => READY_TIMEOUT,
         Terminate::AfterReady(_) => Duration::ZERO,
     };
--- a/crates/lab-starts/tests/planted.rs
+++ b/crates/lab-starts/tests/planted.rs
@@ -1,14 +1,14 @@
-//! The harness is red on programs with a planted fault, and on no other.
+//! The harness reports a fault for each program with a planted fault, and none for a sound program.
 
 use aniseyoke_lab_starts::plan::{Reader, StartPlan, Terminate};
 use aniseyoke_lab_starts::run::{run, Subject};
 use aniseyoke_lab_starts::verdict::{Fault, StartReport};
 use std::path::Path;
 
-/// Long enough for a thread to be judged.
+/// Longer than the window over which a thread is judged.
 const IDLE_MS: u64 = 1300;
 
-/// Plays one of the programs beside this file.
+/// Runs one of the programs in `tests/planted`.
 fn play(name: &str) -> StartReport {
     let mut plan = StartPlan::draw(1, 0);
     plan.reader = Reader::Reads;
--- a/crates/lab-starts/tests/starts.rs
+++ b/crates/lab-starts/tests/starts.rs
@@ -1,17 +1,19 @@
-//! A short batch of starts of the real proxy. The long one is started by hand (`docs/lab.md`).
+//! A short batch of starts of the real proxy. Long batches are run manually (`docs/lab.md`).
 
 use aniseyoke_lab_process::find_proxy;
 use aniseyoke_lab_starts::batch::Batch;
 use aniseyoke_lab_starts::run::Subject;
 
-/// What the starts are drawn from.
+/// The seed that the starts are drawn from.
 const SEED: u64 = 49;
-/// How many: each second one has a call held up, and 105 kinds of calls and places take turns.
+/// The number of starts. Every second start delays a call of the start phase, the others one of the end
+/// phase, and each phase cycles through 105 calls.
 const STARTS: u64 = 210;
-/// Starts at once.
+/// Starts that run at a time.
 const JOBS: usize = 8;
 
-/// Guards against a process that spins, hangs, ends late or with the wrong status at its start or at its end.
+/// Guards against a process that spins, hangs, exits late or exits with the wrong status during its start or
+/// shutdown.
 #[test]
 fn starts_and_ends_with_calls_held_up_and_a_log_that_is_not_read() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -29,17 +31,20 @@
     let mut faults = Vec::new();
     let totals = batch.play(|number, result| match result {
         Ok(report) => {
-            let told =
+            let descriptions =
                 report.faults.iter().map(|fault| format!("start {number}: {fault}; {:?}", report.plan));
-            faults.extend(told);
+            faults.extend(descriptions);
         }
-        Err(error) => faults.push(format!("start {number} could not be played: {error}")),
+        Err(error) => faults.push(format!("start {number} could not be run: {error}")),
     });
     println!("{totals:?}");
     assert!(
         totals.is_clean(),
-        "again with aniseyoke-lab starts --seed {SEED} --first N --starts 1:\n{}",
+        "reproduce with aniseyoke-lab starts --seed {SEED} --first N --starts 1:\n{}",
         faults.join("\n")
     );
-    assert!(totals.held_up > STARTS / 4 && totals.ready > STARTS / 4, "too little was tried: {totals:?}");
+    assert!(
+        totals.held_up > STARTS / 4 && totals.ready > STARTS / 4,
+        "too few starts were ready or delayed: {totals:?}"
+    );
 }
