--- a/crates/lab-capacity/src/slopes/list_calls.rs
+++ b/crates/lab-capacity/src/slopes/list_calls.rs
@@ -40,8 +40,8 @@
 };
 
 fn calls(proxies: usize, nodes: usize) -> Result<Vec<f64>, MeasureError> {
-    let day = Day::open("join")?.squeezed(SQUEEZE);
-    let day = day.sized(proxies, nodes)?;
+    let day = Day::open("join")?.shortened(SQUEEZE);
+    let day = day.resized(proxies, nodes)?;
     let list = ListService {
         paced: false,
         max_per_second: None,
--- a/crates/lab-day/src/lib.rs
+++ b/crates/lab-day/src/lib.rs
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// As [`Day::open`].
-    pub fn sized(mut self, proxies: usize, nodes: usize) -> Result<Day, DayError> {
+    pub fn resized(mut self, proxies: usize, nodes: usize) -> Result<Day, DayError> {
         let scale = nodes as f64 / self.site.cache.count as f64;
         self.site.proxy.count = proxies;
         self.site.cache.count = nodes;
@@ -106,7 +106,7 @@
     }
 
     /// The same day squeezed to a fraction of its length, faults included.
-    pub fn squeezed(mut self, fraction: f64) -> Day {
+    pub fn shortened(mut self, fraction: f64) -> Day {
         self.length = self.length.mul_f64(fraction);
         for fault in &mut self.faults {
             fault.at = fault.at.mul_f64(fraction);
--- a/crates/lab-day/src/tests.rs
+++ b/crates/lab-day/src/tests.rs
@@ -71,6 +71,6 @@
 
 #[test]
 fn a_squeezed_day_keeps_its_faults_within_it() {
-    let day = Day::open("deploy").expect("built in").squeezed(0.5);
+    let day = Day::open("deploy").expect("built in").shortened(0.5);
     assert_eq!((day.length, day.faults[0].at), (Duration::from_secs(15), Duration::from_secs(2)));
 }
--- a/crates/lab-load/src/arrivals.rs
+++ b/crates/lab-load/src/arrivals.rs
@@ -167,7 +167,7 @@
 }
 
 /// A client that disconnects before its response does so after this time.
-pub const ABORTS_AFTER: Duration = Duration::from_millis(15);
+pub const ABORT_DELAY: Duration = Duration::from_millis(15);
 /// An impatient client's wait before it retries.
 const IMPATIENT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
--- a/crates/lab-load/src/client.rs
+++ b/crates/lab-load/src/client.rs
@@ -262,7 +262,7 @@
             note(Observation::Asked { request, class, patience, reused });
         }
         if arrival.behavior == ClientBehavior::AbortsWaiting {
-            sleep(arrivals::ABORTS_AFTER).await;
+            sleep(arrivals::ABORT_DELAY).await;
             note(Observation::Left { request });
             return Exchange::over(AttemptEnd::Left);
         }
--- a/crates/lab-load/src/lib.rs
+++ b/crates/lab-load/src/lib.rs
@@ -7,7 +7,7 @@
 mod stats;
 mod summary;
 
-pub use arrivals::{attempt_limits, retry_delay, Arrival, Arrivals, ClientBehavior, ABORTS_AFTER};
+pub use arrivals::{attempt_limits, retry_delay, Arrival, Arrivals, ClientBehavior, ABORT_DELAY};
 pub use stats::{Goodput, LoadStats, Outcome, OutcomeStats, OUTCOMES};
 pub use summary::{LoadSummary, OutcomeSummary, Percentiles};
 
@@ -46,7 +46,7 @@
 
 impl LoadOptions {
     /// Over so many connections, with the usual grace.
-    pub fn over(connections: usize) -> Self {
+    pub fn new(connections: usize) -> Self {
         LoadOptions { connections, grace: Duration::from_millis(150) }
     }
 }
--- a/crates/lab-process/src/error.rs
+++ b/crates/lab-process/src/error.rs
@@ -15,13 +15,13 @@
     NoSuchFile(PathBuf),
     /// The path of this program is not known.
     #[error("{0}")]
-    OwnProgram(#[source] io::Error),
+    CurrentExe(#[source] io::Error),
     /// Cargo could not be run.
     #[error("cargo build: {0}")]
     Cargo(#[source] io::Error),
     /// Cargo could not build the program.
     #[error("{0} does not build")]
-    DoesNotBuild(String),
+    BuildFailed(String),
     /// There is no such program beside this one.
     #[error("no {name} beside {}; name the file", beside.display())]
     NotFound {
--- a/crates/lab-process/src/find.rs
+++ b/crates/lab-process/src/find.rs
@@ -36,7 +36,7 @@
     if let Some(path) = named {
         return if path.is_file() { Ok(path) } else { Err(ProcessError::NoSuchFile(path)) };
     }
-    let own = std::env::current_exe().map_err(ProcessError::OwnProgram)?;
+    let own = std::env::current_exe().map_err(ProcessError::CurrentExe)?;
     // A test's program is one folder deeper.
     let folders = || own.ancestors().skip(1).take(2);
     let profile = folders().find(|f| f.ends_with("release") || f.ends_with("debug"));
@@ -61,6 +61,6 @@
     if status.success() {
         Ok(())
     } else {
-        Err(ProcessError::DoesNotBuild(name.to_owned()))
+        Err(ProcessError::BuildFailed(name.to_owned()))
     }
 }
--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -110,7 +110,7 @@
         let (clock, evidence) = (self.clock, self.evidence.clone());
         let from = clock.now() + START_DELAY;
         let recorder = move || Recorder::new(clock, evidence);
-        let load = Load::start(day, clock, from, load_balancer, LoadOptions::over(connections), recorder)
+        let load = Load::start(day, clock, from, load_balancer, LoadOptions::new(connections), recorder)
             .map_err(RigError::Load)?;
         Ok((from, load))
     }
@@ -379,7 +379,7 @@
     let name = local_file.map_or(plan.day.clone(), |p| p.display().to_string());
     let day = Day::open(&name)?;
     let nodes = plan.nodes.unwrap_or(day.site.cache.count);
-    let mut day = day.sized(plan.proxies(), nodes)?;
+    let mut day = day.resized(plan.proxies(), nodes)?;
     if let Some(length) = plan.length {
         day.length = length;
     }
--- a/crates/lab-scale/src/play.rs
+++ b/crates/lab-scale/src/play.rs
@@ -139,13 +139,13 @@
     descriptors::raise_limit(plan, seed)?;
     let clock = Clock::start();
     let open = |day: &Day| Site::open(day, clock, move || Recorder::discarding(clock));
-    let day = Day::open("quiet")?.sized(plan.real().max(1), *plan.listed.get_ref())?;
+    let day = Day::open("quiet")?.resized(plan.real().max(1), *plan.listed.get_ref())?;
     let site = open(&day).map_err(ScaleError::Site)?;
     // Hollow proxies poll a discovery endpoint of their own, because the load of thousands would block the real
     // proxies.
     let hollow_site = match *plan.polled.get_ref() {
         0 => None,
-        nodes => Some(open(&day.clone().sized(1, nodes)?).map_err(ScaleError::HollowSite)?),
+        nodes => Some(open(&day.clone().resized(1, nodes)?).map_err(ScaleError::HollowSite)?),
     };
     let links = link::LinkRuntime::start().map_err(ScaleError::Links)?;
     let mut run = Run::new(plan, seed, Children::new(&folder.join("processes.log"))?);
--- a/crates/lab-sim/src/client.rs
+++ b/crates/lab-sim/src/client.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use aniseyoke_lab_day::Idempotency;
-use aniseyoke_lab_load::{attempt_limits, retry_delay, Arrival, ClientBehavior, Outcome, ABORTS_AFTER};
+use aniseyoke_lab_load::{attempt_limits, retry_delay, Arrival, ClientBehavior, Outcome, ABORT_DELAY};
 
 /// A request of a client that has not ended.
 pub struct ClientRequest {
@@ -111,7 +111,7 @@
         self.counts.at(second).into_iter().for_each(|s| s.attempts += 1);
         let proxy = self.choose_proxy(slot);
         if aborts {
-            self.schedule_after(nanos(ABORTS_AFTER), SimEvent::ClientAbort(slot, number));
+            self.schedule_after(nanos(ABORT_DELAY), SimEvent::ClientAbort(slot, number));
         }
         self.arrive(proxy, slot, patience);
     }
--- a/crates/lab-sim/src/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -8,7 +8,7 @@
 
 /// A small day without faults.
 fn still(proxies: usize, nodes: usize, seconds: u64) -> Day {
-    let mut day = Day::open("join").expect("built in").sized(proxies, nodes).expect("sound");
+    let mut day = Day::open("join").expect("built in").resized(proxies, nodes).expect("sound");
     (day.faults, day.load.impatient) = (Vec::new(), None);
     day.length = Duration::from_secs(seconds);
     day
@@ -48,7 +48,7 @@
 
 #[test]
 fn every_attempt_ends_once_with_one_cause() {
-    let mut day = Day::open("join").expect("built in").sized(60, 30).expect("sound").squeezed(0.4);
+    let mut day = Day::open("join").expect("built in").resized(60, 30).expect("sound").shortened(0.4);
     day.load.misbehaving.abort_waiting = 0.1;
     let counts = play(&day, None);
     let (attempts, ended) = (sum(&counts, |s| s.attempts), sum(&counts, |s| s.causes.iter().sum()));
@@ -61,7 +61,7 @@
 /// Danger: attempts of clients that lose patience had usual ones refused unsent, in the whole fleet at once.
 #[test]
 fn a_release_among_impatient_clients_leaves_most_usual_ones_served() {
-    let mut day = Day::open("join").expect("built in").sized(60, 40).expect("sound").squeezed(0.5);
+    let mut day = Day::open("join").expect("built in").resized(60, 40).expect("sound").shortened(0.5);
     day.faults.push(fault(FaultKind::Slow, 0.125, Some(0.5)));
     let counts = play(&day, None);
     let storm = counts.goodput(3..8);
@@ -206,7 +206,7 @@
 
 #[test]
 fn what_cold_nodes_get_of_all_proxies_is_counted_and_within_what_they_are_allowed() {
-    let mut day = Day::open("join").expect("built in").sized(60, 20).expect("sound").squeezed(0.5);
+    let mut day = Day::open("join").expect("built in").resized(60, 20).expect("sound").shortened(0.5);
     for (proxies, unevenness) in [(20, 0.0), (60, 1.2)] {
         day.site.proxy.count = proxies;
         let counts = Sim::new(&day, Options { warm_up: WARM, unevenness, ..Options::default() }).run();
@@ -282,7 +282,7 @@
 #[test]
 fn an_origin_near_its_limit_does_not_stop_under_a_fleet_of_thousands() {
     for seed in [1, 3] {
-        let mut day = Day::open("ledger").expect("built in").sized(2_500, 10).expect("sound");
+        let mut day = Day::open("ledger").expect("built in").resized(2_500, 10).expect("sound");
         day.seed = seed;
         let options = Options { warm_up: Duration::from_secs(30), unevenness: 0.6, ..Options::default() };
         let counts = Sim::new(&day, options).run();
--- a/crates/lab-soak/src/plan.rs
+++ b/crates/lab-soak/src/plan.rs
@@ -121,7 +121,7 @@
     /// If the built-in day is not sound at this size.
     pub fn day(&self) -> Result<Day, DayError> {
         const NODES: usize = 8;
-        let mut day = Day::open(BASE_DAY)?.sized(self.restarts.len(), NODES)?;
+        let mut day = Day::open(BASE_DAY)?.resized(self.restarts.len(), NODES)?;
         day.seed = self.seed;
         day.site.proxy.sockets = 256;
         day.load.rate = self.rate;
--- a/crates/lab-trial/src/lib.rs
+++ b/crates/lab-trial/src/lib.rs
@@ -72,7 +72,7 @@
     let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
     let from = clock.now() + START_DELAY;
     let recorder = move || Recorder::new(clock, load_out);
-    let load = Load::start(day, clock, from, load_balancer.clone(), LoadOptions::over(connections), recorder)
+    let load = Load::start(day, clock, from, load_balancer.clone(), LoadOptions::new(connections), recorder)
         .map_err(TrialError::Load)?;
     site.begin();
     let record = |observed| {
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -102,7 +102,7 @@
                     "--squeeze {fraction} is not a part above 0 and at most 1"
                 )));
             }
-            day = day.squeezed(fraction);
+            day = day.shortened(fraction);
         }
         if let Some(rate) = self.rate {
             if !(rate > 0.0 && rate <= 200_000.0) {
@@ -285,7 +285,7 @@
         clock,
         clock.now() + 10 * MILLISECOND,
         load_balancer,
-        LoadOptions::over(args.connections),
+        LoadOptions::new(args.connections),
         move || Recorder::discarding(clock),
     )
     .map_err(CliError::Load)?;
--- a/crates/lab/src/cli/sim.rs
+++ b/crates/lab/src/cli/sim.rs
@@ -98,7 +98,7 @@
     let day = args.day_args.open()?;
     let (proxies, nodes) =
         (args.proxies.unwrap_or(day.site.proxy.count), args.nodes.unwrap_or(day.site.cache.count));
-    let day = day.sized(proxies, nodes)?;
+    let day = day.resized(proxies, nodes)?;
     let options = options(args)?;
     let left_out = Sim::left_out(&day);
     if !left_out.is_empty() {
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -24,7 +24,7 @@
 
 fn shortened(name: &str, part: f64) -> Report {
     let _alone = alone();
-    let day = Day::open(name).expect("built in").squeezed(part);
+    let day = Day::open(name).expect("built in").shortened(part);
     play(&day)
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn a_thousand_hanging_connections() {
     let _alone = alone();
-    let mut day = Day::open("quiet").expect("built in").squeezed(0.25);
+    let mut day = Day::open("quiet").expect("built in").shortened(0.25);
     day.load.misbehaving.idle_connections = 1000;
     let report = play(&day);
     assert!(report.all.goodput > 0.95, "{}", report.text());
@@ -84,7 +84,7 @@
 #[test]
 fn two_trials_side_by_side_do_not_meet() {
     let _alone = alone();
-    let mut day = Day::open("quiet").expect("built in").squeezed(0.15);
+    let mut day = Day::open("quiet").expect("built in").shortened(0.15);
     day.load.rate = 80.0;
     std::thread::scope(|scope| {
         let other = scope.spawn(|| play(&day));
--- a/crates/lab/tests/versions.rs
+++ b/crates/lab/tests/versions.rs
@@ -90,7 +90,7 @@
     std::fs::write(&file, format!("[control]\nservices = [\"{addr}\"]\n")).expect("written");
     let mut program = Program::new(find_proxy(None).expect("the proxy"));
     program.operator = Some(file);
-    let mut day = Day::open("quiet").expect("built in").squeezed(0.25);
+    let mut day = Day::open("quiet").expect("built in").shortened(0.25);
     day.load.rate = 200.0;
     let report = run(&day, &program, &Options::default()).expect("played");
     stop.store(true, Ordering::Relaxed);
