--- a/crates/lab-process/src/busy_threads.rs
+++ b/crates/lab-process/src/busy_threads.rs
@@ -1,39 +1,39 @@
-//! Load beside a run: threads that do nothing but use processors.
+//! CPU contention for a run: threads that do nothing but use CPU time.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Threads that keep processors busy until this is dropped.
+/// Threads that keep CPU cores busy until this value is dropped.
 pub struct BusyThreads {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl BusyThreads {
-    /// Starts so many.
+    /// Starts `count` threads.
     pub fn start(count: usize) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let spin = |over: Arc<AtomicBool>| {
-            while !over.load(Ordering::Relaxed) {
+        let stop = Arc::new(AtomicBool::new(false));
+        let spin = |stop: Arc<AtomicBool>| {
+            while !stop.load(Ordering::Relaxed) {
                 std::hint::spin_loop();
             }
         };
         let threads = (0..count)
             .map(|_| {
-                let over = over.clone();
-                std::thread::spawn(move || spin(over))
+                let stop = stop.clone();
+                std::thread::spawn(move || spin(stop))
             })
             .collect();
-        BusyThreads { over, threads }
+        BusyThreads { stop, threads }
     }
 }
 
 impl Drop for BusyThreads {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            // A thread that spins can't panic.
+            // The loop of the thread can't panic.
             let _ = thread.join();
         }
     }
--- a/crates/lab-process/src/error.rs
+++ b/crates/lab-process/src/error.rs
@@ -1,64 +1,64 @@
-//! Why a process could not be found, built or started.
+//! Errors in locating, building or starting a process.
 
 use aniseyoke_lab_day::FileError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a process could not be found, built or started.
+/// An error in locating, building or starting a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// A file or folder can't be used.
+    /// A file or directory can't be used.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The program that was named is not there.
+    /// The given executable does not exist.
     #[error("{}: no such file", .0.display())]
     NoSuchFile(PathBuf),
-    /// The path of this program is not known.
+    /// The path of this executable can't be determined.
     #[error("{0}")]
     CurrentExe(#[source] io::Error),
     /// Cargo could not be run.
     #[error("cargo build: {0}")]
     Cargo(#[source] io::Error),
-    /// Cargo could not build the program.
-    #[error("{0} does not build")]
+    /// Cargo could not build the executable.
+    #[error("cargo build of {0} failed")]
     BuildFailed(String),
-    /// There is no such program beside this one.
-    #[error("no {name} beside {}; name the file", beside.display())]
+    /// This executable's directory does not contain the requested one.
+    #[error("no {name} in the directory of {}; give its path", current_exe.display())]
     NotFound {
-        /// The program's name.
+        /// The name of the executable.
         name: String,
-        /// The path of this program.
-        beside: PathBuf,
+        /// The path of this executable.
+        current_exe: PathBuf,
     },
-    /// The listening socket that a child is to inherit can't be copied.
-    #[error("listening socket: {0}")]
+    /// The listening socket that a child inherits can't be duplicated.
+    #[error("cannot duplicate the listening socket: {0}")]
     Listener(#[source] io::Error),
-    /// The child has no standard error to read from.
-    #[error("no standard error")]
+    /// The child has no pipe on its standard error.
+    #[error("the child process has no standard error pipe")]
     NoStandardError,
-    /// The child ended before it told its address.
+    /// The child exited before it logged its address.
     #[error("proxy {index} ({}) did not start, {status}:\n{}", program.display(), last_lines.join("\n"))]
     NotStarted {
-        /// The proxy's number.
+        /// The proxy's index.
         index: usize,
-        /// Its program.
+        /// The path of its executable.
         program: PathBuf,
-        /// How it ended.
+        /// Its exit status.
         status: String,
-        /// Its last lines.
+        /// The last lines of its standard error.
         last_lines: Vec<String>,
     },
-    /// The child did not tell its address in time.
-    #[error("proxy {index} ({}) told no address:\n{}", program.display(), last_lines.join("\n"))]
+    /// The child did not log its address in time.
+    #[error("proxy {index} ({}) did not log its listening address:\n{}", program.display(), last_lines.join("\n"))]
     NoAddress {
-        /// The proxy's number.
+        /// The proxy's index.
         index: usize,
-        /// Its program.
+        /// The path of its executable.
         program: PathBuf,
-        /// Its last lines.
+        /// The last lines of its standard error.
         last_lines: Vec<String>,
     },
-    /// A launcher that starts no child failed.
+    /// A launcher other than [`Program`](crate::Program) failed.
     #[error("{0}")]
     Launcher(&'static str),
 }
--- a/crates/lab-process/src/find.rs
+++ b/crates/lab-process/src/find.rs
@@ -1,4 +1,4 @@
-//! Finds the programs and files that a trial starts with.
+//! Locates the programs and files that a trial needs.
 
 use crate::ProcessError;
 use aniseyoke_lab_day::FileError;
@@ -6,45 +6,46 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Finds an operator file; its absolute path, so that a child in any folder finds it.
+/// Returns the absolute path of an operator file, so that a child process can open it from any working directory.
 ///
 /// # Errors
-/// If there is none of that name.
-pub fn find_file(named: &Path) -> Result<PathBuf, ProcessError> {
-    Ok(named.canonicalize().map_err(FileError::at(named))?)
+/// If the path can't be resolved, for example because there is no such file.
+pub fn find_file(given: &Path) -> Result<PathBuf, ProcessError> {
+    Ok(given.canonicalize().map_err(FileError::at(given))?)
 }
 
-/// Finds the proxy's program: the one named, or the one beside this program, which is built first under cargo.
+/// Locates the proxy's executable: the given path, or the one in this executable's directory. Under cargo the latter is
+/// built first.
 ///
 /// # Errors
-/// Says where it looked.
-pub fn find_proxy(named: Option<PathBuf>) -> Result<PathBuf, ProcessError> {
-    find_program(named, "aniseyoke", "aniseyoke")
+/// If there is no such file, or it can't be built; the error names the path that was searched.
+pub fn find_proxy(given: Option<PathBuf>) -> Result<PathBuf, ProcessError> {
+    find_program(given, "aniseyoke", "aniseyoke")
 }
 
-/// Finds the control service's program in the same way.
+/// Locates the control service's executable in the same way as [`find_proxy`].
 ///
 /// # Errors
-/// Says where it looked.
-pub fn find_control(named: Option<PathBuf>) -> Result<PathBuf, ProcessError> {
-    find_program(named, "aniseyoke-control", "aniseyoke-control")
+/// As [`find_proxy`].
+pub fn find_control(given: Option<PathBuf>) -> Result<PathBuf, ProcessError> {
+    find_program(given, "aniseyoke-control", "aniseyoke-control")
 }
 
-/// Finds a program of this workspace: the one named, or the one beside this program. Under cargo it is built first, in
-/// the same profile, so that the code as it stands is tried.
-fn find_program(named: Option<PathBuf>, package: &str, name: &str) -> Result<PathBuf, ProcessError> {
-    if let Some(path) = named {
+/// Locates an executable of this workspace: the given path, or the one in this executable's directory. Under cargo the
+/// latter is built first, in the same profile, so that the current code is tested.
+fn find_program(given: Option<PathBuf>, package: &str, name: &str) -> Result<PathBuf, ProcessError> {
+    if let Some(path) = given {
         return if path.is_file() { Ok(path) } else { Err(ProcessError::NoSuchFile(path)) };
     }
-    let own = std::env::current_exe().map_err(ProcessError::CurrentExe)?;
-    // A test's program is one folder deeper.
-    let folders = || own.ancestors().skip(1).take(2);
-    let profile = folders().find(|f| f.ends_with("release") || f.ends_with("debug"));
+    let current_exe = std::env::current_exe().map_err(ProcessError::CurrentExe)?;
+    // The executable of a test is one directory deeper (`deps`).
+    let directories = || current_exe.ancestors().skip(1).take(2);
+    let profile = directories().find(|f| f.ends_with("release") || f.ends_with("debug"));
     if let (Some(cargo), Some(profile)) = (std::env::var_os("CARGO"), profile) {
         build(&cargo, profile, package, name)?;
     }
-    let found = folders().find_map(|f| Some(f.join(name)).filter(|path| path.is_file()));
-    found.ok_or_else(|| ProcessError::NotFound { name: name.to_owned(), beside: own.clone() })
+    let found = directories().find_map(|f| Some(f.join(name)).filter(|path| path.is_file()));
+    found.ok_or_else(|| ProcessError::NotFound { name: name.to_owned(), current_exe: current_exe.clone() })
 }
 
 fn build(cargo: &OsStr, profile: &Path, package: &str, name: &str) -> Result<(), ProcessError> {
--- a/crates/lab-process/src/launcher.rs
+++ b/crates/lab-process/src/launcher.rs
@@ -1,36 +1,36 @@
-//! What a trial needs of the proxies that it tests.
+//! The interface between a trial and the proxies under test.
 
 use crate::ProcessError;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Starts the proxies of a trial: a program, or anything else that serves as one.
+/// Starts the proxies of a trial: child processes, or any other implementation.
 pub trait ProxyLauncher {
-    /// Starts proxy `index` by a configuration in the platform's form; `dir` is its own.
+    /// Starts proxy `index` with a configuration in the platform's format; `dir` is the proxy's own directory.
     ///
     /// # Errors
-    /// Says why it did not start, with its last lines.
+    /// If the proxy does not start; the error gives the reason and the last lines that the proxy wrote.
     fn start(&self, index: usize, config: &Value, dir: &Path) -> Result<Box<dyn RunningProxy>, ProcessError>;
 }
 
-/// A proxy that runs.
+/// A running proxy.
 pub trait RunningProxy {
-    /// Where it accepts clients.
+    /// The address on which it accepts clients.
     fn addr(&self) -> SocketAddr;
 
-    /// Its process, if it has one of its own.
+    /// Its process id, if it runs in a process of its own.
     fn pid(&self) -> Option<u32>;
 
-    /// Asks it to end gracefully.
+    /// Requests a graceful shutdown.
     fn terminate(&mut self);
 
-    /// Ends it now.
+    /// Ends it immediately.
     fn kill(&mut self);
 
-    /// Whether it has ended, and how.
+    /// How it ended; `None` while it runs.
     fn ended(&mut self) -> Option<String>;
 
-    /// The last lines that it wrote.
+    /// The last lines that it wrote to its log.
     fn last_lines(&self) -> Vec<String>;
 }
--- a/crates/lab-process/src/lib.rs
+++ b/crates/lab-process/src/lib.rs
@@ -1,4 +1,4 @@
-//! Proxies, and other programs of this workspace, as child processes: found and built, started, watched, ended.
+//! Runs the proxy and other programs of this workspace as child processes: locates, builds, starts, monitors and ends them.
 #![deny(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/lab-process/src/process_log.rs
+++ b/crates/lab-process/src/process_log.rs
@@ -1,12 +1,12 @@
-//! One log file for the lines of all children.
+//! A common log file for the output of all children.
 
 use std::io::Write;
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// A log file for the lines of all children: each with the seconds since the log began, the proxy's number and its
-/// process id.
+/// A log file for the lines of all children. Each line is prefixed with the seconds since the creation of the log, the
+/// proxy's index and its process id.
 #[derive(Clone)]
 pub struct ProcessLog {
     started: Instant,
@@ -26,11 +26,11 @@
     pub(crate) fn write(&self, index: usize, pid: u32, line: &str) {
         let at = self.started.elapsed().as_secs_f64();
         let mut file = self.file.lock().unwrap_or_else(PoisonError::into_inner);
-        // A full disk loses lines of the log, not the experiment.
+        // Errors are ignored: a full disk loses log lines but does not fail the experiment.
         let _ = writeln!(file, "{at:10.3} p{index}[{pid}] {line}");
     }
 
-    /// Writes buffered lines out.
+    /// Flushes buffered lines to the file.
     pub fn flush(&self) {
         let _ = self.file.lock().unwrap_or_else(PoisonError::into_inner).flush();
     }
--- a/crates/lab-process/src/program.rs
+++ b/crates/lab-process/src/program.rs
@@ -1,4 +1,4 @@
-//! A proxy's program, started as a child process.
+//! Starts a proxy's executable as a child process.
 
 use crate::{FileError, ProcessError, ProcessLog, ProxyLauncher, RunningProxy};
 use nix::sys::signal::{kill, Signal};
@@ -14,42 +14,42 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A child tells its address within this time.
-const STARTS_WITHIN: Duration = Duration::from_secs(10);
-/// Lines of a child that are kept, the last ones.
+/// A child must log its listening address within this time.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of lines of a child's output that are retained, the most recent ones.
 const MAX_LINES: usize = 30;
-/// A line is kept up to this length, in bytes.
+/// Longer lines are truncated to this length, in bytes.
 const MAX_LINE_BYTES: usize = 400;
 
-/// The variable that names a proxy's operator file.
+/// Environment variable with the path of a proxy's operator file.
 const OPERATOR_FILE_VARIABLE: &str = "ANISEYOKE_FILE";
 
-/// The variable that names the descriptor of an inherited listening socket.
+/// Environment variable with the descriptor of an inherited listening socket.
 const LISTENER_VARIABLE: &str = "PROXY_FD";
 
-/// The variable that makes a proxy's wall clock wrong.
+/// Environment variable with an offset of a proxy's wall clock.
 const CLOCK_VARIABLE: &str = "ANISEYOKE_CLOCK";
 
-/// A program that reads `PROXY_CONFIG` and writes `listening on ADDR` to standard error.
+/// An executable that reads `PROXY_CONFIG` and writes `listening on ADDR` to standard error.
 pub struct Program {
-    /// The file.
+    /// Path of the executable.
     pub path: PathBuf,
     /// Its arguments.
     pub args: Vec<String>,
-    /// The operator file that it is to read, if any.
+    /// The operator file that it reads, if any.
     pub operator: Option<PathBuf>,
-    /// The listening socket that each proxy inherits, by number; it opens its own where there is none.
+    /// The listening socket that each proxy inherits, by index; a proxy without one opens its own.
     pub listeners: Vec<TcpListener>,
-    /// By how much each proxy's wall clock is wrong, by number; right where there is none.
+    /// Offset of each proxy's wall clock, by index; the clock of a proxy without one is correct.
     pub clock_offsets: Vec<Option<String>>,
-    /// Whether a child is killed when the thread that started it ends, also when this process is killed.
+    /// Whether a child is killed when the thread that started it ends, which includes the kill of this process.
     pub kill_with_parent: bool,
-    /// The log that gets every line of every child as well, in the order they come.
+    /// A log file that receives every line of every child, in order of arrival.
     pub log: Option<ProcessLog>,
 }
 
 impl Program {
-    /// A program without arguments or operator file.
+    /// An executable without arguments or operator file.
     pub fn new(path: PathBuf) -> Self {
         Program {
             path,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Has the child be killed when the thread that starts it ends.
+/// Makes the kernel kill the child when the thread that starts it ends.
 #[allow(unsafe_code)]
 pub fn kill_with_parent(command: &mut Command) {
     use std::os::unix::process::CommandExt;
@@ -88,7 +88,7 @@
 }
 
 impl Program {
-    /// The command for proxy `index`, whose folder is `dir`.
+    /// The command for proxy `index`, whose working directory is `dir`.
     fn command(&self, index: usize, config: &Path, dir: &Path) -> Result<Command, ProcessError> {
         let program = self.path.canonicalize().map_err(FileError::at(&self.path))?;
         let mut command = Command::new(&program);
@@ -108,14 +108,15 @@
     }
 }
 
-/// Reads a child's lines on a thread of its own: keeps the last ones, logs all, and sends the address that it tells.
+/// Reads a child's standard error on a separate thread: retains the last lines, writes all of them to the log, and sends
+/// the listening address.
 fn read_lines(
     stderr: ChildStderr,
     log: Option<ProcessLog>,
     index: usize,
     pid: u32,
 ) -> (LastLines, Receiver<SocketAddr>) {
-    let (lines, (found, addr)) = (LastLines::default(), channel());
+    let (lines, (addr_sender, addr)) = (LastLines::default(), channel());
     let last_lines = lines.clone();
     std::thread::spawn(move || {
         let mut reader = BufReader::new(stderr);
@@ -128,8 +129,8 @@
             }
             let listening = text.split_once("listening on ").and_then(|(_, addr)| addr.trim().parse().ok());
             if let Some(addr) = listening {
-                // Nobody waits for a second one.
-                let _ = found.send(addr);
+                // Only the first address is received; sending a second one fails, which is harmless.
+                let _ = addr_sender.send(addr);
             }
             let mut last_lines = last_lines.lock().unwrap_or_else(PoisonError::into_inner);
             last_lines.push_back(text);
@@ -144,7 +145,8 @@
 impl ProxyLauncher for Program {
     fn start(&self, index: usize, config: &Value, dir: &Path) -> Result<Box<dyn RunningProxy>, ProcessError> {
         std::fs::create_dir_all(dir).map_err(FileError::at(dir))?;
-        // Absolute: the child starts there, so that relative paths in its operator file are its own.
+        // The path is absolute, since the child's working directory is `dir`. Relative paths in its operator file thus
+        // refer to its own directory.
         let dir = dir.canonicalize().map_err(FileError::at(dir))?;
         let file = dir.join("config.json");
         std::fs::write(&file, config.to_string()).map_err(FileError::at(&file))?;
@@ -152,7 +154,7 @@
         let stderr = child.stderr.take().ok_or(ProcessError::NoStandardError)?;
         let (lines, addr) = read_lines(stderr, self.log.clone(), index, child.id());
         let program = self.path.clone();
-        let until = Instant::now() + STARTS_WITHIN;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             match addr.recv_timeout(Duration::from_millis(20)) {
                 Ok(addr) => return Ok(Box::new(ChildProxy { child, addr, lines })),
@@ -161,7 +163,7 @@
                     let last_lines = copy_lines(&lines);
                     return Err(ProcessError::NotStarted { index, program, status, last_lines });
                 }
-                Err(RecvTimeoutError::Timeout) if Instant::now() > until => {
+                Err(RecvTimeoutError::Timeout) if Instant::now() > deadline => {
                     let _ = (child.kill(), child.wait());
                     return Err(ProcessError::NoAddress { index, program, last_lines: copy_lines(&lines) });
                 }
@@ -182,7 +184,7 @@
 
     fn terminate(&mut self) {
         if self.ended().is_none() {
-            // One that has ended meanwhile is noticed by the next poll.
+            // The signal fails if the child has exited meanwhile; the next poll detects the exit.
             let _ = kill(Pid::from_raw(self.child.id() as i32), Signal::SIGTERM);
         }
     }
