--- a/crates/lab-memcached-server/src/lib.rs
+++ b/crates/lab-memcached-server/src/lib.rs
@@ -1,5 +1,5 @@
-//! A stand-in memcached server for the binary protocol. [`Store`] is its behavior without I/O or clock: what each operation
-//! does to the stored values, and its response. [`Server`] serves it on sockets; third-party client libraries are tested
+//! A memcached server for the binary protocol, for tests. [`Store`] implements the operations on the stored values and
+//! their responses, without I/O or a clock. [`Server`] serves a store on sockets; third-party client libraries are tested
 //! against it.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -13,9 +13,9 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// A span of time to live above this, in seconds, is a Unix time: 30 days.
+/// Maximum relative time to live, in seconds: 30 days. Larger values are absolute Unix times.
 const MAX_RELATIVE_EXPIRY: u32 = 60 * 60 * 24 * 30;
-/// The time to live by which a counter must exist already.
+/// Time to live of a counter operation that fails if the counter does not exist.
 const NO_INITIAL_VALUE: u32 = u32::MAX;
 
 /// A stored value.
@@ -23,7 +23,7 @@
 struct Item {
     value: Bytes,
     flags: u32,
-    /// When it expires, as Unix time in seconds; never if none.
+    /// Expiry as Unix time in seconds; `None` if the value does not expire.
     expires_at: Option<u64>,
     cas: u64,
 }
@@ -33,13 +33,13 @@
 pub struct Response {
     /// The status of the request.
     pub status: Status,
-    /// Flags, where a value is given back.
+    /// The flags, if the response contains a value.
     pub extras: Extras,
-    /// The key, where it is asked for.
+    /// The key, if the operation returns it.
     pub key: Bytes,
-    /// The value, or a text.
+    /// The value, or the text of the status.
     pub value: Bytes,
-    /// The version of the value.
+    /// The CAS version of the value.
     pub cas: u64,
 }
 
@@ -54,22 +54,22 @@
     }
 }
 
-/// All stored values of a server.
+/// The stored values of a server.
 pub struct Store {
     items: LruCache<Bytes, Item>,
     max_value_bytes: usize,
     next_cas: u64,
-    /// Requests that changed something, for the auditor.
+    /// Number of requests that changed stored values, for the auditor.
     mutations: u64,
 }
 
 impl Store {
-    /// Stores this many values of at most `max_value_bytes`; the least recently used goes first.
+    /// A store for this many values of at most `max_value_bytes` each; the least recently used is evicted first.
     pub fn new(items: NonZeroUsize, max_value_bytes: usize) -> Self {
         Store { items: LruCache::new(items), max_value_bytes, next_cas: 1, mutations: 0 }
     }
 
-    /// Requests that changed something.
+    /// Number of requests that changed stored values.
     pub fn mutations(&self) -> u64 {
         self.mutations
     }
@@ -94,12 +94,13 @@
         self.next_cas += 1;
         self.mutations += 1;
         let cas = item.cas;
-        // Danger: a key that is a slice of what was read would keep all of that for as long as the value is kept.
+        // The key is copied: a slice of the read buffer would keep the whole buffer allocated as long as the value is
+        // stored.
         self.items.put(Bytes::copy_from_slice(key), item);
         Response::ok(cas)
     }
 
-    /// Applies a request. `now` is Unix time in seconds. Operations on the connection are the caller's.
+    /// Applies a request. `now` is Unix time in seconds. The caller implements operations on the connection, such as quit.
     pub fn apply(&mut self, now: u64, head: &Header, value: Bytes) -> Response {
         let Some(opcode) = head.operation() else { return Response::status_only(Status::Unknown) };
         if value.len() > self.max_value_bytes {
@@ -180,18 +181,18 @@
         }
     }
 
-    fn extend(&mut self, now: u64, head: &Header, opcode: Opcode, more: &[u8]) -> Response {
+    fn extend(&mut self, now: u64, head: &Header, opcode: Opcode, addition: &[u8]) -> Response {
         let Some(item) = self.get(now, &head.key).cloned() else {
             return Response::status_only(Status::NotStored);
         };
         if head.cas != 0 && head.cas != item.cas {
             return Response::status_only(Status::Exists);
         }
-        if item.value.len() + more.len() > self.max_value_bytes {
+        if item.value.len() + addition.len() > self.max_value_bytes {
             return Response::status_only(Status::TooLarge);
         }
-        let both = if opcode == Opcode::Append { [&item.value, more] } else { [more, &item.value] };
-        self.put(&head.key, Item { value: both.concat().into(), ..item })
+        let value = if opcode == Opcode::Append { [&item.value, addition] } else { [addition, &item.value] };
+        self.put(&head.key, Item { value: value.concat().into(), ..item })
     }
 
     fn count(
@@ -216,7 +217,7 @@
         let number =
             std::str::from_utf8(&item.value).ok().and_then(|text| text.trim_end().parse::<u64>().ok());
         let Some(before) = number else { return Response::status_only(Status::NotNumber) };
-        // Up it wraps, down it stops at nothing.
+        // An increment wraps around at 2^64; a decrement stops at 0.
         let after = match opcode {
             Opcode::Increment => before.wrapping_add(delta),
             _ => before.saturating_sub(delta),
--- a/crates/lab-memcached-server/src/server.rs
+++ b/crates/lab-memcached-server/src/server.rs
@@ -1,4 +1,4 @@
-//! A [`Store`] on a socket: a memcached server for the binary protocol, as far as clients can tell.
+//! Serves a [`Store`] on sockets with memcached's binary protocol.
 
 use super::{Response, Store};
 use aniseyoke_memcached::decode::InvalidRequest;
@@ -15,16 +15,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What is read at once, in bytes.
+/// Maximum size of one read, in bytes.
 const READ_SIZE: usize = 16 << 10;
-/// Answers are written once so much of them waits, or nothing more has come, in bytes.
+/// Responses are buffered up to this size, in bytes, or until the input is exhausted, and then written.
 const WRITE_THRESHOLD: usize = 64 << 10;
 
-/// A server that clients connect to.
+/// A memcached server for the binary protocol.
 pub struct Server {
     store: RefCell<Store>,
     limits: Limits,
-    /// Users and their passwords; where there are none, nobody has to show who they are.
+    /// Users and their passwords; if empty, clients do not have to authenticate.
     users: BTreeMap<String, String>,
 }
 
@@ -32,42 +32,42 @@
 struct Session {
     user: Option<String>,
     out: Vec<u8>,
-    /// Nothing more is read.
+    /// Whether the connection closes after the buffered responses; no more input is read.
     closing: bool,
 }
 
 impl Session {
-    fn answer(&mut self, to: &Header, response: &Response) {
+    fn buffer_response(&mut self, to: &Header, response: &Response) {
         let Response { status, extras, key, value, cas } = response;
         let head =
             Header { extras: *extras, key: key.clone(), cas: *cas, ..Header::response_to(to, *status) };
-        // Keys come from packets and values are bounded, so that the format has room for them.
+        // Encoding can't fail: keys come from packets and values are bounded, so that both fit the format.
         let _ = encode::packet(Direction::Response, &head, value, &mut self.out);
     }
 }
 
 impl Server {
-    /// A server of a store whose values are at most `max_value_bytes` long.
+    /// A server for a store whose values are at most `max_value_bytes` long.
     pub fn new(store: Store, max_value_bytes: usize, users: BTreeMap<String, String>) -> Rc<Self> {
         let limits = Limits { max_value_bytes, ..Limits::default() };
         Rc::new(Server { store: RefCell::new(store), limits, users })
     }
 
-    /// Requests that changed something.
+    /// Number of requests that changed stored values.
     pub fn mutations(&self) -> u64 {
         self.store.borrow().mutations()
     }
 
-    /// Serves, for good.
+    /// Accepts and serves connections; never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> Infallible {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let server = self.clone();
-                    // A connection that breaks is its client's matter.
+                    // An I/O error ends only its own connection and is ignored.
                     tokio::task::spawn_local(async move { server.serve_connection(stream).await });
                 }
-                // Danger: without descriptors accept fails at once, and again.
+                // When descriptors run out, accept fails immediately each time; the pause prevents a busy loop.
                 Err(_) => tokio::time::sleep(std::time::Duration::from_millis(20)).await,
             }
         }
@@ -82,11 +82,11 @@
         while !session.closing {
             match decoder.next(&mut input) {
                 Ok(Some(Part::Header(head))) => request = Some((head, None)),
-                Ok(Some(Part::Invalid(head, bad))) => request = Some((head, Some(bad))),
+                Ok(Some(Part::Invalid(head, invalid))) => request = Some((head, Some(invalid))),
                 Ok(Some(Part::Value(part))) => value.extend_from_slice(&part),
                 Ok(Some(Part::End)) => {
-                    if let Some((head, bad)) = request.take() {
-                        self.apply(&mut session, &head, bad, value.split().freeze());
+                    if let Some((head, invalid)) = request.take() {
+                        self.apply(&mut session, &head, invalid, value.split().freeze());
                     }
                 }
                 Ok(None) => {
@@ -97,8 +97,8 @@
                         return Ok(());
                     }
                 }
-                Err(fault) => {
-                    send_last_error(&mut session, fault);
+                Err(error) => {
+                    buffer_final_error(&mut session, error);
                     break;
                 }
             }
@@ -111,66 +111,68 @@
         stream.shutdown().await
     }
 
-    fn apply(&self, session: &mut Session, head: &Header, bad: Option<InvalidRequest>, value: Bytes) {
-        let (opcode, status) = match (head.operation(), bad) {
+    fn apply(&self, session: &mut Session, head: &Header, invalid: Option<InvalidRequest>, value: Bytes) {
+        let (opcode, status) = match (head.operation(), invalid) {
             (Some(opcode), None) => (opcode, None),
             (_, Some(InvalidRequest::UnknownOpcode)) | (None, _) => (Opcode::Noop, Some(Status::Unknown)),
             (Some(opcode), Some(_)) => (opcode, Some(Status::Invalid)),
         };
-        let open_to_all =
+        let allowed_unauthenticated =
             matches!(opcode, Opcode::SaslList | Opcode::SaslAuth | Opcode::SaslStep | Opcode::Version);
-        let unauthenticated = !self.users.is_empty() && session.user.is_none() && !open_to_all;
+        let unauthenticated = !self.users.is_empty() && session.user.is_none() && !allowed_unauthenticated;
         if let Some(status) = status.or(unauthenticated.then_some(Status::AuthError)) {
-            return session.answer(head, &Response::status_only(status));
+            return session.buffer_response(head, &Response::status_only(status));
         }
         match opcode {
             Opcode::SaslList => {
                 let value = Bytes::from_static(sasl::PLAIN_MECHANISM);
-                session.answer(head, &Response { value, ..Response::ok(0) });
+                session.buffer_response(head, &Response { value, ..Response::ok(0) });
             }
             Opcode::SaslAuth | Opcode::SaslStep => {
                 let credentials =
                     sasl::parse_plain(&value).filter(|_| &head.key[..] == sasl::PLAIN_MECHANISM);
-                let user =
-                    credentials.filter(|p| self.users.get(p.user).is_some_and(|right| right == p.password));
+                let user = credentials
+                    .filter(|p| self.users.get(p.user).is_some_and(|expected| expected == p.password));
                 session.user = user.map(|p| p.user.to_owned());
-                let right = session.user.is_some() || self.users.is_empty();
+                let authenticated = session.user.is_some() || self.users.is_empty();
                 let response = Response { value: Bytes::from_static(b"Authenticated"), ..Response::ok(0) };
-                session
-                    .answer(head, &if right { response } else { Response::status_only(Status::AuthError) });
+                session.buffer_response(
+                    head,
+                    &if authenticated { response } else { Response::status_only(Status::AuthError) },
+                );
             }
             Opcode::Stat => self.stat(session, head),
             _ => {
                 let response = self.store.borrow_mut().apply(unix_seconds(), head, value);
                 if semantics::has_response(opcode, response.status) {
-                    session.answer(head, &response);
+                    session.buffer_response(head, &response);
                 }
                 session.closing = opcode.without_quiet() == Opcode::Quit;
             }
         }
     }
 
-    /// A packet for each figure, and one without a key behind them.
+    /// Responds to `stat`: one packet for each statistic, then one without a key.
     fn stat(&self, session: &mut Session, head: &Header) {
-        let figures = [("pid", std::process::id().to_string()), ("cmd_ran", self.mutations().to_string())];
-        for (name, figure) in figures {
-            let (key, value) = (Bytes::from_static(name.as_bytes()), Bytes::from(figure));
-            session.answer(head, &Response { key, value, ..Response::ok(0) });
+        let statistics = [("pid", std::process::id().to_string()), ("cmd_ran", self.mutations().to_string())];
+        for (name, statistic) in statistics {
+            let (key, value) = (Bytes::from_static(name.as_bytes()), Bytes::from(statistic));
+            session.buffer_response(head, &Response { key, value, ..Response::ok(0) });
         }
-        session.answer(head, &Response::ok(0));
+        session.buffer_response(head, &Response::ok(0));
     }
 }
 
-/// The last word on a connection from which nothing more can be read.
-fn send_last_error(session: &mut Session, fault: ProtocolError) {
-    match fault {
-        ProtocolError::TextProtocol => session.out.extend_from_slice(format!("ERROR {fault}\r\n").as_bytes()),
+/// Buffers the final response on a connection whose input can't be decoded any further.
+fn buffer_final_error(session: &mut Session, error: ProtocolError) {
+    match error {
+        ProtocolError::TextProtocol => session.out.extend_from_slice(format!("ERROR {error}\r\n").as_bytes()),
         ProtocolError::ValueTooLarge { opaque, opcode, .. } => {
             let head = Header { opcode, opaque, ..Header::request(Opcode::Noop) };
-            session.answer(&head, &Response::status_only(Status::TooLarge));
+            session.buffer_response(&head, &Response::status_only(Status::TooLarge));
         }
         ProtocolError::InconsistentLengths { .. } => {
-            session.answer(&Header::request(Opcode::Noop), &Response::status_only(Status::Invalid))
+            session.buffer_response(&Header::request(Opcode::Noop), &Response::status_only(Status::Invalid))
         }
         ProtocolError::UnknownMagic(_) | ProtocolError::InvalidResponse => {}
     }
--- a/crates/lab-memcached-server/src/tests.rs
+++ b/crates/lab-memcached-server/src/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn values_are_stored_by_their_conditions_and_go_when_their_time_is_over() {
+fn values_are_stored_conditionally_and_expire() {
     let mut k = store();
     let one = || Bytes::from_static(b"1");
     assert_eq!(k.apply(NOW, &store_value(Opcode::Replace, "k", 0), one()).status, Status::NotFound);
@@ -30,8 +30,8 @@
         (first.status, k.apply(NOW, &store_value(Opcode::Add, "k", 0), one()).status),
         (Status::Ok, Status::Exists)
     );
-    let bound = Header { cas: first.cas + 9, ..store_value(Opcode::Set, "k", 0) };
-    assert_eq!(k.apply(NOW, &bound, one()).status, Status::Exists);
+    let wrong_cas = Header { cas: first.cas + 9, ..store_value(Opcode::Set, "k", 0) };
+    assert_eq!(k.apply(NOW, &wrong_cas, one()).status, Status::Exists);
     assert_eq!(value(&mut k, NOW + 9, "k"), Some("1".into()));
     assert_eq!(value(&mut k, NOW + 10, "k"), None);
     assert_eq!(
@@ -49,25 +49,25 @@
 }
 
 #[test]
-fn counters_wrap_upwards_stop_at_nothing_and_begin_where_they_are_told() {
+fn counters_wrap_on_increment_stop_at_zero_and_start_at_the_initial_value() {
     let mut k = store();
     let count = |opcode, delta, expires| head(opcode, "n", Extras::Counter { delta, initial: 5, expires });
     let read = |response: Response| (response.status, response.value.to_vec());
-    let is = |n: u64| (Status::Ok, n.to_be_bytes().to_vec());
-    let must = count(Opcode::Increment, 1, u32::MAX);
-    assert_eq!(k.apply(NOW, &must, Bytes::new()).status, Status::NotFound);
-    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, 3, 0), Bytes::new())), is(5));
-    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, 3, 0), Bytes::new())), is(8));
-    assert_eq!(read(k.apply(NOW, &count(Opcode::Decrement, 9, 0), Bytes::new())), is(0));
-    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, u64::MAX, 0), Bytes::new())), is(u64::MAX));
-    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, 2, 0), Bytes::new())), is(1));
+    let ok = |n: u64| (Status::Ok, n.to_be_bytes().to_vec());
+    let existing_only = count(Opcode::Increment, 1, u32::MAX);
+    assert_eq!(k.apply(NOW, &existing_only, Bytes::new()).status, Status::NotFound);
+    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, 3, 0), Bytes::new())), ok(5));
+    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, 3, 0), Bytes::new())), ok(8));
+    assert_eq!(read(k.apply(NOW, &count(Opcode::Decrement, 9, 0), Bytes::new())), ok(0));
+    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, u64::MAX, 0), Bytes::new())), ok(u64::MAX));
+    assert_eq!(read(k.apply(NOW, &count(Opcode::Increment, 2, 0), Bytes::new())), ok(1));
     assert_eq!(value(&mut k, NOW, "n"), Some("1".into()));
     k.apply(NOW, &store_value(Opcode::Set, "n", 0), Bytes::from_static(b"one"));
-    assert_eq!(k.apply(NOW, &must, Bytes::new()).status, Status::NotNumber);
+    assert_eq!(k.apply(NOW, &existing_only, Bytes::new()).status, Status::NotNumber);
 }
 
 #[test]
-fn bytes_are_added_at_either_end_touched_and_deleted() {
+fn values_are_appended_prepended_touched_and_deleted() {
     let mut k = store();
     let add = |opcode| head(opcode, "k", Extras::None);
     assert_eq!(k.apply(NOW, &add(Opcode::Append), Bytes::new()).status, Status::NotStored);
--- a/crates/lab-memcached-server/tests/clients.rs
+++ b/crates/lab-memcached-server/tests/clients.rs
@@ -1,4 +1,4 @@
-//! A client library of others against the keeper: what it writes is read, and what is answered it understands.
+//! Tests the server with a third-party client library: the server decodes its requests, and it decodes the responses.
 
 use aniseyoke_lab_memcached_server::{Server, Store};
 use std::collections::{BTreeMap, HashMap};
@@ -10,7 +10,7 @@
 
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// A server on a thread of its own, which ends with the test.
+/// Starts a server on a separate thread, which ends with the test process.
 fn server(users: &[(&str, &str)]) -> SocketAddr {
     let users: BTreeMap<String, String> =
         users.iter().map(|(name, password)| ((*name).to_owned(), (*password).to_owned())).collect();
@@ -41,8 +41,8 @@
     client.append("k", "!").expect("appended");
     client.prepend("k", "a ").expect("prepended");
     assert_eq!(client.get::<String>("k").expect("read"), Some("a value!".into()));
-    assert!(client.add("k", "other", 0).is_err(), "it exists");
-    assert!(client.replace("none", "other", 0).is_err(), "there is none");
+    assert!(client.add("k", "other", 0).is_err(), "the key exists");
+    assert!(client.replace("none", "other", 0).is_err(), "the key does not exist");
     client.set("n", 40, 0).expect("stored");
     assert_eq!(client.increment("n", 3).expect("counted"), 43);
     assert_eq!(client.decrement("n", 50).expect("counted"), 0);
@@ -55,64 +55,64 @@
     assert!(client.stats().expect("told")[0].1.contains_key("cmd_ran"));
 }
 
-/// The library asks with quiet gets and a NOOP behind them: misses stay unanswered.
+/// The library sends quiet gets followed by a NOOP, so that misses get no response.
 #[test]
-fn a_third_party_client_reads_many_keys_at_once_and_stores_by_version() {
+fn a_third_party_client_reads_many_keys_at_once_and_stores_by_cas_version() {
     let client = client(server(&[]), "");
     (0..50).for_each(|n| client.set(&format!("k{n}"), n, 0).expect("stored"));
     let names: Vec<String> = (0..100).map(|n| format!("k{n}")).collect();
-    let asked: Vec<&str> = names.iter().map(String::as_str).collect();
-    let found: HashMap<String, u32> = client.gets(&asked).expect("read");
+    let keys: Vec<&str> = names.iter().map(String::as_str).collect();
+    let found: HashMap<String, u32> = client.gets(&keys).expect("read");
     assert_eq!(found.len(), 50);
     assert!(found.iter().all(|(key, n)| *key == format!("k{n}")));
     let found: HashMap<String, (Vec<u8>, u32, Option<u64>)> = client.gets(&["k1"]).expect("read");
     let version = found["k1"].2.expect("a version");
     assert!(client.cas("k1", "new", 0, version).expect("stored"));
-    assert!(!client.cas("k1", "newer", 0, version).expect("turned down"), "it is another version now");
+    assert!(!client.cas("k1", "newer", 0, version).expect("rejected"), "the version has changed");
 }
 
 #[test]
-fn an_unauthenticated_client_gets_nothing() {
+fn an_unauthenticated_client_is_rejected() {
     let addr = server(&[("acme", "secret")]);
-    let right = client(addr, "acme:secret");
-    right.set("k", "v", 0).expect("stored");
-    assert_eq!(right.get::<String>("k").expect("read"), Some("v".into()));
-    // The library tries again for as long as it may connect, so that little time is given to it.
-    let wrong = memcache::Client::builder()
+    let authenticated = client(addr, "acme:secret");
+    authenticated.set("k", "v", 0).expect("stored");
+    assert_eq!(authenticated.get::<String>("k").expect("read"), Some("v".into()));
+    // The library retries until the connection timeout, which is therefore short.
+    let rejected = memcache::Client::builder()
         .with_connection_timeout(Duration::from_millis(200))
         .add_server(format!("memcache://acme:guess@{addr}?timeout=10&protocol=binary"))
         .and_then(memcache::ClientBuilder::build);
-    assert!(wrong.is_err() || wrong.is_ok_and(|c| c.get::<String>("k").is_err()));
+    assert!(rejected.is_err() || rejected.is_ok_and(|c| c.get::<String>("k").is_err()));
     assert!(client(addr, "").get::<String>("k").is_err());
 }
 
-/// What a client hears that writes these bytes, until its connection ends.
+/// Writes these bytes and returns everything that the server sends until it closes the connection.
 fn response_to(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).expect("connected");
     stream.set_read_timeout(Some(Duration::from_secs(30))).expect("a time-out");
     stream.write_all(bytes).expect("written");
     let mut response_to = Vec::new();
-    stream.read_to_end(&mut response_to).expect("until its end");
+    stream.read_to_end(&mut response_to).expect("read until the connection closes");
     response_to
 }
 
 #[test]
-fn the_text_protocol_and_wrong_lengths_get_one_error_and_a_close() {
+fn the_text_protocol_and_invalid_lengths_get_one_error_and_a_close() {
     let addr = server(&[]);
     let response = String::from_utf8(response_to(addr, b"get k\r\n")).expect("a text");
     assert!(
         response.starts_with("ERROR ") && response.ends_with("\r\n") && response.contains("binary"),
         "{response:?}"
     );
-    let mut lying = vec![0x80, 0x01, 0, 9, 8, 0, 0, 0, 0, 0, 0, 4];
-    lying.extend([0; 12]);
-    assert_eq!(response_to(addr, &lying)[6..8], [0, 4], "invalid");
-    let mut huge = vec![0x80, 0x01, 0, 3, 8, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 5];
-    huge.extend([0; 8]);
-    let response = response_to(addr, &huge);
+    let mut inconsistent = vec![0x80, 0x01, 0, 9, 8, 0, 0, 0, 0, 0, 0, 4];
+    inconsistent.extend([0; 12]);
+    assert_eq!(response_to(addr, &inconsistent)[6..8], [0, 4], "invalid");
+    let mut oversized = vec![0x80, 0x01, 0, 3, 8, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 5];
+    oversized.extend([0; 8]);
+    let response = response_to(addr, &oversized);
     assert_eq!(
         (&response[6..8], &response[12..16]),
         (&[0, 3][..], &[0, 0, 0, 5][..]),
-        "too large, with the client's mark"
+        "too large, with the client's opaque value"
     );
 }
