--- a/crates/lab-day/src/builtin.rs
+++ b/crates/lab-day/src/builtin.rs
@@ -1,6 +1,6 @@
-//! The days that come with the laboratory.
+//! The days that are built into the lab.
 
-/// Name and text of each.
+/// Name and text of each built-in day.
 pub const BUILTIN: [(&str, &str); 10] = [
     ("quiet", include_str!("../days/quiet.toml")),
     ("deploy", include_str!("../days/deploy.toml")),
--- a/crates/lab-day/src/check.rs
+++ b/crates/lab-day/src/check.rs
@@ -1,17 +1,17 @@
-//! Checks a day for values that its file may spell but no site can have. Every problem is reported, not the first alone.
+//! Validates the values of a day after deserialization. All problems are reported, not only the first.
 
 use super::{Class, Day, Fault, FaultKind, Idempotency, MisbehavingClients};
 use std::time::Duration;
 
-// Sizes that a trial on one machine can bear.
+// Limits within which a trial can run on one machine.
 const MAX_LENGTH: Duration = Duration::from_secs(3600);
 const MAX_RATE: f64 = 200_000.0;
 const MAX_NODES: usize = 2_048;
 const MAX_PROXIES: usize = 4_096;
 const MAX_KEYS: u64 = 10_000_000;
-const MAX_IDLE: usize = 8_192;
+const MAX_IDLE_CONNECTIONS: usize = 8_192;
 const MAX_FAULTS: usize = 256;
-const MAX_JOINED: usize = 3_000;
+const MAX_STARTED_NODES: usize = 3_000;
 const MAX_RESPONSE_BYTES: u64 = 32 << 20;
 
 struct Problems(Vec<String>);
@@ -27,7 +27,7 @@
         self.require(
             (0.0..=1.0).contains(&value),
             key,
-            format_args!("{value} is not a part between 0 and 1"),
+            format_args!("{value} is not a fraction between 0 and 1"),
         );
     }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Every problem of a day: its key and the reason.
+/// All problems of a day, each as its key and the reason.
 pub fn problems(day: &Day) -> Vec<String> {
     let mut found = Problems(Vec::new());
     found.require(
@@ -61,11 +61,11 @@
         "trouble",
         format_args!("there are more than {MAX_FAULTS}"),
     );
-    let joined = deploys.saturating_mul(day.site.cache.count);
+    let started_nodes = deploys.saturating_mul(day.site.cache.count);
     found.require(
-        joined <= MAX_JOINED,
+        started_nodes <= MAX_STARTED_NODES,
         "trouble",
-        format_args!("deploys start more than {MAX_JOINED} nodes"),
+        format_args!("deploys start more than {MAX_STARTED_NODES} nodes"),
     );
     for (n, fault) in day.faults.iter().enumerate() {
         check_fault(day, fault, &format!("trouble.{n}"), &mut found);
@@ -80,13 +80,13 @@
     found.count(proxy.memory_mb, 16, 1 << 20, "site.proxy.memory_mb");
     found.count(proxy.sockets, 64, 1 << 20, "site.proxy.sockets");
     found.count(cache.count, 1, MAX_NODES, "site.cache.count");
-    found.require(!cache.kinds.is_empty(), "site.cache.kinds", "there is none");
+    found.require(!cache.kinds.is_empty(), "site.cache.kinds", "the list is empty");
     found.shares_add_up(cache.kinds.iter().map(|k| k.share), "site.cache.kinds");
     for (n, kind) in cache.kinds.iter().enumerate() {
         found.require(
             !kind.name.is_empty() && kind.name != "ledger",
             &format!("site.cache.kinds.{n}.name"),
-            "is taken",
+            "is empty or reserved",
         );
         found.positive(kind.cores, &format!("site.cache.kinds.{n}.cores"));
         found.positive(kind.speed, &format!("site.cache.kinds.{n}.speed"));
@@ -128,7 +128,7 @@
         format_args!("is not within 64 to {MAX_RESPONSE_BYTES}"),
     );
     check_classes(&load.classes, found);
-    found.require(!load.tenants.is_empty(), "load.tenants", "there is none");
+    found.require(!load.tenants.is_empty(), "load.tenants", "the list is empty");
     found.shares_add_up(load.tenants.iter().map(|t| t.share), "load.tenants");
     for (n, tenant) in load.tenants.iter().enumerate() {
         found.positive(tenant.usage, &format!("load.tenants.{n}.usage"));
@@ -146,13 +146,17 @@
 }
 
 fn check_classes(classes: &[Class], found: &mut Problems) {
-    found.require(!classes.is_empty(), "load.classes", "there is none");
+    found.require(!classes.is_empty(), "load.classes", "the list is empty");
     found.shares_add_up(classes.iter().map(|c| c.share), "load.classes");
     for (n, class) in classes.iter().enumerate() {
         let key = |name: &str| format!("load.classes.{n}.{name}");
-        let plain =
+        let valid =
             !class.name.is_empty() && class.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-        found.require(plain, &key("name"), "holds something else than letters, digits and -");
+        found.require(
+            valid,
+            &key("name"),
+            "is empty or contains characters other than letters, digits and -",
+        );
         found.require(!class.work.is_zero(), &key("work"), "is 0");
         found.require(class.latency_objective <= class.deadline, &key("aim"), "is over give_up");
         found.require(!class.deadline.is_zero(), &key("give_up"), "is 0");
@@ -177,9 +181,9 @@
 
 fn check_misbehaving(misbehaving: &MisbehavingClients, found: &mut Problems) {
     found.require(
-        misbehaving.idle_connections <= MAX_IDLE,
+        misbehaving.idle_connections <= MAX_IDLE_CONNECTIONS,
         "load.rude.idle",
-        format_args!("is over {MAX_IDLE}"),
+        format_args!("is over {MAX_IDLE_CONNECTIONS}"),
     );
     for (fraction, name) in [
         (misbehaving.slow_readers, "slow_readers"),
@@ -193,13 +197,13 @@
         + misbehaving.slow_writers
         + misbehaving.abort_sending
         + misbehaving.abort_waiting;
-    found.require(sum <= 1.0, "load.rude", "the parts add up to more than 1");
+    found.require(sum <= 1.0, "load.rude", "the fractions add up to more than 1");
 }
 
 fn check_fault(day: &Day, fault: &Fault, key: &str, found: &mut Problems) {
     use FaultKind::*;
     let kind = fault.kind;
-    found.require(fault.at < day.length, &format!("{key}.at"), "is after the end of the day");
+    found.require(fault.at < day.length, &format!("{key}.at"), "is not before the end of the day");
     found.require(!fault.length.is_zero(), &format!("{key}.for"), "is 0");
     if let Some(fraction) = fault.fraction {
         found.fraction(fraction, &format!("{key}.part"));
@@ -211,10 +215,10 @@
             format_args!("there is no node {node}"),
         );
     }
-    found.require(fault.fraction.is_none() || fault.nodes.is_none(), key, "names both a part and nodes");
+    found.require(fault.fraction.is_none() || fault.nodes.is_none(), key, "sets both `part` and `nodes`");
     let site_wide = matches!(kind, DiscoveryDown | BrownOut | ProxyRoll);
-    let aimed = fault.fraction.is_some() || fault.nodes.is_some();
-    found.require(site_wide || aimed, key, "names neither a part nor nodes");
+    let has_target = fault.fraction.is_some() || fault.nodes.is_some();
+    found.require(site_wide || has_target, key, "sets neither `part` nor `nodes`");
     let size_needed = matches!(kind, Slow | Pieces | BrownOut);
     found.require(!size_needed || fault.size.is_some(), &format!("{key}.size"), "is missing");
     if let Some(size) = fault.size {
@@ -224,7 +228,7 @@
                 found.positive(size, &format!("{key}.size"));
             }
             Pieces => found.require(size >= 1.0, &format!("{key}.size"), "is under 1 byte"),
-            _ => found.require(false, &format!("{key}.size"), "has no meaning for this kind"),
+            _ => found.require(false, &format!("{key}.size"), "does not apply to this kind"),
         }
     }
 }
--- a/crates/lab-day/src/clock.rs
+++ b/crates/lab-day/src/clock.rs
@@ -1,4 +1,5 @@
-//! The clock of a trial, in nanoseconds since its start, shared by site, load and auditor; and draws that depend on a seed alone.
+//! The clock of a trial, in nanoseconds since its start, shared by site, load and auditor; and random values that
+//! depend on a seed alone.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -10,7 +11,7 @@
 /// Nanoseconds in a millisecond.
 pub const MILLISECOND: Nanos = 1_000_000;
 
-/// A monotonic clock, with the Unix time of its start for what is told to proxies.
+/// A monotonic clock, with the Unix time of its start for timestamps that are sent to proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -29,24 +30,24 @@
         self.start.elapsed().as_nanos() as Nanos
     }
 
-    /// A point of this clock on the system's.
+    /// Converts a time of this clock to an `Instant`.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.start + Duration::from_nanos(at)
     }
 
-    /// A point of this clock as Unix time, in milliseconds.
+    /// Converts a time of this clock to Unix time, in milliseconds.
     pub fn unix_ms(&self, at: Nanos) -> u64 {
         self.unix_ms + at / MILLISECOND
     }
 }
 
-/// A span as nanoseconds.
+/// Converts a duration to nanoseconds.
 pub fn nanos(span: Duration) -> Nanos {
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// A well mixed 64-bit value of a seed and two numbers (splitmix64's finalizer): draws that must not depend on the
-/// order in which things happen come from here.
+/// Hashes a seed and two numbers to 64 bits with splitmix64's finalizer, for random values that must not depend on the
+/// order of events.
 pub fn mix(seed: u64, a: u64, b: u64) -> u64 {
     let round = |mut z: u64| {
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -57,7 +58,7 @@
     round(first.wrapping_add(b.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
 
-/// A mixed value as a fraction in [0, 1).
-pub fn unit_fraction(mixed: u64) -> f64 {
-    (mixed >> 11) as f64 / (1u64 << 53) as f64
+/// Converts a hash to a fraction in [0, 1).
+pub fn unit_fraction(hash: u64) -> f64 {
+    (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/lab-day/src/error.rs
+++ b/crates/lab-day/src/error.rs
@@ -1,9 +1,9 @@
-//! What is wrong with a day's file, and the error of a file that can't be used.
+//! Errors in a day's file, and errors in accessing files.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Everything that is wrong with a day's file, one line for each problem.
+/// All problems of a day's file, displayed as one line each.
 #[derive(Debug)]
 pub struct DayError {
     /// The file, or the name of a built-in day.
@@ -23,18 +23,18 @@
 
 impl std::error::Error for DayError {}
 
-/// A file, or a folder, that can't be read, written or created.
+/// A file or directory can't be read, written or created.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct FileError {
-    /// The file.
+    /// The path of the file or directory.
     pub path: PathBuf,
-    /// What the system says.
+    /// The I/O error.
     pub source: std::io::Error,
 }
 
 impl FileError {
-    /// Names the file in an error of the system, for `map_err`.
+    /// Adds the path to an I/O error; for `map_err`.
     pub fn at(path: &Path) -> impl FnOnce(std::io::Error) -> FileError + '_ {
         move |source| FileError { path: path.to_owned(), source }
     }
--- a/crates/lab-day/src/lib.rs
+++ b/crates/lab-day/src/lib.rs
@@ -1,8 +1,8 @@
-//! A site and its day as one TOML file: the machines, the clients and the faults that are injected.
+//! A site and its day, read from a TOML file: the machines, the clients and the injected faults.
 //!
-//! Unknown keys and wrong units are rejected by the reader, impossible values by [`Day::parse`], which reports all of them
-//! at once, each with its key. Names in the file are the users' own; where they differ from the names here, the field
-//! carries a `serde(rename)`.
+//! Deserialization rejects unknown keys and wrong units; [`Day::parse`] rejects invalid values and reports all of them
+//! at once, each with its key. The key names of the file are the users'; where they differ from the field names, the
+//! field has a `serde(rename)`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -29,26 +29,26 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A site, the load on it, and the faults that are injected.
+/// A site, its load, and the injected faults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
     /// A short name.
     pub name: String,
-    /// What the day is about, in a sentence.
+    /// A description of the day, in a sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// For how long requests arrive.
+    /// How long requests arrive.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// Seed of everything random.
+    /// Seed of all random values.
     #[serde(default)]
     pub seed: u64,
     /// The machines.
     pub site: Site,
     /// The clients.
     pub load: Load,
-    /// The faults that are injected.
+    /// The injected faults.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
 }
@@ -57,14 +57,14 @@
     /// Reads a day from a file, or a built-in one by its name.
     ///
     /// # Errors
-    /// Names file, key and reason of every problem found.
+    /// If the file can't be read or is invalid; the error gives the file, key and reason of every problem.
     pub fn open(name: &str) -> Result<Day, DayError> {
         if let Some(text) = builtin(name) {
             return Day::parse(name, text);
         }
         let text = std::fs::read_to_string(Path::new(name)).map_err(|e| {
             let names: Vec<&str> = BUILTIN.iter().map(|(name, _)| *name).collect();
-            let problem = format!("{e}; it is no built-in day either ({})", names.join(", "));
+            let problem = format!("{e}; not a built-in day either ({})", names.join(", "));
             DayError { file: name.to_owned(), problems: vec![problem] }
         })?;
         Day::parse(name, &text)
@@ -105,7 +105,8 @@
         }
     }
 
-    /// The same day squeezed to a fraction of its length, faults included.
+    /// The same day, shortened to a fraction of its length; the times of its faults and of its impatient clients are
+    /// scaled as well.
     pub fn shortened(mut self, fraction: f64) -> Day {
         self.length = self.length.mul_f64(fraction);
         for fault in &mut self.faults {
--- a/crates/lab-day/src/load.rs
+++ b/crates/lab-day/src/load.rs
@@ -1,23 +1,23 @@
-//! The clients of a day: how many requests of which kinds they send, and how they behave.
+//! The clients of a day: the rate and kinds of their requests, and their behavior.
 
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The requests of a day.
+/// The load of a day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second over all proxies, retries not counted.
+    /// Requests per second over all proxies, without retries.
     pub rate: f64,
-    /// The rate rises and falls by this fraction.
+    /// The rate oscillates by this fraction of its mean.
     #[serde(default)]
     pub swing: f64,
-    /// The length of one rise and fall.
+    /// The period of the oscillation.
     #[serde(default = "default_swing_period", rename = "period", with = "humantime_serde")]
     pub swing_period: Duration,
     /// Number of keys.
     pub keys: u64,
-    /// The exponent of their popularity (Zipf).
+    /// The Zipf exponent of the keys' popularity.
     pub zipf: f64,
     /// Mean length of a response, in bytes.
     #[serde(default = "default_response_bytes", rename = "answer_bytes")]
@@ -26,13 +26,13 @@
     pub classes: Vec<Class>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// What clients do after a failed response.
+    /// How clients retry after a failed attempt.
     #[serde(default)]
     pub retries: Retries,
-    /// Clients that are slow, abort, or stay idle.
+    /// Clients that are slow, disconnect early, or stay idle.
     #[serde(default, rename = "rude")]
     pub misbehaving: MisbehavingClients,
-    /// Clients that lose patience for a while.
+    /// Clients with short timeouts and immediate retries for part of the day.
     #[serde(default, rename = "hasty")]
     pub impatient: Option<ImpatientClients>,
 }
@@ -44,20 +44,20 @@
     600
 }
 
-/// Clients that give each of their attempts little time for a while, and retry at once.
+/// Clients that, for part of the day, use a short timeout for each attempt and retry immediately.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ImpatientClients {
-    /// From when their requests are due.
+    /// When the period begins; requests that are due in it can be impatient.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// For how long.
+    /// The length of the period.
     #[serde(with = "humantime_serde", rename = "for")]
     pub length: Duration,
-    /// The fraction of the clients that is impatient.
+    /// The fraction of the requests whose client is impatient.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// The time that they give each attempt.
+    /// The timeout of each attempt.
     #[serde(rename = "try", with = "humantime_serde")]
     pub attempt_timeout: Duration,
     /// Retries after the first attempt.
@@ -65,16 +65,16 @@
     pub max_retries: u32,
 }
 
-/// Whether a request of a class may be executed again.
+/// Whether requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Repeated execution is harmless.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It carries an idempotency key, by which repeats are dropped for a time.
+    /// The request has an idempotency key, by which the origin drops repeated requests for a limited time.
     #[serde(rename = "keyed")]
     WithKey,
-    /// It must never be executed twice.
+    /// The request must never be executed twice.
     #[serde(rename = "unsafe")]
     NotIdempotent,
 }
@@ -87,10 +87,10 @@
     pub name: String,
     /// Fraction of the traffic.
     pub share: f64,
-    /// Whether it may be executed again.
+    /// Whether its requests may be executed more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Whether it writes.
+    /// Whether its requests are writes.
     #[serde(default)]
     pub write: bool,
     /// Mean work of a request, on a core of speed 1.
@@ -99,16 +99,16 @@
     /// Standard deviation of the work over its mean (log-normal).
     #[serde(default = "default_work_spread")]
     pub work_spread: f64,
-    /// A response counts as good up to here.
+    /// Responses within this latency count as good.
     #[serde(rename = "aim", with = "humantime_serde")]
     pub latency_objective: Duration,
-    /// The client gives up here.
+    /// The client gives up after this time.
     #[serde(rename = "give_up", with = "humantime_serde")]
     pub deadline: Duration,
     /// Priority weight of a request.
     #[serde(rename = "worth")]
     pub weight: f64,
-    /// Mean length of a written body, in bytes.
+    /// Mean length of a write's body, in bytes.
     #[serde(default)]
     pub body_bytes: u64,
 }
@@ -117,15 +117,15 @@
     1.0
 }
 
-/// A tenant with its part of the traffic.
+/// A tenant and its share of the traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name in the header.
+    /// Its name in the `X-Account` header.
     pub name: String,
     /// Fraction of the traffic that it is entitled to.
     pub share: f64,
-    /// What it sends, as a multiple of that.
+    /// The traffic that it sends, as a multiple of its share.
     #[serde(default = "default_usage")]
     pub usage: f64,
 }
@@ -134,20 +134,21 @@
     1.0
 }
 
-/// What clients do after a failed response.
+/// How clients retry after a failed attempt.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retries {
     /// Retries after the first attempt.
     #[serde(rename = "most")]
     pub max_retries: u32,
-    /// The wait before the first retry; it doubles with each, and is drawn between half and all of that.
+    /// The backoff before the first retry. It doubles with each retry; the actual delay is drawn from half the backoff
+    /// to all of it.
     #[serde(rename = "wait", with = "humantime_serde")]
     pub initial_backoff: Duration,
     /// Fraction of the clients that honor `Retry-After`.
     #[serde(rename = "heed")]
     pub honor_retry_after: f64,
-    /// An attempt is given up after this fraction of the class's deadline.
+    /// The timeout of an attempt, as a fraction of the class's deadline.
     #[serde(rename = "try_part")]
     pub attempt_timeout_fraction: f64,
 }
@@ -163,11 +164,11 @@
     }
 }
 
-/// Clients that are slow, abort, or stay idle.
+/// Clients that are slow, disconnect early, or stay idle.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MisbehavingClients {
-    /// Connections that are opened at the start and never used.
+    /// Number of connections that are opened at the start and never used.
     #[serde(rename = "idle")]
     pub idle_connections: usize,
     /// Fraction of the requests whose client reads slowly.
--- a/crates/lab-day/src/settings.rs
+++ b/crates/lab-day/src/settings.rs
@@ -1,4 +1,4 @@
-//! A day's settings: a proxy's configuration in the platform's form, and the decision module's settings.
+//! Settings derived from a day: a proxy's configuration in the platform's format, and the decision module's settings.
 
 use super::{Day, Idempotency};
 use crate::clock::nanos;
@@ -6,33 +6,33 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A tenant's quota over what it is expected to send.
+/// Ratio of a tenant's quota to its share of the request rate.
 const QUOTA_HEADROOM: f64 = 1.3;
 
-/// A member in discovery's form.
+/// A member as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its id, never used twice.
+    /// Its id, which is never reused.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     /// Its kind of machine.
     pub kind: String,
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// Its last start as Unix time in milliseconds, 0 for long ago.
+    /// Its last start as Unix time in milliseconds; 0 if it started long ago.
     pub started_ms: u64,
 }
 
 impl Member {
-    /// As an entry of discovery's list.
+    /// Its entry in discovery's list.
     pub fn json(&self) -> Value {
         json!({"id": self.id, "addr": self.addr.to_string(), "zone": "hall", "kind": self.kind, "cell": 0,
                "state": self.state, "weight": 1.0, "started_ms": self.started_ms})
     }
 }
 
-/// The configuration of proxy `index`, in the platform's form; `initial_list` is the endpoint list that it starts with.
+/// The configuration of proxy `index` in the platform's format; `initial_list` is its initial endpoint list.
 pub fn proxy_config(day: &Day, index: usize, discovery: SocketAddr, initial_list: &Value) -> Value {
     let class = |c: &super::Class| {
         let idempotency = match c.idempotency {
@@ -45,7 +45,7 @@
                "late_value": 0.0, "value": c.weight, "stream": false})
     };
     let classes: Vec<Value> = day.load.classes.iter().map(class).collect();
-    // The quota is a tenant's share of the rate with some headroom.
+    // The quota is the tenant's share of the request rate with some headroom.
     let quota = |share: f64| day.load.rate * share * QUOTA_HEADROOM;
     let tenants: Vec<Value> = (day.load.tenants.iter())
         .map(|t| json!({"name": t.name, "quota_rps": quota(t.share), "fraction": t.share}))
--- a/crates/lab-day/src/site.rs
+++ b/crates/lab-day/src/site.rs
@@ -20,17 +20,17 @@
     pub discovery: DiscoveryDelays,
 }
 
-/// The proxies, and the limits that each is told to keep.
+/// The proxies, and the resource limits in the configuration of each.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyLimits {
     /// Number of proxies.
     pub count: usize,
-    /// Memory, in MB.
+    /// Memory of a proxy, in MB.
     pub memory_mb: usize,
-    /// Descriptors.
+    /// Descriptors of a proxy.
     pub sockets: usize,
-    /// For how long the load balancer still sends connections to a dead proxy.
+    /// How long the load balancer still sends connections to a dead proxy.
     #[serde(rename = "notice", with = "humantime_serde")]
     pub detection_delay: Duration,
 }
@@ -52,7 +52,7 @@
     /// Cores of a machine.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Speed of a core, relative to the one in which work is given.
+    /// Speed of a core; work is given for a core of speed 1.
     pub speed: f64,
 }
 
@@ -86,10 +86,10 @@
     /// Fraction of its capacity that a node starts with.
     #[serde(default = "default_initial_capacity", rename = "cold_from")]
     pub initial_capacity: f64,
-    /// A node has its whole capacity after this time.
+    /// A node reaches its full capacity after this time.
     #[serde(default = "default_warm_up", rename = "cold", with = "humantime_serde")]
     pub warm_up: Duration,
-    /// A cold node goes down when it is sent more than this multiple of its present capacity...
+    /// A cold node fails if it receives more than this multiple of its current capacity...
     #[serde(default = "default_overload_multiple", rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// ...within this time.
@@ -98,7 +98,7 @@
     /// Fraction of the responses that are errors.
     #[serde(default, rename = "errors")]
     pub error_rate: f64,
-    /// Queued work is dropped when its proxy cancels the attempt; work in progress never is.
+    /// Whether queued work is dropped when the proxy cancels its attempt; work in progress never is.
     #[serde(default, rename = "drops_queued")]
     pub cancels_queued: bool,
 }
@@ -143,7 +143,7 @@
     /// Work of a fetch as a multiple of the work of a hit.
     #[serde(default = "default_fetch_work")]
     pub fetch_work: f64,
-    /// It goes down when it is sent more than this multiple of its capacity...
+    /// It fails if it receives more than this multiple of its capacity...
     #[serde(default = "default_overload_multiple", rename = "stop_multiple")]
     pub overload_multiple: f64,
     /// ...within this time.
@@ -152,7 +152,7 @@
     /// It stays down for this time.
     #[serde(default = "default_outage", rename = "stopped", with = "humantime_serde")]
     pub outage: Duration,
-    /// Repeats of an idempotency key are dropped for this time.
+    /// Requests that repeat an idempotency key are dropped for this time.
     #[serde(default = "default_dedup_window", rename = "repeats", with = "humantime_serde")]
     pub dedup_window: Duration,
 }
@@ -176,17 +176,17 @@
     Duration::from_secs(6)
 }
 
-/// How long discovery takes to list a change.
+/// The delays with which discovery lists changes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoveryDelays {
     /// The shortest time from a change to its listing.
     #[serde(rename = "lag_least", with = "humantime_serde")]
     pub min_lag: Duration,
-    /// The longest.
+    /// The longest time from a change to its listing.
     #[serde(rename = "lag_most", with = "humantime_serde")]
     pub max_lag: Duration,
-    /// The longest time until a machine that has gone silent is taken off the list.
+    /// The longest time until a machine that stops responding is removed from the list.
     #[serde(with = "humantime_serde")]
     pub silent_lag: Duration,
     /// A proxy that does not poll for this long counts as notified.
--- a/crates/lab-day/src/tests.rs
+++ b/crates/lab-day/src/tests.rs
@@ -1,4 +1,4 @@
-//! What a day's file may say and what it is told when it may not.
+//! Tests which day files are accepted, and the errors for those that are rejected.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn every_built_in_day_is_sound_and_bears_its_own_name() {
+fn every_built_in_day_is_valid_and_has_its_own_name() {
     for (name, text) in BUILTIN {
         let day = Day::parse(name, text).unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(day.name, name);
@@ -17,20 +17,20 @@
 }
 
 #[test]
-fn a_key_that_is_not_known_is_refused_with_its_place() {
+fn an_unknown_key_is_rejected_with_its_position() {
     let problem = problems(&QUIET.replace("rate =", "rats ="));
     assert!(problem[0].contains("rats") && problem[0].contains("line"), "{problem:?}");
 }
 
 #[test]
-fn a_wrong_unit_is_refused_with_its_place() {
+fn a_wrong_unit_is_rejected_with_its_position() {
     let problem = problems(&QUIET.replace("length = \"20s\"", "length = \"20 parsecs\""));
     assert!(problem[0].contains("parsecs") && problem[0].contains("line 3"), "{problem:?}");
 }
 
-/// Danger: who mends one fault and starts again for the next gives up on the third.
+/// Guards against errors that are reported one at a time, so that each correction needs another run.
 #[test]
-fn all_impossible_values_are_reported_at_once_each_with_its_key() {
+fn all_invalid_values_are_reported_at_once_each_with_its_key() {
     let text = QUIET
         .replace("rate = 250", "rate = -1")
         .replace("count = 10", "count = 0")
@@ -54,9 +54,9 @@
     );
 }
 
-/// Danger: every node that a deploy starts needs an address of its own.
+/// Guards against a site that runs out of addresses: each node that a deploy starts needs its own.
 #[test]
-fn more_deploys_than_a_site_has_addresses_for_are_refused() {
+fn more_deploys_than_a_site_has_addresses_for_are_rejected() {
     let deploy = "\n[[trouble]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"1s\"\npart = 1.0\n".repeat(301);
     let problems = problems(&(QUIET.to_owned() + &deploy));
     assert_eq!(problems.len(), 2, "{problems:?}");
@@ -64,13 +64,13 @@
 }
 
 #[test]
-fn a_day_that_is_nowhere_names_those_that_are() {
+fn the_error_for_an_unknown_day_lists_the_built_in_days() {
     let error = Day::open("no-such-day").expect_err("nowhere").to_string();
     assert!(error.contains("no-such-day") && error.contains("chuseok"), "{error}");
 }
 
 #[test]
-fn a_squeezed_day_keeps_its_faults_within_it() {
+fn a_shortened_day_scales_the_times_of_its_faults() {
     let day = Day::open("deploy").expect("built in").shortened(0.5);
     assert_eq!((day.length, day.faults[0].at), (Duration::from_secs(15), Duration::from_secs(2)));
 }
--- a/crates/lab-memcached-server/src/lib.rs
+++ b/crates/lab-memcached-server/src/lib.rs
@@ -1,6 +1,6 @@
 //! A memcached server for the binary protocol, for tests. [`Store`] implements the operations on the stored values and
-//! their responses, without I/O or a clock. [`Server`] serves a store on sockets; third-party client libraries are tested
-//! against it.
+//! their responses, without I/O or a clock. [`Server`] serves a store on sockets; third-party client libraries are
+//! tested against it.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -100,7 +100,8 @@
         Response::ok(cas)
     }
 
-    /// Applies a request. `now` is Unix time in seconds. The caller implements operations on the connection, such as quit.
+    /// Applies a request. `now` is Unix time in seconds. Operations on the connection, such as quit, are left to the
+    /// caller.
     pub fn apply(&mut self, now: u64, head: &Header, value: Bytes) -> Response {
         let Some(opcode) = head.operation() else { return Response::status_only(Status::Unknown) };
         if value.len() > self.max_value_bytes {
--- a/crates/lab-process/src/lib.rs
+++ b/crates/lab-process/src/lib.rs
@@ -1,4 +1,5 @@
-//! Runs the proxy and other programs of this workspace as child processes: locates, builds, starts, monitors and ends them.
+//! Runs the proxy and other programs of this workspace as child processes: locates, builds, starts, monitors and ends
+//! them.
 #![deny(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/lab-process/src/program.rs
+++ b/crates/lab-process/src/program.rs
@@ -108,8 +108,8 @@
     }
 }
 
-/// Reads a child's standard error on a separate thread: retains the last lines, writes all of them to the log, and sends
-/// the listening address.
+/// Reads a child's standard error on a separate thread: retains the last lines, writes all of them to the log, and
+/// sends the listening address.
 fn read_lines(
     stderr: ChildStderr,
     log: Option<ProcessLog>,
