--- a/crates/lab-load/src/arrivals.rs
+++ b/crates/lab-load/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals, drawn ahead by the day's seed: they do not wait for responses, and no response changes them.
+//! Open-loop arrivals, drawn in advance from the day's seed: they depend on no response.
 
 use aniseyoke_lab_day::clock::{mix, nanos, unit_fraction, Nanos};
 use aniseyoke_lab_day::{Day, MisbehavingClients};
@@ -8,33 +8,33 @@
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
-/// How a client behaves.
+/// How a client reads and writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientBehavior {
     /// Well behaved.
     Normal,
-    /// It reads slowly.
+    /// The client reads slowly.
     SlowReader,
-    /// It writes its request in pieces.
+    /// The client writes its request in parts, with pauses.
     SlowWriter,
-    /// It disconnects in the middle of its request.
+    /// The client disconnects in the middle of its request.
     AbortsSending,
-    /// It disconnects before its response.
+    /// The client disconnects before its response.
     AbortsWaiting,
 }
 
-/// A client's request, as it arrives for the first time.
+/// A client's request, without its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number, from 0.
+    /// Its index, from 0.
     pub number: u64,
-    /// When it is due.
+    /// The time at which it is due.
     pub due: Nanos,
-    /// Its class, as the day numbers them.
+    /// The index of its class in the day.
     pub class: usize,
-    /// Its tenant.
+    /// The index of its tenant in the day.
     pub tenant: usize,
-    /// The key that it asks for.
+    /// The requested key.
     pub key: u64,
     /// The length of its body, in bytes.
     pub body: usize,
@@ -42,18 +42,18 @@
     pub behavior: ClientBehavior,
     /// Whether its client honors `Retry-After`.
     pub honors_retry_after: bool,
-    /// Whether its client gives each attempt little time, and retries at once.
+    /// Whether its client uses short attempt timeouts and retries immediately.
     pub impatient: bool,
 }
 
-/// All arrivals of a day, in order of time.
+/// All arrivals of a day, in order of due time.
 pub struct Arrivals {
     day: Day,
     key_space: KeySpace,
     rng: Xoshiro256PlusPlus,
     number: u64,
     at: f64,
-    /// The day itself begins this long after the first arrivals.
+    /// Length of the warm-up: the day itself begins this long after the start of the arrivals.
     warm_up: Nanos,
 }
 
@@ -63,7 +63,8 @@
         Arrivals::with_warm_up(day, Duration::ZERO)
     }
 
-    /// The arrivals of a day before which its load runs for a while; times are counted from the start of that.
+    /// The arrivals of a day that is preceded by a warm-up with the same load; due times count from the start of the
+    /// warm-up.
     pub fn with_warm_up(day: &Day, warm_up: Duration) -> Self {
         let rng = Xoshiro256PlusPlus::seed_from_u64(mix(day.seed, 0x10ad, 0));
         Arrivals {
@@ -76,38 +77,38 @@
         }
     }
 
-    /// The rate at a time, in arrivals a nanosecond.
+    /// The rate at a time, in arrivals per nanosecond.
     fn rate(&self, at: f64) -> f64 {
         let load = &self.day.load;
-        let turn = at / nanos(load.swing_period) as f64 * std::f64::consts::TAU;
-        load.rate * (1.0 + load.swing * turn.sin()) / 1e9
+        let phase = at / nanos(load.swing_period) as f64 * std::f64::consts::TAU;
+        load.rate * (1.0 + load.swing * phase.sin()) / 1e9
     }
 }
 
-/// Draws an index by its weight.
-fn draw_weighted(mut drawn: f64, weights: impl Iterator<Item = f64>) -> usize {
+/// Returns the index at which the cumulative weight exceeds `sample`, or the last one.
+fn draw_weighted(mut sample: f64, weights: impl Iterator<Item = f64>) -> usize {
     let mut last = 0;
     for (n, weight) in weights.enumerate() {
         last = n;
-        drawn -= weight;
-        if drawn < 0.0 {
+        sample -= weight;
+        if sample < 0.0 {
             break;
         }
     }
     last
 }
 
-fn behavior(drawn: f64, misbehaving: &MisbehavingClients) -> ClientBehavior {
+fn behavior(sample: f64, misbehaving: &MisbehavingClients) -> ClientBehavior {
     let behaviors = [
         (misbehaving.slow_readers, ClientBehavior::SlowReader),
         (misbehaving.slow_writers, ClientBehavior::SlowWriter),
         (misbehaving.abort_sending, ClientBehavior::AbortsSending),
         (misbehaving.abort_waiting, ClientBehavior::AbortsWaiting),
     ];
-    let mut left = drawn;
+    let mut remaining = sample;
     for (fraction, behavior) in behaviors {
-        left -= fraction;
-        if left < 0.0 {
+        remaining -= fraction;
+        if remaining < 0.0 {
             return behavior;
         }
     }
@@ -118,7 +119,8 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        // Thinning: candidates come at the highest rate, and each is kept by the rate of its time.
+        // Thinning: candidates are drawn at the maximum rate, and each is accepted with a probability of the current
+        // rate over the maximum.
         let max_rate = self.day.load.rate * (1.0 + self.day.load.swing) / 1e9;
         loop {
             let gap: f64 = Exp1.sample(&mut self.rng);
@@ -156,22 +158,23 @@
     }
 }
 
-/// The id of a client's attempt, unique within the day.
+/// The id of a client's attempt, which is unique within the day.
 pub fn request_id(day: &Day, arrival: &Arrival, attempt_number: u32) -> u64 {
     mix(day.seed ^ 0x1d5, arrival.number, u64::from(attempt_number))
 }
 
-/// A random number in [0, 1) for a client's attempt, which depends on nothing else.
+/// A random number in [0, 1) that depends only on the seed, the arrival and the attempt.
 pub fn draw(day: &Day, arrival: &Arrival, attempt_number: u32) -> f64 {
     unit_fraction(mix(day.seed ^ 0xd4a3, arrival.number, u64::from(attempt_number)))
 }
 
-/// A client that disconnects before its response does so after this time.
+/// A client that disconnects before its response does so this long after it sent its request.
 pub const ABORT_DELAY: Duration = Duration::from_millis(15);
-/// An impatient client's wait before it retries.
+/// An impatient client's delay before a retry.
 const IMPATIENT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// How long a client waits after a failed attempt before the next; `retry_after` is the advice that it honors, if any.
+/// The delay between a client's failed attempt and the next one; `retry_after` is the `Retry-After` value that it
+/// honors, if any.
 pub fn retry_delay(
     day: &Day,
     arrival: &Arrival,
@@ -186,14 +189,14 @@
     retry_after.map_or(backoff, |retry_after| retry_after.max(backoff))
 }
 
-/// How often a client may retry, and how long it waits for one attempt when this much of its time is left.
-pub fn attempt_limits(day: &Day, arrival: &Arrival, left: Nanos) -> (u32, Nanos) {
+/// The maximum number of a client's retries, and the timeout of an attempt with this much time left to the deadline.
+pub fn attempt_limits(day: &Day, arrival: &Arrival, time_left: Nanos) -> (u32, Nanos) {
     let retries = &day.load.retries;
     match day.load.impatient.as_ref().filter(|_| arrival.impatient) {
-        Some(impatient) => (impatient.max_retries, left.min(nanos(impatient.attempt_timeout))),
+        Some(impatient) => (impatient.max_retries, time_left.min(nanos(impatient.attempt_timeout))),
         None => {
             let deadline = nanos(day.load.classes[arrival.class].deadline) as f64;
-            (retries.max_retries, left.min((deadline * retries.attempt_timeout_fraction) as Nanos))
+            (retries.max_retries, time_left.min((deadline * retries.attempt_timeout_fraction) as Nanos))
         }
     }
 }
--- a/crates/lab-load/src/arrivals/tests.rs
+++ b/crates/lab-load/src/arrivals/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_day_is_planned_twice_the_same_and_otherwise_by_another_seed() {
+fn arrivals_are_the_same_for_the_same_seed_and_differ_for_another() {
     let mut day = Day::open("silence").expect("built in");
     let first: Vec<Arrival> = Arrivals::new(&day).collect();
     assert_eq!(first, Arrivals::new(&day).collect::<Vec<_>>());
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn a_plan_has_the_rate_the_classes_and_the_tenants_of_its_day() {
+fn arrivals_have_the_rate_classes_and_tenants_of_their_day() {
     let day = Day::open("quiet").expect("built in");
     let arrivals: Vec<Arrival> = Arrivals::new(&day).collect();
-    let wanted = day.load.rate * day.length.as_secs_f64();
-    assert!((arrivals.len() as f64 / wanted - 1.0).abs() < 0.05, "{} of {wanted}", arrivals.len());
+    let expected = day.load.rate * day.length.as_secs_f64();
+    assert!((arrivals.len() as f64 / expected - 1.0).abs() < 0.05, "{} of {expected}", arrivals.len());
     for (n, tenant) in day.load.tenants.iter().enumerate() {
-        let unit_fraction = arrivals.iter().filter(|a| a.tenant == n).count() as f64 / arrivals.len() as f64;
-        assert!((unit_fraction - tenant.share).abs() < 0.03, "{unit_fraction} for {}", tenant.name);
+        let fraction = arrivals.iter().filter(|a| a.tenant == n).count() as f64 / arrivals.len() as f64;
+        assert!((fraction - tenant.share).abs() < 0.03, "{fraction} for {}", tenant.name);
     }
     let lookups = arrivals.iter().filter(|a| a.class == 0).count() as f64 / arrivals.len() as f64;
     assert!((lookups - 0.93).abs() < 0.02, "{lookups}");
--- a/crates/lab-load/src/client.rs
+++ b/crates/lab-load/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: one task for each request that is due, with its attempts and the connections that they use.
+//! Clients: one task per due request, which makes its attempts over pooled connections.
 
 use super::arrivals::{self, Arrival, ClientBehavior};
 use super::stats::{LoadStats, Outcome};
@@ -19,17 +19,17 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A connection that is not established by then is given up.
-const CONNECT_WITHIN: Duration = Duration::from_millis(1000);
-/// The wait before the next attempt to connect.
+/// Timeout of establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay after a failed connect before the next one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// A slow writer's pause between two parts of its request.
 const SLOW_WRITER_PAUSE: Duration = Duration::from_millis(120);
-/// The parts of a slow writer's request.
+/// Number of parts in which a slow writer writes its request.
 const SLOW_WRITER_PARTS: usize = 4;
-/// How slowly a slow reader reads.
+/// The pace of a slow reader.
 const SLOW_READER: ReadPace = ReadPace(200, Duration::from_millis(15));
-/// A client that is slow itself waits this much longer.
+/// A slow reader waits this much longer for its response.
 const SLOW_GRACE: Duration = Duration::from_secs(2);
 
 struct Connection {
@@ -42,21 +42,21 @@
 pub struct Clients {
     pub day: Day,
     pub clock: Clock,
-    /// When the load began.
+    /// Start of the load.
     from: Nanos,
     pub load_balancer: Arc<LoadBalancer>,
     pub recorder: Recorder,
     pub stats: RefCell<LoadStats>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: Cell<usize>,
     idle: RefCell<VecDeque<Connection>>,
-    /// A client waits this much longer than it announces before it gives up.
+    /// A client waits this much longer than the time left that it sends before it gives up.
     grace: Duration,
-    /// Limits the connections in use at once.
+    /// Limits the number of connections in use.
     connection_slots: Semaphore,
 }
 
-/// How a client's attempt ended.
+/// The result of a client's attempt.
 enum AttemptEnd {
     Answered { status: u16, retry_after: Option<Duration> },
     Unanswered,
@@ -65,24 +65,24 @@
     Left,
 }
 
-/// What came of one request over one connection.
+/// The result of one request over one connection.
 struct Exchange {
     end: AttemptEnd,
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused.
     reusable: bool,
-    /// Whether the proxy closed the connection without a byte.
+    /// Whether the proxy closed the connection without sending a byte.
     closed_silently: bool,
 }
 
 impl Exchange {
-    /// The connection is of no further use.
-    fn over(end: AttemptEnd) -> Self {
+    /// An exchange after which the connection can't be reused.
+    fn new(end: AttemptEnd) -> Self {
         Exchange { end, reusable: false, closed_silently: false }
     }
 }
 
 impl Clients {
-    /// Clients of a day that begins at `from`, by these options.
+    /// Clients of a day that begins at `from`.
     pub fn new(
         day: &Day,
         clock: Clock,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// One request from its due time to its end, with all its attempts.
+    /// Processes one request from its due time to its end, with all its attempts.
     pub async fn request(self: Rc<Self>, arrival: Arrival) {
         self.in_flight.set(self.in_flight.get() + 1);
         let class = &self.day.load.classes[arrival.class];
@@ -126,7 +126,7 @@
             if matches!(outcome, Outcome::Served | Outcome::Late | Outcome::Left) {
                 break;
             }
-            // The client does not know whether a request that is not idempotent was executed, and does not retry.
+            // The client can't determine whether a request that is not idempotent was executed, so it does not retry it.
             let may_have_run = class.idempotency == Idempotency::NotIdempotent && outcome != Outcome::Refused;
             if may_have_run && outcome != Outcome::Unreachable {
                 break;
@@ -134,12 +134,12 @@
             sleep(wait).await;
         }
         let latency = self.clock.now().saturating_sub(arrival.due);
-        let since = arrival.due - self.from;
-        self.stats.borrow_mut().add(arrival.class, arrival.tenant, outcome, since, latency, class.weight);
+        let offset = arrival.due - self.from;
+        self.stats.borrow_mut().add(arrival.class, arrival.tenant, outcome, offset, latency, class.weight);
         self.in_flight.set(self.in_flight.get() - 1);
     }
 
-    /// What an attempt's end means for the request, and how long the client waits before its next attempt.
+    /// The outcome of the request if this attempt is its last, and the delay before the next attempt.
     fn classify(
         &self,
         ended: AttemptEnd,
@@ -168,19 +168,20 @@
     }
 
     async fn attempt(&self, arrival: &Arrival, class: &Class, number: u32, patience: Nanos) -> AttemptEnd {
-        // Danger: connections are few; the other requests wait for one with their time running.
+        // The number of connections is limited; requests that wait for one still run against their deadlines.
         let Ok(_slot) = self.connection_slots.acquire().await else { return AttemptEnd::Unreachable };
         let sent = self.clock.now();
         let id = arrivals::request_id(&self.day, arrival, number);
         let text = self.request_text(arrival, class, id, patience);
-        // A close that crosses a request on a connection used before: the client sends it once more on a new one.
-        for again in [false, true] {
-            let Some(mut connection) = self.connection(again, sent + patience).await else {
+        // The proxy may close a reused connection just as the request is sent; the client then resends it once on a
+        // new connection.
+        for resend in [false, true] {
+            let Some(mut connection) = self.connection(resend, sent + patience).await else {
                 return AttemptEnd::Unreachable;
             };
-            if number == 0 && !again {
-                let late = self.clock.now().saturating_sub(arrival.due) / 1000;
-                self.stats.borrow_mut().lateness.saturating_record(late.max(1));
+            if number == 0 && !resend {
+                let lateness_us = self.clock.now().saturating_sub(arrival.due) / 1000;
+                self.stats.borrow_mut().lateness.saturating_record(lateness_us.max(1));
             }
             let reused = connection.used;
             connection.used = true;
@@ -188,7 +189,7 @@
             if exchange.reusable {
                 self.idle.borrow_mut().push_back(connection);
             }
-            if exchange.closed_silently && reused && !again {
+            if exchange.closed_silently && reused && !resend {
                 continue;
             }
             return exchange.end;
@@ -218,7 +219,7 @@
         text.into_bytes()
     }
 
-    /// An idle connection, or a new one, until `end`.
+    /// An idle connection, or a new one; `None` if none is established by `end`.
     async fn connection(&self, new: bool, end: Nanos) -> Option<Connection> {
         if !new {
             while let Some(mut connection) = { self.idle.borrow_mut().pop_front() } {
@@ -229,7 +230,7 @@
         }
         loop {
             let (proxy, addr) = self.load_balancer.pick();
-            match timeout(CONNECT_WITHIN, TcpStream::connect(addr)).await {
+            match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
                 Ok(Ok(stream)) => {
                     return Some(Connection { http: HttpConnection::new(stream), proxy, used: false })
                 }
@@ -256,7 +257,7 @@
         note(Observation::Began { request, proxy });
         let written = write(http, arrival.behavior, text).await;
         if arrival.behavior == ClientBehavior::AbortsSending {
-            return Exchange::over(AttemptEnd::Left);
+            return Exchange::new(AttemptEnd::Left);
         }
         if written.is_ok() {
             note(Observation::Asked { request, class, patience, reused });
@@ -264,7 +265,7 @@
         if arrival.behavior == ClientBehavior::AbortsWaiting {
             sleep(arrivals::ABORT_DELAY).await;
             note(Observation::Left { request });
-            return Exchange::over(AttemptEnd::Left);
+            return Exchange::new(AttemptEnd::Left);
         }
         let slow = arrival.behavior == ClientBehavior::SlowReader;
         http.read_pace = slow.then_some(SLOW_READER);
@@ -275,14 +276,14 @@
         match read {
             Err(_) => {
                 note(Observation::GaveUp { request });
-                Exchange::over(AttemptEnd::Unanswered)
+                Exchange::new(AttemptEnd::Unanswered)
             }
             Ok(Err(_)) => {
-                // A request whose last byte was not written was not accepted.
+                // A request that was not completely written was not accepted.
                 if written.is_ok() {
                     note(Observation::Broken { request, partial: partial.get() });
                 }
-                Exchange { closed_silently: !partial.get(), ..Exchange::over(AttemptEnd::Broken) }
+                Exchange { closed_silently: !partial.get(), ..Exchange::new(AttemptEnd::Broken) }
             }
             Ok(Ok(Response { status, digest, retry_after, closes })) => {
                 note(Observation::Answered { request, status, digest });
@@ -290,7 +291,7 @@
                     note(Observation::Surplus { request });
                 }
                 let reusable = !closes && !http.has_buffered_input() && written.is_ok();
-                Exchange { reusable, ..Exchange::over(AttemptEnd::Answered { status, retry_after }) }
+                Exchange { reusable, ..Exchange::new(AttemptEnd::Answered { status, retry_after }) }
             }
         }
     }
@@ -312,17 +313,17 @@
     }
 }
 
-/// A whole response.
+/// A complete response.
 struct Response {
     status: u16,
-    /// A digest of its body.
+    /// Digest of its body.
     digest: u64,
     retry_after: Option<Duration>,
     /// Whether the connection closes after it.
     closes: bool,
 }
 
-/// Reads a response; `partial` is set once a part of it has come.
+/// Reads a response; `partial` is set when a part of it has arrived.
 async fn read(http: &mut HttpConnection, partial: &Cell<bool>) -> io::Result<Response> {
     let head = http.read_response().await;
     partial.set(http.has_buffered_input() || head.as_ref().is_ok_and(|head| head.is_some()));
--- a/crates/lab-load/src/lib.rs
+++ b/crates/lab-load/src/lib.rs
@@ -1,4 +1,5 @@
-//! Clients in open loop: arrivals are drawn ahead and released when they are due, whatever has been answered by then.
+//! An open-loop load generator: arrivals are drawn in advance and released when they are due, regardless of earlier
+//! responses.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -27,42 +28,42 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Requests in flight at once at most; beyond that arrivals are not sent, and the trial is void.
+/// Maximum number of requests in flight. Arrivals beyond it are not sent, which makes the trial invalid.
 const MAX_IN_FLIGHT: usize = 20_000;
-/// Arrivals that may wait between the releasing thread and the clients.
+/// Capacity of the queue from the releasing thread to the clients, in arrivals.
 const MAX_RELEASED: usize = 1 << 14;
-/// A closed idle connection is opened again after this time.
+/// An idle connection that was closed is reopened after this time.
 const REOPEN_IDLE_AFTER: Duration = Duration::from_secs(1);
 
-/// How a load is sent.
+/// Options of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOptions {
-    /// Connections in use at once at most.
+    /// Maximum number of connections in use.
     pub connections: usize,
-    /// A client waits this much longer than it announces before it gives up: for the network, and the lateness of this
-    /// machine.
+    /// A client waits this much longer than the time left that it sends before it gives up, to allow for the network
+    /// and scheduling delays of this machine.
     pub grace: Duration,
 }
 
 impl LoadOptions {
-    /// Over so many connections, with the usual grace.
+    /// Options with this number of connections and a grace of 150 ms.
     pub fn new(connections: usize) -> Self {
         LoadOptions { connections, grace: Duration::from_millis(150) }
     }
 }
 
-/// The progress of a running load, for others to read.
+/// The progress of a running load, shared with other threads.
 #[derive(Default)]
 pub struct Progress {
-    /// Arrivals released so far.
+    /// Number of arrivals released so far.
     pub released: AtomicU64,
-    /// Requests that have ended.
+    /// Number of requests that have ended.
     pub ended: AtomicU64,
-    /// Set to end the load early; requests in flight still end.
+    /// Set to end the load early; requests in flight are still completed.
     pub stop: AtomicBool,
 }
 
-/// A running load, on threads of its own.
+/// A running load, on its own threads.
 pub struct Load {
     /// Its progress.
     pub progress: Arc<Progress>,
@@ -70,10 +71,10 @@
 }
 
 impl Load {
-    /// Starts the load of a day at `from` on the clock, by these options.
+    /// Starts the load of a day at time `from` of the clock.
     ///
     /// # Errors
-    /// If the system lacks threads.
+    /// If a thread or the runtime can't be created.
     pub fn start(
         day: &Day,
         clock: Clock,
@@ -84,15 +85,15 @@
     ) -> io::Result<Load> {
         let progress = Arc::<Progress>::default();
         let (released, arrivals) = mpsc::channel(MAX_RELEASED);
-        let (planned, shared) = (day.clone(), progress.clone());
-        let releasing = move || release_on_time(&planned, clock, from, &shared, &released);
+        let (shared_day, shared) = (day.clone(), progress.clone());
+        let releasing = move || release_on_time(&shared_day, clock, from, &shared, &released);
         std::thread::Builder::new().name("pace".into()).spawn(releasing)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let (day, counted) = (day.clone(), progress.clone());
+        let (day, shared_progress) = (day.clone(), progress.clone());
         let run = move || {
             let clients = Clients::new(&day, clock, from, load_balancer, recorder(), options);
             let local = tokio::task::LocalSet::new();
-            local.block_on(&runtime, release(clients.clone(), from, arrivals, counted));
+            local.block_on(&runtime, release(clients.clone(), from, arrivals, shared_progress));
             drop(local);
             clients.recorder.flush();
             let stats = clients.stats.borrow().clone();
@@ -107,13 +108,14 @@
         self.thread.is_finished()
     }
 
-    /// Waits for the end and returns what was counted.
+    /// Waits for the end of the load and returns its statistics.
     pub fn finish(self) -> LoadStats {
         self.thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
     }
 }
 
-/// Releases each arrival when it is due. It has a thread of its own, since a runtime's timers are good to a millisecond only.
+/// Releases each arrival when it is due. It runs on its own thread, since a runtime's timers are only accurate to a
+/// millisecond.
 fn release_on_time(
     day: &Day,
     clock: Clock,
@@ -140,11 +142,11 @@
     mut arrivals: mpsc::Receiver<Arrival>,
     progress: Arc<Progress>,
 ) {
-    let flushing = clients.clone();
+    let flush_clients = clients.clone();
     tokio::task::spawn_local(async move {
         loop {
             sleep(Duration::from_millis(50)).await;
-            flushing.recorder.flush();
+            flush_clients.recorder.flush();
         }
     });
     for _ in 0..clients.day.load.misbehaving.idle_connections {
@@ -161,21 +163,22 @@
             progress.ended.fetch_add(1, Ordering::Relaxed);
         });
     }
-    // Retries may take their class's whole time; nothing takes longer than that and the slow clients' grace.
-    let longest = clients.day.load.classes.iter().map(|c| nanos(c.deadline)).max().unwrap_or(0);
-    let end = clients.clock.now().max(from + nanos(clients.day.length)) + 2 * longest + 5 * SECOND;
+    // Requests with retries can last up to the deadline of their class; none lasts longer than that plus the grace of
+    // slow clients.
+    let max_deadline = clients.day.load.classes.iter().map(|c| nanos(c.deadline)).max().unwrap_or(0);
+    let end = clients.clock.now().max(from + nanos(clients.day.length)) + 2 * max_deadline + 5 * SECOND;
     while clients.in_flight.get() > 0 && clients.clock.now() < end {
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A connection that is opened and never used, and opened again when the proxy has closed it.
+/// Opens a connection without using it, and reopens it when the proxy has closed it.
 async fn idle(clients: Rc<Clients>) {
     loop {
         let (_, addr) = clients.load_balancer.pick();
         if let Ok(mut stream) = TcpStream::connect(addr).await {
             let mut byte = [0; 64];
-            // Whatever comes, an error among it, is read to the end of the connection.
+            // Any input, such as an error response, is read until the connection closes.
             while stream.read(&mut byte).await.is_ok_and(|n| n > 0) {}
             clients.stats.borrow_mut().idle_closed += 1;
         }
--- a/crates/lab-load/src/stats.rs
+++ b/crates/lab-load/src/stats.rs
@@ -1,29 +1,29 @@
-//! What the clients counted: outcomes and latencies by class and tenant, and the load tool's own error.
+//! Statistics of the clients: outcomes and latencies by class and tenant, and the load generator's own lateness.
 
 use aniseyoke_lab_day::clock::{Nanos, SECOND};
 use aniseyoke_lab_day::Day;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// How a request ended, over all its attempts. Reports use these names.
+/// The outcome of a request over all its attempts. Reports use these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
     /// Served within its latency objective.
     Served,
-    /// Served, but late.
+    /// Served after its latency objective.
     Late,
-    /// Rejected; a retry is harmless.
+    /// Rejected without being executed; a retry is harmless.
     Refused,
-    /// Failed.
+    /// Answered with another error status.
     Failed,
-    /// No response came.
+    /// No response arrived in time.
     Unanswered,
-    /// The connection ended without a whole response.
+    /// The connection closed before a complete response.
     Broken,
     /// No connection could be established.
     Unreachable,
-    /// The client disconnected by itself.
+    /// The client disconnected of its own accord.
     Left,
 }
 
@@ -39,12 +39,12 @@
     Outcome::Left,
 ];
 
-/// Latencies in microseconds, up to a minute, to 1%.
+/// A histogram of latencies in microseconds, up to one minute, with a precision of 1%.
 fn latencies() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 2).expect("sound bounds")
+    Histogram::new_with_bounds(1, 60_000_000, 2).expect("valid bounds")
 }
 
-/// Priority weight of requests: served within the latency objective, and offered. Written as a pair.
+/// Priority weight of requests: served within the latency objective, and offered. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Goodput {
@@ -66,7 +66,7 @@
         self.good += if outcome == Outcome::Served { weight } else { 0.0 };
     }
 
-    /// The sum over several seconds.
+    /// The sum over several intervals.
     pub fn sum(seconds: &[Goodput]) -> Goodput {
         seconds.iter().fold(Goodput::default(), |sum, second| Goodput {
             good: sum.good + second.good,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Weight served within the latency objective over weight offered; 1 if nothing was offered.
+    /// Ratio of the weight served within the latency objective to the weight offered; 1 if nothing was offered.
     pub fn ratio(self) -> f64 {
         if self.offered > 0.0 {
             self.good / self.offered
@@ -84,18 +84,18 @@
     }
 }
 
-/// What was counted for one class or one tenant.
+/// Statistics of one class or tenant, or of all requests.
 #[derive(Clone, Debug)]
 pub struct OutcomeStats {
-    /// Its name.
+    /// The name of the class or tenant.
     pub name: String,
     /// Requests by outcome, in the order of [`OUTCOMES`].
     pub outcomes: [u64; OUTCOMES.len()],
-    /// Latency of what was served, from the time that it was due, in microseconds.
+    /// Latency of served requests from their due time, in microseconds.
     pub served: Histogram<u64>,
-    /// Latency of what ended otherwise.
+    /// Latency of requests with other outcomes, in microseconds.
     pub other: Histogram<u64>,
-    /// Priority weight of its requests.
+    /// Priority weight of the requests.
     pub weight: Goodput,
 }
 
@@ -116,60 +116,60 @@
         let served = matches!(outcome, Outcome::Served | Outcome::Late);
         let histogram = if served { &mut self.served } else { &mut self.other };
         histogram.saturating_record((latency / 1000).max(1));
-        // A client that disconnects has asked for nothing.
+        // A request whose client disconnected counts neither as offered nor as good.
         if outcome != Outcome::Left {
             self.weight.add(outcome, weight);
         }
     }
 
-    /// Requests in all.
+    /// Total number of requests.
     pub fn requests(&self) -> u64 {
         self.outcomes.iter().sum()
     }
 
-    /// Requests with this outcome.
+    /// Number of requests with this outcome.
     pub fn count(&self, outcome: Outcome) -> u64 {
         OUTCOMES.iter().position(|o| *o == outcome).map_or(0, |n| self.outcomes[n])
     }
 
-    /// Weight served within the latency objective over weight offered.
+    /// Ratio of the weight served within the latency objective to the weight offered.
     pub fn goodput(&self) -> f64 {
         self.weight.ratio()
     }
 }
 
-/// Everything that the clients counted.
+/// All statistics of the clients.
 #[derive(Clone, Debug)]
 pub struct LoadStats {
-    /// Over all.
+    /// Over all requests.
     pub all: OutcomeStats,
     /// By class, in the day's order.
     pub classes: Vec<OutcomeStats>,
     /// By tenant, in the day's order.
     pub tenants: Vec<OutcomeStats>,
-    /// How much later than due a first attempt's first byte was written, in microseconds.
+    /// Delay from a request's due time to the first byte of its first attempt, in microseconds.
     pub lateness: Histogram<u64>,
     /// Priority weight of requests by the second in which they were due.
     pub seconds: Vec<Goodput>,
     /// Requests by the second in which they were due and by outcome, in the order of [`OUTCOMES`].
     pub outcomes: Vec<[u64; OUTCOMES.len()]>,
-    /// Attempts of clients, first ones and retries.
+    /// Number of attempts, including first attempts and retries.
     pub attempts: u64,
-    /// Arrivals that were not sent because too many were in flight. A trial with any is void.
+    /// Arrivals that were not sent because too many requests were in flight. A trial with any of these is invalid.
     pub not_sent: u64,
-    /// Idle connections that the proxies closed.
+    /// Number of idle connections that the proxies closed.
     pub idle_closed: u64,
 }
 
 impl LoadStats {
-    /// Nothing counted yet, for a day.
+    /// Empty statistics for a day.
     pub fn new(day: &Day) -> Self {
         LoadStats {
             all: OutcomeStats::new("all"),
             classes: day.load.classes.iter().map(|c| OutcomeStats::new(&c.name)).collect(),
             tenants: day.load.tenants.iter().map(|t| OutcomeStats::new(&t.name)).collect(),
             lateness: latencies(),
-            // One more for what is due at the very end.
+            // One more second, for requests that are due exactly at the end.
             seconds: vec![Goodput::default(); day.length.as_secs() as usize + 1],
             outcomes: vec![[0; OUTCOMES.len()]; day.length.as_secs() as usize + 1],
             attempts: 0,
@@ -178,22 +178,22 @@
         }
     }
 
-    /// Counts a request that has ended; `since` is when it was due, from the start of the load.
+    /// Counts a request that has ended; `offset` is its due time from the start of the load.
     pub fn add(
         &mut self,
         class: usize,
         tenant: usize,
         outcome: Outcome,
-        since: Nanos,
+        offset: Nanos,
         latency: Nanos,
         weight: f64,
     ) {
         if let Some(second) =
-            self.seconds.get_mut((since / SECOND) as usize).filter(|_| outcome != Outcome::Left)
+            self.seconds.get_mut((offset / SECOND) as usize).filter(|_| outcome != Outcome::Left)
         {
             second.add(outcome, weight);
         }
-        if let Some(counts) = self.outcomes.get_mut((since / SECOND) as usize) {
+        if let Some(counts) = self.outcomes.get_mut((offset / SECOND) as usize) {
             counts[OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(0)] += 1;
         }
         self.all.add(outcome, latency, weight);
--- a/crates/lab-load/src/stats/tests.rs
+++ b/crates/lab-load/src/stats/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_what_is_served_in_time_counts_as_good_and_who_leaves_counts_for_nothing() {
+fn only_requests_served_within_the_objective_count_as_good_and_aborted_ones_are_excluded() {
     let day = Day::open("quiet").expect("built in");
     let mut stats = LoadStats::new(&day);
     stats.add(0, 0, Outcome::Served, 0, 5_000_000, 2.0);
--- a/crates/lab-load/src/summary.rs
+++ b/crates/lab-load/src/summary.rs
@@ -1,4 +1,4 @@
-//! What clients counted, as reports tell it.
+//! Summaries of the clients' statistics, for reports.
 
 use super::stats::{LoadStats, OutcomeStats, OUTCOMES};
 use hdrhistogram::Histogram;
@@ -10,11 +10,11 @@
 pub struct Percentiles {
     /// The median.
     pub p50_ms: f64,
-    /// 90% are below it.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 99% are below it.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
@@ -26,18 +26,18 @@
     }
 }
 
-/// What was counted for one class, one tenant, or all.
+/// Summary of one class or tenant, or of all requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct OutcomeSummary {
-    /// Its name.
+    /// The name of the class or tenant, or `all`.
     pub name: String,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: u64,
-    /// Requests by outcome; those that did not occur are left out.
+    /// Requests by outcome; outcomes that did not occur are omitted.
     pub outcomes: BTreeMap<String, u64>,
-    /// Weight served within the latency objective over weight offered.
+    /// Ratio of the weight served within the latency objective to the weight offered.
     pub goodput: f64,
-    /// Latency of what was served, from the time it was due.
+    /// Latency of served requests from their due time.
     pub served: Percentiles,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What the clients counted, summarized.
+/// Summary of the clients' statistics.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadSummary {
     /// Over all requests.
--- a/crates/lab-memcached-server/tests/clients.rs
+++ b/crates/lab-memcached-server/tests/clients.rs
@@ -14,7 +14,7 @@
 fn server(users: &[(&str, &str)]) -> SocketAddr {
     let users: BTreeMap<String, String> =
         users.iter().map(|(name, password)| ((*name).to_owned(), (*password).to_owned())).collect();
-    let (send_addr, response) = std::sync::mpsc::channel();
+    let (send_addr, addr) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async move {
@@ -24,7 +24,7 @@
             Server::new(store, MAX_VALUE_BYTES, users).serve(listener).await
         });
     });
-    response.recv().expect("started")
+    addr.recv().expect("started")
 }
 
 fn client(addr: SocketAddr, user: &str) -> memcache::Client {
