--- a/crates/lab-sim/src/tests.rs
+++ b/crates/lab-sim/src/tests.rs
@@ -8,7 +8,7 @@
 
 /// A small day without faults and without impatient clients.
 fn quiet_day(proxies: usize, nodes: usize, seconds: u64) -> Day {
-    let mut day = Day::open("join").expect("built in").sized(proxies, nodes).expect("sound");
+    let mut day = Day::open("join").expect("built in").resized(proxies, nodes).expect("sound");
     (day.faults, day.load.impatient) = (Vec::new(), None);
     day.length = Duration::from_secs(seconds);
     day
@@ -48,7 +48,7 @@
 
 #[test]
 fn every_attempt_ends_once_with_one_cause() {
-    let mut day = Day::open("join").expect("built in").sized(60, 30).expect("sound").squeezed(0.4);
+    let mut day = Day::open("join").expect("built in").resized(60, 30).expect("sound").shortened(0.4);
     day.load.misbehaving.abort_waiting = 0.1;
     let counts = play(&day, None);
     let (attempts, ended) = (sum(&counts, |s| s.attempts), sum(&counts, |s| s.causes.iter().sum()));
@@ -62,7 +62,7 @@
 /// unsent at all proxies at once.
 #[test]
 fn a_release_with_impatient_clients_keeps_most_regular_requests_served() {
-    let mut day = Day::open("join").expect("built in").sized(60, 40).expect("sound").squeezed(0.5);
+    let mut day = Day::open("join").expect("built in").resized(60, 40).expect("sound").shortened(0.5);
     day.faults.push(fault(FaultKind::Slow, 0.125, Some(0.5)));
     let counts = play(&day, None);
     let release_goodput = counts.goodput(3..8);
@@ -216,7 +216,7 @@
 
 #[test]
 fn requests_of_all_proxies_to_cold_nodes_stay_within_the_slow_start_budget() {
-    let mut day = Day::open("join").expect("built in").sized(60, 20).expect("sound").squeezed(0.5);
+    let mut day = Day::open("join").expect("built in").resized(60, 20).expect("sound").shortened(0.5);
     for (proxies, unevenness) in [(20, 0.0), (60, 1.2)] {
         day.site.proxy.count = proxies;
         let counts = Sim::new(&day, Options { warm_up: WARM_UP, unevenness, ..Options::default() }).run();
@@ -294,7 +294,7 @@
 #[test]
 fn an_origin_near_its_limit_does_not_stop_under_a_fleet_of_thousands() {
     for seed in [1, 3] {
-        let mut day = Day::open("ledger").expect("built in").sized(2_500, 10).expect("sound");
+        let mut day = Day::open("ledger").expect("built in").resized(2_500, 10).expect("sound");
         day.seed = seed;
         let options = Options { warm_up: Duration::from_secs(30), unevenness: 0.6, ..Options::default() };
         let counts = Sim::new(&day, options).run();
