--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: one subcommand for each kind of run.
+//! The command-line interface, with one subcommand for each kind of run.
 
 mod capacity;
 mod chaos;
@@ -27,7 +27,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// aniseyoke's laboratory: an emulated site, a load tool and an auditor, on loopback.
+/// aniseyoke's laboratory: an emulated site, a load generator and an auditor, on the loopback interface.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -37,58 +37,59 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day before the real proxy: site, load and audit; 1 is returned if a rule was broken.
+    /// Run a day against the real proxy, with site, load and audit; exits with 1 if a rule was broken.
     Try(trial::TryArgs),
-    /// Play a day before the proxy and before a bare pass-through in turn, and compare what they cost.
+    /// Run a day against the proxy and against a minimal pass-through in turn, and compare their costs.
     Compare(trial::CompareArgs),
-    /// Play a day at several multiples of its rate, before one or more builds, and plot goodput against load.
+    /// Run a day at several multiples of its rate, against one or more builds, and plot goodput against load.
     Sweep(trial::SweepArgs),
-    /// Play a day in simulated time, with the decision module of each proxy of a whole fleet.
+    /// Run a day in simulated time, with the decision module of each proxy of a fleet.
     Sim(sim::SimArgs),
-    /// Play an experiment of the fault rig: real proxies, relays on every link, faults by a schedule.
+    /// Run an experiment of the fault rig: real proxies, relays on every link, scheduled faults.
     Chaos(chaos::ChaosArgs),
-    /// Restart real proxies under load, as seeds decide: signals in series, crowds, hanging nodes, the earliest kill.
+    /// Restart real proxies under load, determined by seeds: series of signals, crowds of clients, hanging nodes,
+    /// kills as early as possible.
     Soak(soak::SoakArgs),
-    /// Start and end the real proxy many times, with calls held up and a log that is not read, as a seed decides.
+    /// Start and stop the real proxy many times, with delayed system calls and an unread log, determined by a seed.
     Starts(starts::StartsArgs),
-    /// Play a scale experiment: real proxies beside hollow ones, purges and changes, before one control service or relays.
+    /// Run a scale experiment: real and hollow proxies, purges and changes, with one control service or with relays.
     Scale(scale::ScaleArgs),
-    /// Publish versions of the configuration to a fleet of real proxies, and measure what they take.
+    /// Publish versions of the configuration to a fleet of real proxies, and measure their costs.
     Versions(versions::VersionsArgs),
-    /// Measure what one more node, change, route, proxy or request costs each role, and fit it.
+    /// Measure and fit the cost of one more node, change, route, proxy or request in each role.
     Slopes(slopes::SlopesArgs),
-    /// Work the capacity page out from slopes and runs, or check that it says what they say.
+    /// Generate the capacity page from slopes and runs, or check that it matches them.
     Capacity(capacity::CapacityArgs),
-    /// Serve as a memcached server of the binary protocol until Ctrl-C, for client libraries of others.
+    /// Serve as a memcached server of the binary protocol until Ctrl-C, for third-party client libraries.
     Keeper(memcached_server::MemcachedServerArgs),
-    /// Open a site and keep it until Ctrl-C; a configuration for each proxy is written.
+    /// Run an emulated site until Ctrl-C, and write a configuration for each proxy.
     Site(SiteArgs),
-    /// Send a day's load to proxies, or to anything that speaks the platform's protocol.
+    /// Send a day's load to proxies, or to any server that implements the platform's protocol.
     Load(LoadArgs),
-    /// Days: list, check and show them.
+    /// List, check and show days.
     #[command(subcommand)]
     Day(DayCommand),
-    /// Serve as the bare pass-through of `compare`, by $PROXY_CONFIG.
+    /// Serve as the pass-through of `compare`, configured by $PROXY_CONFIG.
     #[command(hide = true)]
     Floor,
-    /// Hold hollow members of `scale`, as standard input says.
+    /// Host hollow members of `scale`, as specified on standard input.
     #[command(hide = true)]
     Hollow,
 }
 
-/// Which day.
+/// Selects a day.
 #[derive(Args)]
 struct DayArgs {
-    /// A built-in day, or a TOML file.
+    /// Name of a built-in day, or path of a TOML file.
     #[arg(long, default_value = "deploy")]
     day: String,
-    /// Another seed than the day's.
+    /// Overrides the day's seed.
     #[arg(long)]
     seed: Option<u64>,
-    /// Squeeze the day, faults and all, to this part of its length.
+    /// Shorten the day, including its faults, to this fraction of its length.
     #[arg(long)]
     squeeze: Option<f64>,
-    /// Another rate than the day's, in first tries a second.
+    /// Overrides the day's rate, in first attempts per second.
     #[arg(long)]
     rate: Option<f64>,
 }
@@ -99,14 +100,16 @@
         if let Some(fraction) = self.squeeze {
             if !(fraction > 0.0 && fraction <= 1.0) {
                 return Err(CliError::Argument(format!(
-                    "--squeeze {fraction} is not a part above 0 and at most 1"
+                    "--squeeze {fraction}: the fraction must be above 0 and at most 1"
                 )));
             }
             day = day.squeezed(fraction);
         }
         if let Some(rate) = self.rate {
             if !(rate > 0.0 && rate <= 200_000.0) {
-                return Err(CliError::Argument(format!("--rate {rate} is not above 0 and at most 200000")));
+                return Err(CliError::Argument(format!(
+                    "--rate {rate}: the rate must be above 0 and at most 200000"
+                )));
             }
             day.load.rate = rate;
         }
@@ -119,7 +122,7 @@
 struct SiteArgs {
     #[command(flatten)]
     day_args: DayArgs,
-    /// Where the proxies' configurations are written.
+    /// Directory for the configurations of the proxies.
     #[arg(long, default_value = "site")]
     dir: PathBuf,
 }
@@ -128,35 +131,35 @@
 struct LoadArgs {
     #[command(flatten)]
     day_args: DayArgs,
-    /// An address; may be given several times.
+    /// Address of a target; may be given several times.
     #[arg(long, required = true)]
     target: Vec<SocketAddr>,
-    /// Connections at most.
+    /// Maximum number of connections.
     #[arg(long, default_value_t = 512)]
     connections: usize,
 }
 
 #[derive(Subcommand)]
 enum DayCommand {
-    /// Name the built-in days.
+    /// List the built-in days.
     List,
-    /// Say what is wrong with a day's file.
+    /// Validate a day's file.
     Check {
-        /// The file, or a built-in day.
+        /// Path of the file, or name of a built-in day.
         file: String,
     },
-    /// Print a built-in day, to begin one of your own with.
+    /// Print a built-in day, as a template for a new one.
     Show {
-        /// Its name.
+        /// Name of the day.
         name: String,
     },
 }
 
-/// Does what the command line asks.
+/// Parses the command line and runs the subcommand.
 pub fn run() -> ExitCode {
     let command = Cli::parse().command;
     aniseyoke_lab_process::raise_descriptor_limit();
-    let done = match command {
+    let result = match command {
         Command::Try(args) => trial::try_day(&args),
         Command::Compare(args) => trial::compare(&args),
         Command::Sweep(args) => trial::sweep(&args),
@@ -175,17 +178,17 @@
         Command::Scale(args) => scale::run(&args),
         Command::Hollow => scale::hollow(),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// A flag that Ctrl-C sets; a second Ctrl-C ends the program as ever.
+/// Returns a flag that Ctrl-C sets. A second Ctrl-C exits the program.
 fn until_interrupted() -> Arc<AtomicBool> {
     let stop = Arc::<AtomicBool>::default();
     let flag = stop.clone();
@@ -203,7 +206,7 @@
     stop
 }
 
-/// Steps of a progress bar.
+/// Resolution of a progress bar.
 const PROGRESS_STEPS: f64 = 1000.0;
 
 fn progress_bar() -> Result<ProgressBar, CliError> {
@@ -216,14 +219,14 @@
     bar.set_position((fraction * PROGRESS_STEPS) as u64);
 }
 
-/// The text of a file.
+/// Reads a text file.
 fn read_file(path: &Path) -> Result<String, CliError> {
     Ok(std::fs::read_to_string(path).map_err(FileError::at(path))?)
 }
 
-/// The folder for what a run writes: the one that is named, or a new one in the current folder.
-fn output_folder(named: Option<&Path>, prefix: &str) -> Result<PathBuf, CliError> {
-    let folder = match named {
+/// Returns the output folder of a run: the requested one, or a new one in the current folder.
+fn output_folder(requested: Option<&Path>, prefix: &str) -> Result<PathBuf, CliError> {
+    let folder = match requested {
         Some(folder) => folder.to_owned(),
         None => tempfile::Builder::new().prefix(prefix).tempdir_in(".").map_err(CliError::System)?.keep(),
     };
@@ -231,12 +234,12 @@
     Ok(folder)
 }
 
-/// A runtime on the current thread.
+/// Creates a single-threaded runtime.
 fn current_thread_runtime() -> Result<tokio::runtime::Runtime, CliError> {
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::System)
 }
 
-/// Writes figures as JSON, if a file is named.
+/// Writes figures as JSON, if a file is given.
 fn save_json(figures: &impl serde::Serialize, file: Option<&Path>) -> Result<(), CliError> {
     let Some(file) = file else { return Ok(()) };
     let text = serde_json::to_string_pretty(figures).map_err(CliError::Json)?;
@@ -259,17 +262,17 @@
     for (n, addr) in site.members.iter().enumerate() {
         println!("member {n}: {addr}");
     }
-    println!("the day has begun; Ctrl-C ends it");
+    println!("the day has started; press Ctrl-C to stop it");
     site.begin();
     while !stop.load(Ordering::Relaxed) {
         while let Ok(proxy) = site.proxy_restarts.try_recv() {
-            println!("the day wants proxy {proxy} restarted");
+            println!("the day requests a restart of proxy {proxy}");
         }
         std::thread::sleep(Duration::from_millis(50));
     }
     let counts = site.close();
     println!(
-        "{} hits, {} misses, {} asked of the ledger",
+        "{} hits, {} misses, {} requests to the ledger",
         counts.hits, counts.misses, counts.origin_requests
     );
     Ok(true)
@@ -300,7 +303,7 @@
     let (served, late): (Percentiles, Percentiles) = ((&stats.all.served).into(), (&stats.lateness).into());
     let rate = stats.all.requests() as f64 / seconds;
     println!(
-        "{} requests in {seconds:.2} s, {rate:.0} a second; {} tries",
+        "{} requests in {seconds:.2} s, {rate:.0} per second; {} attempts",
         stats.all.requests(),
         stats.attempts
     );
@@ -310,12 +313,9 @@
         served.p50_ms,
         served.p99_ms
     );
-    println!(
-        "sent later than due: p50 {:.3} ms, p99 {:.3} ms, at most {:.1} ms",
-        late.p50_ms, late.p99_ms, late.max_ms
-    );
+    println!("send delay: p50 {:.3} ms, p99 {:.3} ms, max {:.1} ms", late.p50_ms, late.p99_ms, late.max_ms);
     if stats.not_sent > 0 {
-        println!("VOID: {} arrivals were not sent, since too many were out", stats.not_sent);
+        println!("VOID: {} arrivals were not sent because too many requests were in flight", stats.not_sent);
     }
     Ok(stats.not_sent == 0)
 }
@@ -331,7 +331,7 @@
         DayCommand::Check { file } => {
             let day = Day::open(file)?;
             let arrivals = aniseyoke_lab_load::Arrivals::new(&day).count();
-            println!("{file}: sound; {arrivals} arrivals, {} troubles", day.faults.len());
+            println!("{file}: valid; {arrivals} arrivals, {} faults", day.faults.len());
         }
         DayCommand::Show { name } => {
             let text =
--- a/crates/lab/src/cli/capacity.rs
+++ b/crates/lab/src/cli/capacity.rs
@@ -1,4 +1,4 @@
-//! `capacity`: writes or checks the capacity page.
+//! `capacity`: generates or checks the capacity page.
 
 use super::error::CliError;
 use aniseyoke_lab_capacity::{differs, page};
@@ -8,10 +8,10 @@
 
 #[derive(Args)]
 pub struct CapacityArgs {
-    /// The folder with the page, CAPACITY.md, and with capacity/ beside it.
+    /// Folder that contains the page, CAPACITY.md, and the folder capacity/.
     #[arg(long, default_value = "docs")]
     docs: PathBuf,
-    /// Change nothing; 1 is returned if the page says something else than slopes and runs.
+    /// Only check the page; exits with 1 if it does not match slopes and runs.
     #[arg(long)]
     check: bool,
 }
--- a/crates/lab/src/cli/chaos.rs
+++ b/crates/lab/src/cli/chaos.rs
@@ -1,4 +1,4 @@
-//! `chaos`: an experiment of the fault rig.
+//! `chaos`: runs an experiment of the fault rig.
 
 use super::error::CliError;
 use super::{output_folder, read_file};
@@ -11,30 +11,31 @@
 use std::path::PathBuf;
 use std::sync::atomic::AtomicBool;
 
-/// An experiment of the fault rig.
+/// Run an experiment of the fault rig.
 #[derive(Args)]
 pub struct ChaosArgs {
-    /// The experiment's TOML file.
+    /// TOML file of the experiment.
     #[arg(long)]
     plan: PathBuf,
-    /// The seed of its schedule.
+    /// Seed of the schedule.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The proxy's program; the one beside this otherwise.
+    /// Executable of the proxy; by default the one in the directory of this program.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// An operator file for every proxy.
+    /// Operator file for every proxy.
     #[arg(long)]
     file: Option<PathBuf>,
-    /// Where the log of all processes, the seconds as JSON lines and the outcome go; a new folder otherwise.
+    /// Output folder for the log of all processes, the figures of each second as JSON lines and the outcome; by
+    /// default a new one.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Only check the file and print its schedule.
+    /// Only validate the file and print its schedule.
     #[arg(long)]
     check: bool,
 }
 
-/// Plays it; whether no rule was broken.
+/// Runs the experiment. Returns whether no rule was broken.
 pub fn run(args: &ChaosArgs) -> Result<bool, CliError> {
     let plan = Plan::parse(&args.plan.display().to_string(), &read_file(&args.plan)?)?;
     let day = open_day(&plan, Some(&args.plan))?;
--- a/crates/lab/src/cli/error.rs
+++ b/crates/lab/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the subcommands.
 
 use crate::pass_through::PassThroughError;
 use aniseyoke_lab_capacity::CapacityError;
@@ -13,58 +13,58 @@
 use aniseyoke_lab_trial::TrialError;
 use std::io;
 
-/// Why a command failed.
+/// An error of a subcommand.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// An argument is out of range or has the wrong form.
+    /// An argument is out of range or malformed.
     #[error("{0}")]
     Argument(String),
-    /// A day is not possible.
+    /// A day is invalid.
     #[error(transparent)]
     Day(#[from] DayError),
-    /// An experiment's file is not possible.
+    /// An experiment's file is invalid.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// A file or folder can't be used.
+    /// A file or folder can't be accessed.
     #[error(transparent)]
     File(#[from] FileError),
     /// A program can't be found or started.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A trial could not be played.
+    /// A trial could not be run.
     #[error(transparent)]
     Trial(#[from] TrialError),
-    /// An experiment of the fault rig could not be played.
+    /// An experiment of the fault rig could not be run.
     #[error(transparent)]
     Rig(#[from] RigError),
-    /// A scale experiment could not be played.
+    /// A scale experiment could not be run.
     #[error(transparent)]
     Scale(#[from] ScaleError),
-    /// A run of the soak could not be played.
+    /// A soak run could not be completed.
     #[error(transparent)]
     Soak(#[from] SoakError),
-    /// A start could not be played.
+    /// A start of the proxy could not be tested.
     #[error(transparent)]
     Starts(#[from] StartsError),
-    /// Versions could not be measured.
+    /// The versions could not be measured.
     #[error(transparent)]
     Versions(#[from] VersionsError),
-    /// The capacity page could not be worked out, or a slope not be measured.
+    /// The capacity page could not be generated, or a slope could not be measured.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
-    /// The pass-through could not serve.
+    /// The pass-through failed.
     #[error(transparent)]
     PassThrough(#[from] PassThroughError),
-    /// There is no runtime, no folder, or the path of this program is not known.
+    /// The runtime or a folder could not be created, or the path of this program is unknown.
     #[error("{0}")]
     System(#[source] io::Error),
     /// Figures could not be encoded.
     #[error("{0}")]
     Json(#[source] serde_json::Error),
-    /// A progress bar's template is wrong.
+    /// The template of a progress bar is invalid.
     #[error("{0}")]
     Template(#[from] indicatif::style::TemplateError),
-    /// The site could not be opened.
+    /// The emulated site could not be started.
     #[error("site: {0}")]
     Site(#[source] io::Error),
     /// The load could not be started.
@@ -75,27 +75,27 @@
     Listen {
         /// The address.
         addr: std::net::SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// A trial of a comparison says nothing.
+    /// A trial of a comparison is void, so its figures can't be used.
     #[error("a trial is void: {0}")]
     VoidTrial(String),
     /// Some requests of a comparison were not served.
-    #[error("not everything was served, so costs can't be compared:\n{0}")]
+    #[error("some requests were not served, so costs can't be compared:\n{0}")]
     NotServed(String),
-    /// There is no such built-in day.
+    /// No built-in day has this name.
     #[error("there is no built-in day {0}")]
     NoBuiltinDay(String),
-    /// The pass-through's configuration is not named.
+    /// The environment variable with the path of the pass-through's configuration is not set.
     #[error("PROXY_CONFIG is not set")]
     NoProxyConfig,
-    /// A file is no JSON.
+    /// A file is not valid JSON.
     #[error("{file}: {source}")]
     JsonFile {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Where, and what is wrong.
+        /// The parser's error, with its position.
         source: serde_json::Error,
     },
 }
--- a/crates/lab/src/cli/memcached_server.rs
+++ b/crates/lab/src/cli/memcached_server.rs
@@ -12,16 +12,16 @@
 
 #[derive(Args)]
 pub struct MemcachedServerArgs {
-    /// Where clients connect, on loopback; any free port otherwise, which is printed.
+    /// Port to listen on, on the loopback interface; by default any free one. The address is printed.
     #[arg(long, default_value_t = 0)]
     port: u16,
-    /// Values kept at most.
+    /// Maximum number of stored values.
     #[arg(long, default_value = "100000")]
     items: NonZeroUsize,
-    /// The longest value, in bytes.
+    /// Maximum length of a value, in bytes.
     #[arg(long, default_value_t = 1 << 20)]
     max_value_bytes: usize,
-    /// A user who may connect, as NAME=PASSWORD; may be given several times. Without any, everybody may.
+    /// User with access, as NAME=PASSWORD; may be given several times. Without users, no authentication is required.
     #[arg(long)]
     user: Vec<String>,
 }
@@ -30,7 +30,7 @@
     let user = |text: &String| {
         let (name, password) = text
             .split_once('=')
-            .ok_or_else(|| CliError::Argument(format!("--user {text}: it is NAME=PASSWORD")))?;
+            .ok_or_else(|| CliError::Argument(format!("--user {text}: must have the form NAME=PASSWORD")))?;
         Ok((name.to_owned(), password.to_owned()))
     };
     let users = args.user.iter().map(user).collect::<Result<_, CliError>>()?;
@@ -45,7 +45,7 @@
         while !stop.load(Ordering::Relaxed) {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        println!("{} requests changed something", server.mutations());
+        println!("{} requests changed stored values", server.mutations());
         Ok(true)
     })
 }
--- a/crates/lab/src/cli/scale.rs
+++ b/crates/lab/src/cli/scale.rs
@@ -1,4 +1,4 @@
-//! `scale`: an experiment of a whole fleet.
+//! `scale`: runs an experiment with a large fleet.
 
 use super::error::CliError;
 use super::{output_folder, progress_bar, read_file, set_progress, until_interrupted};
@@ -12,27 +12,27 @@
 
 #[derive(Args)]
 pub struct ScaleArgs {
-    /// The experiment's file, as in `crates/lab/experiments`.
+    /// TOML file of the experiment, as in `crates/lab/experiments`.
     #[arg(long)]
     plan: PathBuf,
-    /// The schedule and the delays of regions follow from it.
+    /// Seed of the schedule and of the network delays of regions.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The proxy's program, as for `try`.
+    /// Executable of the proxy, as for `try`.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// The control service's program, found in the same way.
+    /// Executable of the control service; the default is determined as for the proxy.
     #[arg(long)]
     control: Option<PathBuf>,
-    /// Where `scale.json`, the plot and the lines of all processes go; a new folder otherwise.
+    /// Output folder for `scale.json`, the plot and the output of all processes; by default a new one.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Only check the file and print its schedule.
+    /// Only validate the file and print its schedule.
     #[arg(long)]
     check: bool,
 }
 
-/// Plays it; whether everything that was made came into force everywhere.
+/// Runs the experiment. Returns whether all purges and changes took effect at all members.
 pub fn run(args: &ScaleArgs) -> Result<bool, CliError> {
     let file = args.plan.display().to_string();
     let plan = Plan::parse(&file, &read_file(&args.plan)?)?;
@@ -42,8 +42,10 @@
             println!("{:8.3} s  {step:?}", at.as_secs_f64());
         }
         println!("{} purges, {} changes", schedule.purges.len(), schedule.changes.len());
-        for (who, descriptors, why) in aniseyoke_lab_scale::descriptors::descriptor_needs(&plan, args.seed) {
-            println!("{who}: {descriptors} descriptors, {why}");
+        for (label, descriptors, reason) in
+            aniseyoke_lab_scale::descriptors::descriptor_needs(&plan, args.seed)
+        {
+            println!("{label}: {descriptors} descriptors, {reason}");
         }
         return Ok(true);
     }
@@ -53,7 +55,7 @@
         lab: std::env::current_exe().map_err(CliError::System)?,
     };
     let out = output_folder(args.out.as_deref(), "scale-")?;
-    // Children start in folders of their own.
+    // The path must be absolute because each child process starts in its own folder.
     let out = out.canonicalize().map_err(FileError::at(&out))?;
     let bar = progress_bar()?;
     let progress = |what: &str, fraction: f64| {
@@ -61,9 +63,10 @@
         set_progress(&bar, fraction);
     };
     let processes = out.join("processes");
-    // Danger: a control service that finds the log of an earlier run answers purges as those that it numbered then.
+    // Guards against reuse of a folder: a control service that finds the log of an earlier run treats purges as
+    // those that it numbered in that run.
     std::fs::create_dir(&processes)
-        .map_err(|e| CliError::Argument(format!("{}: {e}; a run wants a new folder", processes.display())))?;
+        .map_err(|e| CliError::Argument(format!("{}: {e}; a run needs a new folder", processes.display())))?;
     let outcome = play::run(&plan, args.seed, &programs, &processes, &until_interrupted(), &progress);
     bar.finish_and_clear();
     let outcome = outcome?;
@@ -76,7 +79,7 @@
     Ok(judged.complete)
 }
 
-/// Hosts hollow members, as standard input says.
+/// Hosts hollow members, as specified on standard input.
 pub fn hollow() -> Result<bool, CliError> {
     host::run()?;
     Ok(true)
--- a/crates/lab/src/cli/slopes.rs
+++ b/crates/lab/src/cli/slopes.rs
@@ -8,21 +8,22 @@
 
 #[derive(Args)]
 pub struct SlopesArgs {
-    /// Families of slopes, or slopes; all without any.
+    /// Names of families of slopes, or of slopes; by default all.
     names: Vec<String>,
-    /// The folder that keeps them, a JSON file each.
+    /// Folder of the slopes, with one JSON file for each.
     #[arg(long, default_value = "docs/capacity/slopes")]
     out: PathBuf,
-    /// Note that other work was on the machine.
+    /// Record that the machine ran other work at the same time.
     #[arg(long)]
     shared: bool,
-    /// Only name the families and their slopes.
+    /// Only list the families and their slopes.
     #[arg(long)]
     list: bool,
-    /// The proxy's program, as for `try`.
+    /// Executable of the proxy, as for `try`.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// The control service's program; otherwise the one beside this, built first under cargo.
+    /// Executable of the control service; by default the one in the directory of this program, which is built first
+    /// under cargo.
     #[arg(long)]
     control: Option<PathBuf>,
 }
@@ -32,7 +33,7 @@
     let power = fit.power.map_or("-".to_owned(), |power| format!("{power:.2}"));
     let line = if slope.straight() { "straight" } else { "NOT straight" };
     println!(
-        "{name:<26} {:.4e} + x * {:.4e} (+- {:.1e}) {unit}, power {power}; at {} {:.4e}, said {:.4e} +- {:.1e}: {line}",
+        "{name:<26} {:.4e} + x * {:.4e} (+- {:.1e}) {unit}, power {power}; at {} {:.4e}, predicted {:.4e} +- {:.1e}: {line}",
         fit.intercept, fit.slope, fit.slope_se, held_out.x, held_out.measured, held_out.predicted, held_out.predicted_se
     );
 }
--- a/crates/lab/src/cli/soak.rs
+++ b/crates/lab/src/cli/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: seeded restarts of real proxies under load.
+//! `soak`: restarts real proxies under load, determined by seeds.
 
 use super::error::CliError;
 use super::output_folder;
@@ -11,35 +11,35 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Seeded restarts of real proxies under load.
+/// Restart real proxies under load, determined by seeds.
 #[derive(Args)]
 pub struct SoakArgs {
-    /// The seeds, FIRST..LAST, both included.
+    /// Range of seeds, FIRST..LAST, inclusive.
     #[arg(long, default_value = "1..10")]
     seeds: String,
-    /// Runs at once.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Busy threads beside the runs.
+    /// Number of busy threads in addition to the runs.
     #[arg(long, default_value_t = 0)]
     beside_load: usize,
-    /// The proxy's program; the one beside this otherwise.
+    /// Executable of the proxy; by default the one in the directory of this program.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Write each run's report to this file, a JSON object a line.
+    /// Write the report of each run to this file, one JSON object per line.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Where log and report of each failed run are kept; a new folder otherwise.
+    /// Output folder for the log and the report of each failed run; by default a new one.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Plays the seeds; whether everything held in each run.
+/// Runs all seeds. Returns whether no run failed.
 pub fn run(args: &SoakArgs) -> Result<bool, CliError> {
     let seeds = parse_seeds(&args.seeds)?;
     if args.jobs == 0 || args.jobs > MAX_JOBS || args.beside_load > MAX_BUSY_THREADS {
         return Err(CliError::Argument(format!(
-            "--jobs is 1 to {MAX_JOBS}, --beside-load at most {MAX_BUSY_THREADS}"
+            "--jobs must be from 1 to {MAX_JOBS}, --beside-load at most {MAX_BUSY_THREADS}"
         )));
     }
     raise_descriptor_limit();
@@ -49,14 +49,14 @@
         args.json.as_ref().map(File::create).transpose().map_err(CliError::System)?.map(LineWriter::new);
     let count = seeds.end() - seeds.start() + 1;
     let batch = Batch { seeds, jobs: args.jobs, busy_threads: args.beside_load, program, folder };
-    // It is shown on a terminal alone.
+    // The bar appears only on a terminal.
     let bar = ProgressBar::new(count)
         .with_style(ProgressStyle::with_template("{bar:30} {pos} of {len}, {eta} left")?);
     bar.enable_steady_tick(Duration::from_millis(500));
     let failed = batch.play(|result| {
         bar.suspend(|| report(&batch, result));
         if let (Some(file), (_, Ok(report))) = (&mut json, result) {
-            // A full disk loses figures, not the soak.
+            // A write error, such as a full disk, loses figures but doesn't stop the soak.
             let _ = serde_json::to_writer(&mut *file, report).map(|()| file.write_all(b"\n"));
         }
         bar.inc(1);
@@ -64,7 +64,7 @@
     bar.finish_and_clear();
     println!("{count} seeds, {failed} failed");
     if failed == 0 {
-        // Only an empty folder is removed.
+        // Fails, as intended, if the folder is not empty.
         let _ = std::fs::remove_dir(&batch.folder);
     }
     Ok(failed == 0)
@@ -77,7 +77,7 @@
             report.faults()
         }
         Err(error) => {
-            println!("seed {seed:4} could not be played");
+            println!("seed {seed:4} could not be run");
             vec![error.to_string()]
         }
     };
@@ -86,7 +86,7 @@
     }
     if !faults.is_empty() {
         println!(
-            "    log and report in {}; again: aniseyoke-lab soak --seeds {seed}",
+            "    log and report in {}; to repeat: aniseyoke-lab soak --seeds {seed}",
             batch.folder_of(*seed).display()
         );
     }
--- a/crates/lab/src/cli/starts.rs
+++ b/crates/lab/src/cli/starts.rs
@@ -1,4 +1,4 @@
-//! `starts`: seeded starts and ends of the real proxy, without load.
+//! `starts`: starts and stops the real proxy without load, determined by a seed.
 
 use super::error::CliError;
 use super::output_folder;
@@ -10,41 +10,41 @@
 use clap::Args;
 use std::path::PathBuf;
 
-/// Seeded starts and ends of the real proxy. The library that holds calls up has to be built first:
+/// Start and stop the real proxy, determined by a seed. The library that delays system calls must be built first:
 /// cargo build --release -p aniseyoke-faults-preload.
 #[derive(Args)]
 pub struct StartsArgs {
-    /// How many.
+    /// Number of starts.
     #[arg(long, default_value_t = 1000)]
     starts: u64,
-    /// What they are drawn from.
+    /// Seed of the starts.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The number of the first one; a start is played again by its number.
+    /// Number of the first start; a start can be repeated by its number.
     #[arg(long, default_value_t = 0)]
     first: u64,
-    /// Starts at once.
+    /// Number of concurrent starts.
     #[arg(long, default_value_t = 8)]
     jobs: usize,
-    /// Busy threads beside them.
+    /// Number of busy threads in addition to the starts.
     #[arg(long, default_value_t = 0)]
     beside_load: usize,
-    /// Hold no calls up, and do without the library that does.
+    /// Delay no system calls; the library is not needed.
     #[arg(long)]
     no_holds: bool,
-    /// The proxy's program; the one beside this otherwise.
+    /// Executable of the proxy; by default the one in the directory of this program.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Where the reports of failed starts are kept; a new folder otherwise.
+    /// Output folder for the reports of failed starts; by default a new one.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Plays the starts; whether everything held in each of them.
+/// Runs the starts. Returns whether none failed.
 pub fn run(args: &StartsArgs) -> Result<bool, CliError> {
     if args.jobs == 0 || args.jobs > MAX_JOBS || args.beside_load > MAX_BUSY_THREADS {
         return Err(CliError::Argument(format!(
-            "--jobs is 1 to {MAX_JOBS}, --beside-load at most {MAX_BUSY_THREADS}"
+            "--jobs must be from 1 to {MAX_JOBS}, --beside-load at most {MAX_BUSY_THREADS}"
         )));
     }
     let program = find_proxy(args.proxy.clone())?;
@@ -63,7 +63,7 @@
     let totals = batch.play(|number, result| report(&batch, number, result));
     println!("seed {}, starts {} to {}: {totals:?}", args.seed, args.first, args.first + args.starts);
     if totals.is_clean() {
-        // Only an empty folder is removed.
+        // Fails, as intended, if the folder is not empty.
         let _ = std::fs::remove_dir(&batch.folder);
     }
     Ok(totals.is_clean())
@@ -77,11 +77,11 @@
             report.faults.iter().for_each(|fault| println!("    {fault}"));
             report.threads.iter().for_each(|thread| println!("    {thread}"));
             println!(
-                "    report in {}; again: aniseyoke-lab starts --seed {} --first {number} --starts 1",
+                "    report in {}; to repeat: aniseyoke-lab starts --seed {} --first {number} --starts 1",
                 batch.folder_of(number).display(),
                 batch.seed
             );
         }
-        Err(error) => println!("start {number} could not be played: {error}"),
+        Err(error) => println!("start {number} could not be run: {error}"),
     }
 }
--- a/crates/lab/src/cli/trial.rs
+++ b/crates/lab/src/cli/trial.rs
@@ -1,4 +1,4 @@
-//! `try`, `compare` and `sweep`: whole days with a real proxy.
+//! `try`, `compare` and `sweep`: run days with a real proxy.
 
 use super::error::CliError;
 use super::{progress_bar, save_json, set_progress, until_interrupted, DayArgs};
@@ -14,13 +14,14 @@
 pub struct TryArgs {
     #[command(flatten)]
     day_args: DayArgs,
-    /// The proxy's program; otherwise the one beside this, built first under cargo.
+    /// Executable of the proxy; by default the one in the directory of this program, which is built first under
+    /// cargo.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// The operator file that the proxies read.
+    /// Operator file for the proxies.
     #[arg(long)]
     operator: Option<PathBuf>,
-    /// Keep the figures as JSON in this file.
+    /// Write the figures as JSON to this file.
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -29,10 +30,10 @@
 pub struct CompareArgs {
     #[command(flatten)]
     day_args: DayArgs,
-    /// The proxy's program, as for `try`.
+    /// Executable of the proxy, as for `try`.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// Pairs of trials; the medians are compared.
+    /// Number of pairs of trials; the medians are compared.
     #[arg(long, default_value_t = 3)]
     pairs: usize,
 }
@@ -41,16 +42,17 @@
 pub struct SweepArgs {
     #[command(flatten)]
     day_args: DayArgs,
-    /// Programs to try, NAME=FILE each, or NAME=FILE,OPERATOR with an operator file; otherwise the one beside this, as for `try`.
+    /// Executable to test, as NAME=FILE, or as NAME=FILE,OPERATOR with an operator file; may be given several times.
+    /// The default is determined as for `try`.
     #[arg(long)]
     build: Vec<String>,
-    /// Multiples of the day's rate.
+    /// Multiples of the day's rate, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "0.5,1,1.5,2,3,4")]
     times: Vec<f64>,
-    /// Where the plot goes.
+    /// Write the plot to this file.
     #[arg(long)]
     svg: Option<PathBuf>,
-    /// Keep the figures as JSON in this file.
+    /// Write the figures as JSON to this file.
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -65,7 +67,7 @@
     Ok(report?)
 }
 
-/// Plays a day; whether no rule was broken.
+/// Runs a day. Returns whether no rule was broken.
 pub fn try_day(args: &TryArgs) -> Result<bool, CliError> {
     let day = args.day_args.open()?;
     let mut program = Program::new(find_proxy(args.proxy.clone())?);
@@ -76,18 +78,18 @@
     Ok(report.passed())
 }
 
-/// Plays a day at several multiples of its rate; whether no rule was broken.
+/// Runs a day at several multiples of its rate. Returns whether no rule was broken.
 pub fn sweep(args: &SweepArgs) -> Result<bool, CliError> {
     let day = args.day_args.open()?;
     if args.times.iter().any(|t| !(*t > 0.0 && t * day.load.rate <= 200_000.0)) {
-        let why = "--times: each is above 0, and at most 200,000 requests a second in all";
-        return Err(CliError::Argument(why.into()));
+        let reason = "--times: each must be above 0, and at most 200,000 requests per second in total";
+        return Err(CliError::Argument(reason.into()));
     }
     let mut builds = Vec::new();
     for build in &args.build {
         let (name, file) = build
             .split_once('=')
-            .ok_or_else(|| CliError::Argument(format!("--build {build}: it is NAME=FILE")))?;
+            .ok_or_else(|| CliError::Argument(format!("--build {build}: must have the form NAME=FILE")))?;
         let (file, operator) = file.split_once(',').map_or((file, None), |(file, o)| (file, Some(o)));
         let mut program = Program::new(find_proxy(Some(file.into()))?);
         program.operator = operator.map(|o| find_file(o.as_ref())).transpose()?;
@@ -102,7 +104,7 @@
         let options = Options { stop: stop.clone(), progress: None };
         curves.push(aniseyoke_lab_trial::sweep(&name, &day, &program, &args.times, &options)?);
     }
-    println!("day {}, {} requests a second at 1 time", day.name, day.load.rate);
+    println!("day {}, {} requests per second at a multiple of 1", day.name, day.load.rate);
     for curve in &curves {
         println!(
             "\n{:<10}{:>8}{:>10}{:>10}{:>10}{:>10}",
@@ -115,7 +117,11 @@
                 "", p.times, p.offered, p.good, p.refused, p.p99_ms
             );
         }
-        println!("peak {:.0} a second; {:.1}% of it held beyond", curve.peak(), curve.held() * 100.0);
+        println!(
+            "peak {:.0} per second; at least {:.1}% of it at higher loads",
+            curve.peak(),
+            curve.held() * 100.0
+        );
     }
     if let Some(svg) = &args.svg {
         aniseyoke_lab_trial::plot(&format!("Goodput against load, day {}", day.name), &curves, svg)?;
@@ -129,7 +135,7 @@
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Plays a day before the proxy and before the pass-through, and prints what they cost.
+/// Runs a day against the proxy and against the pass-through, and prints their costs.
 pub fn compare(args: &CompareArgs) -> Result<bool, CliError> {
     let day = args.day_args.open()?;
     let proxy = Program::new(find_proxy(args.proxy.clone())?);
@@ -140,8 +146,8 @@
     for _ in 0..args.pairs.max(1) {
         for (program, reports) in [(&pass_through, &mut baseline), (&proxy, &mut ours)] {
             let report = play(&day, program, &stop)?;
-            if let Some(why) = &report.void {
-                return Err(CliError::VoidTrial(why.clone()));
+            if let Some(reason) = &report.void {
+                return Err(CliError::VoidTrial(reason.clone()));
             }
             if report.all.outcomes.keys().any(|outcome| outcome != "served") {
                 return Err(CliError::NotServed(report.text()));
@@ -149,7 +155,7 @@
             reports.push(report);
         }
     }
-    println!("day {}, {} requests a second, {} pairs, medians", day.name, day.load.rate, ours.len());
+    println!("day {}, {} requests per second, {} pairs, medians", day.name, day.load.rate, ours.len());
     println!("{:<28}{:>12}{:>12}{:>8}", "", "floor", "proxy", "ratio");
     type Figure = (&'static str, fn(&Report) -> f64);
     let figures: [Figure; 6] = [
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line.
+//! The command line of the laboratory, `aniseyoke-lab`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/lab/src/pass_through.rs
+++ b/crates/lab/src/pass_through.rs
@@ -1,5 +1,6 @@
-//! A bare pass-through on hyper: takes a request, sends it to the next cache node, returns what comes. No choice, no
-//! retry, no time-out, no rule. It is the least that any proxy of this make costs, and what ours is measured against.
+//! A minimal pass-through proxy on hyper. It forwards each request to the next cache node in sequence and returns the
+//! response, without load balancing, retries, timeouts or limits. Its cost is the lower bound for a proxy of this
+//! design, and the baseline for comparisons with the real proxy.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -18,7 +19,7 @@
 
 type Body = Full<Bytes>;
 
-/// Why the pass-through could not serve.
+/// An error that stops the pass-through from serving.
 #[derive(Debug, thiserror::Error)]
 pub enum PassThroughError {
     /// The configuration lists no servers.
@@ -31,17 +32,17 @@
     #[error("no cache node is listed")]
     NoNodes,
     /// The configuration has no address to listen on.
-    #[error("listen is no address")]
+    #[error("listen is not a socket address")]
     NoListenAddress,
     /// The listener could not be bound.
     #[error("{addr}: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The address or the signal could not be had.
+    /// The local address could not be determined, or the signal handler could not be installed.
     #[error("{0}")]
     System(#[source] std::io::Error),
 }
@@ -51,7 +52,7 @@
     idle: RefCell<Vec<SendRequest<Body>>>,
 }
 
-/// Idle connections kept to a node.
+/// Maximum number of idle connections to a node that stay open for reuse.
 const MAX_IDLE_CONNECTIONS: usize = 256;
 
 struct PassThrough {
@@ -66,9 +67,9 @@
     ) -> Result<Response<Body>, Box<dyn std::error::Error>> {
         let (head, body) = request.into_parts();
         let body = Full::new(body.collect().await?.to_bytes());
-        let turn = self.next.get();
-        self.next.set(turn + 1);
-        let node = &self.nodes[turn % self.nodes.len()];
+        let sequence = self.next.get();
+        self.next.set(sequence + 1);
+        let node = &self.nodes[sequence % self.nodes.len()];
         let idle = || node.idle.borrow_mut().pop();
         let mut sender = loop {
             match idle() {
@@ -98,7 +99,7 @@
             return Response::new(Body::default());
         }
         self.forward(request).await.unwrap_or_else(|e| {
-            tracing::debug!("not passed: {e}");
+            tracing::debug!("request not forwarded: {e}");
             let mut response = Response::new(Body::default());
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response
@@ -106,7 +107,7 @@
     }
 }
 
-/// The cache nodes of a proxy's configuration, in the platform's form.
+/// Returns the cache nodes that a proxy's configuration lists, in the platform's format.
 fn nodes(config: &Value) -> Result<Vec<Node>, PassThroughError> {
     let servers = config["known"]["servers"].as_array().ok_or(PassThroughError::NoServers)?;
     let cache = servers.iter().filter(|s| s["kind"] != "ledger");
@@ -123,10 +124,10 @@
     Ok(nodes)
 }
 
-/// Serves as a proxy's configuration says, until SIGTERM. Writes its address to standard error as the proxy does.
+/// Serves with a proxy's configuration until SIGTERM. Writes its address to standard error as the proxy does.
 ///
 /// # Errors
-/// Names what is wrong with the configuration, or what the system refused.
+/// Fails if the configuration is invalid, or if a system call fails.
 pub async fn serve(config: &Value) -> Result<(), PassThroughError> {
     let pass_through = Rc::new(PassThrough { nodes: nodes(config)?, next: Cell::new(0) });
     let listen: SocketAddr =
@@ -148,7 +149,7 @@
         tokio::task::spawn_local(async move {
             let service =
                 service_fn(|request| async { Ok::<_, Infallible>(pass_through.respond(request).await) });
-            // A client that disconnects is no error of the pass-through.
+            // A client that disconnects is not an error of the pass-through.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -51,7 +51,7 @@
     let again =
         lab(&["scale", "--plan", plan.to_str().expect("a path"), "--out", out.to_str().expect("a path")]);
     assert_eq!(again.status.code(), Some(2));
-    assert!(text(&again.stderr).contains("a run wants a new folder"), "{}", text(&again.stderr));
+    assert!(text(&again.stderr).contains("a run needs a new folder"), "{}", text(&again.stderr));
 }
 
 #[test]
