--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -1,5 +1,5 @@
-//! The auditor can fail a proxy: for each rule one that breaks it on purpose is caught, and for that rule alone; one
-//! that breaks none is found clean.
+//! Tests the auditor with faulty proxies. For each rule, a proxy that breaks it on purpose is reported for that rule
+//! only. A proxy that breaks no rule passes.
 
 #[path = "broken/proxy.rs"]
 mod proxy;
@@ -10,7 +10,7 @@
 use proxy::Fault;
 use std::sync::{Mutex, PoisonError};
 
-/// A short day of a small site.
+/// A short day at a small site.
 const DAY: &str = r#"
 name = "short"
 about = "A few seconds for proxies that break a rule."
@@ -50,31 +50,31 @@
     Day::parse("short", &change(DAY.to_owned())).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// Held during a play: plays beside each other delay each other's load on a busy machine, and a play whose load
-/// ran late is void.
+/// Ensures that only one day runs at a time. Concurrent days delay each other's load on a busy machine, and a day whose
+/// load is sent late is void.
 static PLAYING: Mutex<()> = Mutex::new(());
 
 fn play(day: &Day, fault: Fault) -> Report {
-    let _alone = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
     let report = run(day, &fault, &Options::default()).expect("played");
     assert_eq!(report.void, None, "{}", report.text());
     assert!(report.all.requests > 100, "{}", report.text());
     report
 }
 
-/// The rules that were broken.
+/// Returns the rules that were broken.
 fn broken(report: &Report) -> Vec<Rule> {
     report.audit.broken.keys().copied().collect()
 }
 
-fn caught(fault: Fault, rule: Rule) {
+fn assert_only_breaks(fault: Fault, rule: Rule) {
     let report = play(&day(|text| text), fault);
     assert_eq!(broken(&report), [rule], "{}", report.text());
     let violation = &report.audit.violations[0];
     assert!(!violation.history.is_empty() && !violation.what.is_empty());
 }
 
-/// Everything that goes wrong with the small site, one node at a time.
+/// Adds the deployment of one node to the day.
 fn with_deploy(text: String) -> String {
     text + "\n[[trouble]]\nkind = \"deploy\"\nat = \"300ms\"\nfor = \"4s\"\nnodes = [1]\n"
 }
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_proxy_that_breaks_no_rule_is_found_clean() {
+fn a_proxy_that_breaks_no_rule_passes() {
     let report = play(&day(|t| with_deploy(t).replace("length = \"3s\"", "length = \"6s\"")), Fault::None);
     assert_eq!(broken(&report), [], "{}", report.text());
     assert!(report.passed());
@@ -92,9 +92,9 @@
 
 #[test]
 fn a_lost_answer_is_caught() {
-    // A client takes a close without a byte for one that crossed its request, and sends that once more: what must not
-    // run twice may then have.
-    let report = play(&day(|text| text), Fault::Drops);
+    // A client assumes that a connection closed without a response was closed before its request arrived, and sends the
+    // request again. A request that is not idempotent may then be executed twice.
+    let report = play(&day(|text| text), Fault::ClosesWithoutResponse);
     assert!(
         broken(&report) == [Rule::Lost] || broken(&report) == [Rule::Lost, Rule::RanTwice],
         "{}",
@@ -103,47 +103,52 @@
 }
 
 #[test]
-fn a_request_that_is_held_without_an_answer_is_caught() {
-    caught(Fault::Holds, Rule::Unanswered);
+fn a_request_without_a_response_is_caught() {
+    assert_only_breaks(Fault::NeverResponds, Rule::Unanswered);
 }
 
 #[test]
 fn a_second_answer_is_caught() {
-    caught(Fault::Doubles, Rule::AnsweredTwice);
+    assert_only_breaks(Fault::RespondsTwice, Rule::AnsweredTwice);
 }
 
 #[test]
-fn a_second_run_of_what_must_not_run_twice_is_caught() {
-    caught(Fault::RepeatsNotIdempotent, Rule::RanTwice);
+fn a_repeated_request_that_is_not_idempotent_is_caught() {
+    assert_only_breaks(Fault::RepeatsNotIdempotent, Rule::RanTwice);
 }
 
 #[test]
 fn a_repeat_after_its_mark_is_forgotten_is_caught() {
-    caught(Fault::RepeatsKeyed, Rule::KeyedTwice);
+    assert_only_breaks(Fault::RepeatsKeyed, Rule::KeyedTwice);
 }
 
 #[test]
-fn what_is_sent_on_after_its_client_has_left_is_caught() {
+fn a_request_forwarded_after_its_client_disconnected_is_caught() {
     let day = day(|text| text.replace("[load]", "[load]\nrude = { leave_waiting = 0.3 }"));
-    let report = play(&day, Fault::SendsLate);
+    let report = play(&day, Fault::ForwardsLate);
     assert_eq!(broken(&report), [Rule::SentForNobody, Rule::AttemptForNobody], "{}", report.text());
     assert!(
         report.audit.forwarded_after_abort * 4 > report.audit.left && report.audit.left > 20,
         "{}",
         report.text()
     );
-    let prompt = play(&day, Fault::None);
-    assert_eq!((broken(&prompt), prompt.audit.forwarded_after_abort), (vec![], 0), "{}", prompt.text());
-    assert!(prompt.audit.left > 20, "{}", prompt.text());
+    let without_fault = play(&day, Fault::None);
+    assert_eq!(
+        (broken(&without_fault), without_fault.audit.forwarded_after_abort),
+        (vec![], 0),
+        "{}",
+        without_fault.text()
+    );
+    assert!(without_fault.audit.left > 20, "{}", without_fault.text());
 }
 
 #[test]
-fn an_attempt_that_begins_soon_after_its_client_has_left_is_caught_from_the_third_on() {
-    let leaving = |part: &str| {
-        let leaving = format!("[load]\nrude = {{ leave_waiting = {part} }}");
-        day(|text| text.replace("[load]", &leaving))
+fn attempts_soon_after_a_client_disconnected_are_caught_from_the_third() {
+    let with_aborts = |part: &str| {
+        let with_aborts = format!("[load]\nrude = {{ leave_waiting = {part} }}");
+        day(|text| text.replace("[load]", &with_aborts))
     };
-    let report = play(&leaving("0.3"), Fault::SendsSoon);
+    let report = play(&with_aborts("0.3"), Fault::ForwardsSoon);
     assert_eq!(broken(&report), [Rule::AttemptForNobody], "{}", report.text());
     let audit = &report.audit;
     assert!(audit.attempts_after_abort > 20, "{}", report.text());
@@ -152,18 +157,18 @@
 
 #[test]
 fn a_changed_answer_is_caught() {
-    caught(Fault::Changes, Rule::ForeignAnswer);
+    assert_only_breaks(Fault::CorruptsResponses, Rule::ForeignAnswer);
 }
 
 #[test]
 fn an_invented_request_is_caught() {
-    caught(Fault::Invents, Rule::ForeignRequest);
+    assert_only_breaks(Fault::InventsRequests, Rule::ForeignRequest);
 }
 
 #[test]
-fn what_is_sent_to_a_draining_node_is_caught() {
+fn a_request_sent_to_a_draining_node_is_caught() {
     let day = day(|text| with_deploy(text).replace("length = \"3s\"", "length = \"5s\""));
-    let report = play(&day, Fault::IgnoresDrains);
+    let report = play(&day, Fault::IgnoresDraining);
     assert_eq!(broken(&report), [Rule::Drain], "{}", report.text());
 }
 
@@ -182,7 +187,7 @@
 }
 
 #[test]
-fn an_origin_that_misses_at_a_cold_node_push_over_is_caught() {
+fn an_origin_overload_by_misses_at_a_cold_node_is_caught() {
     let day = day(|text| {
         with_crash(text)
             .replace("cores = 4", "cores = 0.5\nstop_after = \"1s\"\nroom = 100000\nslots = 500")
@@ -197,7 +202,7 @@
 
 #[test]
 fn a_proxy_that_ends_by_itself_is_caught_with_its_last_lines() {
-    let report = play(&day(|text| text), Fault::Ends);
+    let report = play(&day(|text| text), Fault::Exits);
     assert!(broken(&report).contains(&Rule::Crash), "{}", report.text());
     assert!(report.crashes[0].contains("the last line"), "{:?}", report.crashes);
     assert!(!report.passed());
--- a/crates/lab/tests/broken/proxy.rs
+++ b/crates/lab/tests/broken/proxy.rs
@@ -1,4 +1,4 @@
-//! A small proxy that keeps the rules, but for the one that it is told to break.
+//! A small proxy that keeps all rules except the one that its configured fault breaks.
 
 use aniseyoke_lab_process::{ProcessError, ProxyLauncher, RunningProxy};
 use aniseyoke_lab_site::http::{HttpConnection, RequestHead, ResponseHead};
@@ -14,49 +14,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// The rule that is broken, and how.
+/// How the proxy breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// None is.
+    /// It breaks no rule.
     None,
-    /// Connections are closed instead of a response.
-    Drops,
-    /// Requests are held without a response.
-    Holds,
-    /// Responses are written twice.
-    Doubles,
-    /// A request that is not idempotent is sent twice.
+    /// It closes connections instead of sending a response.
+    ClosesWithoutResponse,
+    /// It accepts requests and never responds.
+    NeverResponds,
+    /// It writes responses twice.
+    RespondsTwice,
+    /// It sends a request that is not idempotent twice.
     RepeatsNotIdempotent,
-    /// A request with an idempotency key is sent again after the key is forgotten.
+    /// It sends a request with an idempotency key again after the key has expired.
     RepeatsKeyed,
-    /// Draining nodes are used as before.
-    IgnoresDrains,
-    /// Everything goes to the node that has just started.
+    /// It keeps sending requests to draining nodes.
+    IgnoresDraining,
+    /// It sends all requests to the node that started last.
     OverloadsColdNode,
-    /// The same, and each miss there is fetched many times over.
+    /// The same, and it fetches each miss there several times.
     OverloadsOrigin,
-    /// Responses are changed on their way.
-    Changes,
-    /// Nodes are sent requests that no client sent.
-    Invents,
-    /// Requests wait, and are forwarded whether their clients wait or not.
-    SendsLate,
-    /// The same for a shorter time.
-    SendsSoon,
-    /// The process ends by itself.
-    Ends,
+    /// It changes a byte of a response.
+    CorruptsResponses,
+    /// It sends requests to nodes that no client sent.
+    InventsRequests,
+    /// It delays requests, and forwards them even if their clients have disconnected.
+    ForwardsLate,
+    /// The same with a shorter delay.
+    ForwardsSoon,
+    /// The process exits by itself.
+    Exits,
 }
 
-/// Every request of this number is treated badly.
-const BAD_EVERY: u64 = 20;
-/// Idempotency keys are forgotten after less than this in the tests' days.
-const AFTER_KEY_FORGOTTEN: Duration = Duration::from_millis(700);
-/// Nothing may be forwarded this long after its client disconnected.
-const AFTER_ABORT: Duration = Duration::from_millis(450);
-/// No new attempt may begin this long after its client disconnected, but the request itself may be forwarded.
-const SOON_AFTER_ABORT: Duration = Duration::from_millis(220);
-/// Fetches for one miss, where the origin is overloaded.
-const FETCHES: usize = 8;
+/// The fault affects every request whose number is a multiple of this.
+const MISBEHAVE_EVERY: u64 = 20;
+/// Idempotency keys expire sooner than this in the tests' days.
+const KEY_EXPIRED_DELAY: Duration = Duration::from_millis(700);
+/// No request may be forwarded this long after its client disconnected.
+const LATE_FORWARD_DELAY: Duration = Duration::from_millis(450);
+/// No new attempt may begin this long after its client disconnected, but the request itself may still be forwarded.
+const SOON_FORWARD_DELAY: Duration = Duration::from_millis(220);
+/// Number of fetches for one miss with the fault that overloads the origin.
+const FETCHES_PER_MISS: usize = 8;
 
 struct Node {
     addr: String,
@@ -87,8 +87,8 @@
         loop {
             if let Ok(list) = self.fetch_list().await {
                 let mut nodes = nodes_of(&list);
-                if self.fault == Fault::IgnoresDrains {
-                    // It goes on using the nodes that it knew, and forgets none.
+                if self.fault == Fault::IgnoresDraining {
+                    // It keeps the known nodes with their old state, and removes none.
                     let mut known = self.nodes.borrow_mut();
                     nodes.retain(|n| known.iter().all(|k| k.addr != n.addr));
                     known.extend(nodes);
@@ -121,12 +121,12 @@
             return newest.addr.clone();
         }
         let usable: Vec<&Node> =
-            nodes.iter().filter(|n| !n.origin && (n.ready || self.fault == Fault::IgnoresDrains)).collect();
+            nodes.iter().filter(|n| !n.origin && (n.ready || self.fault == Fault::IgnoresDraining)).collect();
         let hash = key.bytes().fold(0usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
         usable.get(hash % usable.len().max(1)).map(|n| n.addr.clone()).unwrap_or_default()
     }
 
-    /// One attempt at a node.
+    /// Sends one attempt to a node.
     async fn attempt(
         &self,
         addr: &str,
@@ -150,8 +150,8 @@
 
     async fn forward(self: &Rc<Self>, request: &RequestHead, body: &[u8], misbehave: bool) -> (u16, Vec<u8>) {
         match self.fault {
-            Fault::SendsLate => sleep(AFTER_ABORT).await,
-            Fault::SendsSoon => sleep(SOON_AFTER_ABORT).await,
+            Fault::ForwardsLate => sleep(LATE_FORWARD_DELAY).await,
+            Fault::ForwardsSoon => sleep(SOON_FORWARD_DELAY).await,
             _ => {}
         }
         let id = request.correlation_id.clone().unwrap_or_default();
@@ -164,13 +164,13 @@
             if late || self.fault == Fault::RepeatsNotIdempotent && class == "cod-settle" {
                 let (proxy, request, body) = (self.clone(), request.clone(), body.to_vec());
                 tokio::task::spawn_local(async move {
-                    sleep(if late { AFTER_KEY_FORGOTTEN } else { Duration::ZERO }).await;
+                    sleep(if late { KEY_EXPIRED_DELAY } else { Duration::ZERO }).await;
                     let _ = proxy.attempt(&origin, &request, &id, &body).await;
                 });
             }
             return response.map_or((502, Vec::new()), |(head, body)| (head.status, body));
         }
-        if misbehave && self.fault == Fault::Invents {
+        if misbehave && self.fault == Fault::InventsRequests {
             let _ = self.attempt(&self.cache_node(key), request, "00000000deadbeef", body).await;
         }
         match self.attempt(&self.cache_node(key), request, &id, body).await {
@@ -179,7 +179,7 @@
         }
         let origin = self.origin();
         if self.fault == Fault::OverloadsOrigin {
-            for _ in 1..FETCHES {
+            for _ in 1..FETCHES_PER_MISS {
                 let (proxy, request, id, origin) =
                     (self.clone(), request.clone(), id.clone(), origin.clone());
                 tokio::task::spawn_local(
@@ -202,22 +202,22 @@
                 continue;
             }
             self.count.set(self.count.get() + 1);
-            let misbehave = self.count.get().is_multiple_of(BAD_EVERY);
+            let misbehave = self.count.get().is_multiple_of(MISBEHAVE_EVERY);
             let (status, mut response) = self.forward(&request, &body, misbehave).await;
             if misbehave && status == 200 {
                 match self.fault {
-                    Fault::Drops => return Ok(()),
-                    Fault::Holds => std::future::pending().await,
-                    Fault::Changes => response[0] ^= 1,
+                    Fault::ClosesWithoutResponse => return Ok(()),
+                    Fault::NeverResponds => std::future::pending().await,
+                    Fault::CorruptsResponses => response[0] ^= 1,
                     _ => {}
                 }
             }
             let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", response.len());
-            let mut whole = [head.as_bytes(), &response].concat();
-            if misbehave && self.fault == Fault::Doubles {
-                whole.extend(whole.clone());
+            let mut bytes = [head.as_bytes(), &response].concat();
+            if misbehave && self.fault == Fault::RespondsTwice {
+                bytes.extend(bytes.clone());
             }
-            http.write(&whole).await?;
+            http.write(&bytes).await?;
         }
         Ok(())
     }
@@ -226,8 +226,8 @@
 struct InProcessProxy {
     addr: SocketAddr,
     stop: Arc<AtomicBool>,
-    since: Instant,
-    ends: bool,
+    started_at: Instant,
+    exits: bool,
 }
 
 impl RunningProxy for InProcessProxy {
@@ -248,7 +248,7 @@
     }
 
     fn ended(&mut self) -> Option<String> {
-        if self.ends && self.since.elapsed() > Duration::from_secs(1) {
+        if self.exits && self.started_at.elapsed() > Duration::from_secs(1) {
             self.terminate();
         }
         self.stop.load(Ordering::Relaxed).then(|| "by itself".to_owned())
@@ -279,7 +279,7 @@
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             tokio::task::LocalSet::new().block_on(&runtime, async move {
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-                send_addr.send(listener.local_addr().expect("an address")).expect("somebody waits");
+                send_addr.send(listener.local_addr().expect("an address")).expect("the receiver waits");
                 let proxy =
                     Rc::new(Proxy { fault, discovery, nodes: RefCell::new(nodes), count: Cell::new(0) });
                 tokio::task::spawn_local(proxy.clone().follow_list());
@@ -294,6 +294,6 @@
             });
         });
         let addr = addr.recv().map_err(|_| ProcessError::Launcher("it did not start"))?;
-        Ok(Box::new(InProcessProxy { addr, stop, since: Instant::now(), ends: fault == Fault::Ends }))
+        Ok(Box::new(InProcessProxy { addr, stop, started_at: Instant::now(), exits: fault == Fault::Exits }))
     }
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page says what slopes and runs say, and a page that does not is found out.
+//! Checks that the capacity page matches slopes and runs, and that a page that does not match is detected.
 
 use aniseyoke_lab_capacity::{differs, page};
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
 
-/// A copy of the page and what it is worked out from.
+/// Copies the page and the data that it is generated from.
 fn copy() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     for part in ["", "capacity", "capacity/slopes", "capacity/runs"] {
@@ -21,37 +21,37 @@
     folder
 }
 
-fn change(file: &Path, act: impl FnOnce(&mut serde_json::Value)) {
+fn change(file: &Path, edit: impl FnOnce(&mut serde_json::Value)) {
     let text = std::fs::read_to_string(file).expect("a file");
     let mut value = serde_json::from_str(&text).expect("JSON");
-    act(&mut value);
+    edit(&mut value);
     std::fs::write(file, value.to_string()).expect("written");
 }
 
 #[test]
-fn the_page_says_what_slopes_and_runs_say() {
-    let differs = differs(&docs()).expect("worked out");
-    assert_eq!(differs, None, "`aniseyoke-lab capacity` writes it anew");
+fn the_page_matches_slopes_and_runs() {
+    let differs = differs(&docs()).expect("a page");
+    assert_eq!(differs, None, "regenerate the page with `aniseyoke-lab capacity`");
 }
 
 #[test]
-fn a_figure_changed_by_hand_is_found_out() {
+fn a_figure_changed_by_hand_is_detected() {
     let copy = copy();
     let file = copy.path().join("CAPACITY.md");
     let text = std::fs::read_to_string(&file).expect("the page");
     std::fs::write(&file, text.replacen("| predicted |", "| measured |", 1)).expect("written");
-    let difference = differs(copy.path()).expect("worked out").expect("found out");
+    let difference = differs(copy.path()).expect("a page").expect("a difference");
     assert!(difference.contains("CAPACITY.md:"), "{difference}");
-    std::fs::write(&file, page(copy.path()).expect("worked out")).expect("written");
-    assert_eq!(differs(copy.path()).expect("worked out"), None);
+    std::fs::write(&file, page(copy.path()).expect("a page")).expect("written");
+    assert_eq!(differs(copy.path()).expect("a page"), None);
 }
 
 #[test]
-fn a_slope_whose_points_changed_is_refused_until_it_is_fitted_again() {
+fn a_slope_whose_points_changed_is_rejected_until_it_is_fitted_again() {
     let copy = copy();
     let file = copy.path().join("capacity/slopes/proxy.memory.routes.json");
     change(&file, |slope| slope["points"][0][1] = serde_json::json!(1.0));
-    assert!(differs(copy.path()).is_err_and(|why| why.to_string().contains("proxy.memory.routes")));
+    assert!(differs(copy.path()).is_err_and(|error| error.to_string().contains("proxy.memory.routes")));
 }
 
 #[test]
@@ -59,5 +59,5 @@
     let copy = copy();
     let file = copy.path().join("capacity/slopes/proxy.memory.routes.json");
     change(&file, |slope| slope["held_out"]["measured"] = serde_json::json!(77.0));
-    assert!(differs(copy.path()).expect("worked out").is_some());
+    assert!(differs(copy.path()).expect("a page").is_some());
 }
--- a/crates/lab/tests/cold.rs
+++ b/crates/lab/tests/cold.rs
@@ -1,6 +1,7 @@
-//! A cold start of real proxies under faults: the list service down before they start, a third parted from it, half of
-//! them killed and started again on kept and on spoilt lists, one standing still, one with a wrong clock. Together they
-//! never ask the list service more than once each in a cycle, and no rule is broken.
+//! A cold start of real proxies under faults. The list service is down at first, and a network partition later
+//! separates a third of the proxies from it. Half of the proxies are killed and restarted with cached or with damaged
+//! lists, one is paused, and the clock of one is wrong. Together they poll the list service at most once per proxy and
+//! cycle, and no rule is broken.
 
 use aniseyoke_lab_process::{find_proxy, Program};
 use aniseyoke_lab_rig::plan::Plan;
@@ -8,7 +9,7 @@
 use std::sync::atomic::AtomicBool;
 
 const PROXIES: u64 = 8;
-/// The day's lists must be asked for each 10 s; a quarter of that is the cycle.
+/// A cycle of polls is a quarter of the 10 s within which the day's proxies must poll the list.
 const CYCLE_S: f64 = 2.5;
 
 const COLD: &str = r#"
@@ -60,7 +61,7 @@
 
 #[test]
 fn a_cold_start_under_faults_spares_the_list_service() {
-    let plan = Plan::parse("cold", COLD).expect("a sound plan");
+    let plan = Plan::parse("cold", COLD).expect("a valid plan");
     let day = open_day(&plan, None).expect("its day");
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("operator.toml");
@@ -71,25 +72,30 @@
     let table = play::table(&outcome);
     assert!(outcome.clean(), "{table}");
     assert!(outcome.all.goodput > 0.8, "{table}");
-    // In any cycle each proxy asks once at most; a second's edge may fall between two proxies' slots.
-    let most = (PROXIES as f64 / CYCLE_S).ceil() as u64 + 1;
+    // In any cycle each proxy polls at most once. One more call is allowed because the boundary of a second may fall
+    // between the slots of two proxies.
+    let max = (PROXIES as f64 / CYCLE_S).ceil() as u64 + 1;
     assert!(
-        outcome.list_asks.iter().all(|asks| *asks <= most),
-        "{most} a second: {:?}\n{table}",
+        outcome.list_asks.iter().all(|asks| *asks <= max),
+        "{max} per second: {:?}\n{table}",
         outcome.list_asks
     );
     assert!(outcome.list_asks.iter().sum::<u64>() > 2 * PROXIES, "{:?}", outcome.list_asks);
-    // While the links were reset no call came to the service.
+    // While the links were reset, no call reached the service.
     assert!(outcome.links.reset > 0 && outcome.links.held > 0, "{table}");
     let log = std::fs::read_to_string(folder.path().join("processes.log")).expect("a log");
-    let lines = |me: usize, part: &str| {
-        let who = format!(" p{me}[");
-        log.lines().filter(|l| l.contains(&who) && l.contains(part)).count()
+    let lines = |index: usize, part: &str| {
+        let label = format!(" p{index}[");
+        log.lines().filter(|l| l.contains(&label) && l.contains(part)).count()
     };
-    for me in [0, 1] {
-        assert_eq!(lines(me, "begun with version"), 1, "proxy {me} begins with the list it kept\n{log}");
+    for index in [0, 1] {
+        assert_eq!(lines(index, "begun with version"), 1, "proxy {index} starts with its cached list\n{log}");
     }
-    for me in [2, 3] {
-        assert_eq!(lines(me, "the kept list is damaged, not used and put aside"), 1, "proxy {me}\n{log}");
+    for index in [2, 3] {
+        assert_eq!(
+            lines(index, "the kept list is damaged, not used and put aside"),
+            1,
+            "proxy {index}\n{log}"
+        );
     }
 }
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,4 +1,4 @@
-//! The real proxy, as a child, through shortened days: no rule is broken, and the verdict is the same each time.
+//! Runs shortened days with the real proxy as a child process. No rule is broken, and the result is reproducible.
 
 use aniseyoke_lab_day::Day;
 use aniseyoke_lab_process::{find_proxy, Program};
@@ -6,10 +6,10 @@
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard};
 
-/// One day at a time: a day wants most of the machine.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+/// Ensures that only one day runs at a time, because a day uses most of the machine.
+fn exclusive() -> MutexGuard<'static, ()> {
+    static EXCLUSIVE: Mutex<()> = Mutex::new(());
+    EXCLUSIVE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn proxy() -> Program {
@@ -23,7 +23,7 @@
 }
 
 fn shortened(name: &str, part: f64) -> Report {
-    let _alone = alone();
+    let _guard = exclusive();
     let day = Day::open(name).expect("built in").squeezed(part);
     play(&day)
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn deploy_twice_with_the_same_verdict() {
+fn deploy_twice_with_the_same_result() {
     for _ in 0..2 {
         let report = shortened("deploy", 0.35);
         assert!(report.all.goodput > 0.8, "{}", report.text());
@@ -46,7 +46,7 @@
 fn silence() {
     let report = shortened("silence", 0.3);
     assert!(report.all.goodput > 0.8, "{}", report.text());
-    assert!(report.all.outcomes.contains_key("left"), "some clients leave: {}", report.text());
+    assert!(report.all.outcomes.contains_key("left"), "some clients disconnect early: {}", report.text());
 }
 
 #[test]
@@ -66,24 +66,24 @@
     assert!(report.all.goodput > 0.7, "{}", report.text());
 }
 
-/// Danger: silent connections must not keep those out that ask.
+/// Guards against exhaustion by idle connections: they must not prevent clients that send requests from being served.
 #[test]
 fn a_thousand_hanging_connections() {
-    let _alone = alone();
+    let _guard = exclusive();
     let mut day = Day::open("quiet").expect("built in").squeezed(0.25);
     day.load.misbehaving.idle_connections = 1000;
     let report = play(&day);
     assert!(report.all.goodput > 0.95, "{}", report.text());
     assert!(
         report.proxies.iter().all(|p| p.descriptors > 200),
-        "the connections did hang: {}",
+        "the idle connections are open: {}",
         report.text()
     );
 }
 
 #[test]
-fn two_trials_side_by_side_do_not_meet() {
-    let _alone = alone();
+fn concurrent_trials_do_not_interfere() {
+    let _guard = exclusive();
     let mut day = Day::open("quiet").expect("built in").squeezed(0.15);
     day.load.rate = 80.0;
     std::thread::scope(|scope| {
@@ -100,6 +100,6 @@
         args: vec!["-c".into(), "echo no such luck >&2; exit 3".into()],
         ..Program::new(PathBuf::from("/bin/sh"))
     };
-    let why = run(&day, &program, &Options::default()).expect_err("no trial").to_string();
-    assert!(why.contains("no such luck") && why.contains('3'), "{why}");
+    let error = run(&day, &program, &Options::default()).expect_err("a failed start").to_string();
+    assert!(error.contains("no such luck") && error.contains('3'), "{error}");
 }
--- a/crates/lab/tests/versions.rs
+++ b/crates/lab/tests/versions.rs
@@ -1,4 +1,5 @@
-//! Good, broken and out-of-order versions of the configuration under load: every request keeps its one final answer.
+//! Sends valid, invalid and out-of-order configuration versions to a proxy under load. Every request still gets exactly
+//! one final response.
 
 use aniseyoke_control::frame::{encode, ProxyMessage, ServiceMessage};
 use aniseyoke_control::publisher::Publisher;
@@ -14,14 +15,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a proxy said of the versions that it was sent.
+/// Counts a proxy's replies to the versions that it received.
 #[derive(Default)]
 struct Replies {
-    taken: AtomicUsize,
-    refused: AtomicUsize,
+    acks: AtomicUsize,
+    nacks: AtomicUsize,
 }
 
-/// Speaks the protocol as another team would write it: versions in any order, some broken, some twice.
+/// An independent implementation of the protocol. It sends versions in any order, some invalid, some twice.
 fn serve(mut stream: TcpStream, replies: &Replies, stop: &AtomicBool) {
     stream.set_read_timeout(Some(Duration::from_millis(30))).expect("a time-out");
     let stamp = |number| Stamp { epoch: 1, number };
@@ -65,8 +66,8 @@
         }
         while let Ok(Some(frame)) = aniseyoke_control::frame::decode::<ProxyMessage>(&mut received, 1 << 16) {
             match frame {
-                ProxyMessage::Ack { .. } => replies.taken.fetch_add(1, Ordering::Relaxed),
-                ProxyMessage::Nack { .. } => replies.refused.fetch_add(1, Ordering::Relaxed),
+                ProxyMessage::Ack { .. } => replies.acks.fetch_add(1, Ordering::Relaxed),
+                ProxyMessage::Nack { .. } => replies.nacks.fetch_add(1, Ordering::Relaxed),
                 _ => 0,
             };
         }
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn every_request_has_one_final_answer_while_versions_come_in_any_order() {
+fn every_request_has_one_final_response_while_versions_arrive_in_any_order() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let addr = listener.local_addr().expect("an address");
     let (replies, stop) = (Arc::<Replies>::default(), Arc::<AtomicBool>::default());
@@ -95,13 +96,13 @@
     let report = run(&day, &program, &Options::default()).expect("played");
     stop.store(true, Ordering::Relaxed);
     assert!(report.audit.clean() && report.crashes.is_empty(), "{}", report.text());
-    let (taken, refused) = (replies.taken.load(Ordering::Relaxed), replies.refused.load(Ordering::Relaxed));
-    assert!(taken > 10 && refused > 10, "{taken} taken, {refused} refused");
+    let (acks, nacks) = (replies.acks.load(Ordering::Relaxed), replies.nacks.load(Ordering::Relaxed));
+    assert!(acks > 10 && nacks > 10, "{acks} acks, {nacks} nacks");
 }
 
-/// The stand-in of the test and the service of the repository agree on what a frame is.
+/// Checks that the test's own implementation of the service and the control service encode a frame in the same way.
 #[test]
-fn the_service_itself_speaks_what_the_test_speaks() {
+fn the_control_service_and_the_test_encode_the_same_frames() {
     let mut publisher = Publisher::new(1);
     let mut out = Vec::new();
     publisher.publish(0, json!({}), Plan::default(), &mut out).expect("published");
