--- a/crates/lab/src/cli/sim.rs
+++ b/crates/lab/src/cli/sim.rs
@@ -104,9 +104,9 @@
         (args.proxies.unwrap_or(day.site.proxy.count), args.nodes.unwrap_or(day.site.cache.count));
     let day = day.sized(proxies, nodes)?;
     let options = options(args)?;
-    let left_out = Sim::unsimulated_parts(&day);
-    if !left_out.is_empty() {
-        println!("not simulated: {}", left_out.join(", "));
+    let unsimulated_parts = Sim::unsimulated_parts(&day);
+    if !unsimulated_parts.is_empty() {
+        println!("not simulated: {}", unsimulated_parts.join(", "));
     }
     let started = Instant::now();
     let play = |n: u64| {
