--- a/crates/lab-capacity/src/lib.rs
+++ b/crates/lab-capacity/src/lib.rs
@@ -151,7 +151,7 @@
                 format_short(s.held_out.measured),
                 format_short(s.held_out.predicted),
                 format_short(s.held_out.predicted_se),
-                if s.straight() { "holds" } else { "**bends**" },
+                if s.is_linear() { "holds" } else { "**bends**" },
                 if s.shared { "shared" } else { "alone" },
             );
         }
@@ -221,7 +221,7 @@
 ///
 /// # Errors
 /// As [`Inputs::read`], [`Inputs::tables`] and [`fill`].
-pub fn page(docs: &Path) -> Result<String, CapacityError> {
+pub fn render_page(docs: &Path) -> Result<String, CapacityError> {
     let file = docs.join("CAPACITY.md");
     let text = std::fs::read_to_string(&file).map_err(FileError::at(&file))?;
     let tables = Inputs::read(docs)?.tables()?;
@@ -231,9 +231,9 @@
 /// The first line in which the page says something else than slopes and runs, if there is one.
 ///
 /// # Errors
-/// As [`page`].
-pub fn differs(docs: &Path) -> Result<Option<String>, CapacityError> {
-    let wanted = page(docs)?;
+/// As [`render_page`].
+pub fn first_difference(docs: &Path) -> Result<Option<String>, CapacityError> {
+    let wanted = render_page(docs)?;
     let file = docs.join("CAPACITY.md");
     let text = std::fs::read_to_string(&file).map_err(FileError::at(&file))?;
     if text == wanted {
--- a/crates/lab-capacity/src/slopes/mod.rs
+++ b/crates/lab-capacity/src/slopes/mod.rs
@@ -114,7 +114,7 @@
     }
 
     /// Whether the line holds at the largest size: within a tenth, or within three standard errors.
-    pub fn straight(&self) -> bool {
+    pub fn is_linear(&self) -> bool {
         let HeldOut { measured, predicted, predicted_se, .. } = self.held_out;
         let off = (measured - predicted).abs();
         off <= measured.abs() * 0.1 || off <= 3.0 * predicted_se
--- a/crates/lab-capacity/src/slopes/tests.rs
+++ b/crates/lab-capacity/src/slopes/tests.rs
@@ -47,7 +47,7 @@
 fn the_largest_size_is_kept_out_and_told_against_the_fit() {
     let slope = slope(&[(20.0, 30.0), (1.0, 2.0), (2.0, 3.0), (5.0, 6.0), (10.0, 11.0)]).expect("a slope");
     assert_eq!((slope.points.len(), slope.held_out.x, slope.held_out.measured), (4, 20.0, 30.0));
-    assert!((slope.held_out.predicted - 21.0).abs() < 1e-9 && !slope.straight());
+    assert!((slope.held_out.predicted - 21.0).abs() < 1e-9 && !slope.is_linear());
     assert_eq!(
         (slope.measured(20.0), slope.measured(5.0), slope.measured(6.0)),
         (Some(30.0), Some(6.0), None)
--- a/crates/lab/src/cli/capacity.rs
+++ b/crates/lab/src/cli/capacity.rs
@@ -1,7 +1,7 @@
 //! `capacity`: generates or checks the capacity page.
 
 use super::error::CliError;
-use aniseyoke_lab_capacity::{differs, page};
+use aniseyoke_lab_capacity::{first_difference, render_page};
 use aniseyoke_lab_day::FileError;
 use clap::Args;
 use std::path::PathBuf;
@@ -18,13 +18,13 @@
 
 pub fn run(args: &CapacityArgs) -> Result<bool, CliError> {
     if args.check {
-        let differs = differs(&args.docs)?;
-        if let Some(line) = &differs {
+        let first_difference = first_difference(&args.docs)?;
+        if let Some(line) = &first_difference {
             println!("{line}");
         }
-        return Ok(differs.is_none());
+        return Ok(first_difference.is_none());
     }
-    let (text, file) = (page(&args.docs)?, args.docs.join("CAPACITY.md"));
+    let (text, file) = (render_page(&args.docs)?, args.docs.join("CAPACITY.md"));
     std::fs::write(&file, text).map_err(FileError::at(&file))?;
     Ok(true)
 }
--- a/crates/lab/src/cli/slopes.rs
+++ b/crates/lab/src/cli/slopes.rs
@@ -31,7 +31,7 @@
 fn print_slope(slope: &Slope) {
     let Slope { name, unit, fit, held_out, .. } = slope;
     let power = fit.power.map_or("-".to_owned(), |power| format!("{power:.2}"));
-    let line = if slope.straight() { "straight" } else { "NOT straight" };
+    let line = if slope.is_linear() { "straight" } else { "NOT straight" };
     println!(
         "{name:<26} {:.4e} + x * {:.4e} (+- {:.1e}) {unit}, power {power}; at {} {:.4e}, predicted {:.4e} +- {:.1e}: {line}",
         fit.intercept, fit.slope, fit.slope_se, held_out.x, held_out.measured, held_out.predicted, held_out.predicted_se
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! Checks that the capacity page matches slopes and runs, and that a page that does not match is detected.
 
-use aniseyoke_lab_capacity::{differs, page};
+use aniseyoke_lab_capacity::{first_difference, render_page};
 use std::path::{Path, PathBuf};
 
 fn docs() -> PathBuf {
@@ -30,8 +30,8 @@
 
 #[test]
 fn the_page_matches_slopes_and_runs() {
-    let differs = differs(&docs()).expect("a page");
-    assert_eq!(differs, None, "regenerate the page with `aniseyoke-lab capacity`");
+    let first_difference = first_difference(&docs()).expect("a page");
+    assert_eq!(first_difference, None, "regenerate the page with `aniseyoke-lab capacity`");
 }
 
 #[test]
@@ -40,10 +40,10 @@
     let file = copy.path().join("CAPACITY.md");
     let text = std::fs::read_to_string(&file).expect("the page");
     std::fs::write(&file, text.replacen("| predicted |", "| measured |", 1)).expect("written");
-    let difference = differs(copy.path()).expect("a page").expect("a difference");
+    let difference = first_difference(copy.path()).expect("a page").expect("a difference");
     assert!(difference.contains("CAPACITY.md:"), "{difference}");
-    std::fs::write(&file, page(copy.path()).expect("a page")).expect("written");
-    assert_eq!(differs(copy.path()).expect("a page"), None);
+    std::fs::write(&file, render_page(copy.path()).expect("a page")).expect("written");
+    assert_eq!(first_difference(copy.path()).expect("a page"), None);
 }
 
 #[test]
@@ -51,7 +51,9 @@
     let copy = copy();
     let file = copy.path().join("capacity/slopes/proxy.memory.routes.json");
     change(&file, |slope| slope["points"][0][1] = serde_json::json!(1.0));
-    assert!(differs(copy.path()).is_err_and(|error| error.to_string().contains("proxy.memory.routes")));
+    assert!(
+        first_difference(copy.path()).is_err_and(|error| error.to_string().contains("proxy.memory.routes"))
+    );
 }
 
 #[test]
@@ -59,5 +61,5 @@
     let copy = copy();
     let file = copy.path().join("capacity/slopes/proxy.memory.routes.json");
     change(&file, |slope| slope["held_out"]["measured"] = serde_json::json!(77.0));
-    assert!(differs(copy.path()).expect("a page").is_some());
+    assert!(first_difference(copy.path()).expect("a page").is_some());
 }
