--- a/crates/lab-capacity/src/error.rs
+++ b/crates/lab-capacity/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the capacity page could not be worked out, and why a slope could not be measured.
+//! Errors of the computation of the capacity page and of the measurement of slopes.
 
 use aniseyoke_lab_day::{DayError, FileError};
 use aniseyoke_lab_process::ProcessError;
@@ -7,65 +7,65 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the page could not be worked out, or a slope not be measured or read.
+/// An error while the page is computed, or while a slope is measured or read.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// A file or folder can't be used.
+    /// A file or folder can't be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A TOML file does not have the form that it should.
+    /// A TOML file is invalid.
     #[error("{}: {source}", path.display())]
     Toml {
         /// The file.
         path: PathBuf,
-        /// Where, and what is wrong.
+        /// The parse error with its position.
         source: Box<toml::de::Error>,
     },
-    /// A JSON file does not have the form that it should.
+    /// A JSON file is invalid.
     #[error("{}: {source}", path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// Where, and what is wrong.
+        /// The parse error with its position.
         source: serde_json::Error,
     },
     /// A slope could not be encoded.
     #[error("{0}")]
     Encode(#[source] serde_json::Error),
-    /// A row can't be worked out.
+    /// The value of a row can't be computed.
     #[error("{table}, {figure}: {source}")]
     Row {
         /// The row's table.
         table: String,
         /// The row's figure.
         figure: String,
-        /// Why.
+        /// The cause.
         source: RowError,
     },
-    /// A row names a table that the page fills itself.
-    #[error("rows may not fill the table {0}")]
+    /// A row uses the name of a table that is generated from the inputs.
+    #[error("a row must not use the reserved table name {0}")]
     ReservedTable(&'static str),
-    /// The page's markers and its tables do not match.
+    /// The page's markers do not match the generated tables.
     #[error("{}: {source}", path.display())]
     Page {
         /// The page.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: PageError,
     },
-    /// A slope's points give no fit.
+    /// A slope's points can't be fitted.
     #[error("{slope}: {source}")]
     Fit {
         /// The slope.
         slope: String,
-        /// Why.
+        /// The cause.
         source: FitError,
     },
-    /// A slope's fit is another than its points give.
-    #[error("{0}: the fit does not follow from the points")]
-    FitDiffers(String),
-    /// No family or slope has this name.
-    #[error("there is no slope {name}; there are {}", known.join(", "))]
+    /// The stored fit of a slope differs from a new fit of its points.
+    #[error("{0}: the stored fit differs from a fit of its points")]
+    FitMismatch(String),
+    /// The name matches no family and no slope.
+    #[error("unknown slope {name}; known families: {}", known.join(", "))]
     UnknownSlope {
         /// The name.
         name: String,
@@ -79,65 +79,65 @@
         family: &'static str,
         /// The size.
         size: f64,
-        /// What the size is of.
+        /// The quantity that the size counts, with its unit.
         against: &'static str,
-        /// Why.
+        /// The cause.
         source: Box<MeasureError>,
     },
 }
 
-/// Why points give no fit.
+/// Why a set of points can't be fitted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FitError {
-    /// There are none.
+    /// The set is empty.
     #[error("no points")]
     NoPoints,
-    /// Too few for a line with an error.
-    #[error("{0} points are too few for a line and its error")]
-    TooFewForALine(usize),
-    /// Too few beside the largest.
-    #[error("{count} points beside the largest are too few ({min})")]
-    TooFew {
-        /// The points.
+    /// Too few points to fit a line with a standard error.
+    #[error("{0} points are too few for a line with a standard error")]
+    TooFewPointsForLine(usize),
+    /// Too few points besides the one at the largest size.
+    #[error("{count} points besides the largest are too few (minimum {min})")]
+    TooFewPoints {
+        /// The number of points.
         count: usize,
-        /// The fewest.
+        /// The required minimum.
         min: usize,
     },
-    /// The sizes lie too close together.
-    #[error("{from} to {to} is less than a decade")]
-    TooNarrow {
+    /// The sizes span less than a decade.
+    #[error("the sizes {from} to {to} span less than a decade")]
+    RangeTooNarrow {
         /// The smallest size.
         from: f64,
         /// The largest size.
         to: f64,
     },
-    /// A point is not finite.
-    #[error("a point is no number")]
-    NotANumber,
-    /// All sizes are the same.
-    #[error("all points are at one place")]
-    OneSize,
+    /// A coordinate of a point is not a finite number.
+    #[error("a point is not a finite number")]
+    NotFinite,
+    /// All points have the same size.
+    #[error("all points have the same size")]
+    SingleSize,
 }
 
-/// Why a row can't be worked out.
+/// Why the value of a row can't be computed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RowError {
-    /// It has no terms.
+    /// The row has no terms.
     #[error("it has no terms")]
     NoTerms,
-    /// The target lacks a figure.
+    /// The target does not define the figure.
     #[error("the target has no figure {0}")]
     NoTargetFigure(String),
-    /// There is no such slope.
+    /// No slope has this name.
     #[error("there is no slope {0}")]
     NoSlope(String),
-    /// A term of a slope needs just one of the two.
-    #[error("slope {0}: either `at` or `each`")]
+    /// A term of a slope has both or neither of `at` and `each`.
+    #[error("slope {0}: requires either `at` or `each`")]
     AtOrEach(String),
-    /// There is no such run.
+    /// No run has this name.
     #[error("there is no run {0}")]
     NoRun(String),
-    /// A run lacks a figure.
+    /// The run does not report the figure.
     #[error("run {run} has no figure {figure}")]
     NoRunFigure {
         /// The run.
@@ -145,169 +145,169 @@
         /// The figure.
         figure: String,
     },
-    /// A term mixes several sources, or has none.
-    #[error("a term is of a slope, of a run's figure, or paper")]
+    /// A term has several sources or none.
+    #[error("a term is exactly one of a slope, a run's figure or paper")]
     MixedTerm,
 }
 
-/// Why tables can't be placed in a page.
+/// Why tables can't be inserted into a page.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
-    /// A table begins within another.
+    /// A table begins inside another table.
     #[error("line {line}: the table from line {open} is not closed")]
-    NotClosedBefore {
-        /// Where the second begins.
+    NestedTable {
+        /// The line of the inner table's marker.
         line: usize,
-        /// Where the first began.
+        /// The line of the outer table's marker.
         open: usize,
     },
-    /// The text ends within a table.
+    /// The text ends inside a table.
     #[error("line {0}: the table is not closed")]
-    NotClosed(usize),
-    /// There is no table of this name.
+    UnclosedTable(usize),
+    /// A marker names a table that does not exist.
     #[error("line {line}: there is no table {name}")]
-    NoTable {
+    UnknownTable {
         /// The line.
         line: usize,
         /// The name.
         name: String,
     },
-    /// A table has two places.
+    /// Two markers name the same table.
     #[error("line {line}: the table {name} has two places")]
-    TwoPlaces {
-        /// The second place.
+    DuplicateTable {
+        /// The line of the second marker.
         line: usize,
         /// The table.
         name: String,
     },
-    /// A table ends that did not begin.
+    /// An end marker has no begin marker.
     #[error("line {0}: no table is open")]
-    NotOpen(usize),
-    /// A table has no place.
+    UnopenedTable(usize),
+    /// No marker names this table.
     #[error("the table {0} has no place")]
-    NoPlace(String),
+    UnplacedTable(String),
 }
 
-/// Why a size could not be measured.
+/// Why the measurement at a size failed.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The day is not possible.
+    /// The day is invalid.
     #[error(transparent)]
     Day(#[from] DayError),
     /// A process could not be started.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A trial could not be played.
+    /// A trial could not be run.
     #[error(transparent)]
     Trial(#[from] TrialError),
     /// A file can't be written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// There is no runtime, or no thread.
+    /// A runtime or thread could not be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// There is no folder.
-    #[error("a folder: {0}")]
+    /// A temporary folder could not be created.
+    #[error("temporary folder: {0}")]
     Folder(#[source] io::Error),
-    /// The limit of descriptors can't be read.
+    /// The limit on file descriptors can't be read.
     #[error("{0}")]
     Limit(#[source] nix::Error),
-    /// The trial says nothing.
+    /// The trial is void.
     #[error("the trial is void: {0}")]
     VoidTrial(String),
-    /// Some requests were not served.
-    #[error("not everything was served: {0:?}")]
+    /// Some requests of the trial had another outcome than served.
+    #[error("not all requests were served: {0:?}")]
     NotServed(BTreeMap<String, u64>),
-    /// The machine could not publish as often as it should.
-    #[error("only {reached:.1} a second of {rate} could be published: the machine is too busy")]
+    /// The achieved publish rate is below the requested one.
+    #[error("only {reached:.1} of {rate} versions a second could be published: the machine is overloaded")]
     RateNotReached {
-        /// Versions a second that were published.
+        /// The achieved rate, in versions a second.
         reached: f64,
-        /// Versions a second that should have been.
+        /// The requested rate, in versions a second.
         rate: f64,
     },
-    /// The process may not open as many connections as are needed.
-    #[error("{proxies} proxies need {needed} descriptors, and {available} may be had (ulimit -n)")]
+    /// The limit on file descriptors is too low for the connections of the measurement.
+    #[error("{proxies} proxies need {needed} file descriptors, but the limit is {available} (ulimit -n)")]
     TooFewDescriptors {
-        /// Emulated proxies.
+        /// The number of emulated proxies.
         proxies: usize,
-        /// Descriptors that they need.
+        /// The descriptors that the measurement needs.
         needed: u64,
-        /// Descriptors that the process may have.
+        /// The process's limit on descriptors.
         available: u64,
     },
     /// The control service could not be started.
     #[error("{program}: {source}")]
     Spawn {
-        /// Its program.
+        /// The program.
         program: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The control service has no standard error to read from.
-    #[error("no standard error")]
+    /// The control service was started without a pipe for its standard error.
+    #[error("the control service has no standard error pipe")]
     NoStandardError,
-    /// The control service said something else than its addresses.
+    /// The control service printed a line without an address at its end.
     #[error("{program}: {line}")]
     UnexpectedLine {
-        /// Its program.
+        /// The program.
         program: String,
-        /// What it said.
+        /// The line.
         line: String,
     },
-    /// The control service did not say its addresses in time.
-    #[error("{0} told no addresses")]
+    /// The control service did not print its addresses in time.
+    #[error("{0} did not print its addresses in time")]
     NoAddresses(String),
-    /// The control service within this process could not be started.
-    #[error("service: {0}")]
+    /// The control service on a thread of this process could not be started.
+    #[error("control service: {0}")]
     Service(#[source] io::Error),
-    /// The control service has ended.
-    #[error("the control service has ended")]
+    /// The control service has exited.
+    #[error("the control service has exited")]
     ServiceEnded,
     /// The control service rejected a call, or did not answer it.
     #[error("{0}")]
     Control(String),
-    /// The control service answered something else than was asked.
-    #[error("the service answered another call")]
-    UnexpectedAnswer,
+    /// The control service sent a response of another kind than the call expects.
+    #[error("the control service sent an unexpected kind of response")]
+    UnexpectedResponse,
     /// Not all emulated proxies connected in time.
-    #[error("only {have} of {proxies} proxies reached the service")]
+    #[error("only {completed} of {proxies} proxies connected to the control service")]
     NotConnected {
-        /// Those that did.
-        have: usize,
-        /// All.
+        /// The proxies that connected.
+        completed: usize,
+        /// All emulated proxies.
         proxies: usize,
     },
-    /// Not all emulated proxies had a version in time.
-    #[error("only {have} of {proxies} proxies have version {number}")]
-    NotTaken {
-        /// Those that had.
-        have: usize,
-        /// All.
+    /// Not all emulated proxies received a version in time.
+    #[error("only {completed} of {proxies} proxies received version {number}")]
+    VersionNotReceived {
+        /// The proxies that received the version.
+        completed: usize,
+        /// All emulated proxies.
         proxies: usize,
-        /// The version.
+        /// The version's number.
         number: u64,
     },
-    /// The stand-ins' thread has ended.
-    #[error("the stand-ins did not open")]
-    StandInsPanicked,
-    /// The stand-ins could not be opened.
-    #[error("stand-ins of {nodes} nodes: {source}")]
-    StandIns {
-        /// Nodes that they were to list.
+    /// The thread of the stubs ended before it had opened them.
+    #[error("the thread of the stubs ended before they were open")]
+    StubsPanicked,
+    /// The list server, the nodes or the byte counters could not be opened.
+    #[error("stubs for {nodes} nodes: {source}")]
+    Stubs {
+        /// The length of the list of nodes.
         nodes: usize,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The proxy did not do something in time.
-    #[error("{what}; its last lines:\n{}", last_lines.join("\n"))]
+    /// The proxy did not reach a state in time.
+    #[error("{failure}; last lines of the proxy:\n{}", last_lines.join("\n"))]
     ProxyTimeout {
-        /// What it did not do.
-        what: String,
-        /// Its last lines.
+        /// The state that was not reached.
+        failure: String,
+        /// The last lines that the proxy printed.
         last_lines: Vec<String>,
     },
-    /// The proxy has ended.
-    #[error("the proxy has ended:\n{}", .0.join("\n"))]
+    /// The proxy has exited.
+    #[error("the proxy has exited:\n{}", .0.join("\n"))]
     ProxyEnded(Vec<String>),
 }
--- a/crates/lab-capacity/src/lib.rs
+++ b/crates/lab-capacity/src/lib.rs
@@ -1,8 +1,8 @@
-//! The page of figures at the target's size: arithmetic over the target, the measured slopes and the runs, done again
-//! whenever the page is written or checked, so that page and runs can't drift apart.
+//! The capacity page: figures at the target's size, computed from the target, the measured slopes and the runs. They
+//! are recomputed whenever the page is written or checked, so that the page stays consistent with slopes and runs.
 //!
-//! A folder holds `CAPACITY.md`, and beside it `capacity/target.toml` (the target's figures by name),
-//! `capacity/rows.toml` (what is worked out, and how), `capacity/slopes/*.json` and `capacity/runs/*.json`.
+//! The folder of the documentation contains `CAPACITY.md`, `capacity/target.toml` (the target's figures by name),
+//! `capacity/rows.toml` (the rows and their terms), `capacity/slopes/*.json` and `capacity/runs/*.json`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -15,7 +15,7 @@
 
 pub use error::{CapacityError, FitError, MeasureError, PageError, RowError};
 pub use page::fill;
-pub use rows::{Factor, Kind, Row, Term, Worked};
+pub use rows::{Factor, Kind, Row, RowValue, Term};
 
 use aniseyoke_lab_day::FileError;
 use serde::de::DeserializeOwned;
@@ -25,45 +25,45 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// One figure of a run.
+/// One measured figure of a run.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Figure {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What was measured.
+    /// The measured value.
     pub value: f64,
-    /// Its unit.
+    /// The unit of value and limit.
     pub unit: String,
-    /// Its limit in the same unit, if it has one.
+    /// The limit, if there is one.
     #[serde(default)]
     pub limit: Option<f64>,
 }
 
-/// A run at size.
+/// The result of a run at the target's size.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Run {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The experiment that was played.
+    /// The file name of the plan.
     pub plan: String,
-    /// Its seed.
+    /// The seed.
     pub seed: u64,
-    /// How long it was played.
+    /// The duration in seconds.
     pub seconds: f64,
-    /// What was measured.
+    /// The measured figures.
     pub figures: Vec<Figure>,
 }
 
-/// Everything that the page is worked out from.
+/// All inputs of the page.
 #[derive(Clone, Debug, Default)]
 pub struct Inputs {
-    /// The target's figures.
+    /// The target's figures by name.
     pub target: BTreeMap<String, f64>,
-    /// What is worked out.
+    /// The rows of all tables.
     pub rows: Vec<Row>,
-    /// What was fitted.
+    /// The measured slopes with their fits.
     pub slopes: Vec<Slope>,
-    /// What was played.
+    /// The results of runs.
     pub runs: Vec<Run>,
 }
 
@@ -79,10 +79,10 @@
 }
 
 impl Inputs {
-    /// Reads them from the folder that holds the page. Fits are done again from their points.
+    /// Reads all inputs from the folder that contains the page, and verifies each fit against its points.
     ///
     /// # Errors
-    /// Names what can't be read, does not fit, or does not follow from its points.
+    /// If a file can't be read or parsed, or if a stored fit differs from a fit of its points.
     pub fn read(docs: &Path) -> Result<Inputs, CapacityError> {
         let folder = docs.join("capacity");
         let inputs = Inputs {
@@ -95,14 +95,14 @@
         Ok(inputs)
     }
 
-    /// All tables by name: one for each that a row names, `slopes`, `runs` and `target`.
+    /// Renders all tables by name: those that the rows name, and `slopes`, `runs` and `target`.
     ///
     /// # Errors
-    /// Names the row that can't be worked out.
+    /// If the value of a row can't be computed, or if a row uses a reserved table name.
     pub fn tables(&self) -> Result<BTreeMap<String, String>, CapacityError> {
         let mut tables: BTreeMap<String, String> = BTreeMap::new();
         for row in &self.rows {
-            let worked = row.work(self).map_err(|source| CapacityError::Row {
+            let row_value = row.evaluate(self).map_err(|source| CapacityError::Row {
                 table: row.table.clone(),
                 figure: row.figure.clone(),
                 source,
@@ -110,7 +110,7 @@
             let table = tables.entry(row.table.clone()).or_insert_with(|| {
                 "| figure | at the target | limit | part of it | kind | from | carried by |\n|---|---|---|---|---|---|---|\n".into()
             });
-            table.push_str(&row.line(&worked, self));
+            table.push_str(&row.line(&row_value, self));
         }
         for (name, text) in
             [("slopes", self.slopes_table()), ("runs", self.runs_table()), ("target", self.target_table())]
@@ -182,7 +182,7 @@
     }
 }
 
-/// A number with three significant digits, and commas where it is long.
+/// Formats a number with three significant digits and with commas between groups of thousands.
 pub fn format_short(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
@@ -209,7 +209,7 @@
     format!("{sign}{out}")
 }
 
-/// The part of a limit that is used; none of a limit of 0.
+/// Formats the percentage of a limit that is used, or `-` if the limit is 0.
 fn format_percent(value: f64, limit: f64) -> String {
     if limit == 0.0 {
         return "-".into();
@@ -217,7 +217,7 @@
     format!("{}%", format_short(100.0 * value / limit))
 }
 
-/// Works the page out: the text that it should have.
+/// Renders the page: its text with all tables recomputed.
 ///
 /// # Errors
 /// As [`Inputs::read`], [`Inputs::tables`] and [`fill`].
@@ -228,7 +228,7 @@
     fill(&text, &tables).map_err(|source| CapacityError::Page { path: file, source })
 }
 
-/// The first line in which the page says something else than slopes and runs, if there is one.
+/// Describes the first line of the page that differs from the rendered page, if there is one.
 ///
 /// # Errors
 /// As [`render_page`].
@@ -240,11 +240,11 @@
         return Ok(None);
     }
     let mut pairs = text.lines().zip(wanted.lines()).enumerate();
-    let line = pairs.find(|(_, (is, should))| is != should);
+    let line = pairs.find(|(_, (actual, expected))| actual != expected);
     Ok(Some(match line {
-        Some((n, (is, should))) => {
-            format!("{}:{}: `{is}`, and worked out is `{should}`", file.display(), n + 1)
+        Some((n, (actual, expected))) => {
+            format!("{}:{}: found `{actual}`, expected `{expected}`", file.display(), n + 1)
         }
-        None => format!("{}: it is longer or shorter than what is worked out", file.display()),
+        None => format!("{}: its length differs from that of the rendered page", file.display()),
     }))
 }
--- a/crates/lab-capacity/src/page.rs
+++ b/crates/lab-capacity/src/page.rs
@@ -1,4 +1,4 @@
-//! Tables between markers in a text. No I/O.
+//! Replaces the tables between markers in a text. No I/O.
 
 use super::PageError;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,10 +7,10 @@
 const BEGIN_END: &str = " -->";
 const END: &str = "<!-- end -->";
 
-/// The text with each table between its markers, `<!-- table:NAME -->` and `<!-- end -->` on lines of their own.
+/// Inserts each table between its markers, `<!-- table:NAME -->` and `<!-- end -->`, which are on separate lines.
 ///
 /// # Errors
-/// Names the line with a marker that is not closed or names no table, and a table that has no place.
+/// If a marker is not closed, repeated or without a table, or if a table has no marker.
 pub fn fill(text: &str, tables: &BTreeMap<String, String>) -> Result<String, PageError> {
     let (mut out, mut placed, mut open) = (String::new(), BTreeSet::new(), None);
     for (n, line) in text.lines().enumerate() {
@@ -18,19 +18,19 @@
         let begins = line.trim().strip_prefix(BEGIN).and_then(|rest| rest.strip_suffix(BEGIN_END));
         if let Some(name) = begins {
             if let Some(before) = open {
-                return Err(PageError::NotClosedBefore { line: n, open: before });
+                return Err(PageError::NestedTable { line: n, open: before });
             }
             let table =
-                tables.get(name).ok_or_else(|| PageError::NoTable { line: n, name: name.to_owned() })?;
+                tables.get(name).ok_or_else(|| PageError::UnknownTable { line: n, name: name.to_owned() })?;
             if !placed.insert(name) {
-                return Err(PageError::TwoPlaces { line: n, name: name.to_owned() });
+                return Err(PageError::DuplicateTable { line: n, name: name.to_owned() });
             }
             open = Some(n);
             out.push_str(line);
             out.push('\n');
             out.push_str(table);
         } else if line.trim() == END {
-            open.take().ok_or(PageError::NotOpen(n))?;
+            open.take().ok_or(PageError::UnopenedTable(n))?;
             out.push_str(line);
             out.push('\n');
         } else if open.is_none() {
@@ -39,10 +39,10 @@
         }
     }
     if let Some(before) = open {
-        return Err(PageError::NotClosed(before));
+        return Err(PageError::UnclosedTable(before));
     }
     match tables.keys().find(|name| !placed.contains(name.as_str())) {
-        Some(name) => Err(PageError::NoPlace(name.clone())),
+        Some(name) => Err(PageError::UnplacedTable(name.clone())),
         None => Ok(out),
     }
 }
--- a/crates/lab-capacity/src/rows.rs
+++ b/crates/lab-capacity/src/rows.rs
@@ -1,57 +1,57 @@
-//! What a row of the page is worked out from: terms over slopes, runs, the target's figures and numbers. No I/O.
+//! Rows of the page and the terms that they are computed from: slopes, runs, the target's figures and numbers. No I/O.
 
 use super::{format_percent, format_short, Inputs, RowError};
 use serde::Deserialize;
 
-/// A number, or a figure of the target by its name; behind a `/` it divides.
+/// A number, or the name of a figure of the target; a leading `/` divides by the figure.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Factor {
     /// A number.
     Number(f64),
-    /// A figure of the target, or `/` and one.
+    /// The name of a figure of the target, with an optional leading `/`.
     Name(String),
 }
 
-/// One part of a row's sum.
+/// One summand of a row's value.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Term {
-    /// The slope that it follows from.
+    /// The name of a slope.
     pub slope: Option<String>,
-    /// The slope's line at the product of these.
+    /// Evaluates the slope at the product of these factors.
     pub at: Option<Vec<Factor>>,
-    /// The slope's rise times the product of these, without what it is at 0.
+    /// Multiplies the slope's gradient by the product of these factors, without its value at 0.
     pub each: Option<Vec<Factor>>,
-    /// The run that measured it.
+    /// The name of a run.
     pub run: Option<String>,
-    /// The run's figure.
+    /// The name of the run's figure.
     pub figure: Option<String>,
-    /// No measurement: where it is from instead.
+    /// The source of a value that was not measured.
     pub paper: Option<String>,
-    /// Multiplied by the product of these.
+    /// The product of these factors multiplies the term.
     #[serde(default)]
     pub times: Vec<Factor>,
 }
 
-/// A row of a table.
+/// A row of a table of the page.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// The table.
+    /// The name of the table.
     pub table: String,
-    /// What the figure is of.
+    /// The description of the figure.
     pub figure: String,
-    /// Its unit.
+    /// The unit of the value.
     pub unit: String,
-    /// The sum of the terms times this is in that unit.
+    /// Converts the sum of the terms to the row's unit.
     #[serde(default = "one")]
     pub scale: f64,
-    /// The target's figure that limits it, in the row's unit.
+    /// The factors of the limit, in the row's unit.
     pub limit: Option<Vec<Factor>>,
-    /// The mechanism that carries it, by module.
+    /// The module of the mechanism that carries the load.
     pub by: String,
-    /// What it is the sum of.
+    /// The summands of the value.
     pub terms: Vec<Term>,
 }
 
@@ -59,37 +59,38 @@
     1.0
 }
 
-/// How a figure is known.
+/// How a figure was obtained. The order is that of decreasing certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Measured at just this size.
+    /// Measured at exactly this size.
     Measured,
-    /// Worked out from what was measured at other sizes.
+    /// Computed from measurements at other sizes.
     Predicted,
-    /// Worked out from something that was not measured.
+    /// Computed from at least one value that was not measured.
     Paper,
 }
 
 /// A row's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Worked {
-    /// In the row's unit.
+pub struct RowValue {
+    /// The value, in the row's unit.
     pub value: f64,
-    /// Its standard error, in the row's unit; 0 where it is not known: of what was measured, of paper, and of sums with either.
+    /// The standard error, in the row's unit; 0 if it is unknown: for measured values, for paper, and for sums with
+    /// either.
     pub se: f64,
-    /// How it is known.
+    /// How the value was obtained.
     pub kind: Kind,
 }
 
 fn factor(factor: &Factor, inputs: &Inputs) -> Result<f64, RowError> {
-    let named = |name: &str| {
+    let target_figure = |name: &str| {
         inputs.target.get(name).copied().ok_or_else(|| RowError::NoTargetFigure(name.to_owned()))
     };
     match factor {
         Factor::Number(number) => Ok(*number),
         Factor::Name(name) => match name.strip_prefix('/') {
-            Some(name) => Ok(1.0 / named(name)?),
-            None => named(name),
+            Some(name) => Ok(1.0 / target_figure(name)?),
+            None => target_figure(name),
         },
     }
 }
@@ -99,11 +100,11 @@
 }
 
 impl Term {
-    fn work(&self, inputs: &Inputs) -> Result<Worked, RowError> {
+    fn evaluate(&self, inputs: &Inputs) -> Result<RowValue, RowError> {
         let times = product(&self.times, inputs)?;
-        // What was measured and then multiplied was not measured as such.
-        let kept = if self.times.is_empty() { Kind::Measured } else { Kind::Predicted };
-        let found = match self {
+        // A measured value that is multiplied becomes a prediction.
+        let measured_kind = if self.times.is_empty() { Kind::Measured } else { Kind::Predicted };
+        let base = match self {
             Term { slope: Some(name), at, each, run: None, figure: None, paper: None, .. } => {
                 let slope = inputs.slopes.iter().find(|s| s.name == *name);
                 let slope = slope.ok_or_else(|| RowError::NoSlope(name.clone()))?;
@@ -111,17 +112,17 @@
                     (Some(at), None) => {
                         let x = product(at, inputs)?;
                         match slope.measured(x) {
-                            Some(value) => Worked { value, se: 0.0, kind: kept },
+                            Some(value) => RowValue { value, se: 0.0, kind: measured_kind },
                             None => {
                                 let prediction = slope.predict(x);
-                                Worked { value: prediction.value, se: prediction.se, kind: Kind::Predicted }
+                                RowValue { value: prediction.value, se: prediction.se, kind: Kind::Predicted }
                             }
                         }
                     }
                     (None, Some(each)) => {
                         let x = product(each, inputs)?;
                         let (value, se) = (slope.fit.slope * x, slope.fit.slope_se * x);
-                        Worked { value, se, kind: Kind::Predicted }
+                        RowValue { value, se, kind: Kind::Predicted }
                     }
                     _ => return Err(RowError::AtOrEach(name.clone())),
                 }
@@ -135,19 +136,19 @@
                 paper: None,
                 ..
             } => {
-                let found_run = inputs.runs.iter().find(|r| r.name == *run);
-                let found_run = found_run.ok_or_else(|| RowError::NoRun(run.clone()))?;
-                let seen = found_run.figures.iter().find(|f| f.name == *figure);
-                let seen =
-                    seen.ok_or_else(|| RowError::NoRunFigure { run: run.clone(), figure: figure.clone() })?;
-                Worked { value: seen.value, se: 0.0, kind: kept }
+                let matching_run = inputs.runs.iter().find(|r| r.name == *run);
+                let matching_run = matching_run.ok_or_else(|| RowError::NoRun(run.clone()))?;
+                let run_figure = matching_run.figures.iter().find(|f| f.name == *figure);
+                let run_figure = run_figure
+                    .ok_or_else(|| RowError::NoRunFigure { run: run.clone(), figure: figure.clone() })?;
+                RowValue { value: run_figure.value, se: 0.0, kind: measured_kind }
             }
             Term { slope: None, at: None, each: None, run: None, figure: None, paper: Some(_), .. } => {
-                Worked { value: 1.0, se: 0.0, kind: Kind::Paper }
+                RowValue { value: 1.0, se: 0.0, kind: Kind::Paper }
             }
             _ => return Err(RowError::MixedTerm),
         };
-        Ok(Worked { value: found.value * times, se: found.se * times.abs(), kind: found.kind })
+        Ok(RowValue { value: base.value * times, se: base.se * times.abs(), kind: base.kind })
     }
 
     fn source(&self) -> String {
@@ -160,35 +161,35 @@
 }
 
 impl Row {
-    /// Works its value out.
+    /// Computes the row's value.
     ///
     /// # Errors
-    /// Says what is named that is not there.
-    pub fn work(&self, inputs: &Inputs) -> Result<Worked, RowError> {
+    /// If the row has no terms, a term is invalid, or a name refers to a missing slope, run or figure.
+    pub fn evaluate(&self, inputs: &Inputs) -> Result<RowValue, RowError> {
         if self.terms.is_empty() {
             return Err(RowError::NoTerms);
         }
         self.limit.as_ref().map(|limit| product(limit, inputs)).transpose()?;
-        let (mut value, mut variance, mut kind, mut errors) = (0.0, 0.0, Kind::Measured, 0);
+        let (mut value, mut variance, mut kind, mut terms_with_error) = (0.0, 0.0, Kind::Measured, 0);
         for term in &self.terms {
-            let one = term.work(inputs)?;
+            let one = term.evaluate(inputs)?;
             value += one.value;
             variance += one.se * one.se;
-            errors += usize::from(one.se > 0.0);
+            terms_with_error += usize::from(one.se > 0.0);
             kind = kind.max(one.kind);
         }
         if self.terms.len() > 1 {
-            // A sum was not measured as such.
+            // A sum of several measured values is a prediction.
             kind = kind.max(Kind::Predicted);
         }
-        // The error of a sum is not known where that of a part is not.
-        let se = if errors == self.terms.len() { variance.sqrt() * self.scale } else { 0.0 };
-        Ok(Worked { value: value * self.scale, se, kind })
+        // The standard error of a sum is unknown if that of any term is unknown.
+        let se = if terms_with_error == self.terms.len() { variance.sqrt() * self.scale } else { 0.0 };
+        Ok(RowValue { value: value * self.scale, se, kind })
     }
 
-    /// Its line in the table.
-    pub(super) fn line(&self, worked: &Worked, inputs: &Inputs) -> String {
-        let Worked { value, se, kind } = worked;
+    /// Renders the row as a line of its Markdown table.
+    pub(super) fn line(&self, row_value: &RowValue, inputs: &Inputs) -> String {
+        let RowValue { value, se, kind } = row_value;
         let error = if *se > 0.0 { format!(" ± {}", format_short(*se)) } else { String::new() };
         let limit = self.limit.as_ref().and_then(|limit| product(limit, inputs).ok());
         let limit_text = limit.map_or("-".into(), |limit| format!("{} {}", format_short(limit), self.unit));
--- a/crates/lab-capacity/src/slopes/byte_counter.rs
+++ b/crates/lab-capacity/src/slopes/byte_counter.rs
@@ -1,4 +1,4 @@
-//! A relay that counts what goes through it: the bytes at one process's sockets to one service.
+//! A TCP relay that counts the bytes and messages between one process and one service.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,10 +8,10 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Read at a time, in bytes.
-const READ_SIZE: usize = 16 << 10;
+/// The size of the buffer of one read.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// What went through so far, both ways together.
+/// The traffic relayed so far, the sum of both directions.
 #[derive(Default)]
 pub struct ByteCounter {
     bytes: AtomicU64,
@@ -19,12 +19,12 @@
 }
 
 impl ByteCounter {
-    /// Bytes.
+    /// The relayed bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Messages: parts that were written at once. On a quiet connection these are the peers' own messages.
+    /// The relayed messages, one for each read. On a connection with little traffic these are the peers' messages.
     pub fn messages(&self) -> u64 {
         self.messages.load(Ordering::Relaxed)
     }
@@ -35,40 +35,41 @@
     }
 }
 
-/// Relays to `target` on the current thread, for as long as its runtime lives; returns the address, and the counts.
+/// Relays connections to `target` on the current thread until its runtime is dropped; returns the address and the
+/// counter.
 ///
 /// # Errors
-/// If the system lacks ports or descriptors.
+/// If no port or descriptor is available.
 pub async fn open(target: SocketAddr) -> io::Result<(SocketAddr, Arc<ByteCounter>)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-    let (addr, counted) = (listener.local_addr()?, Arc::<ByteCounter>::default());
-    let counts = counted.clone();
+    let (addr, counter) = (listener.local_addr()?, Arc::<ByteCounter>::default());
+    let shared_counter = counter.clone();
     tokio::task::spawn_local(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            let counts = counts.clone();
+        while let Ok((client, _)) = listener.accept().await {
+            let shared_counter = shared_counter.clone();
             tokio::task::spawn_local(async move {
-                let Ok(far) = TcpStream::connect(target).await else { return };
-                // It only costs time.
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                let ((near_reads, near_writes), (far_reads, far_writes)) =
-                    (near.into_split(), far.into_split());
-                // Whichever ends first ends both.
+                let Ok(target_stream) = TcpStream::connect(target).await else { return };
+                // A failure only adds latency.
+                let _ = (client.set_nodelay(true), target_stream.set_nodelay(true));
+                let ((client_read, client_write), (target_read, target_write)) =
+                    (client.into_split(), target_stream.into_split());
+                // The end of either direction closes both.
                 tokio::select! {
-                    () = pass(near_reads, far_writes, &counts) => {}
-                    () = pass(far_reads, near_writes, &counts) => {}
+                    () = forward(client_read, target_write, &shared_counter) => {}
+                    () = forward(target_read, client_write, &shared_counter) => {}
                 }
             });
         }
     });
-    Ok((addr, counted))
+    Ok((addr, counter))
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, counted: &ByteCounter) {
-    let mut part = vec![0; READ_SIZE];
-    while let Ok(n) = from.read(&mut part).await {
-        if n == 0 || to.write_all(&part[..n]).await.is_err() {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, counter: &ByteCounter) {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    while let Ok(n) = from.read(&mut buffer).await {
+        if n == 0 || to.write_all(&buffer[..n]).await.is_err() {
             return;
         }
-        counted.add(n);
+        counter.add(n);
     }
 }
--- a/crates/lab-capacity/src/slopes/control.rs
+++ b/crates/lab-capacity/src/slopes/control.rs
@@ -1,4 +1,4 @@
-//! A real control service behind emulated proxies: what each of them, and each message, costs it.
+//! Slopes of a real control service with emulated proxies: its cost for each proxy and each message.
 
 use super::emulated_proxy::EmulatedProxy;
 use super::{Family, Quantity, Setup};
@@ -17,32 +17,32 @@
 use std::time::{Duration, Instant};
 use tokio::task::LocalSet;
 
-/// The measurement fails if something takes longer than this.
+/// The longest wait for one step of a measurement.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// The service is measured for this long.
-const MEASURED_FOR: Duration = Duration::from_secs(6);
-/// The service reads what was sent to it within this time.
+/// The duration of one measurement of the service.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
+/// Within this time the service has read all data that was sent to it.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Connections opened at once: more than a listener's queue holds would be retried a second later.
+/// Connections that are opened at once. Connections beyond the listener's backlog would be retried a second later.
 const CONNECT_BATCH: usize = 50;
 /// The pause between batches of connections.
 const CONNECT_PAUSE: Duration = Duration::from_millis(5);
-/// Versions after the first where the cost of each is measured.
-const VERSIONS_EACH: u64 = 5;
-/// Routes of a version where proxies are the size.
+/// Versions after the first one over which the cost of one version is averaged.
+const MEASURED_VERSIONS: u64 = 5;
+/// Routes of a version in the families over proxies and over reply delay.
 const ROUTES: u64 = 1000;
-/// Routes of a version where the rate is the size.
-const ROUTES_FEW: u64 = 10;
-/// Proxies where the rate is the size.
+/// Routes of a version in the family over rate.
+const SMALL_VERSION_ROUTES: u64 = 10;
+/// Proxies in the family over rate.
 const PROXIES_FIXED: usize = 500;
-/// Proxies where the distance is the size.
-const PROXIES_FAR: usize = 50;
-/// Versions a second where the distance is the size.
-const RATE_FAR: f64 = 8.0;
-/// Descriptors that are needed beside one for each proxy.
-const DESCRIPTORS: u64 = 200;
+/// Proxies in the family over reply delay.
+const DELAYED_PROXIES: usize = 50;
+/// Versions a second in the family over reply delay.
+const DELAYED_VERSIONS_PER_SECOND: f64 = 8.0;
+/// Descriptors that are needed in addition to one for each proxy.
+const EXTRA_DESCRIPTORS: u64 = 200;
 
-/// Against proxies.
+/// The control service's cost against the number of proxies.
 pub const BY_PROXIES: Family = Family {
     name: "control.proxies",
     role: "control service",
@@ -72,32 +72,32 @@
         let fleet = EmulatedFleet::open(setup, proxies as usize, Duration::ZERO)?;
         let cpu = fleet.cpu()?;
         fleet.publish(ROUTES, 0)?;
-        fleet.wait_until_taken(1)?;
+        fleet.wait_until_received(1)?;
         std::thread::sleep(SETTLE_TIME);
-        let (whole, mut last) = (fleet.cpu()? - cpu, Duration::ZERO);
+        let (first_version_cpu, mut last) = (fleet.cpu()? - cpu, Duration::ZERO);
         let (cpu, bytes) = (fleet.cpu()?, fleet.bytes());
-        let (rest, mut paused) = (fleet.idle_cpu()?, Duration::ZERO);
+        let (rest, mut elapsed_time) = (fleet.idle_cpu()?, Duration::ZERO);
         let rest_cpu = fleet.cpu()? - cpu;
         let cpu = cpu + rest_cpu;
         let bytes_at_rest = fleet.bytes() - bytes;
         let bytes = bytes + bytes_at_rest;
-        let begun = Instant::now();
-        for n in 1..=VERSIONS_EACH {
+        let started = Instant::now();
+        for n in 1..=MEASURED_VERSIONS {
             let at = fleet.publish(ROUTES, n)?;
-            last += fleet.wait_until_taken(n + 1)?.saturating_duration_since(at);
+            last += fleet.wait_until_received(n + 1)?.saturating_duration_since(at);
             std::thread::sleep(SETTLE_TIME);
-            paused = begun.elapsed();
+            elapsed_time = started.elapsed();
         }
-        // What reports cost meanwhile is known from the rest.
-        let used = fleet.cpu()? - cpu - rest * paused.as_secs_f64();
-        let each = VERSIONS_EACH as f64;
+        // Subtracts the cost of reports during this time, which the measurement at rest yields.
+        let used = fleet.cpu()? - cpu - rest * elapsed_time.as_secs_f64();
+        let each = MEASURED_VERSIONS as f64;
         let sent = (fleet.bytes() - bytes) as f64 / each;
         let memory_mb = fleet.usage()?.memory_mb;
-        Ok(vec![used / each, last.as_secs_f64() / each, sent, memory_mb, rest, whole])
+        Ok(vec![used / each, last.as_secs_f64() / each, sent, memory_mb, rest, first_version_cpu])
     },
 };
 
-/// Against versions a second.
+/// The control service's cost against versions a second.
 pub const BY_RATE: Family = Family {
     name: "control.versions",
     role: "control service",
@@ -109,16 +109,17 @@
     ],
     measure: |setup, rate| {
         let fleet = EmulatedFleet::open(setup, PROXIES_FIXED, Duration::ZERO)?;
-        fleet.publish(ROUTES_FEW, 0)?;
-        fleet.wait_until_taken(1)?;
+        fleet.publish(SMALL_VERSION_ROUTES, 0)?;
+        fleet.wait_until_received(1)?;
         std::thread::sleep(SETTLE_TIME);
-        let (cpu, bytes) = fleet.stream(ROUTES_FEW, rate)?;
+        let (cpu, bytes) = fleet.stream(SMALL_VERSION_ROUTES, rate)?;
         Ok(vec![cpu, bytes])
     },
 };
 
-/// Against how far proxies are: a version that comes before the last one was answered is sent whole.
-pub const BY_DISTANCE: Family = Family {
+/// Bytes sent against the proxies' reply delay: a version that is published before the previous one is acknowledged is
+/// sent as a full version, not as a delta.
+pub const BY_REPLY_DELAY: Family = Family {
     name: "control.distance",
     role: "control service",
     against: "ms until a proxy answers, 8 versions a second of 1,000 routes to 50 proxies",
@@ -129,11 +130,11 @@
         unit: "B/s",
     }],
     measure: |setup, ms| {
-        let fleet = EmulatedFleet::open(setup, PROXIES_FAR, Duration::from_secs_f64(ms / 1000.0))?;
+        let fleet = EmulatedFleet::open(setup, DELAYED_PROXIES, Duration::from_secs_f64(ms / 1000.0))?;
         fleet.publish(ROUTES, 0)?;
-        fleet.wait_until_taken(1)?;
+        fleet.wait_until_received(1)?;
         std::thread::sleep(SETTLE_TIME);
-        let (_, bytes) = fleet.stream(ROUTES, RATE_FAR)?;
+        let (_, bytes) = fleet.stream(ROUTES, DELAYED_VERSIONS_PER_SECOND)?;
         Ok(vec![bytes])
     },
 };
@@ -145,7 +146,7 @@
     json!({ "pools": { "a": { "kinds": ["k"] }, "b": { "kinds": ["l"] } }, "routes": routes })
 }
 
-/// A control service as a process of its own.
+/// A control service in a separate process.
 struct ServiceProcess {
     child: Child,
     proxies: SocketAddr,
@@ -155,7 +156,7 @@
 
 impl Drop for ServiceProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may already have exited.
         let _ = (self.child.kill(), self.child.wait());
     }
 }
@@ -175,7 +176,7 @@
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let addr = line.rsplit(' ').next().and_then(|addr| addr.parse::<SocketAddr>().ok());
-                // Nobody waits any more once both are known.
+                // The receiver is dropped once both addresses are known.
                 let _ = send_addr.send(addr.ok_or(line));
             }
         });
@@ -191,14 +192,14 @@
     }
 }
 
-/// A service and its proxies.
+/// A control service and the emulated proxies that are connected to it.
 struct EmulatedFleet {
     service: ServiceProcess,
     proxies: usize,
     bytes: Arc<AtomicU64>,
-    taken: Receiver<(u64, Instant)>,
+    received_version: Receiver<(u64, Instant)>,
     calls: tokio::runtime::Runtime,
-    /// The proxies' thread ends when this is dropped.
+    /// Dropping this ends the thread of the proxies.
     _stop: tokio::sync::oneshot::Sender<()>,
 }
 
@@ -206,27 +207,27 @@
     fn open(setup: &Setup, proxies: usize, reply_delay: Duration) -> Result<EmulatedFleet, MeasureError> {
         let limit = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
         let (available, _) = limit.map_err(MeasureError::Limit)?;
-        let needed = proxies as u64 + DESCRIPTORS;
+        let needed = proxies as u64 + EXTRA_DESCRIPTORS;
         if available < needed {
             return Err(MeasureError::TooFewDescriptors { proxies, needed, available });
         }
         let runtime = || {
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(MeasureError::Runtime)
         };
-        let (service, emulating, calls) = (ServiceProcess::start(setup)?, runtime()?, runtime()?);
+        let (service, proxy_runtime, calls) = (ServiceProcess::start(setup)?, runtime()?, runtime()?);
         let (addr, bytes) = (service.proxies, Arc::<AtomicU64>::default());
-        let (send_taken, taken) = channel();
+        let (send_received_version, received_version) = channel();
         let (send_connected, connected) = channel();
         let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
         let all_bytes = bytes.clone();
         std::thread::spawn(move || {
-            LocalSet::new().block_on(&emulating, async move {
+            LocalSet::new().block_on(&proxy_runtime, async move {
                 for n in 0..proxies {
                     let proxy = EmulatedProxy {
                         index: n,
                         service: addr,
                         reply_delay,
-                        taken: send_taken.clone(),
+                        received_version: send_received_version.clone(),
                         connected: send_connected.clone(),
                         bytes: all_bytes.clone(),
                     };
@@ -239,15 +240,15 @@
                         tokio::time::sleep(CONNECT_PAUSE).await;
                     }
                 }
-                // Dropping the fleet ends it.
+                // Dropping the fleet ends this wait.
                 let _ = stopped.await;
             });
         });
-        for have in 0..proxies {
-            connected.recv_timeout(TIMEOUT).map_err(|_| MeasureError::NotConnected { have, proxies })?;
+        for completed in 0..proxies {
+            connected.recv_timeout(TIMEOUT).map_err(|_| MeasureError::NotConnected { completed, proxies })?;
         }
         std::thread::sleep(SETTLE_TIME);
-        Ok(EmulatedFleet { service, proxies, bytes, taken, calls, _stop: stop })
+        Ok(EmulatedFleet { service, proxies, bytes, received_version, calls, _stop: stop })
     }
 
     fn usage(&self) -> Result<Usage, MeasureError> {
@@ -262,60 +263,59 @@
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Publishes; returns the time before the call.
+    /// Publishes a version; returns the time before the call.
     fn publish(&self, routes: u64, changed: u64) -> Result<Instant, MeasureError> {
         let publish = OperatorRequest::Publish { body: version_body(routes, changed), plan: Plan::default() };
         let at = Instant::now();
         let answer = self.calls.block_on(call(self.service.operators, &publish));
-        match answer.map_err(|why| MeasureError::Control(why.to_string()))? {
+        match answer.map_err(|cause| MeasureError::Control(cause.to_string()))? {
             OperatorResponse::Published { .. } => Ok(at),
-            OperatorResponse::Rejected { reason: why } => Err(MeasureError::Control(why)),
+            OperatorResponse::Rejected { reason: cause } => Err(MeasureError::Control(cause)),
             OperatorResponse::Status { .. }
             | OperatorResponse::PurgeAccepted { .. }
-            | OperatorResponse::PurgeStatus { .. } => Err(MeasureError::UnexpectedAnswer),
+            | OperatorResponse::PurgeStatus { .. } => Err(MeasureError::UnexpectedResponse),
         }
     }
 
-    /// Waits until every proxy has taken a version; returns when the last one did.
-    fn wait_until_taken(&self, number: u64) -> Result<Instant, MeasureError> {
+    /// Waits until every proxy has received a version; returns the time at which the last one did.
+    fn wait_until_received(&self, number: u64) -> Result<Instant, MeasureError> {
         let mut last = Instant::now();
-        let mut have = 0;
-        while have < self.proxies {
-            let (taken, at) = self.taken.recv_timeout(TIMEOUT).map_err(|_| MeasureError::NotTaken {
-                have,
-                proxies: self.proxies,
-                number,
-            })?;
-            if taken == number {
-                (have, last) = (have + 1, at);
+        let mut completed = 0;
+        while completed < self.proxies {
+            let (received_version, at) = self
+                .received_version
+                .recv_timeout(TIMEOUT)
+                .map_err(|_| MeasureError::VersionNotReceived { completed, proxies: self.proxies, number })?;
+            if received_version == number {
+                (completed, last) = (completed + 1, at);
             }
         }
         Ok(last)
     }
 
-    /// Publishes this many versions a second, each with one route changed; returns the service's processor time a second,
-    /// and the bytes a second that each proxy was sent.
+    /// Publishes `rate` versions a second, each with one route changed; returns the service's processor time a second
+    /// and the bytes a second sent to each proxy.
     fn stream(&self, routes: u64, rate: f64) -> Result<(f64, f64), MeasureError> {
-        let (begun, cpu, bytes) = (Instant::now(), self.cpu()?, self.bytes());
+        let (started, cpu, bytes) = (Instant::now(), self.cpu()?, self.bytes());
         let mut n = 0u64;
-        while begun.elapsed() < MEASURED_FOR {
+        while started.elapsed() < MEASUREMENT_TIME {
             n += 1;
             self.publish(routes, n)?;
-            let due = begun + Duration::from_secs_f64(n as f64 / rate);
+            let due = started + Duration::from_secs_f64(n as f64 / rate);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
         }
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         let (cpu, bytes) = (self.cpu()? - cpu, self.bytes() - bytes);
         super::check_rate(n, seconds, rate)?;
-        // Danger: a service that lags behind would look cheap.
-        self.wait_until_taken(n + 1)?;
+        // Guards against a cost that is too low: a service that lags behind has not yet processed the last versions.
+        self.wait_until_received(n + 1)?;
         Ok((cpu / seconds, bytes as f64 / seconds / self.proxies as f64))
     }
 
-    /// Processor time a second while nothing is published.
+    /// The service's processor time a second while no version is published.
     fn idle_cpu(&self) -> Result<f64, MeasureError> {
-        let (begun, cpu) = (Instant::now(), self.cpu()?);
-        std::thread::sleep(MEASURED_FOR);
-        Ok((self.cpu()? - cpu) / begun.elapsed().as_secs_f64())
+        let (started, cpu) = (Instant::now(), self.cpu()?);
+        std::thread::sleep(MEASUREMENT_TIME);
+        Ok((self.cpu()? - cpu) / started.elapsed().as_secs_f64())
     }
 }
--- a/crates/lab-capacity/src/slopes/emulated_proxy.rs
+++ b/crates/lab-capacity/src/slopes/emulated_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy as the control service sees it: it takes each version as soon as its last byte has arrived and parses none of
-//! it, since thousands of parsers on one machine would be measured instead.
+//! An emulated proxy for the control service: it acknowledges each version after the last byte without parsing it,
+//! since the cost of thousands of parsers on one machine would dominate the measurement.
 
 use aniseyoke_control::frame::{encode, ProxyMessage, HEADER_BYTES, MAX_FRAME_BYTES, PROTOCOL_VERSION};
 use aniseyoke_control::Stamp;
@@ -15,30 +15,30 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// It reports as often as a real proxy with clients.
+/// The interval of reports, that of a real proxy with clients.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The stamp of a frame that carries a version is within this many first bytes.
-const STAMP_WITHIN: usize = 160;
-const READ_SIZE: usize = 16 << 10;
-/// Versions that were received and not yet acknowledged.
+/// The stamp of a frame with a version is contained in this many first bytes.
+const STAMP_PREFIX_BYTES: usize = 160;
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// Capacity of the queue of versions that are received but not yet acknowledged.
 const MAX_UNACKNOWLEDGED: usize = 16;
 
-/// A version that was received, with the time at which it is acknowledged.
+/// A received version with the time at which it is acknowledged.
 type Received = (tokio::time::Instant, Stamp);
 
-/// An emulated proxy.
+/// An emulated proxy with one connection to the control service.
 pub struct EmulatedProxy {
-    /// Its number, of which its instance name is made.
+    /// The number in the proxy's instance name.
     pub index: usize,
-    /// Where the control service listens.
+    /// The address of the control service.
     pub service: SocketAddr,
-    /// The time from a version's last byte to its acknowledgement.
+    /// The delay from a version's last byte to its acknowledgement.
     pub reply_delay: Duration,
-    /// Gets the number of each version, with the time of its last byte.
-    pub taken: Sender<(u64, Instant)>,
-    /// Told once it has said hello.
+    /// Receives the number of each version with the time of its last byte.
+    pub received_version: Sender<(u64, Instant)>,
+    /// Notified once the Hello message is sent.
     pub connected: Sender<()>,
-    /// Counts what the service sends.
+    /// Counts the bytes that the service sends.
     pub bytes: Arc<AtomicU64>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl EmulatedProxy {
-    /// Runs until its connection ends.
+    /// Runs until the connection closes.
     pub async fn run(&self) -> io::Result<()> {
         let mut stream = TcpStream::connect(self.service).await?;
         stream.set_nodelay(true)?;
@@ -61,7 +61,7 @@
             purges: None,
         };
         stream.write_all(&encoded(&hello)?).await?;
-        // Whoever opens the fleet may have given up.
+        // The receiver is dropped if opening the fleet has timed out.
         let _ = self.connected.send(());
         let (read_half, write_half) = stream.into_split();
         let (sender, receiver) = mpsc::channel(MAX_UNACKNOWLEDGED);
@@ -71,26 +71,26 @@
         }
     }
 
-    /// Reads frames, and passes on the stamp of each that carries a version.
+    /// Reads frames, and forwards the stamp of each frame with a version.
     async fn read(&self, mut stream: OwnedReadHalf, received: mpsc::Sender<Received>) -> io::Result<()> {
-        let mut buffer = vec![0; READ_SIZE];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             let mut head = [0; HEADER_BYTES];
             stream.read_exact(&mut head).await?;
             let length = u32::from_be_bytes(head) as usize;
             self.bytes.fetch_add((HEADER_BYTES + length) as u64, Ordering::Relaxed);
-            let (mut left, mut stamp) = (length, None);
-            while left > 0 {
-                let wanted = left.min(buffer.len());
+            let (mut remaining, mut stamp) = (length, None);
+            while remaining > 0 {
+                let wanted = remaining.min(buffer.len());
                 let got = stream.read_exact(&mut buffer[..wanted]).await?;
-                if left == length {
-                    stamp = version_stamp(&buffer[..got.min(STAMP_WITHIN)]);
+                if remaining == length {
+                    stamp = version_stamp(&buffer[..got.min(STAMP_PREFIX_BYTES)]);
                 }
-                left -= got;
+                remaining -= got;
             }
             if let Some(stamp) = stamp {
-                // The fleet is gone only when the measurement is over.
-                let _ = self.taken.send((stamp.number, Instant::now()));
+                // The fleet is dropped only after the measurement.
+                let _ = self.received_version.send((stamp.number, Instant::now()));
                 let due = tokio::time::Instant::now() + self.reply_delay;
                 let _ = received.send((due, stamp)).await;
             }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Acknowledges versions when they are due, and reports in between.
+/// Acknowledges versions when they are due, and sends reports at `REPORT_INTERVAL`.
 async fn write(mut stream: OwnedWriteHalf, mut received: mpsc::Receiver<Received>) -> io::Result<()> {
     let mut running = None;
     let mut reports = tokio::time::interval(REPORT_INTERVAL);
@@ -118,7 +118,7 @@
     }
 }
 
-/// The stamp of the version that a frame carries, if it carries one, from the frame's first bytes.
+/// Extracts the stamp from the first bytes of a frame with a version; none for other frames.
 fn version_stamp(first_bytes: &[u8]) -> Option<Stamp> {
     let text = String::from_utf8_lossy(first_bytes);
     if !text.starts_with("{\"type\":\"full\"") && !text.starts_with("{\"type\":\"delta\"") {
--- a/crates/lab-capacity/src/slopes/fit.rs
+++ b/crates/lab-capacity/src/slopes/fit.rs
@@ -1,20 +1,20 @@
-//! Straight lines through measured points by least squares, with their errors, and the power of what is not straight. No
-//! I/O, no clock.
+//! Linear fits of measured points by least squares with standard errors, and the exponent of a power law. No I/O, no
+//! clock.
 
 use crate::FitError;
 use serde::{Deserialize, Serialize};
 
-/// A line through points.
+/// A line fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fit {
-    /// Its value at 0, in the slope's unit.
+    /// The value at 0, in the slope's unit.
     pub intercept: f64,
-    /// What one more of the abscissa adds, in the slope's unit.
+    /// The increase for each unit of the abscissa, in the slope's unit.
     pub slope: f64,
     /// The standard error of `slope`.
     pub slope_se: f64,
-    /// The exponent of a power law through the same points, by a line through their logarithms; none where a value is
+    /// The exponent of a power law through the same points, from a linear fit of their logarithms; none if a value is
     /// not above 0.
     pub power: Option<f64>,
 }
@@ -24,7 +24,7 @@
 pub struct Predicted {
     /// The value, in the slope's unit.
     pub value: f64,
-    /// The standard error of a single measurement there.
+    /// The standard error of a single measurement at this abscissa.
     pub se: f64,
 }
 
@@ -37,27 +37,27 @@
     (mx, my, sxx, sxy)
 }
 
-/// The residuals' standard deviation with two degrees of freedom taken.
+/// The residual standard deviation, with two degrees of freedom subtracted for the line.
 fn residual(points: &[(f64, f64)], fit: &Fit) -> f64 {
     let squares: f64 = points.iter().map(|(x, y)| (y - fit.intercept - fit.slope * x).powi(2)).sum();
     (squares / (points.len() as f64 - 2.0)).sqrt()
 }
 
 impl Fit {
-    /// Fits a line.
+    /// Fits a line to points.
     ///
     /// # Errors
-    /// With fewer than three points, with all at one place, or with a value that is no number.
+    /// If there are fewer than three points, all have the same abscissa, or a value is not finite.
     pub fn new(points: &[(f64, f64)]) -> Result<Fit, FitError> {
         if points.len() < 3 {
-            return Err(FitError::TooFewForALine(points.len()));
+            return Err(FitError::TooFewPointsForLine(points.len()));
         }
         if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
-            return Err(FitError::NotANumber);
+            return Err(FitError::NotFinite);
         }
         let (mx, my, sxx, sxy) = moments(points);
         if sxx <= 0.0 {
-            return Err(FitError::OneSize);
+            return Err(FitError::SingleSize);
         }
         let slope = sxy / sxx;
         let mut fit = Fit { intercept: my - slope * mx, slope, slope_se: 0.0, power: None };
@@ -70,7 +70,7 @@
         Ok(fit)
     }
 
-    /// What it says at `x`; `points` are those it was made from.
+    /// Predicts the value at `x`; `points` are the fitted points.
     pub fn predict(&self, points: &[(f64, f64)], x: f64) -> Predicted {
         let (mx, _, sxx, _) = moments(points);
         let spread = 1.0 + 1.0 / points.len() as f64 + (x - mx).powi(2) / sxx;
--- a/crates/lab-capacity/src/slopes/list_calls.rs
+++ b/crates/lab-capacity/src/slopes/list_calls.rs
@@ -1,4 +1,4 @@
-//! Calls at a list service, in simulated time: the day `join`, in which six in ten nodes are replaced within seconds.
+//! Calls to a list service in simulated time: the day `join`, in which six in ten nodes are replaced within seconds.
 
 use super::{Family, Quantity, Setup};
 use crate::MeasureError;
@@ -6,16 +6,16 @@
 use aniseyoke_lab_sim::{ListService, Options, Sim};
 use std::time::Duration;
 
-/// The load runs this long before what is reported.
+/// The time that the load runs before the reported part.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Nodes where proxies are the size.
+/// Nodes in the family over proxies.
 const NODES_FIXED: usize = 60;
-/// Proxies where nodes are the size.
+/// Proxies in the family over nodes.
 const PROXIES_FIXED: usize = 60;
-/// The day is squeezed to this fraction of its length.
-const SQUEEZE: f64 = 0.5;
+/// The fraction of its length to which the day is shortened.
+const DAY_LENGTH_FRACTION: f64 = 0.5;
 
-/// Against proxies.
+/// Calls against the number of proxies.
 pub const PROXIES: Family = Family {
     name: "list.proxies",
     role: "list service",
@@ -29,7 +29,7 @@
     measure: |_: &Setup, proxies| calls(proxies as usize, NODES_FIXED),
 };
 
-/// Against nodes.
+/// Calls against the number of nodes.
 pub const NODES: Family = Family {
     name: "list.nodes",
     role: "list service",
@@ -40,7 +40,7 @@
 };
 
 fn calls(proxies: usize, nodes: usize) -> Result<Vec<f64>, MeasureError> {
-    let day = Day::open("join")?.shortened(SQUEEZE);
+    let day = Day::open("join")?.shortened(DAY_LENGTH_FRACTION);
     let day = day.resized(proxies, nodes)?;
     let list = ListService {
         paced: false,
--- a/crates/lab-capacity/src/slopes/list_server.rs
+++ b/crates/lab-capacity/src/slopes/list_server.rs
@@ -1,5 +1,5 @@
-//! A list service of as many nodes as wanted that answers watches and changes at a rate; and the nodes, which
-//! accept connections and stay silent.
+//! A list service with a configurable number of nodes that answers watches and changes its list at a fixed rate, and
+//! the nodes, which accept connections and send nothing.
 
 use aniseyoke_lab_day::Member;
 use aniseyoke_lab_site::http::HttpConnection;
@@ -13,25 +13,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A watch waits no longer than this.
-const MAX_HOLD: Duration = Duration::from_secs(60);
-/// Changes that are remembered; a caller with an older version gets the whole list.
+/// The longest wait of a watch for a change.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// Changes in the history; a client with an older version receives the full list.
 const MAX_CHANGES: usize = 4096;
 
-/// The list.
+/// The list service and the state of its members.
 pub struct EndpointListServer {
     members: RefCell<Vec<Member>>,
-    /// Which member each change was of; the first led to version `first + 1`.
+    /// The index of the changed member for each change; the first change led to version `first_version + 1`.
     changes: RefCell<std::collections::VecDeque<usize>>,
-    first: Cell<u64>,
+    first_version: Cell<u64>,
     version: watch::Sender<u64>,
 }
 
 impl EndpointListServer {
-    /// A list of nodes that take connections, of the kinds named in turn.
+    /// Opens a listener for each node and lists it; nodes are assigned the kinds in rotation.
     ///
     /// # Errors
-    /// If the system lacks ports or descriptors.
+    /// If no port or descriptor is available.
     pub async fn open(nodes: usize, kinds: &[String]) -> io::Result<Rc<EndpointListServer>> {
         let mut members = Vec::new();
         for n in 0..nodes {
@@ -40,10 +40,10 @@
             let kind = kinds.get(n % kinds.len().max(1)).cloned().unwrap_or_default();
             members.push(Member { id: format!("node-{n}"), addr, kind, state: "ready", started_ms: 0 });
             tokio::task::spawn_local(async move {
-                let mut held = Vec::new();
-                // Connections are held, up to what the process may have.
+                let mut connections = Vec::new();
+                // Connections stay open, up to the process's limit on descriptors.
                 while let Ok((stream, _)) = listener.accept().await {
-                    held.push(stream);
+                    connections.push(stream);
                 }
             });
         }
@@ -51,7 +51,7 @@
         Ok(Rc::new(EndpointListServer {
             members: members.into(),
             changes: RefCell::default(),
-            first: Cell::new(1),
+            first_version: Cell::new(1),
             version,
         }))
     }
@@ -60,13 +60,13 @@
         *self.version.borrow()
     }
 
-    /// In the list service's form: what has changed since a version, or all of it.
-    pub fn since(&self, from: Option<u64>) -> Value {
+    /// The response of the list service: the changes since a version, or the full list.
+    pub fn changes_since(&self, from: Option<u64>) -> Value {
         let (members, changes, now) = (self.members.borrow(), self.changes.borrow(), self.version());
-        let known = from.filter(|from| (self.first.get()..=now).contains(from));
+        let known = from.filter(|from| (self.first_version.get()..=now).contains(from));
         let servers: Vec<Value> = match known {
             Some(from) => {
-                let skipped = (from - self.first.get()) as usize;
+                let skipped = (from - self.first_version.get()) as usize;
                 let changed: BTreeSet<usize> = changes.iter().skip(skipped).copied().collect();
                 changed.into_iter().map(|n| members[n].json()).collect()
             }
@@ -75,8 +75,8 @@
         json!({"version": now, "full": known.is_none(), "servers": servers})
     }
 
-    /// The next change: node after node starts to drain and is ready again.
-    pub fn change(&self) {
+    /// Applies the next change: each node in turn starts to drain and becomes ready again.
+    pub fn apply_next_change(&self) {
         let mut members = self.members.borrow_mut();
         let step = self.version() as usize;
         let n = (step / 2) % members.len().max(1);
@@ -86,36 +86,36 @@
         changes.push_back(n);
         if changes.len() > MAX_CHANGES {
             changes.pop_front();
-            self.first.set(self.first.get() + 1);
+            self.first_version.set(self.first_version.get() + 1);
         }
         drop((members, changes));
         self.version.send_modify(|version| *version += 1);
     }
 
-    /// Serves watches on the current thread, and changes the list this many times a second; returns the address.
+    /// Serves watches on the current thread and applies `changes_per_second` changes to the list; returns the address.
     ///
     /// # Errors
-    /// If the system lacks ports.
+    /// If no port is available.
     pub async fn serve(self: &Rc<Self>, changes_per_second: f64) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let addr = listener.local_addr()?;
-        let serving = self.clone();
+        let listening_server = self.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let server = serving.clone();
+                let server = listening_server.clone();
                 tokio::task::spawn_local(async move {
-                    // A caller that goes away is no concern of the list's.
+                    // A connection that the client closes needs no handling.
                     let _ = server.serve_connection(stream).await;
                 });
             }
         });
         if changes_per_second > 0.0 {
-            let changing = self.clone();
+            let changing_server = self.clone();
             tokio::task::spawn_local(async move {
                 let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / changes_per_second));
                 loop {
                     ticks.tick().await;
-                    changing.change();
+                    changing_server.apply_next_change();
                 }
             });
         }
@@ -131,11 +131,11 @@
             if let (Some(from), Some(hold)) = (from, parameter("hold_ms")) {
                 tokio::select! {
                     _ = version.wait_for(|version| *version != from) => {}
-                    () = tokio::time::sleep(Duration::from_millis(hold).min(MAX_HOLD)) => {}
+                    () = tokio::time::sleep(Duration::from_millis(hold).min(MAX_WATCH_WAIT)) => {}
                     () = http.closed() => return Ok(()),
                 }
             }
-            let body = self.since(from).to_string();
+            let body = self.changes_since(from).to_string();
             let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
             http.write(format!("{head}{}\r\n\r\n{body}", body.len()).as_bytes()).await?;
         }
--- a/crates/lab-capacity/src/slopes/mod.rs
+++ b/crates/lab-capacity/src/slopes/mod.rs
@@ -1,7 +1,7 @@
-//! What one more node, change, route, proxy or request costs each role: measured at several sizes, fitted, and tried on
-//! the largest size, which the fit has not seen.
+//! The marginal cost of nodes, changes, routes, proxies and requests for each role: measured at several sizes, fitted
+//! by a line, and compared at the largest size, which is held out from the fit.
 //!
-//! A [`Family`] is one way to measure and yields a [`Slope`] for each quantity that it looks at.
+//! A [`Family`] is a series of measurements over one size and yields a [`Slope`] for each of its quantities.
 
 mod byte_counter;
 mod control;
@@ -22,72 +22,73 @@
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
-/// The fewest points of a fit; the one kept out comes beside them.
+/// The minimum number of fitted points, without the held-out point.
 const MIN_POINTS: usize = 4;
-/// The largest size is at least this many times the smallest.
+/// The minimum ratio of the largest size to the smallest.
 const MIN_SIZE_RATIO: f64 = 10.0;
 
-/// What a fit was tried on.
+/// The held-out point and the fit's prediction for it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeldOut {
-    /// The size, larger than any of the fit.
+    /// The size, larger than all sizes of the fit.
     pub x: f64,
-    /// What was measured there, in the slope's unit.
+    /// The measured value, in the slope's unit.
     pub measured: f64,
-    /// What the fit says.
+    /// The predicted value, in the slope's unit.
     pub predicted: f64,
-    /// The standard error of that prediction.
+    /// The standard error of the prediction.
     pub predicted_se: f64,
 }
 
-/// One quantity against one size, as it is kept in a file.
+/// One quantity against one size, as it is stored in a file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// Role, quantity, size.
+    /// The name, of role, quantity and size.
     pub name: String,
-    /// Whose it is.
+    /// The role that is measured.
     pub role: String,
-    /// What was measured.
+    /// The measured quantity.
     pub quantity: String,
     /// Its unit.
     pub unit: String,
-    /// The size.
+    /// The size that varies.
     pub against: String,
-    /// How to measure it again.
+    /// The command that repeats the measurement.
     pub command: String,
-    /// Whether other work was on the machine meanwhile.
+    /// Whether the machine ran other work during the measurement.
     pub shared: bool,
-    /// Size and value, all but the largest.
+    /// Sizes and values, without the largest size.
     pub points: Vec<(f64, f64)>,
-    /// The line through them.
+    /// The line fitted to the points.
     pub fit: Fit,
-    /// The largest.
+    /// The point at the largest size.
     pub held_out: HeldOut,
 }
 
 impl Slope {
-    /// Fits all points but the one at the largest size, and predicts that.
+    /// Fits all points except the one at the largest size, and predicts that point.
     ///
     /// # Errors
-    /// With fewer than four points beside the largest, with less than a decade between the smallest and the largest, or
+    /// If there are fewer than four points besides the largest, if the sizes span less than a decade, or
     /// as [`Fit::new`].
     pub fn new(
-        of: &Quantity,
+        measured_quantity: &Quantity,
         family: &Family,
         shared: bool,
         all: Vec<(f64, f64)>,
     ) -> Result<Slope, CapacityError> {
-        let named = |source: FitError| CapacityError::Fit { slope: of.name.into(), source };
-        let (points, held_out) = split_largest(all).map_err(named)?;
-        let fit = Fit::new(&points).map_err(named)?;
+        let fit_error =
+            |source: FitError| CapacityError::Fit { slope: measured_quantity.name.into(), source };
+        let (points, held_out) = split_largest(all).map_err(fit_error)?;
+        let fit = Fit::new(&points).map_err(fit_error)?;
         let prediction = fit.predict(&points, held_out.0);
         Ok(Slope {
-            name: of.name.into(),
+            name: measured_quantity.name.into(),
             role: family.role.into(),
-            quantity: of.quantity.into(),
-            unit: of.unit.into(),
+            quantity: measured_quantity.quantity.into(),
+            unit: measured_quantity.unit.into(),
             against: family.against.into(),
             command: format!("aniseyoke-lab slopes {}", family.name),
             shared,
@@ -102,43 +103,43 @@
         })
     }
 
-    /// What it says at a size.
+    /// Predicts the value at a size.
     pub fn predict(&self, x: f64) -> Predicted {
         self.fit.predict(&self.points, x)
     }
 
-    /// What was measured at just this size, if anything was.
+    /// The value that was measured at exactly this size, if there is one.
     pub fn measured(&self, x: f64) -> Option<f64> {
         let held_out = (self.held_out.x, self.held_out.measured);
         self.points.iter().copied().chain([held_out]).find(|p| p.0 == x).map(|p| p.1)
     }
 
-    /// Whether the line holds at the largest size: within a tenth, or within three standard errors.
+    /// Whether the prediction at the largest size is within a tenth of the measured value or within three standard errors.
     pub fn is_linear(&self) -> bool {
         let HeldOut { measured, predicted, predicted_se, .. } = self.held_out;
-        let off = (measured - predicted).abs();
-        off <= measured.abs() * 0.1 || off <= 3.0 * predicted_se
+        let deviation = (measured - predicted).abs();
+        deviation <= measured.abs() * 0.1 || deviation <= 3.0 * predicted_se
     }
 
-    /// Does the fit again and says what in the file does not follow from its points.
+    /// Repeats the fit and compares it with the stored one.
     ///
     /// # Errors
-    /// As [`Slope::new`], and if anything differs.
+    /// As [`Slope::new`], and if the stored fit or prediction differs.
     pub fn check(&self) -> Result<(), CapacityError> {
         let mut all = self.points.clone();
         all.push((self.held_out.x, self.held_out.measured));
-        let named = |source: FitError| CapacityError::Fit { slope: self.name.clone(), source };
-        let (points, held_out) = split_largest(all).map_err(named)?;
-        let fit = Fit::new(&points).map_err(named)?;
+        let fit_error = |source: FitError| CapacityError::Fit { slope: self.name.clone(), source };
+        let (points, held_out) = split_largest(all).map_err(fit_error)?;
+        let fit = Fit::new(&points).map_err(fit_error)?;
         let prediction = fit.predict(&points, held_out.0);
-        let near = |a: f64, b: f64| (a - b).abs() <= 1e-9 * (1.0 + a.abs().max(b.abs()));
-        let same = near(fit.slope, self.fit.slope)
-            && near(fit.intercept, self.fit.intercept)
-            && near(fit.slope_se, self.fit.slope_se)
-            && near(fit.power.unwrap_or(0.0), self.fit.power.unwrap_or(0.0))
-            && near(prediction.value, self.held_out.predicted)
-            && near(prediction.se, self.held_out.predicted_se);
-        same.then_some(()).ok_or_else(|| CapacityError::FitDiffers(self.name.clone()))
+        let nearly_equal = |a: f64, b: f64| (a - b).abs() <= 1e-9 * (1.0 + a.abs().max(b.abs()));
+        let matches_points = nearly_equal(fit.slope, self.fit.slope)
+            && nearly_equal(fit.intercept, self.fit.intercept)
+            && nearly_equal(fit.slope_se, self.fit.slope_se)
+            && nearly_equal(fit.power.unwrap_or(0.0), self.fit.power.unwrap_or(0.0))
+            && nearly_equal(prediction.value, self.held_out.predicted)
+            && nearly_equal(prediction.se, self.held_out.predicted_se);
+        matches_points.then_some(()).ok_or_else(|| CapacityError::FitMismatch(self.name.clone()))
     }
 }
 
@@ -150,57 +151,59 @@
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     let held_out = all.pop().ok_or(FitError::NoPoints)?;
     if all.len() < MIN_POINTS {
-        return Err(FitError::TooFew { count: all.len(), min: MIN_POINTS });
+        return Err(FitError::TooFewPoints { count: all.len(), min: MIN_POINTS });
     }
     if all[0].0 <= 0.0 || held_out.0 < all[0].0 * MIN_SIZE_RATIO {
-        return Err(FitError::TooNarrow { from: all[0].0, to: held_out.0 });
+        return Err(FitError::RangeTooNarrow { from: all[0].0, to: held_out.0 });
     }
     Ok((all, held_out))
 }
 
-/// What a family looks at.
+/// A quantity that a family measures.
 #[derive(Clone, Copy, Debug)]
 pub struct Quantity {
-    /// The slope's name.
+    /// The name of its slope.
     pub name: &'static str,
-    /// In words.
+    /// The description.
     pub quantity: &'static str,
     /// Its unit.
     pub unit: &'static str,
 }
 
-/// One way to measure, at several sizes.
+/// A series of measurements of one role at several sizes.
 pub struct Family {
     /// Its name.
     pub name: &'static str,
-    /// Whose quantities they are.
+    /// The measured role.
     pub role: &'static str,
-    /// What the sizes are of.
+    /// The size that varies, with its unit.
     pub against: &'static str,
     /// The sizes.
     pub at: &'static [f64],
-    /// What is looked at, in the order in which `measure` gives the values.
+    /// The measured quantities, in the order of the values that `measure` returns.
     pub quantities: &'static [Quantity],
     /// Measures at one size.
     pub measure: fn(&Setup, f64) -> Result<Vec<f64>, MeasureError>,
 }
 
-/// The fraction of a rate that has to be reached for its figure to count.
-const MIN_REACHED: f64 = 0.95;
+/// The minimum fraction of a requested rate; a measurement at a lower rate fails.
+const MIN_REACHED_FRACTION: f64 = 0.95;
 
-/// Fails unless `n` in so many seconds reach the rate.
+/// Fails if `n` events in `seconds` are below `MIN_REACHED_FRACTION` of the rate.
 fn check_rate(n: u64, seconds: f64, rate: f64) -> Result<(), MeasureError> {
     let reached = n as f64 / seconds;
-    (reached >= rate * MIN_REACHED).then_some(()).ok_or(MeasureError::RateNotReached { reached, rate })
+    (reached >= rate * MIN_REACHED_FRACTION)
+        .then_some(())
+        .ok_or(MeasureError::RateNotReached { reached, rate })
 }
 
-/// What a measurement needs.
+/// The programs and conditions of a measurement.
 pub struct Setup {
-    /// The proxy's program.
+    /// The path of the proxy's program.
     pub proxy: PathBuf,
-    /// The control service's program.
+    /// The path of the control service's program.
     pub control: PathBuf,
-    /// Whether other work is on the machine.
+    /// Whether the machine runs other work.
     pub shared: bool,
 }
 
@@ -213,33 +216,34 @@
         &proxy::ROUTES,
         &proxy::VERSIONS,
         &control::BY_RATE,
-        &control::BY_DISTANCE,
+        &control::BY_REPLY_DELAY,
         &requests::RATE,
-        &requests::LENGTH,
+        &requests::RESPONSE_LENGTH,
         &requests::NODES,
         &list_calls::PROXIES,
         &list_calls::NODES,
     ]
 }
 
-/// The families that these names call: a family's, or that of one of its slopes; all without any.
+/// Selects families by their own names or by the names of their slopes; all families if `names` is empty.
 ///
 /// # Errors
-/// If a name calls none.
+/// If a name matches no family and no slope.
 pub fn select(names: &[String]) -> Result<Vec<&'static Family>, CapacityError> {
-    let calls = |f: &Family, name: &String| f.name == name || f.quantities.iter().any(|q| q.name == name);
-    if let Some(unknown) = names.iter().find(|name| !families().iter().any(|f| calls(f, name))) {
+    let matches_name =
+        |f: &Family, name: &String| f.name == name || f.quantities.iter().any(|q| q.name == name);
+    if let Some(unknown) = names.iter().find(|name| !families().iter().any(|f| matches_name(f, name))) {
         let known = families().iter().map(|f| f.name).collect();
         return Err(CapacityError::UnknownSlope { name: unknown.clone(), known });
     }
-    let wanted = |f: &&Family| names.is_empty() || names.iter().any(|name| calls(f, name));
+    let wanted = |f: &&Family| names.is_empty() || names.iter().any(|name| matches_name(f, name));
     Ok(families().into_iter().filter(wanted).collect())
 }
 
 /// Measures a family at all its sizes; `progress` is called after each.
 ///
 /// # Errors
-/// If a size could not be measured, or its points make no slope.
+/// If the measurement at a size fails, or the points can't be fitted.
 pub fn measure(
     family: &Family,
     setup: &Setup,
@@ -256,17 +260,17 @@
         progress(*x, &values);
         rows.push((*x, values));
     }
-    let slope = |(n, of): (usize, &Quantity)| {
+    let slope = |(n, measured_quantity): (usize, &Quantity)| {
         let points = rows.iter().map(|(x, values)| (*x, values.get(n).copied().unwrap_or(f64::NAN)));
-        Slope::new(of, family, setup.shared, points.collect())
+        Slope::new(measured_quantity, family, setup.shared, points.collect())
     };
     family.quantities.iter().enumerate().map(slope).collect()
 }
 
-/// Keeps a slope in a folder, a file by its name.
+/// Writes a slope to the JSON file of its name in a folder.
 ///
 /// # Errors
-/// If it can't be written.
+/// If the file can't be written.
 pub fn save(slope: &Slope, folder: &Path) -> Result<(), CapacityError> {
     let file = folder.join(format!("{}.json", slope.name));
     let text = serde_json::to_string_pretty(slope).map_err(CapacityError::Encode)?;
@@ -275,10 +279,10 @@
     Ok(())
 }
 
-/// Reads all JSON files of a folder, in the order of their names; none where there is no such folder.
+/// Reads all JSON files of a folder, in the order of their names; returns none if the folder does not exist.
 ///
 /// # Errors
-/// Names the file that can't be read or does not fit.
+/// If a file can't be read or parsed; the error names the file.
 pub fn json_files<T: DeserializeOwned>(folder: &Path) -> Result<Vec<T>, CapacityError> {
     if !folder.exists() {
         return Ok(Vec::new());
@@ -300,7 +304,7 @@
 /// Reads all slopes of a folder, in the order of their names.
 ///
 /// # Errors
-/// Names the file that can't be read or is no slope.
+/// If a file can't be read or is not a slope; the error names the file.
 pub fn load(folder: &Path) -> Result<Vec<Slope>, CapacityError> {
     let mut slopes: Vec<Slope> = json_files(folder)?;
     slopes.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/lab-capacity/src/slopes/proxy.rs
+++ b/crates/lab-capacity/src/slopes/proxy.rs
@@ -1,4 +1,4 @@
-//! A real proxy without clients: what the list of nodes and the versions of its configuration cost it.
+//! Slopes of a real proxy without clients: its cost for the list of nodes and for versions of its configuration.
 
 use super::byte_counter::{self, ByteCounter};
 use super::list_server::EndpointListServer;
@@ -17,21 +17,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// The memory that the proxy is told it may take, in MB: more than the target's, so that need is seen and not the limit.
+/// The proxy's memory limit in MB: above the target's, so that the memory in use is measured and not the limit.
 const MEMORY_MB: usize = 128;
-/// The measurement fails if something takes longer than this.
+/// The longest wait for a state of the proxy.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// A proxy that has just started is left alone for this long.
+/// The time after the first version before the proxy is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// It is measured for this long: whole cycles of its watch (2.5 s) and of its keep-alives (5 s).
-const MEASURED_FOR: Duration = Duration::from_secs(10);
+/// The duration of a measurement: a multiple of the periods of the proxy's watch (2.5 s) and keep-alives (5 s).
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Versions after the first where the cost of each is measured.
-const VERSIONS_EACH: u64 = 5;
-/// Nodes listed where something else is the size: the target's.
+/// Versions after the first one over which the cost of one version is averaged.
+const MEASURED_VERSIONS: u64 = 5;
+/// Listed nodes in families over another size: the target's number.
 const NODES_FIXED: usize = 880;
-/// Routes of a small version.
-const ROUTES_FEW: u64 = 10;
+/// Routes of a version in families over another size.
+const SMALL_VERSION_ROUTES: u64 = 10;
 
 macro_rules! quantity {
     ($name:literal, $quantity:literal, $unit:literal) => {
@@ -39,7 +39,7 @@
     };
 }
 
-/// Against nodes listed, at rest.
+/// The cost of an idle proxy against the number of listed nodes.
 pub const NODES: Family = Family {
     name: "proxy.nodes",
     role: "proxy",
@@ -55,15 +55,15 @@
     ],
     measure: |setup, nodes| {
         let testbed = ProxyTestbed::open(setup, nodes as usize, 0.0)?;
-        testbed.publish(ROUTES_FEW, 0)?;
+        testbed.publish(SMALL_VERSION_ROUTES, 0)?;
         std::thread::sleep(SETTLE_TIME);
         let start = testbed.usage()?.cpu_s;
-        let rest = testbed.measure(MEASURED_FOR, || Ok(()))?;
+        let rest = testbed.measure(MEASUREMENT_TIME, || Ok(()))?;
         Ok(vec![rest.cpu, rest.bytes, rest.messages, rest.memory_mb, start, rest.descriptors])
     },
 };
 
-/// Against changes of the list.
+/// The proxy's cost against changes of the list a second.
 pub const CHANGES: Family = Family {
     name: "proxy.changes",
     role: "proxy",
@@ -76,14 +76,14 @@
     ],
     measure: |setup, rate| {
         let testbed = ProxyTestbed::open(setup, NODES_FIXED, rate)?;
-        testbed.publish(ROUTES_FEW, 0)?;
+        testbed.publish(SMALL_VERSION_ROUTES, 0)?;
         std::thread::sleep(SETTLE_TIME);
-        let rest = testbed.measure(MEASURED_FOR, || Ok(()))?;
+        let rest = testbed.measure(MEASUREMENT_TIME, || Ok(()))?;
         Ok(vec![rest.cpu, rest.bytes, rest.messages])
     },
 };
 
-/// Against routes.
+/// The proxy's cost against the number of routes of a version.
 pub const ROUTES: Family = Family {
     name: "proxy.routes",
     role: "proxy",
@@ -100,20 +100,20 @@
         let before = testbed.control.bytes();
         testbed.publish(routes as u64, 0)?;
         std::thread::sleep(SETTLE_TIME);
-        let (whole, cpu) = (testbed.control.bytes() - before, testbed.usage()?.cpu_s);
+        let (first_version_bytes, cpu) = (testbed.control.bytes() - before, testbed.usage()?.cpu_s);
         let before = testbed.control.bytes();
-        for n in 1..=VERSIONS_EACH {
+        for n in 1..=MEASURED_VERSIONS {
             testbed.publish(routes as u64, n)?;
         }
-        // What is done once a version is in force counts as well.
+        // Includes the work after a version is in force.
         std::thread::sleep(SETTLE_TIME / 4);
         let (delta, after) = (testbed.control.bytes() - before, testbed.usage()?);
-        let each = VERSIONS_EACH as f64;
-        Ok(vec![after.memory_mb, (after.cpu_s - cpu) / each, whole as f64, delta as f64 / each])
+        let each = MEASURED_VERSIONS as f64;
+        Ok(vec![after.memory_mb, (after.cpu_s - cpu) / each, first_version_bytes as f64, delta as f64 / each])
     },
 };
 
-/// Against changes of version: what a stream of small messages from the control service costs.
+/// The proxy's cost against versions a second: a stream of small messages from the control service.
 pub const VERSIONS: Family = Family {
     name: "proxy.versions",
     role: "proxy",
@@ -125,22 +125,22 @@
     ],
     measure: |setup, rate| {
         let testbed = ProxyTestbed::open(setup, NODES_FIXED, 0.0)?;
-        testbed.publish(ROUTES_FEW, 0)?;
+        testbed.publish(SMALL_VERSION_ROUTES, 0)?;
         std::thread::sleep(SETTLE_TIME);
-        let (mut n, begun) = (0u64, Instant::now());
-        let rest = testbed.measure(MEASURED_FOR, || {
+        let (mut n, started) = (0u64, Instant::now());
+        let rest = testbed.measure(MEASUREMENT_TIME, || {
             n += 1;
-            testbed.publish_only(ROUTES_FEW, n)?;
-            let due = begun + Duration::from_secs_f64(n as f64 / rate);
+            testbed.publish_without_waiting(SMALL_VERSION_ROUTES, n)?;
+            let due = started + Duration::from_secs_f64(n as f64 / rate);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             Ok(())
         })?;
-        super::check_rate(n, begun.elapsed().as_secs_f64(), rate)?;
+        super::check_rate(n, started.elapsed().as_secs_f64(), rate)?;
         Ok(vec![rest.cpu, rest.bytes])
     },
 };
 
-/// What was measured of a proxy in a span.
+/// Rates over a measurement of the proxy, with its peak memory and its open descriptors.
 struct Measurement {
     cpu: f64,
     bytes: f64,
@@ -149,7 +149,7 @@
     descriptors: f64,
 }
 
-/// A proxy between counting relays, with its list, its nodes and its control service.
+/// A proxy with counting relays to its list server and its control service, and with listening nodes.
 struct ProxyTestbed {
     day: Day,
     service: ServiceThread,
@@ -157,31 +157,26 @@
     list_server: Arc<ByteCounter>,
     control: Arc<ByteCounter>,
     _folder: tempfile::TempDir,
-    /// Their thread ends when this is dropped.
-    _stand_ins: oneshot::Sender<()>,
+    /// Dropping this ends the thread of the stubs.
+    _stop_stubs: oneshot::Sender<()>,
 }
 
-/// The addresses of a proxy's stand-ins.
-struct StandIns {
+/// The addresses and byte counters of the stubs that the proxy connects to.
+struct Stubs {
     discovery: SocketAddr,
-    known: Value,
+    initial_list: Value,
     list_server: Arc<ByteCounter>,
     services: SocketAddr,
     control: Arc<ByteCounter>,
 }
 
-async fn open_stand_ins(
-    nodes: usize,
-    kinds: &[String],
-    changes: f64,
-    at: SocketAddr,
-) -> std::io::Result<StandIns> {
+async fn open_stubs(nodes: usize, kinds: &[String], changes: f64, at: SocketAddr) -> std::io::Result<Stubs> {
     let list_server = EndpointListServer::open(nodes, kinds).await?;
-    let known = list_server.since(None);
+    let initial_list = list_server.changes_since(None);
     let serving = list_server.serve(changes).await?;
     let (discovery, list_server) = byte_counter::open(serving).await?;
     let (services, control) = byte_counter::open(at).await?;
-    Ok(StandIns { discovery, known, list_server, services, control })
+    Ok(Stubs { discovery, initial_list, list_server, services, control })
 }
 
 impl ProxyTestbed {
@@ -198,61 +193,64 @@
             .enable_all()
             .build()
             .map_err(MeasureError::Runtime)?;
-        let stand_ins = move || {
+        let run_stubs = move || {
             tokio::task::LocalSet::new().block_on(&runtime, async move {
-                // Whoever opens the testbed waits for this, and drops the other end to close it.
-                let _ = send_opened.send(open_stand_ins(nodes, &kinds, changes, at).await);
+                // The thread that opens the testbed waits for this message; dropping its end of the other channel ends
+                // this thread.
+                let _ = send_opened.send(open_stubs(nodes, &kinds, changes, at).await);
                 let _ = stopped.await;
             });
         };
         std::thread::Builder::new()
             .name("stand-ins".into())
-            .spawn(stand_ins)
+            .spawn(run_stubs)
             .map_err(MeasureError::Runtime)?;
-        let opened = opened_receiver.recv().map_err(|_| MeasureError::StandInsPanicked)?;
-        let StandIns { discovery, known, list_server, services, control } =
-            opened.map_err(|source| MeasureError::StandIns { nodes, source })?;
+        let opened = opened_receiver.recv().map_err(|_| MeasureError::StubsPanicked)?;
+        let Stubs { discovery, initial_list, list_server, services, control } =
+            opened.map_err(|source| MeasureError::Stubs { nodes, source })?;
         let folder = tempfile::tempdir().map_err(MeasureError::Folder)?;
         let file = folder.path().join("operator.toml");
         let text = format!("[control]\nservices = [\"{services}\"]\n");
         std::fs::write(&file, text).map_err(FileError::at(&file))?;
         let program =
             Program { operator: Some(file), kill_with_parent: true, ..Program::new(setup.proxy.clone()) };
-        let config = proxy_config(&day, 0, discovery, &known);
+        let config = proxy_config(&day, 0, discovery, &initial_list);
         let proxy = program.start(0, &config, &folder.path().join("proxy"))?;
         let testbed =
-            ProxyTestbed { day, service, proxy, list_server, control, _folder: folder, _stand_ins: stop };
-        testbed.wait_until("it found no service", || !testbed.service.statuses().is_empty())?;
+            ProxyTestbed { day, service, proxy, list_server, control, _folder: folder, _stop_stubs: stop };
+        testbed.wait_until("the proxy did not connect to the control service", || {
+            !testbed.service.statuses().is_empty()
+        })?;
         Ok(testbed)
     }
 
-    fn wait_until(&self, what: &str, condition: impl Fn() -> bool) -> Result<(), MeasureError> {
-        let until = Instant::now() + TIMEOUT;
+    fn wait_until(&self, failure: &str, condition: impl Fn() -> bool) -> Result<(), MeasureError> {
+        let deadline = Instant::now() + TIMEOUT;
         while !condition() {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let last_lines = self.proxy.last_lines();
-                return Err(MeasureError::ProxyTimeout { what: what.to_owned(), last_lines });
+                return Err(MeasureError::ProxyTimeout { failure: failure.to_owned(), last_lines });
             }
             std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Publishes a version.
-    fn publish_only(&self, routes: u64, changed: u64) -> Result<Stamp, MeasureError> {
+    /// Publishes a version without waiting for the proxy.
+    fn publish_without_waiting(&self, routes: u64, changed: u64) -> Result<Stamp, MeasureError> {
         let body = version_body(&self.day, routes, changed);
         let (stamp, _) = self
             .service
             .publish(body, Plan::default())
-            .map_err(|why| MeasureError::Control(why.to_string()))?;
+            .map_err(|cause| MeasureError::Control(cause.to_string()))?;
         Ok(stamp)
     }
 
-    /// Publishes a version and waits until the proxy runs it.
+    /// Publishes a version and waits until the proxy reports it as running.
     fn publish(&self, routes: u64, changed: u64) -> Result<Stamp, MeasureError> {
-        let stamp = self.publish_only(routes, changed)?;
+        let stamp = self.publish_without_waiting(routes, changed)?;
         let runs = || self.service.statuses().iter().any(|row| row.running == Some(stamp));
-        self.wait_until(&format!("it does not run version {stamp}"), runs)?;
+        self.wait_until(&format!("the proxy does not run version {stamp}"), runs)?;
         Ok(stamp)
     }
 
@@ -266,18 +264,18 @@
         (list_server.bytes() + control.bytes(), list_server.messages() + control.messages())
     }
 
-    /// Measures the proxy for a span, in which `act` is repeated.
+    /// Measures the proxy for a duration in which `action` is repeated.
     fn measure(
         &self,
-        span: Duration,
-        mut act: impl FnMut() -> Result<(), MeasureError>,
+        duration: Duration,
+        mut action: impl FnMut() -> Result<(), MeasureError>,
     ) -> Result<Measurement, MeasureError> {
-        let (begun, before, counted) = (Instant::now(), self.usage()?, self.counts());
-        while begun.elapsed() < span {
-            act()?;
+        let (started, before, counted) = (Instant::now(), self.usage()?, self.counts());
+        while started.elapsed() < duration {
+            action()?;
             std::thread::sleep(POLL_INTERVAL);
         }
-        let (after, counts, seconds) = (self.usage()?, self.counts(), begun.elapsed().as_secs_f64());
+        let (after, counts, seconds) = (self.usage()?, self.counts(), started.elapsed().as_secs_f64());
         Ok(Measurement {
             cpu: (after.cpu_s - before.cpu_s) / seconds,
             bytes: (counts.0 - counted.0) as f64 / seconds,
--- a/crates/lab-capacity/src/slopes/requests.rs
+++ b/crates/lab-capacity/src/slopes/requests.rs
@@ -1,4 +1,5 @@
-//! What requests cost a real proxy: against their rate, and against the length of their answers.
+//! Slopes of a real proxy under load: its cost against the rate of requests, the length of responses and the number of
+//! nodes.
 
 use super::{Family, Quantity, Setup};
 use crate::MeasureError;
@@ -7,16 +8,16 @@
 use aniseyoke_lab_trial::Options;
 use std::time::Duration;
 
-/// Requests are sent for this long.
-const LENGTH_OF_LOAD: Duration = Duration::from_secs(6);
-/// The rate where the length of answers is the size, in requests a second.
-const RATE_OF_LONG: f64 = 100.0;
-/// The rate where nodes are the size, in requests a second.
-const RATE_OF_NODES: f64 = 500.0;
-/// Memory of the proxy where answers are long, in MB.
+/// The duration of the load of one trial.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
+/// Requests a second in the family over response length.
+const LONG_RESPONSE_RATE: f64 = 100.0;
+/// Requests a second in the family over nodes.
+const NODES_RATE: f64 = 500.0;
+/// The proxy's memory limit in MB, enough for long responses.
 const MEMORY_MB: usize = 256;
 
-/// Against the rate.
+/// The proxy's cost against the rate of requests.
 pub const RATE: Family = Family {
     name: "proxy.requests",
     role: "proxy",
@@ -27,13 +28,13 @@
         Quantity { name: "proxy.memory.requests", quantity: "most memory", unit: "MB" },
     ],
     measure: |setup, rate| {
-        let played = play(setup, |day| day.load.rate = rate)?;
-        Ok(vec![played.cpu_us * 1e-6 * rate, played.memory_mb])
+        let cost = run_trial(setup, |day| day.load.rate = rate)?;
+        Ok(vec![cost.cpu_us * 1e-6 * rate, cost.memory_mb])
     },
 };
 
-/// Against the length of answers.
-pub const LENGTH: Family = Family {
+/// Processor time of a request against the length of its response.
+pub const RESPONSE_LENGTH: Family = Family {
     name: "proxy.answers",
     role: "proxy",
     against: "bytes of an answer, 100 requests a second",
@@ -44,15 +45,15 @@
         unit: "s",
     }],
     measure: |setup, bytes| {
-        let played = play(setup, |day| {
-            day.load.rate = RATE_OF_LONG;
+        let cost = run_trial(setup, |day| {
+            day.load.rate = LONG_RESPONSE_RATE;
             day.load.response_bytes = bytes as u64;
         })?;
-        Ok(vec![played.cpu_us * 1e-6])
+        Ok(vec![cost.cpu_us * 1e-6])
     },
 };
 
-/// Against nodes that serve.
+/// The proxy's cost against the number of nodes that serve.
 pub const NODES: Family = Family {
     name: "proxy.serving",
     role: "proxy",
@@ -64,11 +65,11 @@
         Quantity { name: "proxy.descriptors.serving", quantity: "most descriptors", unit: "1" },
     ],
     measure: |setup, nodes| {
-        let played = play(setup, |day| {
-            day.load.rate = RATE_OF_NODES;
+        let cost = run_trial(setup, |day| {
+            day.load.rate = NODES_RATE;
             day.site.cache.count = nodes as usize;
         })?;
-        Ok(vec![played.cpu_us * 1e-6, played.memory_mb, played.descriptors])
+        Ok(vec![cost.cpu_us * 1e-6, cost.memory_mb, cost.descriptors])
     },
 };
 
@@ -78,14 +79,14 @@
     memory_mb: f64,
 }
 
-fn play(setup: &Setup, adjust: impl FnOnce(&mut Day)) -> Result<TrialCost, MeasureError> {
+fn run_trial(setup: &Setup, adjust: impl FnOnce(&mut Day)) -> Result<TrialCost, MeasureError> {
     let mut day = Day::open("plain")?;
-    day.length = LENGTH_OF_LOAD;
+    day.length = LOAD_DURATION;
     day.site.proxy.memory_mb = MEMORY_MB;
     adjust(&mut day);
     let report = aniseyoke_lab_trial::run(&day, &Program::new(setup.proxy.clone()), &Options::default())?;
-    if let Some(why) = report.void {
-        return Err(MeasureError::VoidTrial(why));
+    if let Some(cause) = report.void {
+        return Err(MeasureError::VoidTrial(cause));
     }
     if report.all.outcomes.keys().any(|outcome| outcome != "served") {
         return Err(MeasureError::NotServed(report.all.outcomes));
--- a/crates/lab-capacity/src/slopes/tests.rs
+++ b/crates/lab-capacity/src/slopes/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn a_line_is_found_with_its_error_and_predicts_the_largest() {
+fn a_fit_yields_the_line_its_standard_error_and_predictions() {
     let straight: Vec<(f64, f64)> = [1.0, 2.0, 4.0, 8.0, 16.0].iter().map(|x| (*x, 3.0 + 2.0 * x)).collect();
     let fit = Fit::new(&straight).expect("a line");
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9 && fit.slope_se < 1e-9);
-    // Worked out by hand: slope 1.1, residuals -0.1, 0.3, -0.3, 0.1, Sxx 5.
+    // By hand: slope 1.1, residuals -0.1, 0.3, -0.3, 0.1, Sxx 5.
     let bent = [(1.0, 1.0), (2.0, 2.5), (3.0, 3.0), (4.0, 4.5)];
     let fit = Fit::new(&bent).expect("a line");
     assert!((fit.slope - 1.1).abs() < 1e-9 && (fit.intercept - 0.0).abs() < 1e-9, "{fit:?}");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_power_of_a_curve_is_told() {
+fn a_fit_yields_the_exponent_of_a_power_law() {
     let square: Vec<(f64, f64)> = [1.0, 2.0, 4.0, 8.0].iter().map(|x| (*x, 5.0 * x * x)).collect();
     let power = Fit::new(&square).expect("a fit").power.expect("a power");
     assert!((power - 2.0).abs() < 1e-9);
@@ -24,10 +24,10 @@
 }
 
 #[test]
-fn what_makes_no_line_is_refused() {
-    assert!(Fit::new(&[(1.0, 1.0), (2.0, 2.0)]).is_err(), "two points have no error");
-    assert!(Fit::new(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]).is_err(), "one place");
-    assert!(Fit::new(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]).is_err(), "no number");
+fn points_that_determine_no_line_are_rejected() {
+    assert!(Fit::new(&[(1.0, 1.0), (2.0, 2.0)]).is_err(), "two points yield no standard error");
+    assert!(Fit::new(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]).is_err(), "all points have the same size");
+    assert!(Fit::new(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]).is_err(), "a value is not a number");
 }
 
 const FAMILY: Family = Family {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_largest_size_is_kept_out_and_told_against_the_fit() {
+fn the_largest_size_is_held_out_and_compared_with_the_fit() {
     let slope = slope(&[(20.0, 30.0), (1.0, 2.0), (2.0, 3.0), (5.0, 6.0), (10.0, 11.0)]).expect("a slope");
     assert_eq!((slope.points.len(), slope.held_out.x, slope.held_out.measured), (4, 20.0, 30.0));
     assert!((slope.held_out.predicted - 21.0).abs() < 1e-9 && !slope.is_linear());
@@ -55,22 +55,22 @@
     assert!(slope.check().is_ok());
     let mut other = slope.clone();
     other.fit.slope *= 1.01;
-    assert!(other.check().is_err_and(|why| why.to_string().contains("role.cost.size")));
+    assert!(other.check().is_err_and(|cause| cause.to_string().contains("role.cost.size")));
     let mut other = slope;
     other.points[0].1 += 0.5;
     assert!(other.check().is_err());
 }
 
 #[test]
-fn too_few_sizes_or_too_little_span_make_no_slope() {
+fn too_few_sizes_or_a_range_under_a_decade_yield_no_slope() {
     let few = slope(&[(1.0, 1.0), (2.0, 2.0), (5.0, 5.0), (10.0, 10.0)]);
-    assert!(few.is_err_and(|why| why.to_string().contains("too few")));
+    assert!(few.is_err_and(|cause| cause.to_string().contains("too few")));
     let near = slope(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0), (4.0, 4.0), (9.0, 9.0)]);
-    assert!(near.is_err_and(|why| why.to_string().contains("decade")));
+    assert!(near.is_err_and(|cause| cause.to_string().contains("decade")));
 }
 
 #[test]
-fn every_family_has_sizes_for_a_slope_and_names_of_its_own() {
+fn every_family_has_sizes_for_a_slope_and_unique_names() {
     let mut names = std::collections::BTreeSet::new();
     for family in families() {
         assert!(split_largest(family.at.iter().map(|x| (*x, 1.0)).collect()).is_ok(), "{}", family.name);
@@ -79,11 +79,11 @@
             assert_eq!(select(&[quantity.name.to_owned()]).expect("a family").len(), 1);
         }
     }
-    assert!(select(&["no.such".to_owned()]).is_err_and(|why| why.to_string().contains("no.such")));
+    assert!(select(&["no.such".to_owned()]).is_err_and(|cause| cause.to_string().contains("no.such")));
 }
 
 #[test]
-fn a_slope_is_kept_and_read_again() {
+fn a_saved_slope_is_loaded_unchanged() {
     let folder = tempfile::tempdir().expect("a folder");
     let setup = Setup { proxy: PathBuf::new(), control: PathBuf::new(), shared: false };
     let mut sizes = Vec::new();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_rate_that_was_not_reached_counts_for_nothing() {
+fn a_measurement_below_its_rate_is_rejected() {
     assert!(check_rate(20, 10.0, 2.0).is_ok());
-    assert!(check_rate(18, 10.0, 2.0).is_err_and(|why| why.to_string().contains("1.8")));
+    assert!(check_rate(18, 10.0, 2.0).is_err_and(|cause| cause.to_string().contains("1.8")));
 }
--- a/crates/lab-capacity/src/tests.rs
+++ b/crates/lab-capacity/src/tests.rs
@@ -2,7 +2,7 @@
 use crate::slopes::{Fit, HeldOut};
 
 fn slope() -> Slope {
-    // 3 + 2x with an error, tried at 20.
+    // 3 + 2x with an error; the held-out size is 20.
     let points = vec![(1.0, 5.1), (2.0, 6.9), (5.0, 13.1), (10.0, 22.9)];
     let fit = Fit::new(&points).expect("a fit");
     let prediction = fit.predict(&points, 20.0);
@@ -41,31 +41,31 @@
     toml::from_str(&text).expect("a row")
 }
 
-fn worked(rest: &str) -> Result<Worked, RowError> {
-    row(rest).work(&inputs())
+fn row_value(rest: &str) -> Result<RowValue, RowError> {
+    row(rest).evaluate(&inputs())
 }
 
 #[test]
-fn a_figure_is_measured_only_at_the_very_size_and_alone() {
-    let seen = worked(r#"terms = [{ slope = "role.cost.size", at = ["size"] }]"#).expect("worked");
-    assert_eq!(seen, Worked { value: 43.5, se: 0.0, kind: Kind::Measured });
-    let seen = worked(r#"terms = [{ run = "r", figure = "f" }]"#).expect("worked");
+fn a_figure_counts_as_measured_only_at_its_exact_size_and_as_the_only_term() {
+    let seen = row_value(r#"terms = [{ slope = "role.cost.size", at = ["size"] }]"#).expect("worked");
+    assert_eq!(seen, RowValue { value: 43.5, se: 0.0, kind: Kind::Measured });
+    let seen = row_value(r#"terms = [{ run = "r", figure = "f" }]"#).expect("worked");
     assert_eq!((seen.value, seen.kind), (7.0, Kind::Measured));
-    let times =
-        worked(r#"terms = [{ slope = "role.cost.size", at = ["size"], times = ["rate"] }]"#).expect("worked");
+    let times = row_value(r#"terms = [{ slope = "role.cost.size", at = ["size"], times = ["rate"] }]"#)
+        .expect("worked");
     assert_eq!((times.value, times.kind), (43.5 * 66.0, Kind::Predicted));
     let sum = r#"terms = [{ run = "r", figure = "f" }, { run = "r", figure = "f" }]"#;
-    assert_eq!(worked(sum).expect("worked").kind, Kind::Predicted);
+    assert_eq!(row_value(sum).expect("worked").kind, Kind::Predicted);
 }
 
 #[test]
-fn beyond_the_sizes_the_line_speaks_with_its_error() {
+fn a_value_beyond_the_measured_sizes_is_predicted_with_its_standard_error() {
     let (slope, prediction) =
-        (slope(), worked(r#"terms = [{ slope = "role.cost.size", at = ["more"] }]"#).expect("worked"));
+        (slope(), row_value(r#"terms = [{ slope = "role.cost.size", at = ["more"] }]"#).expect("worked"));
     let line = slope.predict(40.0);
-    assert_eq!(prediction, Worked { value: line.value, se: line.se, kind: Kind::Predicted });
+    assert_eq!(prediction, RowValue { value: line.value, se: line.se, kind: Kind::Predicted });
     assert!(prediction.se > 0.0);
-    let each = worked("scale = 10.0\nterms = [{ slope = \"role.cost.size\", each = [4, \"/size\"] }]")
+    let each = row_value("scale = 10.0\nterms = [{ slope = \"role.cost.size\", each = [4, \"/size\"] }]")
         .expect("worked");
     assert!(
         (each.value - slope.fit.slope * 2.0).abs() < 1e-9
@@ -74,24 +74,24 @@
 }
 
 #[test]
-fn the_error_of_a_sum_is_told_only_where_every_part_has_one() {
+fn a_sum_has_a_standard_error_only_if_every_term_has_one() {
     let line = r#"{ slope = "role.cost.size", at = ["more"] }"#;
-    let two = worked(&format!("terms = [{line}, {line}]")).expect("worked");
+    let two = row_value(&format!("terms = [{line}, {line}]")).expect("worked");
     assert!((two.se - slope().predict(40.0).se * 2f64.sqrt()).abs() < 1e-9);
-    let mixed = worked(&format!(r#"terms = [{line}, {{ run = "r", figure = "f" }}]"#)).expect("worked");
+    let mixed = row_value(&format!(r#"terms = [{line}, {{ run = "r", figure = "f" }}]"#)).expect("worked");
     assert_eq!(mixed.se, 0.0);
 }
 
 #[test]
-fn paper_stays_paper_in_any_sum() {
+fn a_sum_with_a_paper_term_is_paper() {
     let sum = r#"terms = [{ run = "r", figure = "f" }, { paper = "a guess", times = [31, "rate"] }]"#;
-    let sum = worked(sum).expect("worked");
+    let sum = row_value(sum).expect("worked");
     assert_eq!((sum.value, sum.kind), (7.0 + 2046.0, Kind::Paper));
 }
 
 #[test]
-fn what_is_not_there_is_named() {
-    for (rest, why) in [
+fn an_invalid_term_is_reported_by_name() {
+    for (rest, cause) in [
         ("terms = []", "no terms"),
         (r#"terms = [{ slope = "x", at = [1] }]"#, "no slope x"),
         (r#"terms = [{ slope = "role.cost.size", at = ["y"] }]"#, "no figure y"),
@@ -101,26 +101,26 @@
         (r#"terms = [{ run = "r", figure = "f", paper = "p" }]"#, "a term is"),
         ("limit = [\"l\"]\nterms = [{ paper = \"p\" }]", "no figure l"),
     ] {
-        let text = worked(rest).expect_err(rest).to_string();
-        assert!(text.contains(why), "{rest}: {text}");
+        let text = row_value(rest).expect_err(rest).to_string();
+        assert!(text.contains(cause), "{rest}: {text}");
     }
 }
 
 #[test]
-fn a_row_tells_limit_part_kind_and_source() {
+fn a_row_shows_its_limit_percentage_kind_and_source() {
     let row = row("limit = [\"most\"]\nterms = [{ slope = \"role.cost.size\", at = [\"size\"] }]");
-    let line = row.line(&row.work(&inputs()).expect("worked"), &inputs());
+    let line = row.line(&row.evaluate(&inputs()).expect("worked"), &inputs());
     assert_eq!(line, "| f | 43.5 s | 50 s | 87% | measured | `role.cost.size` | m |\n");
 }
 
 #[test]
-fn tables_stand_between_their_markers_and_nowhere_else() {
+fn tables_are_inserted_only_between_their_markers() {
     let tables: BTreeMap<String, String> = [("a".to_owned(), "| new |\n".to_owned())].into();
     let page = "before\n<!-- table:a -->\n| old |\n<!-- end -->\nafter\n";
     let filled = fill(page, &tables).expect("filled");
     assert_eq!(filled, "before\n<!-- table:a -->\n| new |\n<!-- end -->\nafter\n");
-    assert_eq!(fill(&filled, &tables), Ok(filled.clone()), "again the same");
-    for (bad, why) in [
+    assert_eq!(fill(&filled, &tables), Ok(filled.clone()), "filling is idempotent");
+    for (bad, cause) in [
         ("<!-- table:a -->\n", "not closed"),
         ("<!-- table:b -->\n<!-- end -->\n", "no table b"),
         ("<!-- end -->\n", "no table is open"),
@@ -129,12 +129,12 @@
         ("<!-- table:a -->\n<!-- table:a -->\n<!-- end -->\n", "line 1 is not closed"),
     ] {
         let text = fill(bad, &tables).expect_err(bad).to_string();
-        assert!(text.contains(why), "{bad}: {text}");
+        assert!(text.contains(cause), "{bad}: {text}");
     }
 }
 
 #[test]
-fn numbers_are_short() {
+fn numbers_have_three_significant_digits() {
     let text: Vec<String> =
         [0.0, 0.0123456, 1.5, 43.5, 123.4, 2046.0, 1234567.0, 2.6e6, 1.234e-5, -3.25, -20460.0]
             .map(format_short)
