--- a/crates/lab-audit/src/evidence.rs
+++ b/crates/lab-audit/src/evidence.rs
@@ -197,12 +197,12 @@
     }
 
     /// Records an observation of now.
-    pub fn note(&self, observed: Observation) {
-        self.note_at(self.clock.now(), observed);
+    pub fn record(&self, observed: Observation) {
+        self.record_at(self.clock.now(), observed);
     }
 
     /// Records an earlier observation.
-    pub fn note_at(&self, at: Nanos, observed: Observation) {
+    pub fn record_at(&self, at: Nanos, observed: Observation) {
         if self.out.is_none() {
             return;
         }
--- a/crates/lab-audit/src/lib.rs
+++ b/crates/lab-audit/src/lib.rs
@@ -7,7 +7,7 @@
 mod rules;
 
 pub use evidence::{Evidence, Observation, Recorder};
-pub use rules::{Judge, Rule};
+pub use rules::{Rule, RuleChecker};
 
 use aniseyoke_lab_day::clock::{nanos, Nanos, SECOND};
 use aniseyoke_lab_day::Day;
@@ -91,7 +91,7 @@
 
 /// An auditor at work. Evidence may come in any order within some seconds.
 pub struct Auditor {
-    judge: Judge,
+    checker: RuleChecker,
     /// A request is judged this long after it was first observed; all about it is over by then.
     horizon: Nanos,
     cases: HashMap<u64, Vec<Evidence>>,
@@ -107,7 +107,7 @@
         // Slow clients take a while longer, and repeats are looked for until the idempotency key is forgotten.
         let horizon = longest + nanos(day.site.origin.dedup_window) + 4 * SECOND;
         Auditor {
-            judge: Judge::new(day),
+            checker: RuleChecker::new(day),
             horizon,
             cases: HashMap::new(),
             queue: VecDeque::new(),
@@ -120,7 +120,7 @@
     pub fn take(&mut self, evidence: Evidence) {
         self.latest = self.latest.max(evidence.at);
         let Some(request) = evidence.observed.request() else {
-            if let Some(violation) = self.judge.judge_site(&evidence) {
+            if let Some(violation) = self.checker.check_site(&evidence) {
                 self.verdict.add(violation);
             }
             return;
@@ -136,20 +136,20 @@
     }
 
     /// Judges what is old enough.
-    pub fn judge_old(&mut self) {
+    pub fn check_due(&mut self) {
         while self.queue.front().is_some_and(|(at, _)| at + self.horizon < self.latest) {
-            self.judge_next();
+            self.check_next();
         }
     }
 
-    fn judge_next(&mut self) {
+    fn check_next(&mut self) {
         let Some((_, request)) = self.queue.pop_front() else { return };
         let Some(mut history) = self.cases.remove(&request) else { return };
         history.sort_by_key(|e| e.at);
         self.verdict.requests += 1;
         let reached = |e: &&Evidence| matches!(e.observed, Observation::Reached { .. });
         self.verdict.attempts += history.iter().filter(reached).count() as u64;
-        let findings = self.judge.judge_request(&history);
+        let findings = self.checker.check_request(&history);
         self.verdict.closed_before_forwarding += u64::from(findings.closed_before_forwarding);
         self.verdict.left += u64::from(findings.left.is_some());
         if findings.left.is_some_and(|left| left.forwarded_late) {
@@ -186,7 +186,7 @@
     /// Judges all that is left.
     pub fn finish(mut self) -> Verdict {
         while !self.queue.is_empty() {
-            self.judge_next();
+            self.check_next();
         }
         if self.verdict.forwarded_after_abort * FORWARDED_AFTER_ABORT_DIVISOR > self.verdict.left {
             let first = self.verdict.first_forwarded_after_abort.clone();
@@ -205,12 +205,12 @@
 pub fn start(day: &Day) -> (SyncSender<Vec<Evidence>>, JoinHandle<Verdict>) {
     let (out, evidence): (_, Receiver<Vec<Evidence>>) = sync_channel(MAX_WAITING);
     let mut auditor = Auditor::new(day);
-    let judge = move || {
+    let checker = move || {
         for batch in evidence {
             batch.into_iter().for_each(|e| auditor.take(e));
-            auditor.judge_old();
+            auditor.check_due();
         }
         auditor.finish()
     };
-    (out, std::thread::spawn(judge))
+    (out, std::thread::spawn(checker))
 }
--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -123,7 +123,7 @@
 }
 
 /// Checks requests and site against the rules, by a day's figures.
-pub struct Judge {
+pub struct RuleChecker {
     idempotency: Vec<Idempotency>,
     dedup_window: Nanos,
     notified: HashMap<(usize, usize), Notifications>,
@@ -135,10 +135,10 @@
 /// Faults of the rig that are remembered for each proxy.
 const MAX_PROXY_FAULTS: usize = 4096;
 
-impl Judge {
+impl RuleChecker {
     /// A judge for a day.
     pub fn new(day: &Day) -> Self {
-        Judge {
+        RuleChecker {
             idempotency: day.load.classes.iter().map(|c| c.idempotency).collect(),
             dedup_window: nanos(day.site.origin.dedup_window),
             notified: HashMap::new(),
@@ -148,7 +148,7 @@
     }
 
     /// Takes in an observation of the site as a whole; the violation that it is, if any.
-    pub fn judge_site(&mut self, evidence: &Evidence) -> Option<Violation> {
+    pub fn check_site(&mut self, evidence: &Evidence) -> Option<Violation> {
         let at = evidence.at;
         let broken = match &evidence.observed {
             Observation::Told { proxy, member, standing } => {
@@ -194,7 +194,7 @@
     }
 
     /// Judges one request by everything that was observed of it, in order of time.
-    pub fn judge_request(&self, history: &[Evidence]) -> Findings {
+    pub fn check_request(&self, history: &[Evidence]) -> Findings {
         let mut findings = Findings::default();
         let began = history.iter().find_map(|e| match e.observed {
             Observation::Began { proxy, .. } => Some(proxy),
--- a/crates/lab-load/src/client.rs
+++ b/crates/lab-load/src/client.rs
@@ -253,7 +253,7 @@
         reused: bool,
     ) -> Exchange {
         let (proxy, class, http) = (connection.proxy, arrival.class, &mut connection.http);
-        let note = |observed| self.recorder.note(observed);
+        let note = |observed| self.recorder.record(observed);
         note(Observation::Began { request, proxy });
         let written = write(http, arrival.behavior, text).await;
         if arrival.behavior == ClientBehavior::AbortsSending {
--- a/crates/lab-site/src/node.rs
+++ b/crates/lab-site/src/node.rs
@@ -115,11 +115,11 @@
     let Some(head) = http.read_request().await? else { return Ok(()) };
     let Some(request) = head.correlation_id.as_deref().and_then(request_id) else { return Ok(()) };
     let attempt = state.next_attempt_id();
-    state.recorder.note(Observation::Reached { request, member, attempt });
+    state.recorder.record(Observation::Reached { request, member, attempt });
     http.read_body(head.framing, |_| {}).await?;
-    state.recorder.note(Observation::Arrived { request, attempt });
+    state.recorder.record(Observation::Arrived { request, attempt });
     let (status, digest, never_ran, sound) = (503, xxh3_64(&[]), true, true);
-    state.recorder.note(Observation::Made { request, attempt, status, digest, never_ran, sound });
+    state.recorder.record(Observation::Made { request, attempt, status, digest, never_ran, sound });
     let head = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nConnection: close\r\n";
     http.write(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).await
 }
@@ -157,7 +157,7 @@
 ) -> io::Result<()> {
     while let Some(head) = http.read_request().await? {
         let Some(request) = head.correlation_id.as_deref().and_then(request_id) else {
-            state.recorder.note(Observation::Stray { member });
+            state.recorder.record(Observation::Stray { member });
             let (status, text) =
                 if head.correlation_id.is_some() { ("400 Bad Request", "id") } else { ("404 Not Found", "") };
             http.write(
@@ -168,9 +168,9 @@
         };
         let attempt = state.next_attempt_id();
         let reached_at = state.clock.now().saturating_sub(http.first_byte_at.elapsed().as_nanos() as u64);
-        state.recorder.note_at(reached_at, Observation::Reached { request, member, attempt });
+        state.recorder.record_at(reached_at, Observation::Reached { request, member, attempt });
         http.read_body(head.framing, |_| {}).await?;
-        state.recorder.note(Observation::Arrived { request, attempt });
+        state.recorder.record(Observation::Arrived { request, attempt });
         let silenced = || member_handle.epochs.borrow().silences != epochs_at_open.silences;
         if silenced() || *member_handle.process.borrow() == ProcessState::Silent {
             // A silent machine may have executed the request, but never responds.
@@ -246,7 +246,7 @@
     let sound = matches!(delivery, Delivery::Unmodified | Delivery::Fragmented(_));
     let (request, attempt) = (attempt.request, attempt.attempt_id);
     let never_ran = matches!(reply, Reply::Miss | Reply::Rejected);
-    state.recorder.note(Observation::Made {
+    state.recorder.record(Observation::Made {
         request,
         attempt,
         status,
--- a/crates/lab-site/src/state.rs
+++ b/crates/lab-site/src/state.rs
@@ -255,7 +255,7 @@
     }
 
     fn apply_effect(self: &Rc<Self>, effect: Effect) {
-        let note = |observed| self.recorder.note(observed);
+        let note = |observed| self.recorder.record(observed);
         let members = |member: usize| self.members.borrow().get(member).cloned();
         match effect {
             Effect::Reply { attempt_id, reply, delivery } => {
@@ -313,7 +313,7 @@
     /// as gone.
     pub fn record_notified(&self, proxy: usize, endpoints: &[Endpoint], full: bool) {
         for endpoint in endpoints {
-            self.recorder.note(Observation::Told {
+            self.recorder.record(Observation::Told {
                 proxy,
                 member: endpoint.member,
                 standing: endpoint.state,
@@ -323,7 +323,7 @@
             let members = self.model.borrow().members();
             let missing = (0..members).filter(|m| endpoints.iter().all(|l| l.member != *m));
             for member in missing {
-                self.recorder.note(Observation::Told { proxy, member, standing: EndpointState::Gone });
+                self.recorder.record(Observation::Told { proxy, member, standing: EndpointState::Gone });
             }
         }
     }
--- a/crates/lab-soak/src/verdict.rs
+++ b/crates/lab-soak/src/verdict.rs
@@ -55,7 +55,7 @@
 
 impl RunReport {
     /// What did not hold, a line each.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn failures(&self) -> Vec<String> {
         let ends = self.process_ends.iter().filter(|end| !end.is_clean()).map(|end| {
             let how = end.status.as_deref().unwrap_or("killed");
             format!("proxy {} {how} {:.3} s after SIGTERM", end.proxy, end.after_s)
@@ -68,7 +68,7 @@
 
     /// Whether everything held.
     pub fn is_clean(&self) -> bool {
-        self.faults().is_empty()
+        self.failures().is_empty()
     }
 }
 
--- a/crates/lab-soak/tests/soak.rs
+++ b/crates/lab-soak/tests/soak.rs
@@ -22,7 +22,7 @@
         Ok(report) => {
             println!("{report}");
             judged += report.verdict.requests;
-            faults.extend(report.faults().into_iter().map(|fault| format!("seed {seed}: {fault}")));
+            faults.extend(report.failures().into_iter().map(|fault| format!("seed {seed}: {fault}")));
         }
         Err(error) => faults.push(format!("seed {seed} could not be played: {error}")),
     });
--- a/crates/lab-trial/src/sweep.rs
+++ b/crates/lab-trial/src/sweep.rs
@@ -42,7 +42,7 @@
     }
 
     /// The least fraction of the peak that is left at any load beyond that of the peak.
-    pub fn held(&self) -> f64 {
+    pub fn retained_fraction(&self) -> f64 {
         let peak = self.peak();
         let at = self.points.iter().position(|p| p.good == peak).unwrap_or(0);
         self.points[at.min(self.points.len())..].iter().map(|p| p.good / peak).fold(1.0, f64::min)
--- a/crates/lab-trial/src/sweep/tests.rs
+++ b/crates/lab-trial/src/sweep/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn what_is_held_is_the_worst_beyond_the_peak_and_not_before_it() {
     let curve = curve(&[50.0, 200.0, 180.0, 190.0]);
-    assert_eq!((curve.peak(), curve.held()), (200.0, 0.9));
+    assert_eq!((curve.peak(), curve.retained_fraction()), (200.0, 0.9));
 }
 
 #[test]
--- a/crates/lab/src/cli/soak.rs
+++ b/crates/lab/src/cli/soak.rs
@@ -74,7 +74,7 @@
     let faults = match result {
         Ok(report) => {
             println!("{report}");
-            report.faults()
+            report.failures()
         }
         Err(error) => {
             println!("seed {seed:4} could not be run");
--- a/crates/lab/src/cli/trial.rs
+++ b/crates/lab/src/cli/trial.rs
@@ -120,7 +120,7 @@
         println!(
             "peak {:.0} per second; at least {:.1}% of it at higher loads",
             curve.peak(),
-            curve.held() * 100.0
+            curve.retained_fraction() * 100.0
         );
     }
     if let Some(svg) = &args.svg {
