--- a/crates/lab-audit/src/evidence.rs
+++ b/crates/lab-audit/src/evidence.rs
@@ -1,119 +1,120 @@
-//! What was observed on the sockets: by clients on one side, by nodes and discovery on the other, never by the proxy itself.
+//! Observations on the sockets: by clients on one side, by nodes and discovery on the other, never by the proxy
+//! itself.
 
 use aniseyoke_lab_day::clock::{Clock, Nanos};
 use aniseyoke_lab_world::EndpointState;
 use std::cell::RefCell;
 use std::sync::mpsc::SyncSender;
 
-/// Something that was observed. Histories of requests in reports show these as they are named here.
+/// An event that was observed. The histories of requests in reports show these names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// A client has begun to send a request.
+    /// A client began to send a request.
     Began {
         /// The request.
         request: u64,
-        /// The proxy that it is sent to.
+        /// The proxy to which the client sends it.
         proxy: usize,
     },
-    /// A client has written a request's last byte.
+    /// A client wrote the last byte of a request.
     Asked {
         /// The request.
         request: u64,
-        /// The class, as the day numbers them.
+        /// The index of the class in the day.
         class: usize,
-        /// How long the client waits from here on.
+        /// How long the client waits for the response from now.
         patience: Nanos,
-        /// Another request went over the connection before.
+        /// Whether the connection was used by an earlier request.
         reused: bool,
     },
-    /// A whole response has come.
+    /// A client received a complete response.
     Answered {
         /// The request.
         request: u64,
-        /// Its status.
+        /// The status of the response.
         status: u16,
-        /// A digest of its body.
+        /// A digest of the body.
         digest: u64,
     },
-    /// More bytes came after the response than belong to it.
+    /// Surplus bytes followed the response.
     Surplus {
         /// The request.
         request: u64,
     },
-    /// The proxy ended the connection without a whole response.
+    /// The proxy closed the connection before the response was complete.
     Broken {
         /// The request.
         request: u64,
-        /// Whether a part of a response had come.
+        /// Whether a part of the response had been received.
         partial: bool,
     },
-    /// No response came before the client gave up.
+    /// The client gave up before it received a response.
     GaveUp {
         /// The request.
         request: u64,
     },
-    /// The client disconnected by itself.
+    /// The client disconnected early.
     Left {
         /// The request.
         request: u64,
     },
-    /// A request's first byte arrived at a member.
+    /// The first byte of a request arrived at a member.
     Reached {
         /// The request.
         request: u64,
         /// The member.
         member: usize,
-        /// The attempt, as the site numbers them.
+        /// The number of the attempt in the site.
         attempt: u64,
     },
-    /// Its last byte arrived.
+    /// The last byte of a request arrived at a member.
     Arrived {
         /// The request.
         request: u64,
         /// The attempt.
         attempt: u64,
     },
-    /// A write has begun to execute.
+    /// The execution of a write began.
     Ran {
         /// The request.
         request: u64,
         /// The attempt.
         attempt: u64,
     },
-    /// A member has made a response, or has dropped the attempt.
+    /// A member made a response or dropped the attempt.
     Made {
         /// The request.
         request: u64,
         /// The attempt.
         attempt: u64,
-        /// Its status; 0 if the attempt was dropped unanswered.
+        /// The status of the response; 0 if the attempt was dropped without a response.
         status: u16,
-        /// A digest of its body.
+        /// A digest of the body.
         digest: u64,
-        /// Whether the member says that it was never executed.
+        /// Whether the member reports that the attempt was never executed.
         never_ran: bool,
-        /// Whether it is sent whole and valid.
+        /// Whether the response is sent completely and is valid.
         sound: bool,
     },
-    /// A request arrived at a member with an id that can't be read, or with none.
+    /// A request with an unreadable id, or without one, arrived at a member.
     Stray {
         /// The member.
         member: usize,
     },
-    /// Discovery has a new version of its list.
+    /// Discovery changed the entry of a member in its endpoint list.
     Listed {
         /// The member.
         member: usize,
-        /// How it is listed.
+        /// The listed state of the member.
         standing: EndpointState,
     },
-    /// Discovery has notified a proxy of this.
+    /// Discovery notified a proxy of the state of a member.
     Told {
         /// The proxy.
         proxy: usize,
         /// The member.
         member: usize,
-        /// How it is listed.
+        /// The listed state of the member.
         standing: EndpointState,
     },
     /// A cold node went down by overload.
@@ -123,19 +124,20 @@
     },
     /// The origin went down by overload.
     Stopped {
-        /// The fraction of its load that misses at cold nodes caused.
+        /// The fraction of the origin's load that was caused by misses at cold nodes.
         cold_part: f64,
     },
-    /// A proxy's process started; it has been notified of nothing yet.
+    /// A proxy process started; it has not been notified of any state yet.
     Started {
         /// The proxy.
         proxy: usize,
     },
-    /// The fault rig killed or paused a proxy; requests in flight there, or sent there before `until`, may go unanswered.
+    /// The fault rig killed or paused a proxy. Requests that are in flight there, or are sent there before `until`,
+    /// may get no response.
     Struck {
         /// The proxy.
         proxy: usize,
-        /// When it is back, on the same clock.
+        /// The end of the fault, on the same clock.
         until: Nanos,
     },
     /// A proxy crashed.
@@ -146,7 +148,7 @@
 }
 
 impl Observation {
-    /// The request that it is about, if any.
+    /// Returns the request that the observation concerns, if any.
     pub fn request(&self) -> Option<u64> {
         match *self {
             Observation::Began { request, .. }
@@ -165,55 +167,55 @@
     }
 }
 
-/// Something observed, and when.
+/// An observation and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evidence {
-    /// When it was observed.
+    /// The time of the observation.
     pub at: Nanos,
-    /// What was observed.
+    /// The observation.
     pub observed: Observation,
 }
 
-/// Evidence is handed to the auditor in batches of this many.
-const BATCH: usize = 256;
+/// Number of observations in a batch for the auditor.
+const BATCH_SIZE: usize = 256;
 
-/// Records evidence of one thread for the auditor. A full channel blocks the thread, which its lateness then shows;
-/// evidence is never dropped.
+/// Records the evidence of one thread for the auditor. A full channel blocks the thread, which shows in its measured
+/// lateness; evidence is never dropped.
 pub struct Recorder {
     clock: Clock,
     batch: RefCell<Vec<Evidence>>,
-    out: Option<SyncSender<Vec<Evidence>>>,
+    sender: Option<SyncSender<Vec<Evidence>>>,
 }
 
 impl Recorder {
-    /// A recorder that hands evidence to an auditor.
-    pub fn new(clock: Clock, out: SyncSender<Vec<Evidence>>) -> Self {
-        Recorder { clock, batch: RefCell::default(), out: Some(out) }
+    /// Creates a recorder that sends evidence to an auditor.
+    pub fn new(clock: Clock, sender: SyncSender<Vec<Evidence>>) -> Self {
+        Recorder { clock, batch: RefCell::default(), sender: Some(sender) }
     }
 
-    /// A recorder that discards everything.
+    /// Creates a recorder that discards all observations.
     pub fn discarding(clock: Clock) -> Self {
-        Recorder { clock, batch: RefCell::default(), out: None }
+        Recorder { clock, batch: RefCell::default(), sender: None }
     }
 
-    /// Records an observation of now.
+    /// Records an observation with the current time.
     pub fn record(&self, observed: Observation) {
         self.record_at(self.clock.now(), observed);
     }
 
-    /// Records an earlier observation.
+    /// Records an observation with an earlier time.
     pub fn record_at(&self, at: Nanos, observed: Observation) {
-        if self.out.is_none() {
+        if self.sender.is_none() {
             return;
         }
         let mut batch = self.batch.borrow_mut();
         batch.push(Evidence { at, observed });
-        if batch.len() >= BATCH {
+        if batch.len() >= BATCH_SIZE {
             self.send(std::mem::take(&mut batch));
         }
     }
 
-    /// Hands over what has been recorded.
+    /// Sends the recorded observations to the auditor.
     pub fn flush(&self) {
         let batch = self.batch.take();
         if !batch.is_empty() {
@@ -222,9 +224,9 @@
     }
 
     fn send(&self, batch: Vec<Evidence>) {
-        if let Some(out) = &self.out {
-            // An auditor that has ended wants no more.
-            let _ = out.send(batch);
+        if let Some(sender) = &self.sender {
+            // Sending fails only if the auditor has ended, and evidence is not needed then.
+            let _ = sender.send(batch);
         }
     }
 }
--- a/crates/lab-audit/src/lib.rs
+++ b/crates/lab-audit/src/lib.rs
@@ -1,5 +1,5 @@
-//! The auditor: checks what was observed on the sockets against the rules. Each request is judged on its own some seconds
-//! after its end, and then forgotten; what concerns the whole site is judged as it is observed.
+//! The auditor: checks the observations on the sockets against the rules. Each request is checked on its own,
+//! some seconds after its end, and is then discarded. Observations of the site are checked immediately.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -16,15 +16,15 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread::JoinHandle;
 
-/// Batches that may wait for the auditor.
-const MAX_WAITING: usize = 4096;
-/// Violations that are kept with their history; the rest are counted.
+/// Capacity of the channel to the auditor, in batches.
+const MAX_QUEUED_BATCHES: usize = 4096;
+/// Limit of the violations that are stored with their history; any further ones are only counted.
 const MAX_VIOLATIONS: usize = 20;
 /// A day fails if more than one in this many requests of disconnected clients is forwarded late.
 const FORWARDED_AFTER_ABORT_DIVISOR: u64 = 4;
-/// Attempts of a day that may begin late for disconnected clients.
+/// Limit of the attempts of a day that may begin late for disconnected clients.
 const MAX_ATTEMPTS_AFTER_ABORT: u64 = 2;
-/// Observations that are kept of one request.
+/// Limit of the observations that are stored for one request.
 const MAX_HISTORY: usize = 64;
 
 /// A broken rule.
@@ -32,51 +32,56 @@
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// What happened.
+    /// Description of the violation.
     pub what: String,
-    /// Everything observed of the request, in order, one line each.
+    /// All observations of the request in chronological order, one line each.
     pub history: Vec<String>,
 }
 
-/// The auditor's verdict on a day.
+/// The result of the audit of a day.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Requests judged.
+    /// Number of checked requests.
     pub requests: u64,
-    /// Attempts that reached a member.
+    /// Number of attempts that reached a member.
     pub attempts: u64,
-    /// Requests on a new connection that was closed before anything of them was forwarded. They break no rule.
+    /// Requests on new connections that were closed before any part of the request was forwarded. They break no
+    /// rule.
     #[serde(rename = "closed_at_the_door")]
     pub closed_before_forwarding: u64,
-    /// Requests whose clients disconnected before their response.
+    /// Requests whose clients disconnected before the response.
     pub left: u64,
-    /// Those of them that were forwarded later than 0.3 s after that. A day fails if they are more than a quarter.
+    /// Requests that were forwarded later than 0.3 s after their client had disconnected. A day fails if they are
+    /// more than a quarter of the requests of disconnected clients.
     #[serde(rename = "sent_for_nobody")]
     pub forwarded_after_abort: u64,
-    /// The first of them.
+    /// The first request that was forwarded late.
     #[serde(rename = "sent_late")]
     pub first_forwarded_after_abort: Option<Violation>,
-    /// Attempts that began later than 0.1 s after the client had disconnected. Each from the third on breaks a rule.
+    /// Attempts that began later than 0.1 s after the client had disconnected. The third and any further one break a
+    /// rule.
     #[serde(rename = "attempts_for_nobody")]
     pub attempts_after_abort: u64,
-    /// Requests that went unanswered at a proxy that the fault rig killed or paused meanwhile. They break no rule.
+    /// Requests without a response from a proxy that the fault rig killed or paused while they were in flight. They
+    /// break no rule.
     #[serde(rename = "struck")]
     pub proxy_faulted: u64,
-    /// Rules on executing twice broken by requests that went unanswered at a proxy that the rig killed, and that their
-    /// clients retried at another proxy. Counted apart, since proxies share nothing until takeover is built.
+    /// Violations of the rules against repeated execution by requests without a response from a proxy that the rig
+    /// killed, and that their clients retried at another proxy. They are counted separately because proxies share no
+    /// state until takeover is implemented.
     #[serde(rename = "struck_twice")]
     pub repeated_after_kill: BTreeMap<Rule, u64>,
-    /// Some of those, with what was observed of them.
+    /// The first of these violations, with their histories.
     #[serde(rename = "struck_violations")]
     pub violations_after_kill: Vec<Violation>,
-    /// Broken rules, counted.
+    /// The number of violations of each broken rule.
     pub broken: BTreeMap<Rule, u64>,
-    /// The first of them.
+    /// The first violations.
     pub violations: Vec<Violation>,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Returns whether no rule was broken.
     pub fn clean(&self) -> bool {
         self.broken.is_empty()
     }
@@ -89,34 +94,35 @@
     }
 }
 
-/// An auditor at work. Evidence may come in any order within some seconds.
+/// Collects evidence and checks it. Evidence may arrive out of order by some seconds.
 pub struct Auditor {
     checker: RuleChecker,
-    /// A request is judged this long after it was first observed; all about it is over by then.
-    horizon: Nanos,
-    cases: HashMap<u64, Vec<Evidence>>,
+    /// Delay of the check after the first observation of a request; no further observation follows by then.
+    check_delay: Nanos,
+    histories: HashMap<u64, Vec<Evidence>>,
     queue: VecDeque<(Nanos, u64)>,
     latest: Nanos,
     verdict: Verdict,
 }
 
 impl Auditor {
-    /// An auditor for a day.
+    /// Creates an auditor for a day.
     pub fn new(day: &Day) -> Self {
         let longest = day.load.classes.iter().map(|c| nanos(c.deadline)).max().unwrap_or(0);
-        // Slow clients take a while longer, and repeats are looked for until the idempotency key is forgotten.
-        let horizon = longest + nanos(day.site.origin.dedup_window) + 4 * SECOND;
+        // Slow clients take longer than the deadline, and repeated executions are detected until the idempotency
+        // key expires.
+        let check_delay = longest + nanos(day.site.origin.dedup_window) + 4 * SECOND;
         Auditor {
             checker: RuleChecker::new(day),
-            horizon,
-            cases: HashMap::new(),
+            check_delay,
+            histories: HashMap::new(),
             queue: VecDeque::new(),
             latest: 0,
             verdict: Verdict::default(),
         }
     }
 
-    /// Takes a piece of evidence in.
+    /// Adds a piece of evidence.
     pub fn take(&mut self, evidence: Evidence) {
         self.latest = self.latest.max(evidence.at);
         let Some(request) = evidence.observed.request() else {
@@ -126,25 +132,25 @@
             return;
         };
         let queue = &mut self.queue;
-        let case = self.cases.entry(request).or_insert_with(|| {
+        let history = self.histories.entry(request).or_insert_with(|| {
             queue.push_back((evidence.at, request));
             Vec::with_capacity(8)
         });
-        if case.len() < MAX_HISTORY {
-            case.push(evidence);
+        if history.len() < MAX_HISTORY {
+            history.push(evidence);
         }
     }
 
-    /// Judges what is old enough.
+    /// Checks the requests whose delay has passed.
     pub fn check_due(&mut self) {
-        while self.queue.front().is_some_and(|(at, _)| at + self.horizon < self.latest) {
+        while self.queue.front().is_some_and(|(at, _)| at + self.check_delay < self.latest) {
             self.check_next();
         }
     }
 
     fn check_next(&mut self) {
         let Some((_, request)) = self.queue.pop_front() else { return };
-        let Some(mut history) = self.cases.remove(&request) else { return };
+        let Some(mut history) = self.histories.remove(&request) else { return };
         history.sort_by_key(|e| e.at);
         self.verdict.requests += 1;
         let reached = |e: &&Evidence| matches!(e.observed, Observation::Reached { .. });
@@ -156,7 +162,7 @@
             self.verdict.forwarded_after_abort += 1;
             self.verdict.first_forwarded_after_abort.get_or_insert_with(|| Violation {
                 rule: Rule::SentForNobody,
-                what: "sent on after its client had left".into(),
+                what: "forwarded after its client had disconnected".into(),
                 history: history_lines(&history),
             });
         }
@@ -165,7 +171,7 @@
             if self.verdict.attempts_after_abort > MAX_ATTEMPTS_AFTER_ABORT {
                 self.verdict.add(Violation {
                     rule: Rule::AttemptForNobody,
-                    what: "an attempt began after its client had left".into(),
+                    what: "an attempt began after its client had disconnected".into(),
                     history: history_lines(&history),
                 });
             }
@@ -183,7 +189,7 @@
         }
     }
 
-    /// Judges all that is left.
+    /// Checks all remaining requests and returns the result.
     pub fn finish(mut self) -> Verdict {
         while !self.queue.is_empty() {
             self.check_next();
@@ -196,14 +202,14 @@
     }
 }
 
-/// What was observed of a request, a line each.
+/// Formats the observations of a request, one line each.
 fn history_lines(history: &[Evidence]) -> Vec<String> {
     history.iter().map(|e| format!("{:9.3} s  {:?}", e.at as f64 / 1e9, e.observed)).collect()
 }
 
-/// Starts an auditor on a thread of its own; it ends, with its verdict, once every recorder is gone.
+/// Starts an auditor on its own thread. The thread ends with the verdict once all recorders have been dropped.
 pub fn start(day: &Day) -> (SyncSender<Vec<Evidence>>, JoinHandle<Verdict>) {
-    let (out, evidence): (_, Receiver<Vec<Evidence>>) = sync_channel(MAX_WAITING);
+    let (sender, evidence): (_, Receiver<Vec<Evidence>>) = sync_channel(MAX_QUEUED_BATCHES);
     let mut auditor = Auditor::new(day);
     let checker = move || {
         for batch in evidence {
@@ -212,5 +218,5 @@
         }
         auditor.finish()
     };
-    (out, std::thread::spawn(checker))
+    (sender, std::thread::spawn(checker))
 }
--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, each checked against everything that was observed of one request, or of the site.
+//! The rules. Each is checked against all observations of one request, or against an observation of the site.
 
 use super::{Evidence, Observation, Violation};
 use aniseyoke_lab_day::clock::{nanos, Nanos, MILLISECOND, SECOND};
@@ -7,63 +7,67 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// A rule that a proxy must keep. The names are those of reports.
+/// A rule for proxies. Reports show these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// An accepted request gets a final response.
     Lost,
-    /// It gets it before its client gives up.
+    /// An accepted request gets its final response before its client gives up.
     Unanswered,
-    /// It gets one response, and no bytes after it.
+    /// A request gets one response, and no bytes follow it.
     AnsweredTwice,
     /// A request that is not idempotent is not sent again once it may have been executed.
     RanTwice,
     /// A request with an idempotency key is not sent again once the key may have been forgotten.
     KeyedTwice,
-    /// Nothing new goes to a node 2 s after the proxy was notified that it is draining or gone.
+    /// No attempt goes to a node later than 2 s after the proxy was notified that the node is draining or gone.
     Drain,
     /// No cold node goes down by overload.
     ColdFall,
-    /// Nor does the origin by misses at cold nodes.
+    /// The origin does not go down by overload from misses at cold nodes.
     LedgerStop,
-    /// Every response is one that a node made for that request.
+    /// Every response was made by a node for that request.
     ForeignAnswer,
-    /// Every request at a node is one that a client sent.
+    /// Every request at a node was sent by a client.
     ForeignRequest,
-    /// Requests of clients that have disconnected are not forwarded later: a day fails if more than a quarter of them are.
+    /// A request is not forwarded late after its client has disconnected. A day fails if more than a quarter of the
+    /// requests of disconnected clients are.
     SentForNobody,
-    /// Nor does any attempt begin for them soon after that: each from the third of a day on breaks the rule.
+    /// No attempt begins for a request after its client has disconnected. The third such attempt of a day and any
+    /// further one break the rule.
     AttemptForNobody,
     /// A proxy does not crash.
     Crash,
 }
 
-/// A proxy may go on sending to a node for this long after it was notified that the node is draining or gone.
+/// Time for which a proxy may still send to a node after it was notified that the node is draining or gone.
 const DRAIN_GRACE: Nanos = 2 * SECOND;
-/// A change of the list counts as notified by then, whether the proxy polled or not.
+/// After this time a proxy counts as notified of a change of the list, whether it polled or not.
 const NOTIFIED_WITHIN: Nanos = 6 * SECOND;
-/// Tolerance of all time limits on sockets.
-const SLACK: Nanos = 50 * MILLISECOND;
-/// From this long after its client has disconnected a request is no longer forwarded.
+/// Tolerance of all time limits that are checked on sockets.
+const TIME_TOLERANCE: Nanos = 50 * MILLISECOND;
+/// Time after the disconnection of its client from which a request must not be forwarded.
 const FORWARDING_ENDS_WITHIN: Nanos = 300 * MILLISECOND;
-/// From this long after its client has disconnected no attempt begins for a request.
+/// Time after the disconnection of its client from which no attempt must begin for a request.
 const ATTEMPTS_END_WITHIN: Nanos = 100 * MILLISECOND;
 /// An overload of the origin breaks the rule if misses at cold nodes caused more than this fraction of its load.
 const MAX_COLD_FRACTION: f64 = 0.3;
 
-/// What was found about one request.
+/// The results of the checks of one request.
 #[derive(Debug, Default)]
 pub struct Findings {
-    /// Broken rules, and how.
+    /// The broken rules, each with a description of the violation.
     pub broken: Vec<(Rule, String)>,
-    /// Its connection was closed before anything of it was forwarded.
+    /// Whether the connection was closed before any part of the request was forwarded.
     pub closed_before_forwarding: bool,
-    /// What was done for it after its client had disconnected without a response; none if the client stayed.
+    /// The activity for the request after its client had disconnected without a response; none if the client stayed
+    /// connected.
     pub left: Option<AfterAbort>,
-    /// It went unanswered at a proxy that the rig killed or paused meanwhile, which breaks no rule.
+    /// Whether the request got no response because the rig killed or paused its proxy, which breaks no rule.
     pub proxy_faulted: bool,
-    /// Rules on executing twice that it broke after the rig killed its proxy and its client retried elsewhere.
+    /// The rules against repeated execution that the request broke after the rig had killed its proxy and its client
+    /// had retried at another proxy.
     pub repeated_after_kill: Vec<(Rule, String)>,
 }
 
@@ -73,21 +77,21 @@
     }
 }
 
-/// What was done for a request after its client had disconnected without a response.
+/// The activity for a request after its client had disconnected without a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AfterAbort {
-    /// It was forwarded later than it may be.
+    /// Whether the request was forwarded too late.
     pub forwarded_late: bool,
-    /// Attempts, first or further, that began later than they may.
+    /// Number of attempts, including the first, that began too late.
     pub attempts: u64,
 }
 
-/// What was done for a request after its client had disconnected; none if it stayed.
+/// Determines the activity for a request after its client had disconnected; none if the client stayed connected.
 fn after_abort(history: &[Evidence]) -> Option<AfterAbort> {
     let left = history.iter().find(|e| matches!(e.observed, Observation::Left { .. }))?.at;
     let reached = |limit: Nanos| {
         let late = move |e: &&Evidence| {
-            matches!(e.observed, Observation::Reached { .. }) && e.at > left + limit + SLACK
+            matches!(e.observed, Observation::Reached { .. }) && e.at > left + limit + TIME_TOLERANCE
         };
         history.iter().filter(late).count() as u64
     };
@@ -97,7 +101,7 @@
     })
 }
 
-/// The states of a member that a proxy was notified of, each with the time of its first mention, in order.
+/// The states of a member of which a proxy was notified, each with the time of the first notification, in order.
 #[derive(Default)]
 struct Notifications(Vec<(Nanos, EndpointState)>);
 
@@ -109,7 +113,8 @@
         }
     }
 
-    /// Since when the proxy has known, without interruption until `at`, that the member takes nothing new.
+    /// Returns the time from which on the member was known, without interruption until `at`, to be unavailable for
+    /// new requests.
     fn unavailable_since(&self, at: Nanos) -> Option<Nanos> {
         let mut since = None;
         for (notified, state) in self.0.iter().take_while(|(notified, _)| *notified <= at) {
@@ -122,21 +127,21 @@
     }
 }
 
-/// Checks requests and site against the rules, by a day's figures.
+/// Checks requests and the site against the rules, with the parameters of a day.
 pub struct RuleChecker {
     idempotency: Vec<Idempotency>,
     dedup_window: Nanos,
     notified: HashMap<(usize, usize), Notifications>,
     listed: HashMap<usize, Notifications>,
-    /// When the rig killed or paused each proxy, and until when.
+    /// The start and end times of the faults by which the rig killed or paused each proxy.
     proxy_faults: HashMap<usize, Vec<(Nanos, Nanos)>>,
 }
 
-/// Faults of the rig that are remembered for each proxy.
+/// Limit of the faults of the rig that are stored for each proxy.
 const MAX_PROXY_FAULTS: usize = 4096;
 
 impl RuleChecker {
-    /// A judge for a day.
+    /// Creates a checker for a day.
     pub fn new(day: &Day) -> Self {
         RuleChecker {
             idempotency: day.load.classes.iter().map(|c| c.idempotency).collect(),
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Takes in an observation of the site as a whole; the violation that it is, if any.
+    /// Processes an observation of the site, and returns a violation if it breaks a rule.
     pub fn check_site(&mut self, evidence: &Evidence) -> Option<Violation> {
         let at = evidence.at;
         let broken = match &evidence.observed {
@@ -171,14 +176,18 @@
                 None
             }
             Observation::Fell { member } => {
-                Some((Rule::ColdFall, format!("cold node {member} was pushed over")))
+                Some((Rule::ColdFall, format!("cold node {member} went down by overload")))
             }
             Observation::Stopped { cold_part } if *cold_part > MAX_COLD_FRACTION => {
-                let what =
-                    format!("the ledger stopped; {:.0}% of its load came of cold nodes", cold_part * 100.0);
+                let what = format!(
+                    "the origin went down by overload; {:.0}% of its load came from cold nodes",
+                    cold_part * 100.0
+                );
                 Some((Rule::LedgerStop, what))
             }
-            Observation::Crashed { proxy } => Some((Rule::Crash, format!("proxy {proxy} ended by itself"))),
+            Observation::Crashed { proxy } => {
+                Some((Rule::Crash, format!("proxy {proxy} exited unexpectedly")))
+            }
             Observation::Stray { member } => {
                 let what = format!("a request without a readable id arrived at member {member}");
                 Some((Rule::ForeignRequest, what))
@@ -193,7 +202,7 @@
         })
     }
 
-    /// Judges one request by everything that was observed of it, in order of time.
+    /// Checks one request against the rules. `history` contains all observations of it in chronological order.
     pub fn check_request(&self, history: &[Evidence]) -> Findings {
         let mut findings = Findings::default();
         let began = history.iter().find_map(|e| match e.observed {
@@ -213,16 +222,16 @@
             let before = findings.broken.len();
             findings.broken.retain(|(rule, _)| !matches!(rule, Rule::Lost | Rule::Unanswered));
             findings.proxy_faulted = findings.broken.len() < before;
-            // Sent again elsewhere after its proxy was killed: no proxy knows of another's work until takeover is
-            // built (issue 27). Told apart, never dropped.
-            let twice = |rule: &Rule| matches!(rule, Rule::RanTwice | Rule::KeyedTwice);
-            let (again, rest) = findings.broken.drain(..).partition(|(rule, _)| twice(rule));
+            // The client retried at another proxy after its proxy was killed. Proxies share no state of requests
+            // until takeover is implemented (issue 27). These violations are reported separately, never dropped.
+            let is_repeat = |rule: &Rule| matches!(rule, Rule::RanTwice | Rule::KeyedTwice);
+            let (again, rest) = findings.broken.drain(..).partition(|(rule, _)| is_repeat(rule));
             (findings.repeated_after_kill, findings.broken) = (again, rest);
         }
         findings
     }
 
-    /// Whether the rig killed or paused the request's proxy while the request was in flight there.
+    /// Returns whether the rig killed or paused the request's proxy while the request was in flight there.
     fn proxy_faulted_during(&self, proxy: usize, history: &[Evidence]) -> bool {
         let Some(proxy_faults) = self.proxy_faults.get(&proxy) else { return false };
         let began = history.first().map_or(0, |e| e.at);
@@ -233,13 +242,13 @@
 
     fn check_final_response(&self, history: &[Evidence], findings: &mut Findings) {
         let count = |is: fn(&Observation) -> bool| history.iter().filter(|e| is(&e.observed)).count();
-        let answers = count(|s| matches!(s, Observation::Answered { .. }));
+        let responses = count(|s| matches!(s, Observation::Answered { .. }));
         let reached = count(|s| matches!(s, Observation::Reached { .. }));
-        if answers > 1 {
-            findings.add(Rule::AnsweredTwice, format!("{answers} answers"));
+        if responses > 1 {
+            findings.add(Rule::AnsweredTwice, format!("{responses} responses"));
         }
         if count(|s| matches!(s, Observation::Surplus { .. })) > 0 {
-            findings.add(Rule::AnsweredTwice, "more came behind the answer than belongs to it");
+            findings.add(Rule::AnsweredTwice, "surplus bytes followed the response");
         }
         let last_asked = history.iter().rev().find_map(|e| match e.observed {
             Observation::Asked { reused, .. } => Some(reused),
@@ -247,34 +256,37 @@
         });
         let Some(reused) = last_asked else { return };
         if self.dropped_after_forwarding(history) {
-            findings.add(Rule::Lost, "the connection was ended without an answer after an attempt was sent");
+            findings
+                .add(Rule::Lost, "the connection was closed without a response after an attempt was sent");
             return;
         }
-        if answers > 0 || count(|s| matches!(s, Observation::Left { .. })) > 0 {
+        if responses > 0 || count(|s| matches!(s, Observation::Left { .. })) > 0 {
             return;
         }
         if count(|s| matches!(s, Observation::GaveUp { .. })) > 0 {
-            findings.add(Rule::Unanswered, "no answer while its client waited");
+            findings.add(Rule::Unanswered, "no response before its client gave up");
             return;
         }
         let broken = history.iter().rev().find_map(|e| match e.observed {
             Observation::Broken { partial, .. } => Some(partial),
             _ => None,
         });
-        // A node that breaks off takes the answer that is on its way with it, and the client can tell.
+        // If the node itself truncates the response, the client gets a truncated one and can detect that.
         let unsound = history.iter().any(|e| matches!(e.observed, Observation::Made { sound: false, .. }));
         match broken {
             Some(true) if unsound => {}
-            Some(true) => findings.add(Rule::Lost, "the answer broke off though its node gave it whole"),
+            Some(true) => {
+                findings.add(Rule::Lost, "the response was truncated although its node sent it completely")
+            }
             Some(false) if reached == 0 && !reused => findings.closed_before_forwarding = true,
-            Some(false) => findings.add(Rule::Lost, "the connection was ended without an answer"),
-            // The trial ended first, and says so itself.
+            Some(false) => findings.add(Rule::Lost, "the connection was closed without a response"),
+            // The trial ended before the request, which the trial's own report shows.
             None => {}
         }
     }
 
-    /// Whether a connection was ended without a byte of a response after its request had been forwarded. The client may
-    /// have sent the request once more by then, so that it has a response all the same.
+    /// Returns whether a connection was closed without any byte of a response after its request had been forwarded.
+    /// The client may have retried the request since, and so may have a response nevertheless.
     fn dropped_after_forwarding(&self, history: &[Evidence]) -> bool {
         let mut reached = false;
         history.iter().any(|e| {
@@ -290,7 +302,7 @@
                 |m| matches!(m.observed, Observation::Made { status: 200, digest: d, sound: true, .. } if d == digest),
             );
             if !made {
-                findings.add(Rule::ForeignAnswer, "served with something that no node made for it");
+                findings.add(Rule::ForeignAnswer, "the response was not made by a node for this request");
             }
         }
     }
@@ -308,7 +320,7 @@
                 _ => None,
             })
             .collect();
-        // Since when it is proven that an attempt never ran.
+        // The time from which on an attempt is known not to have been executed.
         let cleared = |attempt: u64| {
             history.iter().find_map(|e| match e.observed {
                 Observation::Made { attempt: a, never_ran: true, .. } if a == attempt => Some(e.at),
@@ -323,24 +335,24 @@
                     let open =
                         arrived[..n].iter().find(|(_, a)| cleared(*a).is_none_or(|cleared| cleared > *at));
                     if let Some((_, earlier)) = open {
-                        let what = format!("sent again while attempt {earlier} may have run");
+                        let what = format!("sent again while attempt {earlier} may have been executed");
                         findings.add(Rule::RanTwice, what);
                         return;
                     }
                 }
                 if ran > 1 {
-                    findings.add(Rule::RanTwice, format!("it ran {ran} times"));
+                    findings.add(Rule::RanTwice, format!("executed {ran} times"));
                 }
             }
             Idempotency::WithKey => {
                 let first = arrived.iter().find(|(_, a)| cleared(*a).is_none());
                 let late = first.and_then(|(from, _)| {
-                    arrived.iter().find(|(at, _)| *at > from + self.dedup_window + SLACK)
+                    arrived.iter().find(|(at, _)| *at > from + self.dedup_window + TIME_TOLERANCE)
                 });
                 if late.is_some() {
-                    findings.add(Rule::KeyedTwice, "sent again after its mark may have been forgotten");
+                    findings.add(Rule::KeyedTwice, "sent again after its idempotency key may have expired");
                 } else if ran > 1 {
-                    findings.add(Rule::KeyedTwice, format!("it ran {ran} times"));
+                    findings.add(Rule::KeyedTwice, format!("executed {ran} times"));
                 }
             }
         }
@@ -350,7 +362,8 @@
         for e in history {
             let Observation::Reached { member, .. } = e.observed else { continue };
             let notified = self.notified.get(&(proxy, member)).and_then(|t| t.unavailable_since(e.at));
-            // What has been listed for long counts as notified, unless the proxy has got something newer.
+            // A state that was listed long enough ago counts as notified, unless the proxy was notified of a newer
+            // one.
             let listed = self.listed.get(&member).and_then(|t| t.unavailable_since(e.at));
             let notified_since = |since: Nanos| {
                 let newer = |(at, _): &(Nanos, EndpointState)| at + NOTIFIED_WITHIN >= since && *at <= e.at;
@@ -358,11 +371,11 @@
             };
             let listed = listed.filter(|since| !notified_since(*since));
             let since = notified.or(listed);
-            if since.is_some_and(|since| e.at > since + DRAIN_GRACE + SLACK) {
+            if since.is_some_and(|since| e.at > since + DRAIN_GRACE + TIME_TOLERANCE) {
                 let late = (e.at - since.unwrap_or(0)) as f64 / 1e9;
                 findings.add(
                     Rule::Drain,
-                    format!("sent to member {member} {late:.2} s after proxy {proxy} was told"),
+                    format!("sent to member {member} {late:.2} s after proxy {proxy} was notified"),
                 );
                 return;
             }
