--- a/crates/lab-trial/src/error.rs
+++ b/crates/lab-trial/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a trial could not be played.
+//! Errors of trials.
 
 use aniseyoke_lab_process::ProcessError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a trial could not be played, or its figures not be drawn.
+/// The reason why a trial could not be run, or its results not be plotted.
 #[derive(Debug, thiserror::Error)]
 pub enum TrialError {
-    /// The day asks for more processes than a trial starts.
-    #[error("site.proxy.count: {count} processes are too many for a trial ({max}); `sim` plays them")]
+    /// The day has more proxies than a trial can start.
+    #[error("site.proxy.count: {count} processes exceed the limit of a trial ({max}); use `sim` instead")]
     TooManyProxies {
-        /// The proxies of the day.
+        /// The number of proxies of the day.
         count: usize,
-        /// The most that a trial starts.
+        /// The limit of a trial.
         max: usize,
     },
-    /// There is no runtime.
+    /// The runtime could not be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
     /// The site could not be opened.
@@ -24,47 +24,47 @@
     /// The load could not be started.
     #[error("load: {0}")]
     Load(#[source] io::Error),
-    /// There is no folder for the proxies.
-    #[error("a folder: {0}")]
+    /// The folder for the proxies could not be created.
+    #[error("temporary folder: {0}")]
     Folder(#[source] io::Error),
     /// A proxy could not be started.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A proxy ended before it was healthy.
-    #[error("proxy {index} ended, {how}:\n{}", last_lines.join("\n"))]
+    /// A proxy exited before it was healthy.
+    #[error("proxy {index} exited, {how}:\n{}", last_lines.join("\n"))]
     Ended {
-        /// The proxy's number.
+        /// The index of the proxy.
         index: usize,
-        /// How it ended.
+        /// Its exit status.
         how: String,
-        /// Its last lines.
+        /// The last lines of its output.
         last_lines: Vec<String>,
     },
-    /// A proxy was not healthy in time.
-    #[error("proxy {index} does not get well:\n{}", last_lines.join("\n"))]
+    /// A proxy did not become healthy in time.
+    #[error("proxy {index} did not become healthy in time:\n{}", last_lines.join("\n"))]
     Unhealthy {
-        /// The proxy's number.
+        /// The index of the proxy.
         index: usize,
-        /// Its last lines.
+        /// The last lines of its output.
         last_lines: Vec<String>,
     },
     /// The auditor's thread panicked.
-    #[error("the auditor broke")]
+    #[error("the thread of the auditor panicked")]
     AuditorPanicked,
     /// A trial of a sweep is void.
-    #[error("the trial at {times} times is void: {why}")]
+    #[error("the trial at {times} times the rate is void: {why}")]
     Void {
         /// The multiple of the day's rate.
         times: f64,
-        /// Why.
+        /// The reason.
         why: String,
     },
     /// A plot could not be drawn.
     #[error("{}: {source}", path.display())]
     Plot {
-        /// The plot's file.
+        /// The file of the plot.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
--- a/crates/lab-trial/src/lib.rs
+++ b/crates/lab-trial/src/lib.rs
@@ -1,5 +1,5 @@
-//! A trial: one day from start to end. The site opens, the proxies start, the load runs, proxies are restarted as the day
-//! says, everything is audited, and all of it ends.
+//! A trial: runs one day from start to end. It opens the site, starts the proxies, runs the load, restarts proxies
+//! according to the day, audits everything, and shuts all of it down.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -27,26 +27,26 @@
 
 /// Clients use at most one in this many of the proxies' descriptors.
 const CLIENTS_DIVISOR: usize = 3;
-/// Real proxies of a trial at most.
+/// Limit of the real proxies of a trial.
 const MAX_PROXIES: usize = 64;
-/// How often health and usage of the proxies are polled.
+/// Interval at which the health and the usage of the proxies are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The load begins this long after all proxies are healthy.
 const START_DELAY: Nanos = 50 * MILLISECOND;
 
-/// Options of a trial beside its day.
+/// Options of a trial in addition to its day.
 #[derive(Default)]
 pub struct Options<'a> {
-    /// Set to end the trial early; what has happened so far is reported.
+    /// Ends the trial early if it is set; the report covers the time until then.
     pub stop: Arc<AtomicBool>,
-    /// Called about ten times a second with the fraction of the load that has been released.
+    /// Is called about ten times per second with the fraction of the load that has been released.
     pub progress: Option<Box<dyn Fn(f64) + 'a>>,
 }
 
-/// Plays a day.
+/// Runs a day and returns its report.
 ///
 /// # Errors
-/// If it could not be played: the system lacks something, or a proxy did not start.
+/// If the day could not be run, because the system lacks a resource or a proxy did not start.
 pub fn run(day: &Day, launcher: &dyn ProxyLauncher, options: &Options<'_>) -> Result<Report, TrialError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(TrialError::Runtime)?.block_on(play(day, launcher, options))
@@ -58,10 +58,10 @@
     }
     raise_descriptor_limit();
     let clock = Clock::start();
-    let (out, auditor) = aniseyoke_lab_audit::start(day);
-    let (site_out, load_out) = (out.clone(), out.clone());
+    let (sender, auditor) = aniseyoke_lab_audit::start(day);
+    let (site_sender, load_sender) = (sender.clone(), sender.clone());
     let mut site =
-        Site::open(day, clock, move || Recorder::new(clock, site_out)).map_err(TrialError::Site)?;
+        Site::open(day, clock, move || Recorder::new(clock, site_sender)).map_err(TrialError::Site)?;
     let configs: Vec<_> = (site.discovery.iter().enumerate())
         .map(|(index, addr)| proxy_config(day, index, *addr, &site.initial_lists[index]))
         .collect();
@@ -71,25 +71,25 @@
     proxies.wait_until_healthy().await?;
     let connections = (day.site.proxy.sockets * day.site.proxy.count / CLIENTS_DIVISOR).max(1);
     let from = clock.now() + START_DELAY;
-    let recorder = move || Recorder::new(clock, load_out);
+    let recorder = move || Recorder::new(clock, load_sender);
     let load = Load::start(day, clock, from, load_balancer.clone(), LoadOptions::new(connections), recorder)
         .map_err(TrialError::Load)?;
     site.begin();
     let record = |observed| {
-        // An auditor that has ended wants no more.
-        let _ = out.send(vec![Evidence { at: clock.now(), observed }]);
+        // Sending fails only if the auditor has ended, and evidence is not needed then.
+        let _ = sender.send(vec![Evidence { at: clock.now(), observed }]);
     };
     follow(day, &load, &mut site, &mut proxies, &load_balancer, options, &record).await;
     let seconds = (clock.now() - from) as f64 / 1e9;
     let stats = load.finish();
     let (usage, crashes) = proxies.end().await;
     let counts = site.close();
-    drop(out);
+    drop(sender);
     let audit = auditor.join().map_err(|_| TrialError::AuditorPanicked)?;
     Ok(report::report(day, seconds, stats, &counts, usage, crashes, audit))
 }
 
-/// Restarts, polls and checks the proxies until the load has ended.
+/// Restarts and polls the proxies, and checks their health, until the load has ended.
 async fn follow(
     day: &Day,
     load: &Load,
--- a/crates/lab-trial/src/proxies.rs
+++ b/crates/lab-trial/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a trial: started, polled, restarted as the day says, and ended.
+//! The proxies of a trial: starts and polls them, restarts them according to the day, and stops them.
 
 use super::TrialError;
 use aniseyoke_lab_audit::Observation;
@@ -11,30 +11,30 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// A proxy is healthy within this time of its start.
+/// Time after its start within which a proxy must be healthy.
 const HEALTHY_WITHIN: Duration = Duration::from_secs(15);
-/// A process that was asked to end gets this long beyond the longest deadline of any class.
+/// Time that a stopping process has beyond the longest deadline of any class before it is killed.
 const STOP_GRACE: Duration = Duration::from_millis(700);
-/// A process is started again this long after its end.
+/// Delay between the end of a process and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(400);
 
 enum State {
     Running(Box<dyn RunningProxy>),
-    /// It was asked to end, and is killed at this time.
+    /// The process was terminated, and is killed at this time.
     Stopping(Box<dyn RunningProxy>, Instant),
-    /// It is started again at this time.
-    Down(Instant),
-    /// It ended by itself, or could not be started again.
-    Gone,
+    /// The process has exited, and is restarted at this time.
+    Restarting(Instant),
+    /// The process exited unexpectedly, or could not be restarted.
+    Failed,
 }
 
 struct ProxySlot {
     config: Value,
     state: State,
-    /// What earlier processes used.
-    past: Usage,
-    /// What the present one uses.
-    present: Usage,
+    /// Usage of the earlier processes.
+    previous_usage: Usage,
+    /// Usage of the current process.
+    current_usage: Usage,
 }
 
 /// All proxies of a trial.
@@ -45,7 +45,7 @@
     crashes: Vec<String>,
 }
 
-/// Starts processes, each in an empty folder of its own.
+/// Starts processes, each in its own empty folder.
 struct Starter<'a> {
     launcher: &'a dyn ProxyLauncher,
     folder: PathBuf,
@@ -76,13 +76,18 @@
         };
         for (index, config) in configs.into_iter().enumerate() {
             let running = proxies.starter.start(index, &config)?;
-            let (past, present) = (Usage::default(), Usage::default());
-            proxies.slots.push(ProxySlot { config, state: State::Running(running), past, present });
+            let (previous_usage, current_usage) = (Usage::default(), Usage::default());
+            proxies.slots.push(ProxySlot {
+                config,
+                state: State::Running(running),
+                previous_usage,
+                current_usage,
+            });
         }
         Ok(proxies)
     }
 
-    /// Where each accepts clients.
+    /// Returns the address at which each proxy accepts clients.
     pub fn addrs(&self) -> Vec<SocketAddr> {
         let addr = |slot: &ProxySlot| match &slot.state {
             State::Running(running) | State::Stopping(running, _) => running.addr(),
@@ -115,52 +120,52 @@
         Ok(())
     }
 
-    /// Asks a proxy to end; it will be started again.
+    /// Terminates a proxy; `poll` restarts it after its end.
     pub fn restart(&mut self, index: usize) {
         let Some(slot) = self.slots.get_mut(index) else { return };
-        if let State::Running(mut running) = std::mem::replace(&mut slot.state, State::Gone) {
+        if let State::Running(mut running) = std::mem::replace(&mut slot.state, State::Failed) {
             running.terminate();
             slot.state = State::Stopping(running, Instant::now() + self.stop_timeout);
         }
     }
 
-    /// Reads their usage, notices those that have ended, and carries restarts on.
+    /// Reads the usage of all proxies, detects crashes, and advances pending restarts.
     pub fn poll(&mut self, load_balancer: &LoadBalancer, record: &dyn Fn(Observation)) {
         for index in 0..self.slots.len() {
             let slot = &mut self.slots[index];
             if let State::Running(running) | State::Stopping(running, _) = &mut slot.state {
                 if let Some(usage) = running.pid().and_then(Usage::of_process) {
-                    slot.present.merge(usage);
+                    slot.current_usage.merge(usage);
                 }
             }
-            let state = std::mem::replace(&mut slot.state, State::Gone);
+            let state = std::mem::replace(&mut slot.state, State::Failed);
             slot.state = match state {
                 State::Running(mut running) => match running.ended() {
                     Some(how) => {
                         let lines = running.last_lines().join("\n    ");
                         self.crashes.push(format!(
-                            "proxy {index} ended by itself, {how}; its last lines:\n    {lines}"
+                            "proxy {index} exited unexpectedly, {how}; its last lines:\n    {lines}"
                         ));
                         record(Observation::Crashed { proxy: index });
-                        State::Gone
+                        State::Failed
                     }
                     None => State::Running(running),
                 },
-                State::Stopping(mut running, by) => {
-                    if Instant::now() > by {
+                State::Stopping(mut running, kill_at) => {
+                    if Instant::now() > kill_at {
                         running.kill();
                     }
                     match running.ended() {
                         Some(_) => {
-                            slot.past.cpu_s += slot.present.cpu_s;
-                            slot.past.merge(Usage { cpu_s: 0.0, ..slot.present });
-                            slot.present = Usage::default();
-                            State::Down(Instant::now() + RESTART_DELAY)
+                            slot.previous_usage.cpu_s += slot.current_usage.cpu_s;
+                            slot.previous_usage.merge(Usage { cpu_s: 0.0, ..slot.current_usage });
+                            slot.current_usage = Usage::default();
+                            State::Restarting(Instant::now() + RESTART_DELAY)
                         }
-                        None => State::Stopping(running, by),
+                        None => State::Stopping(running, kill_at),
                     }
                 }
-                State::Down(until) if Instant::now() >= until => {
+                State::Restarting(until) if Instant::now() >= until => {
                     let config = slot.config.clone();
                     record(Observation::Started { proxy: index });
                     match self.starter.start(index, &config) {
@@ -171,7 +176,7 @@
                         Err(why) => {
                             self.crashes.push(why.to_string());
                             record(Observation::Crashed { proxy: index });
-                            State::Gone
+                            State::Failed
                         }
                     }
                 }
@@ -180,19 +185,19 @@
         }
     }
 
-    /// Tells the load balancer each proxy's health.
+    /// Checks the health of each proxy and records it in the load balancer.
     pub async fn update_health(&self, load_balancer: &LoadBalancer) {
         for (index, addr) in load_balancer.addrs().into_iter().enumerate() {
             load_balancer.record_health(index, check_health(addr).await);
         }
     }
 
-    /// Ends all; what each used, and what became of those that crashed.
+    /// Stops all proxies. Returns the usage of each, and the descriptions of crashes.
     pub async fn end(mut self) -> (Vec<Usage>, Vec<String>) {
         for slot in &mut self.slots {
             if let State::Running(running) | State::Stopping(running, _) = &mut slot.state {
                 if let Some(usage) = running.pid().and_then(Usage::of_process) {
-                    slot.present.merge(usage);
+                    slot.current_usage.merge(usage);
                 }
                 running.terminate();
             }
@@ -207,9 +212,9 @@
             }
         }
         let used = |slot: &ProxySlot| {
-            let mut usage = slot.past;
-            usage.merge(Usage { cpu_s: 0.0, ..slot.present });
-            Usage { cpu_s: slot.past.cpu_s + slot.present.cpu_s, ..usage }
+            let mut usage = slot.previous_usage;
+            usage.merge(Usage { cpu_s: 0.0, ..slot.current_usage });
+            Usage { cpu_s: slot.previous_usage.cpu_s + slot.current_usage.cpu_s, ..usage }
         };
         (self.slots.iter().map(used).collect(), self.crashes)
     }
--- a/crates/lab-trial/src/recovery.rs
+++ b/crates/lab-trial/src/recovery.rs
@@ -1,13 +1,13 @@
-//! How long a site takes to recover once a fault has ended.
+//! The time that a site takes to recover after the end of a fault.
 
 use aniseyoke_lab_day::{Day, Fault, FaultKind};
 use aniseyoke_lab_load::Goodput;
 use serde::Serialize;
 use std::fmt;
 
-/// Recovered: this fraction of the weight offered is served within the latency objective...
+/// The fraction of the offered weight that a recovered site serves within the latency objective.
 const RECOVERED_GOODPUT: f64 = 0.95;
-/// ...over this many seconds together, so that a lucky second does not count.
+/// The number of consecutive seconds that must reach this fraction, so that a single good second does not count.
 const RECOVERED_SECONDS: usize = 2;
 
 /// The recovery after one fault.
@@ -15,28 +15,29 @@
 pub struct Recovery {
     /// The fault.
     pub kind: FaultKind,
-    /// When it ended, in seconds from the start of the load.
+    /// The end of the fault, in seconds from the start of the load.
     pub ended_s: f64,
-    /// The lowest goodput of any second from its start to its end.
+    /// The lowest goodput of any second from the start to the end of the fault.
     pub lowest: f64,
-    /// Seconds from its end until the site had recovered; none if it had not when the day ended.
+    /// Seconds from the end of the fault until the site had recovered; none if it had not recovered by the end of the
+    /// day.
     pub after_s: Option<f64>,
 }
 
 impl fmt::Display for Recovery {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Recovery { kind, ended_s, lowest, after_s } = self;
-        write!(f, "{kind:?} until {ended_s:.0} s: goodput {lowest:.3} at its lowest, ")?;
+        write!(f, "{kind:?} until {ended_s:.0} s: lowest goodput {lowest:.3}, ")?;
         match after_s {
-            Some(after) => write!(f, "well again after {after:.0} s"),
-            None => write!(f, "not well again before the day ended"),
+            Some(after) => write!(f, "recovered after {after:.0} s"),
+            None => write!(f, "not recovered by the end of the day"),
         }
     }
 }
 
-/// The recovery after each fault of a day, by the goodput of each second.
+/// Determines the recovery after each fault of a day from the goodput of each second.
 pub fn recoveries(day: &Day, seconds: &[Goodput]) -> Vec<Recovery> {
-    // The last second is a part of one.
+    // The last second may be incomplete.
     let seconds = &seconds[..seconds.len().saturating_sub(1)];
     let of = |t: &Fault| {
         let (start, end) = (t.at.as_secs_f64(), (t.at + t.length).as_secs_f64());
@@ -47,8 +48,8 @@
         let lowest = seconds[first..last].iter().map(|s| s.ratio()).fold(1.0, f64::min);
         let recovered =
             |at: &usize| Goodput::sum(&seconds[*at..at + RECOVERED_SECONDS]).ratio() >= RECOVERED_GOODPUT;
-        let again = (last..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS)).find(recovered);
-        let after_s = again.map(|at| (at - last) as f64);
+        let recovered_at = (last..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS)).find(recovered);
+        let after_s = recovered_at.map(|at| (at - last) as f64);
         Some(Recovery { kind: t.kind, ended_s: end, lowest, after_s })
     };
     day.faults.iter().filter_map(of).collect()
--- a/crates/lab-trial/src/recovery/tests.rs
+++ b/crates/lab-trial/src/recovery/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn recovery_counts_from_the_end_of_a_fault_to_two_good_seconds_together() {
+fn recovery_is_measured_from_the_end_of_a_fault_to_two_consecutive_good_seconds() {
     let second = |good| Goodput { good, offered: 1.0 };
-    let mut day = Day::open("ledger").expect("built in");
-    // From 6 s to 14 s, and from 10 s to 15 s.
+    let mut day = Day::open("ledger").expect("a built-in day");
+    // The faults of the day last from 6 s to 14 s, and from 10 s to 15 s.
     let mut seconds = vec![second(1.0); 26];
     seconds[8] = second(0.3);
     seconds[14] = second(0.5);
--- a/crates/lab-trial/src/report.rs
+++ b/crates/lab-trial/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a trial: text for a reader, JSON for a program.
+//! The report of a trial, as text and as JSON.
 
 use super::recovery::{recoveries, Recovery};
 use aniseyoke_lab_audit::Verdict;
@@ -9,64 +9,64 @@
 use serde::Serialize;
 use std::fmt::Write as _;
 
-/// A trial in which a hundredth of the events came later than this is void, in milliseconds.
+/// Limit of the lateness at the 99th percentile, in milliseconds; a trial above it is void.
 const MAX_LATENESS_MS: f64 = 25.0;
 
-/// A trial's report.
+/// The report of a trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The day.
+    /// Name of the day.
     pub day: String,
-    /// Its seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// Why its figures don't count, if they don't.
+    /// The reason why the figures are void, if they are.
     pub void: Option<String>,
-    /// All requests.
+    /// Summary of all requests.
     pub all: OutcomeSummary,
-    /// By class.
+    /// Summary for each class.
     pub classes: Vec<OutcomeSummary>,
-    /// By tenant.
+    /// Summary for each tenant.
     pub tenants: Vec<OutcomeSummary>,
-    /// Attempts of clients for each request.
+    /// Attempts of clients per request.
     #[serde(rename = "tries")]
     pub attempts_per_request: f64,
     /// Fraction of the reads at cache nodes that were hits.
     #[serde(rename = "hits")]
     pub hit_ratio: f64,
-    /// Fetches and writes that reached the origin, for each request.
+    /// Fetches and writes that reached the origin, per request.
     #[serde(rename = "ledger")]
     pub origin_requests: f64,
-    /// What each proxy used, its restarts together.
+    /// Resource usage of each proxy, over all processes that its restarts started.
     pub proxies: Vec<Usage>,
-    /// Processor time of the proxies for each attempt of a client, in microseconds.
+    /// CPU time of the proxies per attempt of a client, in microseconds.
     pub cpu_us: f64,
-    /// How late first attempts were sent.
+    /// Lateness of the first attempts.
     #[serde(rename = "load_late")]
     pub load_lateness: Percentiles,
-    /// How late the model's events were handled.
+    /// Lateness of the events of the site model.
     #[serde(rename = "site_late")]
     pub site_lateness: Percentiles,
-    /// Idle connections that were closed by the proxies.
+    /// Number of idle connections that the proxies closed.
     pub idle_closed: u64,
-    /// Priority weight by the second in which requests were due.
+    /// Priority weight for each second in which requests were due.
     pub timeline: Vec<Goodput>,
-    /// How long the site took to recover after each fault had ended.
+    /// Recovery of the site after each fault.
     pub recoveries: Vec<Recovery>,
-    /// The auditor's verdict.
+    /// Result of the audit.
     pub audit: Verdict,
-    /// Proxies that crashed, with their last lines.
+    /// Descriptions of the crashes of proxies, with the last lines of their output.
     pub crashes: Vec<String>,
 }
 
 impl Report {
-    /// Whether its figures count, no rule was broken and no proxy crashed.
+    /// Returns whether the trial is valid, no rule was broken and no proxy crashed.
     pub fn passed(&self) -> bool {
         self.void.is_none() && self.audit.clean() && self.crashes.is_empty()
     }
 
-    /// The report as text.
+    /// Formats the report as text.
     pub fn text(&self) -> String {
         let mut t = String::new();
         self.write(&mut t).unwrap_or_default();
@@ -113,19 +113,22 @@
     fn write_costs(&self, t: &mut String) -> std::fmt::Result {
         writeln!(
             t,
-            "\n{:.3} tries a request; {:.1}% hits at cache nodes; {:.3} asked of the ledger for each request",
+            "\n{:.3} attempts per request; {:.1}% hits at cache nodes; {:.3} origin requests per request",
             self.attempts_per_request,
             self.hit_ratio * 100.0,
             self.origin_requests
         )?;
         for (n, usage) in self.proxies.iter().enumerate() {
             let Usage { cpu_s, memory_mb, descriptors } = usage;
-            writeln!(t, "proxy {n}: {cpu_s:.2} s of CPU, {memory_mb:.1} MB at most, {descriptors} descriptors at most")?;
+            writeln!(
+                t,
+                "proxy {n}: {cpu_s:.2} s of CPU, peak {memory_mb:.1} MB, peak {descriptors} descriptors"
+            )?;
         }
-        writeln!(t, "{:.0} us of CPU for each try", self.cpu_us)?;
+        writeln!(t, "{:.0} us of CPU per attempt", self.cpu_us)?;
         writeln!(
             t,
-            "the lab's own lateness, p99: {:.2} ms at the load, {:.2} ms at the site",
+            "lateness of the lab itself, p99: {:.2} ms for the load, {:.2} ms for the site",
             self.load_lateness.p99_ms, self.site_lateness.p99_ms
         )?;
         if self.idle_closed > 0 {
@@ -138,13 +141,13 @@
         let audit = &self.audit;
         writeln!(
             t,
-            "\naudit: {} tries judged, {} attempts at members, {} closed at the door",
+            "\naudit: {} requests checked, {} attempts at members, {} closed before forwarding",
             audit.requests, audit.attempts, audit.closed_before_forwarding
         )?;
         if audit.left > 0 {
             writeln!(
                 t,
-                "{} clients left while they waited, {} requests sent on late, {} attempts begun late",
+                "{} clients disconnected early, {} requests forwarded late, {} attempts begun late",
                 audit.left, audit.forwarded_after_abort, audit.attempts_after_abort
             )?;
         }
@@ -164,7 +167,7 @@
     }
 }
 
-/// The report of a trial that ran for so many seconds.
+/// Creates the report of a trial that ran for `seconds`.
 pub(crate) fn report(
     day: &Day,
     seconds: f64,
@@ -201,17 +204,18 @@
     }
 }
 
-/// Why a trial's figures don't count, if they don't. Danger: a lab that is late itself makes any proxy look slow.
+/// Returns the reason why the figures of a trial are void, if they are. Guards against a lab that runs late itself,
+/// because that makes any proxy look slow.
 pub(crate) fn void(requests: u64, not_sent: u64, site: &Percentiles, load: &Percentiles) -> Option<String> {
-    let late = |who: &str, p: &Percentiles| {
+    let late = |component: &str, p: &Percentiles| {
         (p.p99_ms > MAX_LATENESS_MS)
-            .then(|| format!("the {who} ran late: {:.1} ms at the 99th percentile", p.p99_ms))
+            .then(|| format!("the {component} ran late: {:.1} ms at the 99th percentile", p.p99_ms))
     };
     if requests == 0 {
-        return Some("no request was made".into());
+        return Some("no request was sent".into());
     }
     if not_sent > 0 {
-        return Some(format!("{not_sent} arrivals were not sent, since too many were out"));
+        return Some(format!("{not_sent} arrivals were not sent because too many were in flight"));
     }
     late("site", site).or(late("load", load))
 }
--- a/crates/lab-trial/src/sweep.rs
+++ b/crates/lab-trial/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Goodput against offered load: one day at several multiples of its rate, before one or more builds of the proxy.
+//! Goodput against offered load: one day at several multiples of its rate, with one or more builds of the proxy.
 
 use super::report::Report;
 use super::{run, Options, TrialError};
@@ -12,17 +12,17 @@
 /// One trial of a sweep.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// The multiple of the day's rate.
+    /// Multiple of the day's rate.
     pub times: f64,
-    /// Priority weight offered, a second.
+    /// Priority weight offered per second.
     pub offered: f64,
-    /// Priority weight served within the latency objective, a second.
+    /// Priority weight served within the latency objective per second.
     pub good: f64,
-    /// Fraction of the requests that ended rejected.
+    /// Fraction of the requests that were rejected in the end.
     pub refused: f64,
-    /// Latency of what was served at the 99th percentile, in milliseconds.
+    /// Latency of served requests at the 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Whether the audit was clean.
+    /// Whether the audit was clean and no proxy crashed.
     pub clean: bool,
 }
 
@@ -31,17 +31,17 @@
 pub struct Curve {
     /// The name of the build.
     pub name: String,
-    /// In the order of their multiples.
+    /// The trials, in the order of the given multiples.
     pub points: Vec<Point>,
 }
 
 impl Curve {
-    /// The highest weight a second that was served in time.
+    /// Returns the highest weight per second that was served in time.
     pub fn peak(&self) -> f64 {
         self.points.iter().map(|p| p.good).fold(0.0, f64::max)
     }
 
-    /// The least fraction of the peak that is left at any load beyond that of the peak.
+    /// Returns the lowest goodput at any load beyond that of the peak, as a fraction of the peak.
     pub fn retained_fraction(&self) -> f64 {
         let peak = self.peak();
         let at = self.points.iter().position(|p| p.good == peak).unwrap_or(0);
@@ -65,10 +65,10 @@
     })
 }
 
-/// Plays a day at each multiple of its rate.
+/// Runs a day at each multiple of its rate.
 ///
 /// # Errors
-/// If a trial could not be played, or is void.
+/// If a trial could not be run, or is void.
 pub fn sweep(
     name: &str,
     day: &Day,
@@ -85,14 +85,14 @@
     Ok(Curve { name: name.to_owned(), points })
 }
 
-/// Draws curves into an SVG file: weight served in time against weight offered, both a second.
+/// Plots curves into an SVG file: weight served in time against weight offered, both per second.
 ///
 /// # Errors
 /// If the file can't be written.
 pub fn plot(title: &str, curves: &[Curve], file: &Path) -> Result<(), TrialError> {
     let all = || curves.iter().flat_map(|c| &c.points);
-    let widest = all().map(|p| p.offered).fold(1.0, f64::max) * 1.05;
-    let highest = all().map(|p| p.good).fold(1.0, f64::max) * 1.15;
+    let max_x = all().map(|p| p.offered).fold(1.0, f64::max) * 1.05;
+    let max_y = all().map(|p| p.good).fold(1.0, f64::max) * 1.15;
     let draw = || -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
         let root = SVGBackend::new(file, (720, 420)).into_drawing_area();
         root.fill(&WHITE)?;
@@ -101,11 +101,11 @@
             .margin(12)
             .x_label_area_size(40)
             .y_label_area_size(60)
-            .build_cartesian_2d(0.0..widest, 0.0..highest)?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
         chart
             .configure_mesh()
-            .x_desc("worth asked for, a second")
-            .y_desc("worth answered in time, a second")
+            .x_desc("priority weight offered per second")
+            .y_desc("priority weight served in time per second")
             .draw()?;
         for (n, curve) in curves.iter().enumerate() {
             let colour = Palette99::pick(n).to_rgba();
