--- a/crates/lab-soak/src/batch.rs
+++ b/crates/lab-soak/src/batch.rs
@@ -1,4 +1,4 @@
-//! Many seeds, several at a time.
+//! Runs of many seeds, several at a time.
 
 use crate::plan::SoakPlan;
 use crate::run::run;
@@ -10,50 +10,51 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Runs at once at most.
+/// Limit of concurrent runs.
 pub const MAX_JOBS: usize = 64;
-/// Busy threads beside the runs at most.
+/// Limit of the busy threads in addition to the runs.
 pub const MAX_BUSY_THREADS: usize = 256;
 
-/// Reads `FIRST..LAST`, both included, or a single seed.
+/// Parses `FIRST..LAST`, both inclusive, or a single seed.
 ///
 /// # Errors
-/// If it is something else.
+/// If the text has another format, or the range is empty.
 pub fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, SoakError> {
-    let unusable = || SoakError::Seeds(text.to_owned());
+    let invalid = || SoakError::Seeds(text.to_owned());
     let (first, last) = text.split_once("..").unwrap_or((text, text));
-    let first: u64 = first.parse().map_err(|_| unusable())?;
-    let last: u64 = last.parse().map_err(|_| unusable())?;
+    let first: u64 = first.parse().map_err(|_| invalid())?;
+    let last: u64 = last.parse().map_err(|_| invalid())?;
     if first > last || last == u64::MAX {
-        return Err(unusable());
+        return Err(invalid());
     }
     Ok(first..=last)
 }
 
-/// Seeds to be played.
+/// A batch of seeds to run.
 pub struct Batch {
-    /// Which.
+    /// The seeds.
     pub seeds: RangeInclusive<u64>,
-    /// So many at once.
+    /// Number of concurrent runs.
     pub jobs: usize,
-    /// So many busy threads beside them.
+    /// Number of busy threads in addition to the runs.
     pub busy_threads: usize,
-    /// The proxy's program.
+    /// The executable of the proxy.
     pub program: PathBuf,
-    /// Takes a folder for each run; that of a clean run is removed.
+    /// Parent of the folders of the runs; the folder of a clean run is removed.
     pub folder: PathBuf,
 }
 
-/// A seed and what came of it.
+/// A seed and the result of its run.
 pub type SeedResult = (u64, Result<RunReport, SoakError>);
 
 impl Batch {
-    /// Where the log and the report of a seed are kept.
+    /// Returns the folder with the log and the report of a seed.
     pub fn folder_of(&self, seed: u64) -> PathBuf {
         self.folder.join(format!("seed-{seed}"))
     }
 
-    /// Plays all seeds; `each` is called with each result as it comes. Returns how many were not clean.
+    /// Runs all seeds, and calls `each` with each result once the run has ended. Returns how many results were not
+    /// clean.
     pub fn play(&self, each: impl FnMut(&SeedResult) + Send) -> u64 {
         let _busy = BusyThreads::start(self.busy_threads.min(MAX_BUSY_THREADS));
         let next = AtomicU64::new(*self.seeds.start());
@@ -86,12 +87,12 @@
     }
 }
 
-/// Whether a seed was played and everything held.
+/// Returns whether the run of a seed completed and was clean.
 pub fn is_clean((_, result): &SeedResult) -> bool {
     result.as_ref().is_ok_and(RunReport::is_clean)
 }
 
 fn remove(folder: &Path) {
-    // What stays behind is only in the way of nobody.
+    // A folder that can't be removed does no harm.
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/lab-soak/src/connection_ends.rs
+++ b/crates/lab-soak/src/connection_ends.rs
@@ -1,22 +1,23 @@
-//! What proxies log of the ends of their clients' connections: the proxies' own account of what they have read.
+//! The ends of client connections as the proxies log them, which show how many requests the proxies have read and
+//! answered.
 
 use serde::Serialize;
 
-/// Ends of connections in a log, counted.
+/// Counts of the ends of connections in a log.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ConnectionEnds {
-    /// All of them.
+    /// Number of connections that ended.
     pub ended: u64,
-    /// Those on which a request was read and not answered, as they were logged.
+    /// Log lines of the connections on which a request was read but not answered.
     pub unanswered: Vec<String>,
-    /// Those that were closed with bytes unread.
+    /// Number of connections that were closed with unread bytes.
     pub unread: u64,
-    /// Those that a client ended over part of a request just as the proxy was to close them.
+    /// Number of connections that the client closed after a part of a request, when the proxy was about to close them.
     pub crossed: u64,
 }
 
 impl ConnectionEnds {
-    /// Counts the ends in a log.
+    /// Counts the ends of connections in a log.
     pub fn count(log: &str) -> Self {
         let mut ends = ConnectionEnds::default();
         for line in log.lines() {
@@ -36,17 +37,17 @@
     requests: u64,
     answered: u64,
     partial_bytes: u64,
-    /// The part of a request was answered with an error, or the proxy did not end the connection.
+    /// Whether the partial request was answered with an error, or the connection was not closed by the proxy.
     partial_allowed: bool,
     unread_bytes: u64,
-    /// The client ended it over part of a request as the proxy was to close it.
+    /// Whether the client closed the connection after a part of a request, when the proxy was about to close it.
     crossed: bool,
 }
 
-/// The causes of an end with which the part of a request gets its error, or nobody is left to get it.
+/// The causes of an end where a partial request gets an error response, or no client remains to receive one.
 const ALLOWED_CAUSES: [&str; 3] = ["ended by its client", "its socket failed", "malformed head"];
 
-/// `ADDRESS closed (CAUSE[; was to be closed: REASON]): N requests read, N answered, N bytes of another[ refused], N bytes unread`.
+/// Parses a line `ADDRESS closed (CAUSE[; was to be closed: REASON]): N requests read, N answered, N bytes of another[ refused], N bytes unread`.
 fn parse(line: &str) -> Option<End> {
     let (_, rest) = line.split_once(" closed (")?;
     let (causes, counts) = rest.rsplit_once("): ")?;
--- a/crates/lab-soak/src/error.rs
+++ b/crates/lab-soak/src/error.rs
@@ -1,13 +1,13 @@
-//! Why a run could not be played.
+//! Errors of runs.
 
 use aniseyoke_lab_day::{DayError, FileError};
 use aniseyoke_lab_process::ProcessError;
 use std::io;
 
-/// Why a run could not be played; not that a rule was broken in it.
+/// The reason why a run could not be completed. A broken rule is not an error.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// There is no runtime.
+    /// The runtime could not be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
     /// The site could not be opened.
@@ -22,27 +22,27 @@
     /// A file could not be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The day is not sound.
+    /// The day is invalid.
     #[error(transparent)]
     Day(#[from] DayError),
     /// A process could not be started.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A process has started and admits no clients.
-    #[error("proxy {index} admits no clients within {within:?}")]
+    /// A process started but did not admit clients in time.
+    #[error("proxy {index} did not admit clients within {within:?}")]
     NotReady {
-        /// The proxy's number.
+        /// The index of the proxy.
         index: usize,
-        /// The time that it had.
+        /// The time limit.
         within: std::time::Duration,
     },
-    /// The auditor ended by itself.
-    #[error("the auditor has ended by itself")]
+    /// The thread of the auditor panicked.
+    #[error("the thread of the auditor panicked")]
     Auditor,
-    /// The thread of a proxy ended by itself.
-    #[error("the thread of a proxy has ended by itself")]
+    /// The thread of a proxy ended early.
+    #[error("the thread of a proxy ended early")]
     Thread,
-    /// The seeds are not usable.
-    #[error("seeds {0:?}: expected FIRST..LAST, the first not above the last")]
+    /// The range of seeds is invalid.
+    #[error("seeds {0:?}: expected FIRST..LAST with FIRST not above LAST")]
     Seeds(String),
 }
--- a/crates/lab-soak/src/lib.rs
+++ b/crates/lab-soak/src/lib.rs
@@ -1,16 +1,17 @@
-//! The soak: seeded restarts of real proxies under load (`docs/lab.md`).
+//! The soak: restarts of real proxies under load, determined by seeds (`docs/lab.md`).
 //!
-//! A seed decides everything of a run: how many proxies, what clients send, which nodes hang, when each process gets which
-//! signals, whether a crowd of clients fills the descriptors, how its successor starts. Clients go on using the connections
-//! that stay open, and a process is killed at the earliest time that the platform allows. What must hold is what the
-//! platform's pages ask; see [`verdict`].
+//! A seed determines all parameters of a run: the number of proxies, the requests of the clients, the nodes that hang,
+//! the signals for each process and their times, whether a crowd of idle clients uses up the descriptors, and how the
+//! successor of a process starts. Clients continue to use the connections that stay open, and a process is killed at
+//! the earliest time that the platform allows. The checked requirements are those in the documentation of the platform;
+//! see [`verdict`].
 //!
-//! - [`plan`]: what a seed decides; no I/O.
-//! - [`connection_ends`]: what proxies log of the ends of their connections.
-//! - [`restart`]: one process told to stop, its successor, and the kill.
+//! - [`plan`]: the plan of a run, generated from its seed without I/O.
+//! - [`connection_ends`]: the ends of connections in the log of the proxies.
+//! - [`restart`]: the restart of one proxy: the signals to the process, its successor, and the kill.
 //! - [`run`]: one run from start to end.
-//! - [`verdict`]: what a run came to.
-//! - [`batch`]: many seeds, several at a time.
+//! - [`verdict`]: the results of a run.
+//! - [`batch`]: runs of many seeds, several at a time.
 #![forbid(unsafe_code)]
 
 pub mod batch;
--- a/crates/lab-soak/src/plan.rs
+++ b/crates/lab-soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed decides of a run.
+//! The plan of a run, which its seed determines.
 
 use aniseyoke_lab_day::{Class, Day, DayError, Fault, FaultKind, Idempotency};
 use rand::rngs::Xoshiro256PlusPlus;
@@ -6,26 +6,27 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The built-in day whose machines and tenants every run has.
-const BASE_DAY: &str = "silence";
-/// The platform counts a deadline that is longer as this.
+/// The built-in day that provides the machines and tenants of every run.
+const BASE_DAY_NAME: &str = "silence";
+/// The platform counts a longer deadline as this one.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// The platform kills a process this long after SIGTERM and the longest deadline, at the earliest.
+/// The platform kills a process at the earliest this long after SIGTERM plus the longest deadline.
 pub const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The load runs for this long before the first process is told to stop, at least.
+/// Minimum time for which the load runs before the first restart.
 const WARM_UP: Duration = Duration::from_millis(1500);
-/// The load goes on for this long behind the last kill.
+/// Time for which the load continues after the last kill.
 const COOL_DOWN: Duration = Duration::from_millis(500);
-/// Signals come within this time of the first SIGTERM.
+/// Time after the first SIGTERM within which further signals are sent.
 const SIGNALS_WITHIN: Duration = Duration::from_millis(900);
-/// The first signal after SIGTERM comes this long behind it at the earliest.
-const FIRST_REPEAT: Duration = Duration::from_millis(10);
-/// Nodes begin to hang within this time of the beginning of a restart, which takes some of it before SIGTERM.
+/// Minimum delay between the first SIGTERM and a repeated one.
+const MIN_REPEAT_DELAY: Duration = Duration::from_millis(10);
+/// Time after the beginning of the first restart within which nodes begin to hang. SIGTERM is sent some time after that
+/// beginning.
 const HANGS_WITHIN: Duration = Duration::from_millis(600);
-/// SIGHUP may come so long before SIGTERM.
-const HANGUP_BEFORE: Duration = Duration::from_millis(300);
+/// Maximum time by which SIGHUP is sent before the first SIGTERM.
+const MAX_HANGUP_LEAD: Duration = Duration::from_millis(300);
 
-/// A signal that a process gets.
+/// A signal that is sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum SignalKind {
     /// SIGTERM.
@@ -34,64 +35,65 @@
     HangUp,
 }
 
-/// A signal and its time from the first SIGTERM, in milliseconds; SIGHUP may come before it.
+/// A signal and its time relative to the first SIGTERM, in milliseconds; the time of SIGHUP may be negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct TimedSignal {
-    /// Which.
+    /// The signal.
     pub kind: SignalKind,
-    /// When.
+    /// The time.
     pub at_ms: i64,
 }
 
-/// How a process is followed by its successor.
+/// How the successor of a process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Succession {
-    /// Both inherit the listening socket; the old process is told to stop once the new one admits clients.
+    /// Both processes inherit the listening socket; the old one is terminated once the new one admits clients.
     Handover,
-    /// The new process starts at an address of its own once the old one has ended.
+    /// The new process starts with its own address once the old one has ended.
     AfterEnd,
 }
 
-/// One process that is told to stop.
+/// The restart of one proxy.
 #[derive(Clone, Debug, Serialize)]
 pub struct RestartPlan {
-    /// When the load has run for this long, in milliseconds.
+    /// Time of the restart since the start of the load, in milliseconds.
     pub at_ms: u64,
-    /// The signals, in order of time; among them the first SIGTERM, at 0.
+    /// The signals in chronological order, including the first SIGTERM at 0.
     pub signals: Vec<TimedSignal>,
 }
 
-/// What a seed decides of a run.
+/// The plan of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct SoakPlan {
     /// The seed.
     pub seed: u64,
-    /// How processes follow each other.
+    /// How the successors of processes start.
     pub succession: Succession,
-    /// A restart for each proxy.
+    /// The restart of each proxy.
     pub restarts: Vec<RestartPlan>,
-    /// Requests a second over all proxies.
+    /// Requests per second, summed over all proxies.
     pub rate: f64,
-    /// The longest deadline of a class, in milliseconds.
+    /// The longest deadline of any class, in milliseconds.
     pub longest_deadline_ms: u64,
-    /// The fraction of the nodes that hang, through the whole stop.
+    /// The fraction of the nodes that hang until the end of the run.
     pub hanging: f64,
-    /// From when on, in milliseconds of the load: a little before or behind the first stop.
+    /// Time from which the nodes hang, in milliseconds since the start of the load: shortly before or after the first
+    /// SIGTERM.
     pub hangs_at_ms: u64,
-    /// Whether nodes drain and are replaced around the stop.
+    /// Whether nodes drain and are replaced around the time of the restarts.
     pub draining: bool,
-    /// Connections of clients that send nothing; past the descriptors, if any.
+    /// Number of connections of idle clients: 0, or more than the descriptors of a proxy.
     pub crowd: usize,
 }
 
 impl SoakPlan {
-    /// The plan of a seed.
+    /// Generates the plan of a seed.
     pub fn draw(seed: u64) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let succession = if random.random_bool(0.7) { Succession::Handover } else { Succession::AfterEnd };
-        // Where a process has no successor meanwhile, another proxy must be there.
-        let least = if succession == Succession::Handover { 1 } else { 2 };
-        let proxies = random.random_range(least..=3);
+        // Without a handover another proxy must serve until the successor has started.
+        let min_proxies = if succession == Succession::Handover { 1 } else { 2 };
+        let proxies = random.random_range(min_proxies..=3);
         let restarts: Vec<RestartPlan> = (0..proxies).map(|_| RestartPlan::draw(&mut random)).collect();
         let first_stop = restarts.iter().map(|restart| restart.at_ms).min().unwrap_or(0);
         let short_deadlines = random.random_bool(0.3);
@@ -110,18 +112,18 @@
         }
     }
 
-    /// How long after the first SIGTERM a process is killed.
+    /// Returns the time after the first SIGTERM at which a process is killed.
     pub fn kill_after(&self) -> Duration {
         Duration::from_millis(self.longest_deadline_ms).min(MAX_DEADLINE) + KILL_MARGIN
     }
 
-    /// The day of the run.
+    /// Creates the day of the run.
     ///
     /// # Errors
-    /// If the built-in day is not sound at this size.
+    /// If the built-in day is invalid at this size.
     pub fn day(&self) -> Result<Day, DayError> {
         const NODES: usize = 8;
-        let mut day = Day::open(BASE_DAY)?.resized(self.restarts.len(), NODES)?;
+        let mut day = Day::open(BASE_DAY_NAME)?.resized(self.restarts.len(), NODES)?;
         day.seed = self.seed;
         day.site.proxy.sockets = 256;
         day.load.rate = self.rate;
@@ -161,7 +163,8 @@
     }
 }
 
-/// The fraction of the nodes that hang: none, some, or all of them, so that what is out lasts as long as it may.
+/// Draws the fraction of the nodes that hang: none, some, or all. With all of them, requests in flight last as long as
+/// their deadlines allow.
 fn draw_hanging(random: &mut Xoshiro256PlusPlus) -> f64 {
     match random.random_range(0..10) {
         0..3 => 0.0,
@@ -175,11 +178,11 @@
         let within = SIGNALS_WITHIN.as_millis() as i64;
         let mut signals = vec![TimedSignal { kind: SignalKind::Terminate, at_ms: 0 }];
         for _ in 0..random.random_range(1..=3) {
-            let at_ms = random.random_range(FIRST_REPEAT.as_millis() as i64..=within);
+            let at_ms = random.random_range(MIN_REPEAT_DELAY.as_millis() as i64..=within);
             signals.push(TimedSignal { kind: SignalKind::Terminate, at_ms });
         }
         for _ in 0..random.random_range(0..=3) {
-            let at_ms = random.random_range(-(HANGUP_BEFORE.as_millis() as i64)..=within);
+            let at_ms = random.random_range(-(MAX_HANGUP_LEAD.as_millis() as i64)..=within);
             signals.push(TimedSignal { kind: SignalKind::HangUp, at_ms });
         }
         signals.sort_by_key(|signal| signal.at_ms);
