--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -19,7 +19,7 @@
     AnsweredTwice,
     /// A request that is not idempotent is not sent again once it may have been executed.
     RanTwice,
-    /// A request with an idempotency key is not sent again once the key may have been forgotten.
+    /// A request with an idempotency key is not sent again once the key may have expired.
     KeyedTwice,
     /// No attempt goes to a node later than 2 s after the proxy was notified that the node is draining or gone.
     Drain,
--- a/crates/lab-soak/src/restart.rs
+++ b/crates/lab-soak/src/restart.rs
@@ -1,4 +1,4 @@
-//! One proxy of a run: the process that is told to stop, its successor, and the kill.
+//! The restart of one proxy of a run: the signals to its process, its successor, and the kill.
 
 use crate::plan::{RestartPlan, SignalKind, SoakPlan, Succession};
 use crate::verdict::ProcessEnd;
@@ -18,66 +18,67 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a process is looked at.
+/// Interval at which the state of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// A successor admits clients within this time.
+/// Time within which a successor must admit clients.
 const ADMITS_WITHIN: Duration = Duration::from_secs(10);
-/// What a process logs once it admits clients of an inherited socket.
-const ADMITS_LINE: &str = "clients are admitted";
-/// The first SIGTERM comes this long after all is ready for it, so that SIGHUP may come before.
-const BEFORE_TERMINATE: Duration = Duration::from_millis(300);
+/// Text that a process logs once it admits clients on an inherited socket.
+const ADMITS_LOG_TEXT: &str = "clients are admitted";
+/// Delay of the first SIGTERM after the signals begin, so that SIGHUP can be sent before it.
+const TERMINATE_DELAY: Duration = Duration::from_millis(300);
 
-/// The start of the load, for the threads of all proxies.
+/// The start of the load, as sent to the threads of all proxies.
 #[derive(Clone)]
 pub struct Begin {
-    /// When the load begins.
+    /// Start time of the load.
     pub at: Instant,
-    /// Where new connections go.
+    /// The load balancer for new connections.
     pub load_balancer: Arc<LoadBalancer>,
 }
 
-/// What one proxy of a run needs.
+/// The parameters of one proxy of a run.
 pub struct ProxySlot {
-    /// The proxy's number.
+    /// The index of the proxy.
     pub index: usize,
-    /// Its program.
+    /// The program of the proxy.
     pub program: Arc<Program>,
-    /// Its configuration.
+    /// The configuration of the proxy.
     pub config: Value,
-    /// The folder that its processes share.
+    /// The folder that the processes of the proxy share.
     pub folder: PathBuf,
-    /// What the seed decides.
+    /// The plan of the run.
     pub plan: Arc<SoakPlan>,
-    /// The run's clock.
+    /// The clock of the run.
     pub clock: Clock,
-    /// The auditor.
+    /// The channel to the auditor.
     pub evidence: SyncSender<Vec<Evidence>>,
-    /// Set once the load has ended.
-    pub load_over: Arc<AtomicBool>,
+    /// Is set once the load has ended.
+    pub load_ended: Arc<AtomicBool>,
 }
 
-/// What became of a proxy's processes.
+/// The results of the processes of a proxy.
 #[derive(Default)]
 pub struct SlotOutcome {
-    /// Those that were told to stop.
+    /// The ends of the processes that were terminated.
     pub ends: Vec<ProcessEnd>,
-    /// Those that ended by themselves.
+    /// Descriptions of the processes that exited unexpectedly.
     pub crashes: Vec<String>,
 }
 
 impl ProxySlot {
-    /// Starts the first process, tells its address, and once the load begins restarts it; then waits for the load's end and
-    /// ends the successor. It runs on a thread of its own: children are killed with the thread that started them.
+    /// Starts the first process, sends its address to `started`, and restarts it once the load has begun. Then waits
+    /// for the end of the load and terminates the successor. Must run on its own thread, because child processes are
+    /// killed with the thread that started them.
     ///
     /// # Errors
-    /// If a process does not start.
+    /// If the successor does not start.
     pub fn play(
         self,
         started: &SyncSender<Result<SocketAddr, SoakError>>,
         begin: &Receiver<Begin>,
     ) -> Result<SlotOutcome, SoakError> {
         let first = self.start();
-        // Who waits for the address gives up with the first error.
+        // Sending fails only if the receiver has already given up because of another proxy's error.
         let old = match first {
             Ok(process) => {
                 let _ = started.send(Ok(process.addr()));
@@ -92,11 +93,11 @@
         let mut outcome = SlotOutcome::default();
         let successor = self.restart(old, &begin, &mut outcome)?;
         if let Some(mut successor) = successor {
-            while !self.load_over.load(Ordering::Relaxed) && successor.ended().is_none() {
+            while !self.load_ended.load(Ordering::Relaxed) && successor.ended().is_none() {
                 sleep(POLL_INTERVAL);
             }
             if successor.ended().is_some() {
-                self.crashed(successor.as_mut(), &mut outcome);
+                self.record_crash(successor.as_mut(), &mut outcome);
             } else {
                 let only_terminate = [(SignalKind::Terminate, Duration::ZERO)];
                 outcome.ends.push(self.stop(successor, Instant::now(), &only_terminate));
@@ -113,17 +114,18 @@
         &self.plan.restarts[self.index]
     }
 
-    /// Ends the old process by the plan; returns its successor, unless one of them crashed.
+    /// Stops the old process according to the plan. Returns the successor, or none if the old process crashed before
+    /// the restart.
     fn restart(
         &self,
         mut old: Box<dyn RunningProxy>,
         begin: &Begin,
         outcome: &mut SlotOutcome,
     ) -> Result<Option<Box<dyn RunningProxy>>, SoakError> {
-        let due = begin.at + Duration::from_millis(self.restart_plan().at_ms);
-        while Instant::now() < due {
+        let restart_at = begin.at + Duration::from_millis(self.restart_plan().at_ms);
+        while Instant::now() < restart_at {
             if old.ended().is_some() {
-                self.crashed(old.as_mut(), outcome);
+                self.record_crash(old.as_mut(), outcome);
                 return Ok(None);
             }
             sleep(POLL_INTERVAL);
@@ -146,17 +148,17 @@
         Ok(Some(successor))
     }
 
-    /// The signals of the plan, each with its time from when they begin.
+    /// Returns the signals of the plan, each with its delay from the time at which the signals begin.
     fn signals(&self) -> Vec<(SignalKind, Duration)> {
         let signals = self.restart_plan().signals.iter();
-        let begins = BEFORE_TERMINATE.as_millis() as i64;
+        let begins = TERMINATE_DELAY.as_millis() as i64;
         signals.map(|s| (s.kind, Duration::from_millis((begins + s.at_ms).max(0) as u64))).collect()
     }
 
     fn start_successor(&self) -> Result<Box<dyn RunningProxy>, SoakError> {
         let successor = self.start()?;
         let until = Instant::now() + ADMITS_WITHIN;
-        while !successor.last_lines().iter().any(|line| line.contains(ADMITS_LINE)) {
+        while !successor.last_lines().iter().any(|line| line.contains(ADMITS_LOG_TEXT)) {
             if Instant::now() > until {
                 return Err(SoakError::NotReady { index: self.index, within: ADMITS_WITHIN });
             }
@@ -165,7 +167,8 @@
         Ok(successor)
     }
 
-    /// Sends signals until the process has ended, and kills it at the earliest time after the first SIGTERM.
+    /// Sends signals until the process has ended, and kills it at the earliest time that the platform allows after the
+    /// first SIGTERM.
     fn stop(
         &self,
         mut process: Box<dyn RunningProxy>,
@@ -196,7 +199,7 @@
                 next = signals.next();
             }
             if let Some(at) = terminated.filter(|at| at.elapsed() >= self.plan.kill_after()) {
-                // One that has ended in this very moment has done so by itself.
+                // A process that has exited by now does not count as killed.
                 let status = process.ended();
                 process.kill();
                 return ProcessEnd { proxy: self.index, after_s: at.elapsed().as_secs_f64(), status };
@@ -205,15 +208,15 @@
         }
     }
 
-    fn crashed(&self, process: &mut dyn RunningProxy, outcome: &mut SlotOutcome) {
+    fn record_crash(&self, process: &mut dyn RunningProxy, outcome: &mut SlotOutcome) {
         let how = process.ended().unwrap_or_default();
         let lines = process.last_lines().join("\n    ");
-        outcome.crashes.push(format!("proxy {} ended by itself, {how}:\n    {lines}", self.index));
+        outcome.crashes.push(format!("proxy {} exited unexpectedly, {how}:\n    {lines}", self.index));
         self.record(Observation::Crashed { proxy: self.index });
     }
 
     fn record(&self, observed: Observation) {
-        // An auditor that has ended wants no more.
+        // Sending fails only if the auditor has ended, and evidence is not needed then.
         let _ = self.evidence.send(vec![Evidence { at: self.clock.now(), observed }]);
     }
 }
@@ -224,7 +227,7 @@
         SignalKind::HangUp => Signal::SIGHUP,
     };
     if let Some(pid) = process.pid() {
-        // A child that has ended and was not waited for keeps its number, so that no other process gets this.
+        // A child that has ended but was not reaped keeps its process id, so the signal can't reach another process.
         let _ = kill(Pid::from_raw(pid as i32), signal);
     }
 }
--- a/crates/lab-soak/src/run.rs
+++ b/crates/lab-soak/src/run.rs
@@ -20,25 +20,25 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The proxies' log in a run's folder.
+/// Name of the log of the proxies in the folder of a run.
 pub const LOG_FILE: &str = "processes.log";
-/// What came of a run, in its folder.
+/// Name of the report in the folder of a run.
 pub const REPORT_FILE: &str = "report.json";
-/// The ends of all connections are logged.
+/// Operator file that enables logging of the ends of all connections.
 const OPERATOR_FILE: &str = "[log]\nburst = 100000\nper_second = 10000\n[log.targets]\nfront = \"debug\"\n";
-/// All proxies are healthy within this time of their start.
+/// Time after their start within which all proxies must be healthy.
 const HEALTHY_WITHIN: Duration = Duration::from_secs(30);
-/// How often the load balancer checks the proxies.
+/// Interval of the health checks of the proxies.
 const HEALTH_INTERVAL: Duration = Duration::from_millis(50);
 /// The load begins this long after all proxies are healthy.
 const START_DELAY: Duration = Duration::from_millis(50);
 /// Clients use at most one in this many of the proxies' descriptors.
 const CLIENTS_DIVISOR: usize = 3;
 
-/// Plays a run; `folder` is its own, and takes the log of all processes and the report.
+/// Runs a plan. Writes the log of all processes and the report to `folder`, which no other run may use.
 ///
 /// # Errors
-/// If it could not be played.
+/// If the run could not be completed.
 pub fn run(plan: SoakPlan, program: &Path, folder: &Path) -> Result<RunReport, SoakError> {
     std::fs::create_dir_all(folder).map_err(FileError::at(folder))?;
     let day = plan.day()?;
@@ -50,7 +50,7 @@
     Ok(report)
 }
 
-/// What a run has beside its load.
+/// The environment of a run, without its load.
 struct Environment {
     clock: Clock,
     site: Site,
@@ -62,7 +62,7 @@
     auditor: JoinHandle<Verdict>,
 }
 
-/// The thread of a proxy.
+/// The thread of a proxy and its channels.
 struct SlotThread {
     begin: SyncSender<Begin>,
     started: Receiver<Result<SocketAddr, SoakError>>,
@@ -100,10 +100,10 @@
     fn play(mut self, plan: SoakPlan, day: &Day) -> Result<RunReport, SoakError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(SoakError::Runtime)?;
-        let load_over = Arc::new(AtomicBool::new(false));
+        let load_ended = Arc::new(AtomicBool::new(false));
         let shared_plan = Arc::new(plan.clone());
         let slots: Vec<SlotThread> =
-            (0..plan.restarts.len()).map(|index| self.start_slot(index, &shared_plan, &load_over)).collect();
+            (0..plan.restarts.len()).map(|index| self.start_slot(index, &shared_plan, &load_ended)).collect();
         let mut addrs = Vec::new();
         for slot in &slots {
             addrs.push(slot.started.recv().map_err(|_| SoakError::Thread)??);
@@ -114,17 +114,17 @@
         self.site.begin();
         let begin = Begin { at: Instant::now() + START_DELAY, load_balancer: load_balancer.clone() };
         for slot in &slots {
-            // A thread that has ended by itself says why when it is joined.
+            // Sending fails if the thread has ended; `join` returns its error.
             let _ = slot.begin.send(begin.clone());
         }
-        runtime.block_on(follow(&load, &load_balancer));
+        runtime.block_on(monitor(&load, &load_balancer));
         let load = LoadSummary::from(&load.finish());
-        load_over.store(true, Ordering::Relaxed);
+        load_ended.store(true, Ordering::Relaxed);
         let mut outcome = SlotOutcome::default();
         for slot in slots {
-            let of_slot = slot.thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
-            outcome.ends.extend(of_slot.ends);
-            outcome.crashes.extend(of_slot.crashes);
+            let slot_outcome = slot.thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
+            outcome.ends.extend(slot_outcome.ends);
+            outcome.crashes.extend(slot_outcome.crashes);
         }
         let connection_ends = self.connection_ends()?;
         let verdict = self.close()?;
@@ -132,7 +132,7 @@
         Ok(RunReport { plan, load, process_ends: ends, connection_ends, verdict, crashes })
     }
 
-    fn start_slot(&self, index: usize, plan: &Arc<SoakPlan>, load_over: &Arc<AtomicBool>) -> SlotThread {
+    fn start_slot(&self, index: usize, plan: &Arc<SoakPlan>, load_ended: &Arc<AtomicBool>) -> SlotThread {
         let (begin, begins) = sync_channel(1);
         let (starts, started) = sync_channel(1);
         let slot = ProxySlot {
@@ -143,7 +143,7 @@
             plan: plan.clone(),
             clock: self.clock,
             evidence: self.evidence.clone(),
-            load_over: load_over.clone(),
+            load_ended: load_ended.clone(),
         };
         let thread = std::thread::spawn(move || slot.play(&starts, &begins));
         SlotThread { begin, started, thread }
@@ -158,7 +158,7 @@
         Load::start(day, clock, from, load_balancer.clone(), options, recorder).map_err(SoakError::Load)
     }
 
-    /// The proxies' own account, once their last lines have been written.
+    /// Counts the ends of connections in the log of the proxies, after all its lines have been written.
     fn connection_ends(&self) -> Result<ConnectionEnds, SoakError> {
         self.log.flush();
         let path = self.folder.join(LOG_FILE);
@@ -166,7 +166,7 @@
         Ok(ConnectionEnds::count(&log))
     }
 
-    /// Closes the site and waits for the auditor, which ends once all senders of evidence are gone.
+    /// Closes the site and waits for the auditor, which ends once all senders of evidence have been dropped.
     fn close(self) -> Result<Verdict, SoakError> {
         let Environment { site, evidence, auditor, .. } = self;
         site.close();
@@ -188,8 +188,8 @@
     Ok(())
 }
 
-/// Checks the proxies' health until the load has ended.
-async fn follow(load: &Load, load_balancer: &LoadBalancer) {
+/// Checks the health of the proxies until the load has ended.
+async fn monitor(load: &Load, load_balancer: &LoadBalancer) {
     while !load.finished() {
         let mut checks = tokio::task::JoinSet::new();
         for (index, addr) in load_balancer.addrs().into_iter().enumerate() {
--- a/crates/lab-soak/src/tests.rs
+++ b/crates/lab-soak/src/tests.rs
@@ -1,4 +1,4 @@
-//! What a seed decides, and what is read from the proxies' log.
+//! Tests of the plans of seeds, and of the evaluation of the proxies' log.
 
 use crate::batch::parse_seeds;
 use crate::connection_ends::ConnectionEnds;
@@ -6,7 +6,7 @@
 use crate::verdict::ProcessEnd;
 
 #[test]
-fn a_seed_decides_the_whole_plan_and_keeps_to_the_terms() {
+fn a_plan_is_determined_by_its_seed_and_within_the_limits() {
     for seed in 0..500 {
         let plan = SoakPlan::draw(seed);
         let again = SoakPlan::draw(seed);
@@ -22,7 +22,7 @@
             );
         }
         assert!(plan.succession == Succession::Handover || plan.restarts.len() > 1, "seed {seed}: {plan:?}");
-        plan.day().expect("a sound day");
+        plan.day().expect("a valid day");
     }
     let plans: Vec<SoakPlan> = (0..50).map(SoakPlan::draw).collect();
     assert!(plans.iter().any(|plan| plan.crowd > 0) && plans.iter().any(|plan| plan.crowd == 0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_request_that_was_read_and_not_answered_shows_in_the_log() {
+fn a_request_that_was_read_but_not_answered_is_detected_in_the_log() {
     let log = "     1.0 p0[7] aniseyoke: 127.0.0.1:4 closed (idle): 2 requests read, 2 answered, 0 bytes of another, 0 bytes unread
      1.1 p0[7] aniseyoke: 127.0.0.1:5 closed (displaced): 2 requests read, 1 answered, 0 bytes of another, 0 bytes unread
      1.2 p0[7] aniseyoke: 127.0.0.1:6 closed (its head is overdue): 0 requests read, 0 answered, 20 bytes of another refused, 0 bytes unread
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn only_an_end_with_success_and_before_the_kill_is_clean() {
+fn only_a_successful_end_after_sigterm_and_before_the_kill_is_clean() {
     let end = |status: Option<&str>| ProcessEnd { proxy: 0, after_s: 1.0, status: status.map(str::to_owned) };
     assert!(end(Some("exit status: 0")).is_clean());
     for status in
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn seeds_are_a_range_or_one() {
+fn seeds_are_a_range_or_a_single_number() {
     assert_eq!(parse_seeds("3..7").expect("a range"), 3..=7);
     assert_eq!(parse_seeds("5").expect("one"), 5..=5);
     for bad in ["", "7..3", "a..b", "1..", "-1..2", "1..18446744073709551615"] {
--- a/crates/lab-soak/src/verdict.rs
+++ b/crates/lab-soak/src/verdict.rs
@@ -1,11 +1,13 @@
-//! What a run came to.
+//! The results of a run.
 //!
-//! What must hold is what the platform's pages ask, and never a measured figure:
-//! - each request that was accepted gets one final answer, by its time plus [`ANSWER_GRACE`];
-//! - none that was read is closed unanswered, by the clients' account and by the proxies' own;
-//! - none that must not run twice does;
-//! - nothing reaches a node for a client that has left, and none that the proxy was told is draining;
-//! - a process that is told to stop ends by itself, with success, before it may be killed.
+//! The checked requirements are those in the documentation of the platform, never a measured figure:
+//! - each accepted request gets one final response, by its deadline plus [`ANSWER_GRACE`];
+//! - no connection is closed while a request that was read has no response, neither as observed by the clients nor as
+//!   logged by the proxies;
+//! - no request that is not idempotent is executed twice;
+//! - no attempt reaches a node for a client that has disconnected, or reaches a node that the proxy was notified is
+//!   draining;
+//! - a terminated process exits with success before it may be killed.
 
 use crate::connection_ends::ConnectionEnds;
 use crate::plan::SoakPlan;
@@ -15,46 +17,46 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A request has its final answer this long after its time at the latest.
+/// Time after its deadline by which a request must have its final response.
 pub const ANSWER_GRACE: Duration = Duration::from_millis(500);
 
-/// How a process that was told to stop has ended.
+/// The end of a process that was terminated.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessEnd {
-    /// The proxy's number.
+    /// The index of the proxy.
     pub proxy: usize,
-    /// Seconds from the first SIGTERM.
+    /// Seconds from the first SIGTERM to the end.
     pub after_s: f64,
-    /// Its exit status; none if it had to be killed.
+    /// The exit status; none if the process was killed.
     pub status: Option<String>,
 }
 
 impl ProcessEnd {
-    /// Whether it ended by itself and with success.
+    /// Returns whether the process exited with success and was not killed.
     pub fn is_clean(&self) -> bool {
         self.status.as_deref() == Some("exit status: 0")
     }
 }
 
-/// What a run came to.
+/// The report of a run.
 #[derive(Debug, Serialize)]
 pub struct RunReport {
-    /// What its seed decided.
+    /// The plan of the run.
     pub plan: SoakPlan,
     /// Requests by outcome.
     pub load: LoadSummary,
-    /// The processes that were told to stop.
+    /// The ends of the processes that were terminated.
     pub process_ends: Vec<ProcessEnd>,
-    /// The proxies' own account.
+    /// The ends of connections in the log of the proxies.
     pub connection_ends: ConnectionEnds,
-    /// The auditor's verdict.
+    /// The result of the audit.
     pub verdict: Verdict,
-    /// Processes that ended by themselves, with their last lines.
+    /// Descriptions of the processes that exited unexpectedly, with the last lines of their output.
     pub crashes: Vec<String>,
 }
 
 impl RunReport {
-    /// What did not hold, a line each.
+    /// Returns the requirements that were not met, one line each.
     pub fn failures(&self) -> Vec<String> {
         let ends = self.process_ends.iter().filter(|end| !end.is_clean()).map(|end| {
             let how = end.status.as_deref().unwrap_or("killed");
@@ -62,11 +64,11 @@
         });
         let rules = self.verdict.broken.iter().map(|(rule, count)| format!("{rule:?} {count} times"));
         let unanswered = self.connection_ends.unanswered.iter();
-        let unanswered = unanswered.map(|line| format!("read and not answered: {line}"));
+        let unanswered = unanswered.map(|line| format!("request read but not answered: {line}"));
         ends.chain(rules).chain(unanswered).chain(self.crashes.iter().cloned()).collect()
     }
 
-    /// Whether everything held.
+    /// Returns whether all requirements were met.
     pub fn is_clean(&self) -> bool {
         self.failures().is_empty()
     }
@@ -80,8 +82,8 @@
         write!(
             f,
             "seed {seed:4} {verdict:6} {succession:?}, {} proxies, deadline {longest_deadline_ms} ms, \
-             {hanging:.2} hanging, crowd {crowd}: {} requests judged, {} connections ended, \
-             {} of them by clients amid a close, last process after {last_end:.2} s",
+             {hanging:.2} hanging, crowd {crowd}: {} requests checked, {} connections ended, \
+             {} of them by clients during a close, last process after {last_end:.2} s",
             restarts.len(),
             self.verdict.requests,
             self.connection_ends.ended,
--- a/crates/lab-trial/src/lib.rs
+++ b/crates/lab-trial/src/lib.rs
@@ -79,7 +79,7 @@
         // Sending fails only if the auditor has ended, and evidence is not needed then.
         let _ = sender.send(vec![Evidence { at: clock.now(), observed }]);
     };
-    follow(day, &load, &mut site, &mut proxies, &load_balancer, options, &record).await;
+    monitor(day, &load, &mut site, &mut proxies, &load_balancer, options, &record).await;
     let seconds = (clock.now() - from) as f64 / 1e9;
     let stats = load.finish();
     let (usage, crashes) = proxies.end().await;
@@ -90,7 +90,7 @@
 }
 
 /// Restarts and polls the proxies, and checks their health, until the load has ended.
-async fn follow(
+async fn monitor(
     day: &Day,
     load: &Load,
     site: &mut Site,
