--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -34,8 +34,8 @@
     /// A request is not forwarded late after its client has disconnected. A day fails if more than a quarter of the
     /// requests of disconnected clients are.
     SentForNobody,
-    /// No attempt begins for a request after its client has disconnected. The third such attempt of a day and any
-    /// further one break the rule.
+    /// No attempt begins for a request later than 0.1 s after its client has disconnected. The third such attempt of a
+    /// day and any further one break the rule.
     AttemptForNobody,
     /// A proxy does not crash.
     Crash,
--- a/crates/lab-soak/src/connection_ends.rs
+++ b/crates/lab-soak/src/connection_ends.rs
@@ -47,7 +47,9 @@
 /// The causes of an end where a partial request gets an error response, or no client remains to receive one.
 const ALLOWED_CAUSES: [&str; 3] = ["ended by its client", "its socket failed", "malformed head"];
 
-/// Parses a line `ADDRESS closed (CAUSE[; was to be closed: REASON]): N requests read, N answered, N bytes of another[ refused], N bytes unread`.
+/// Parses a line of this format:
+///
+/// `ADDRESS closed (CAUSE[; was to be closed: REASON]): N requests read, N answered, N bytes of another[ refused], N bytes unread`.
 fn parse(line: &str) -> Option<End> {
     let (_, rest) = line.split_once(" closed (")?;
     let (causes, counts) = rest.rsplit_once("): ")?;
--- a/crates/lab-trial/src/report.rs
+++ b/crates/lab-trial/src/report.rs
@@ -38,7 +38,7 @@
     /// Fetches and writes that reached the origin, per request.
     #[serde(rename = "ledger")]
     pub origin_requests: f64,
-    /// Resource usage of each proxy, over all processes that its restarts started.
+    /// Resource usage of each proxy, over all its processes.
     pub proxies: Vec<Usage>,
     /// CPU time of the proxies per attempt of a client, in microseconds.
     pub cpu_us: f64,
