--- a/crates/proxy/src/front/answer.rs
+++ b/crates/proxy/src/front/answer.rs
@@ -4,8 +4,8 @@
 use super::request::Rejection;
 use super::Server;
 use crate::relay::ResponseBody;
-use crate::socket::{Presence, Probe, Socket, Waiter};
-use crate::upstream::Reply;
+use crate::socket::{PeerHandle, Presence, Probe, Socket};
+use crate::upstream::UpstreamResponse;
 use aniseyoke_core::Answer;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{self, HeaderValue};
@@ -70,7 +70,7 @@
         if socket.presence(probe, probe_time).await == Presence::Gone {
             return client_gone();
         }
-        parsed.job.waiter = Some(Waiter::new(socket, probe, probe_time));
+        parsed.job.client_handle = Some(PeerHandle::new(socket, probe, probe_time));
         let mut ticket = self.engine.submit(parsed);
         let mut response = tokio::select! {
             biased;
@@ -91,7 +91,7 @@
 
 /// Converts the engine's answer to a response. For a HEAD request, `Content-Length` states the length of the
 /// body that is not sent.
-fn to_response(answer: Answer<Reply>, is_head: bool) -> Response<ResponseBody> {
+fn to_response(answer: Answer<UpstreamResponse>, is_head: bool) -> Response<ResponseBody> {
     match answer {
         Answer::Served(response) => {
             let (mut head, body) = response.into_parts();
--- a/crates/proxy/src/front/head_reader.rs
+++ b/crates/proxy/src/front/head_reader.rs
@@ -65,7 +65,7 @@
 
     /// Reads into `buf`, and records the end of the input.
     fn poll_input(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        let read = ready!(self.io.poll_fill(cx, buf));
+        let read = ready!(self.io.poll_read_into(cx, buf));
         match read {
             Ok(0) => self.heads.input_end.set(Some(InputEnd::Closed)),
             Err(_) => self.heads.input_end.set(Some(InputEnd::Failed)),
--- a/crates/proxy/src/front/request.rs
+++ b/crates/proxy/src/front/request.rs
@@ -83,7 +83,7 @@
         strip_hop_by_hop(&mut headers);
         // The forwarded request gets the actual length of the body.
         headers.remove(header::CONTENT_LENGTH);
-        let job = Job { method: head.method, uri, headers, body, waiter: None };
+        let job = Job { method: head.method, uri, headers, body, client_handle: None };
         Ok(IncomingRequest { request, job, received_at: received_at.into_std() })
     }
 
--- a/crates/proxy/src/socket/io.rs
+++ b/crates/proxy/src/socket/io.rs
@@ -33,7 +33,7 @@
 
 impl Io {
     /// Reads into `buffer`; returns 0 if the peer has ended its sending.
-    pub fn poll_fill(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
+    pub fn poll_read_into(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
             match uninterrupted(|| self.0.stream.try_read(buffer)) {
@@ -105,7 +105,7 @@
 
 impl AsyncRead for Io {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let n = ready!(self.poll_fill(cx, buf.initialize_unfilled()))?;
+        let n = ready!(self.poll_read_into(cx, buf.initialize_unfilled()))?;
         buf.advance(n);
         Poll::Ready(Ok(()))
     }
--- a/crates/proxy/src/socket/mod.rs
+++ b/crates/proxy/src/socket/mod.rs
@@ -9,7 +9,7 @@
 mod presence;
 
 pub use io::Io;
-pub use presence::{PeekedPresence, Presence, Probe, Waiter};
+pub use presence::{PeekedPresence, PeerHandle, Presence, Probe};
 
 use crate::descriptors::DescriptorPermit;
 use crate::KERNEL_BUFFER_BYTES;
--- a/crates/proxy/src/socket/presence.rs
+++ b/crates/proxy/src/socket/presence.rs
@@ -86,18 +86,18 @@
 
 /// A handle on a peer that waits for an answer, to check its presence.
 #[derive(Clone)]
-pub struct Waiter {
+pub struct PeerHandle {
     /// A weak reference, so that attempts in flight for a peer that has gone don't keep its descriptor open.
     socket: Weak<Socket>,
     probe: Probe,
     probe_timeout: Duration,
 }
 
-impl Waiter {
+impl PeerHandle {
     /// Creates a handle on a peer that is probed with `probe` and whose reaction is waited for at most
     /// `probe_timeout`.
     pub fn new(socket: &Rc<Socket>, probe: Probe, probe_timeout: Duration) -> Self {
-        Waiter { socket: Rc::downgrade(socket), probe, probe_timeout }
+        PeerHandle { socket: Rc::downgrade(socket), probe, probe_timeout }
     }
 
     /// Checks whether the peer is still connected, with a probe if needed.
--- a/crates/proxy/src/upstream/answer.rs
+++ b/crates/proxy/src/upstream/answer.rs
@@ -1,6 +1,6 @@
 //! Reading a node's answer, and the state of the node that its head reports.
 
-use super::{Outcome, Reply};
+use super::{Outcome, UpstreamResponse};
 use crate::budget::Budget;
 use crate::relay::{ResponseBody, StreamedBody};
 use crate::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
@@ -97,7 +97,7 @@
         reservation.shrink(read_ahead.len());
     }
     let (status, hit, load) = (status(&head), hit(&head.headers), load(&head.headers));
-    let answer: Option<Reply> = (status == Status::Ok)
+    let answer: Option<UpstreamResponse> = (status == Status::Ok)
         .then(|| Response::from_parts(head, ResponseBody::buffered(read_ahead.into(), reservation)));
     Received::Complete(Outcome { status, hit, load, answer })
 }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -32,7 +32,7 @@
     /// The deadline for writing the first byte of the request, and for the attempt. An attempt with a
     /// streamed body instead ends [`Attempt::time_limit`] after the body's last byte was received from the
     /// client.
-    pub(super) due: Instant,
+    pub(super) deadline: Instant,
     /// The total time allowed.
     pub(super) time_limit: Duration,
     pub(super) handle: &'a Rc<AttemptHandle>,
@@ -88,7 +88,7 @@
     async fn wait_for_timeout(&self) {
         let time_over = async {
             match self.job.body.upload() {
-                None => sleep_until(self.due).await,
+                None => sleep_until(self.deadline).await,
                 Some(upload) => {
                     upload.wait_received().await;
                     sleep(self.time_limit).await;
@@ -112,7 +112,7 @@
                 Err(TryError::Withheld) => {
                     withheld += 1;
                     let now = Instant::now();
-                    if withheld > MAX_WITHHELD || now >= self.due || self.handle.forbids_writing(now) {
+                    if withheld > MAX_WITHHELD || now >= self.deadline || self.handle.forbids_writing(now) {
                         return Status::NotSent.into();
                     }
                 }
@@ -157,7 +157,11 @@
         // If opening connections is limited, this returns an idle connection if there is one, and otherwise
         // acquires a permit. The body is taken later, since upload bytes that an attempt has read may not be
         // available to another attempt.
-        let idle = self.pool.wait_for_permit(self.server, self.due, self.time_limit).await.ok_or(NOT_SENT)?;
+        let idle = self
+            .pool
+            .acquire_permit_or_idle(self.server, self.deadline, self.time_limit)
+            .await
+            .ok_or(NOT_SENT)?;
         let mut checked_at = Instant::now();
         let client_probed = self.job.confirm_client(self.handle).await.map_err(|_| NOT_SENT)?;
         // A probe waits for the client's reaction; meanwhile the idle connection may have closed
@@ -199,9 +203,9 @@
             server: self.server,
             epoch,
             handle: Rc::downgrade(self.handle),
-            waiter: self.job.waiter.clone(),
+            client_handle: self.job.client_handle.clone(),
             checked_at,
-            due: self.due,
+            deadline: self.deadline,
         }
     }
 
@@ -233,7 +237,7 @@
         headers.reserve(self.job.headers.len() + 2);
         // The value of this header is updated when the first bytes are written, with the time left that
         // [`WriteCheck`] returns. The header comes first, so that it is in those bytes.
-        let time_left = self.due.saturating_duration_since(Instant::now());
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
         if let Ok(value) = HeaderValue::try_from(time_left::format(time_left)) {
             headers.insert(TIME_LEFT, value);
         }
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -1,7 +1,7 @@
 //! A client's request, as attempts send it.
 
 use super::handle::AttemptHandle;
-use crate::socket::{Presence, Waiter};
+use crate::socket::{PeerHandle, Presence};
 use crate::upload::Payload;
 use hyper::{HeaderMap, Method, Uri};
 use std::rc::Weak;
@@ -16,7 +16,7 @@
     pub headers: HeaderMap,
     pub body: Payload,
     /// The client that waits for the answer, where its presence can be checked.
-    pub waiter: Option<Waiter>,
+    pub client_handle: Option<PeerHandle>,
 }
 
 /// It is unknown whether the client is still connected; no attempt is started then, as it might be for
@@ -31,9 +31,9 @@
     /// for a permit to open a connection and for the connection itself. A busy process may not notice that
     /// the client left in that time.
     pub(super) async fn confirm_client(&self, handle: &AttemptHandle) -> Result<bool, ClientUnknown> {
-        let presence = match &self.waiter {
+        let presence = match &self.client_handle {
             // A probe sends bytes, and a client that has its answer must not receive any after it.
-            Some(waiter) if !handle.forbids_writing(Instant::now()) => waiter.presence().await,
+            Some(client_handle) if !handle.forbids_writing(Instant::now()) => client_handle.presence().await,
             _ => Presence::Present,
         };
         match presence {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -36,10 +36,10 @@
 const PERMIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A node's answer, as forwarded to the client.
-pub type Reply = Response<ResponseBody>;
+pub type UpstreamResponse = Response<ResponseBody>;
 
 /// How an attempt ended.
-type Outcome = AttemptOutcome<Reply>;
+type Outcome = AttemptOutcome<UpstreamResponse>;
 
 /// A node of the endpoint list.
 struct Node {
@@ -68,7 +68,7 @@
 
 impl Transport for Upstreams {
     type Job = Job;
-    type Reply = Reply;
+    type Reply = UpstreamResponse;
     type Handle = AttemptHandle;
 
     fn update_endpoints(&self, complete: bool, entries: &[(Entry, Option<SocketAddr>)]) {
@@ -131,8 +131,8 @@
         time_limit: Duration,
         handle: Rc<AttemptHandle>,
     ) -> Outcome {
-        let due = Instant::from_std(since) + time_limit;
-        Attempt { pool: &self, server, job: &job, due, time_limit, handle: &handle }.run().await
+        let deadline = Instant::from_std(since) + time_limit;
+        Attempt { pool: &self, server, job: &job, deadline, time_limit, handle: &handle }.run().await
     }
 }
 
@@ -185,14 +185,14 @@
     /// Waits for a permit to open a connection, or for a connection that becomes idle meanwhile, which is
     /// returned. Returns `None` if the wait would take more than half of the attempt's time: another node may
     /// have capacity sooner, and this one is not at fault.
-    async fn wait_for_permit(
+    async fn acquire_permit_or_idle(
         self: &Rc<Self>,
         server: ServerId,
-        due: Instant,
+        deadline: Instant,
         time_limit: Duration,
     ) -> Option<Option<ReservedConnection>> {
         let Some(opening) = &self.opening else { return Some(None) };
-        let until = due - time_limit / 2;
+        let until = deadline - time_limit / 2;
         loop {
             if let Some(connection) = self.take_idle(server) {
                 return Some(Some(connection));
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::socket::{Probe, Socket, Waiter};
+use crate::socket::{PeerHandle, Probe, Socket};
 use crate::upload::Payload;
 use aniseyoke_config::model::Opening as OpeningRules;
 use aniseyoke_pace::FleetPosition;
@@ -17,9 +17,15 @@
 /// How long a client's reaction to a probe is waited for.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(20);
 
-fn job(waiter: Option<Waiter>) -> Rc<Job> {
+fn job(client_handle: Option<PeerHandle>) -> Rc<Job> {
     let uri = Uri::from_static("/read/1");
-    Rc::new(Job { method: Method::GET, uri, headers: HeaderMap::new(), body: Payload::empty(), waiter })
+    Rc::new(Job {
+        method: Method::GET,
+        uri,
+        headers: HeaderMap::new(),
+        body: Payload::empty(),
+        client_handle,
+    })
 }
 
 async fn attempt(upstreams: &Rc<Upstreams>, job: Rc<Job>) -> Outcome {
@@ -37,15 +43,15 @@
     assert_eq!(attempt(&upstreams, job(None)).await.status, Status::NotSent);
 }
 
-/// Returns the socket and the waiter of a client that has closed its connection.
-async fn disconnected_client() -> (Rc<Socket>, Waiter) {
+/// Returns the socket of a client that has closed its connection, and a handle on that client.
+async fn disconnected_client() -> (Rc<Socket>, PeerHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
     let (stream, _) = listener.accept().await.expect("accepted");
     let socket = Socket::new(stream, DescriptorBudget::new(1).try_acquire().expect("a descriptor"));
     drop(client);
-    let waiter = Waiter::new(&socket, Probe::InterimResponse, PROBE_TIMEOUT);
-    (socket, waiter)
+    let client_handle = PeerHandle::new(&socket, Probe::InterimResponse, PROBE_TIMEOUT);
+    (socket, client_handle)
 }
 
 /// Reads one request from a connection and answers it.
@@ -78,8 +84,8 @@
         };
         let (outcome, mut stream) = tokio::join!(attempt(&upstreams, job(None)), first_answer);
         assert_eq!(outcome.status, Status::Ok);
-        let (_socket, waiter) = disconnected_client().await;
-        let without_client = timeout(NO_OUTCOME_TIME, attempt(&upstreams, job(Some(waiter)))).await;
+        let (_socket, client_handle) = disconnected_client().await;
+        let without_client = timeout(NO_OUTCOME_TIME, attempt(&upstreams, job(Some(client_handle)))).await;
         assert!(without_client.is_err(), "an attempt whose client has gone must wait until it is aborted");
         let (outcome, ()) = tokio::join!(attempt(&upstreams, job(None)), answer_one(&mut stream));
         assert_eq!(outcome.status, Status::Ok);
--- a/crates/proxy/src/upstream/write_check.rs
+++ b/crates/proxy/src/upstream/write_check.rs
@@ -4,7 +4,7 @@
 
 use super::handle::AttemptHandle;
 use super::Upstreams;
-use crate::socket::{FirstWriteCheck, PeekedPresence, Waiter};
+use crate::socket::{FirstWriteCheck, PeekedPresence, PeerHandle};
 use aniseyoke_decision::api::ServerId;
 use std::rc::Weak;
 use std::time::Duration;
@@ -24,11 +24,11 @@
     /// The engine's handle on the attempt.
     pub handle: Weak<AttemptHandle>,
     /// The client that waits for the answer.
-    pub waiter: Option<Waiter>,
+    pub client_handle: Option<PeerHandle>,
     /// When the presence of the client was last checked.
     pub checked_at: Instant,
     /// The deadline of the attempt.
-    pub due: Instant,
+    pub deadline: Instant,
 }
 
 impl FirstWriteCheck for WriteCheck {
@@ -36,18 +36,19 @@
     /// is delayed before the write itself.
     fn time_left(&self) -> Option<Duration> {
         let now = Instant::now();
-        let left = self.due.checked_duration_since(now).filter(|left| !left.is_zero())?;
+        let left = self.deadline.checked_duration_since(now).filter(|left| !left.is_zero())?;
         let same_epoch = self.pool.upgrade()?.epoch(self.server) == Some(self.epoch);
         let handle = self.handle.upgrade()?;
         if !same_epoch || handle.forbids_writing(now) {
             return None;
         }
-        let present = match self.waiter.as_ref().map_or(PeekedPresence::Present, Waiter::peek_presence) {
-            PeekedPresence::Present => true,
-            // Reads the clock again, as the process may have been delayed since `now` was read.
-            PeekedPresence::Unknown => self.checked_at.elapsed() < PRESENCE_VALIDITY,
-            PeekedPresence::Gone => false,
-        };
+        let present =
+            match self.client_handle.as_ref().map_or(PeekedPresence::Present, PeerHandle::peek_presence) {
+                PeekedPresence::Present => true,
+                // Reads the clock again, as the process may have been delayed since `now` was read.
+                PeekedPresence::Unknown => self.checked_at.elapsed() < PRESENCE_VALIDITY,
+                PeekedPresence::Gone => false,
+            };
         present.then_some(left)
     }
 }
