--- a/crates/decision/src/logic/admission.rs
+++ b/crates/decision/src/logic/admission.rs
@@ -177,7 +177,7 @@
             let at_servers = !r.fetch_expected || self.origin.is_healthy();
             at_servers
                 && window.contains(r.arrived, now)
-                && last.is_some_and(|s| self.servers.can_be_candidate(s))
+                && last.is_some_and(|s| self.servers.is_eligible_for_keys(s))
         });
         overdue.count() as f64
     }
--- a/crates/decision/src/logic/key_affinity.rs
+++ b/crates/decision/src/logic/key_affinity.rs
@@ -45,7 +45,7 @@
 
 /// Returns the index of a bucket within its scope. Servers are hashed with this index rather than the id, so
 /// that scopes share cached copies where their servers overlap.
-pub fn hash_position(bucket: u32) -> u64 {
+pub fn index_in_scope(bucket: u32) -> u64 {
     u64::from(bucket) % BUCKETS_PER_SCOPE
 }
 
@@ -167,7 +167,7 @@
     /// all proxies.
     fn is_admitted(servers: &ServerTable, now: Nanos, bucket: u32, s: &Server) -> bool {
         let warm = servers.warm_fraction(now, s);
-        let threshold = || unit_interval(mix(s.entry.server ^ mix(hash_position(bucket) ^ ADMIT_SALT)));
+        let threshold = || unit_interval(mix(s.entry.server ^ mix(index_in_scope(bucket) ^ ADMIT_SALT)));
         !s.excluded && (warm >= 1.0 || threshold() < SLOW_START_KEY_FACTOR * warm)
     }
 
@@ -274,9 +274,9 @@
     pool: Option<usize>,
     representatives: &[usize],
 ) -> Vec<u32> {
-    let salt = mix(hash_position(bucket) ^ RANK_SALT);
+    let salt = mix(index_in_scope(bucket) ^ RANK_SALT);
     let is_allowed = |class, pool, s: &Server| servers.is_open_to(&servers.settings, class, pool, s);
-    let fits = |s: &Server| (servers.can_be_candidate(s) || s.excluded) && is_allowed(class, pool, s);
+    let fits = |s: &Server| (servers.is_eligible_for_keys(s) || s.excluded) && is_allowed(class, pool, s);
     let mut best: Vec<(f64, u32)> = Vec::with_capacity(MAX_RANKED + 1);
     for (index, s) in servers.servers.iter().enumerate() {
         // Since -ln(x) >= 1 - x, this cheap lower bound shows for most servers that their score is higher
--- a/crates/decision/src/logic/lifecycle.rs
+++ b/crates/decision/src/logic/lifecycle.rs
@@ -64,7 +64,7 @@
     /// Counts a request in its bucket; returns the number of servers that share the bucket.
     fn record_in_bucket(&mut self, now: Nanos, bucket: u32) -> usize {
         self.buckets.rank(&self.servers, bucket);
-        let (arrivals, servers) = (self.traffic.arrivals.sum, self.servers.candidates);
+        let (arrivals, servers) = (self.traffic.arrivals.sum, self.servers.eligible_count);
         self.buckets.record_request(now, bucket, arrivals, servers)
     }
 
--- a/crates/decision/src/logic/load_balancing.rs
+++ b/crates/decision/src/logic/load_balancing.rs
@@ -3,7 +3,7 @@
 //! The servers of the request's bucket come first, in the order of `key_affinity`. Of those that are
 //! eligible, not ejected and admitted by slow start, the first one with spare capacity is chosen.
 
-use super::key_affinity::{hash_position, CANDIDATES};
+use super::key_affinity::{index_in_scope, CANDIDATES};
 use super::*;
 
 /// Upper end of the bound on a candidate's attempts in flight, as a multiple of the mean. The bound is drawn
@@ -67,7 +67,7 @@
         let already_tried = request.attempts.iter().any(|a| a.server == s.entry.server);
         let open = self.servers.is_open_to(&request.settings, request.class, request.pool, s);
         let eligible = open && self.may_repeat_at(now, request, s);
-        self.servers.can_be_candidate(s) && s.ejected_until <= now && eligible && !already_tried
+        self.servers.is_eligible_for_keys(s) && s.ejected_until <= now && eligible && !already_tried
     }
 
     /// Returns all servers that may get the next attempt, the nearest first and otherwise in an order of the
@@ -77,7 +77,7 @@
         let mut order: Vec<u32> = all.collect();
         order.sort_by_key(|&index| {
             let e = &self.servers.at(index).entry;
-            (e.zone != self.settings.zone, mix(e.server ^ mix(hash_position(bucket))))
+            (e.zone != self.settings.zone, mix(e.server ^ mix(index_in_scope(bucket))))
         });
         order
     }
--- a/crates/decision/src/logic/machine_capacity.rs
+++ b/crates/decision/src/logic/machine_capacity.rs
@@ -68,7 +68,7 @@
             return;
         }
         let warm =
-            |s: &&Server| self.servers.can_be_candidate(s) && self.servers.warm_fraction(now, s) >= 1.0;
+            |s: &&Server| self.servers.is_eligible_for_keys(s) && self.servers.warm_fraction(now, s) >= 1.0;
         let Some(s) = self.servers.get(server).filter(warm) else { return };
         self.utilization.record(load.busy());
         let kind = s.entry.kind;
--- a/crates/decision/src/logic/outlier_ejection.rs
+++ b/crates/decision/src/logic/outlier_ejection.rs
@@ -72,7 +72,7 @@
     /// Returns the evidence above which a server is ejected. It is halved at a proxy that sends a server less
     /// than one request per second, where waiting for a second missing answer would take too long.
     pub(super) fn ejection_threshold(&self, now: Nanos) -> f64 {
-        let little_traffic = self.traffic.arrival_rate(now) <= self.servers.candidates;
+        let little_traffic = self.traffic.arrival_rate(now) <= self.servers.eligible_count;
         EJECTION_THRESHOLD * if little_traffic { 0.5 } else { 1.0 }
     }
 
@@ -102,7 +102,7 @@
     }
 
     fn update_failure_rate(&mut self, server: ServerId, failed: f64) {
-        if self.servers.get(server).is_some_and(|s| self.servers.can_be_candidate(s)) {
+        if self.servers.get(server).is_some_and(|s| self.servers.is_eligible_for_keys(s)) {
             self.failure_rates.failures += FAILURE_RATE_GAIN * (failed - self.failure_rates.failures);
         }
     }
--- a/crates/decision/src/logic/slow_start.rs
+++ b/crates/decision/src/logic/slow_start.rs
@@ -133,7 +133,7 @@
     pub(super) fn slow_start_admits(&mut self, now: Nanos, index: u32) -> bool {
         let s = self.servers.at(index);
         let warm = self.servers.warm_fraction(now, s);
-        if warm >= 1.0 || !self.servers.can_be_candidate(s) {
+        if warm >= 1.0 || !self.servers.is_eligible_for_keys(s) {
             return true;
         }
         let weight_fraction = 1.0 / s.inverse_weight / self.servers.total_weight.max(1e-9);
@@ -168,7 +168,7 @@
     /// Spends the permits for a request of a class that is sent to a server, if the server is warming up.
     pub(super) fn slow_start_spend(&mut self, now: Nanos, index: u32, class: usize) {
         let s = self.servers.at(index);
-        if self.servers.warm_fraction(now, s) < 1.0 && self.servers.can_be_candidate(s) {
+        if self.servers.warm_fraction(now, s) < 1.0 && self.servers.is_eligible_for_keys(s) {
             let cost = self.work.cost(class);
             self.servers.at_mut(index).permits.spend(cost);
         }
--- a/crates/decision/src/servers.rs
+++ b/crates/decision/src/servers.rs
@@ -84,10 +84,10 @@
     pub excluded: FxHashSet<ServerId>,
     /// Number of changes that affect the ranks of servers.
     pub version: u64,
-    /// The sum of the weights of the servers that can be candidates.
+    /// The sum of the weights of the servers that are eligible for keys.
     pub total_weight: f64,
-    /// The number of the servers that can be candidates.
-    pub candidates: f64,
+    /// The number of the servers that are eligible for keys.
+    pub eligible_count: f64,
     /// Attempts of this proxy in flight at all servers.
     pub in_flight: f64,
     /// The capacity of each machine kind relative to the mean, beyond the size that the list gives.
@@ -107,7 +107,7 @@
             excluded: FxHashSet::default(),
             version: 0,
             total_weight: 0.0,
-            candidates: 0.0,
+            eligible_count: 0.0,
             in_flight: 0.0,
             capacities: FxHashMap::default(),
             first_list_at: None,
@@ -236,15 +236,15 @@
 
     /// Computes the weights of the servers from the list and the capacities of their kinds.
     fn update_weights(&mut self) {
-        (self.total_weight, self.candidates) = (0.0, 0.0);
+        (self.total_weight, self.eligible_count) = (0.0, 0.0);
         for index in self.indices() {
             let listed = self.at(index).entry.weight;
             let listed = if listed.is_finite() { listed.clamp(MIN_WEIGHT, MAX_WEIGHT) } else { 1.0 };
             let weight = listed * self.capacity_of(self.at(index).entry.kind);
             self.at_mut(index).inverse_weight = 1.0 / weight;
-            if self.can_be_candidate(self.at(index)) {
+            if self.is_eligible_for_keys(self.at(index)) {
                 self.total_weight += weight;
-                self.candidates += 1.0;
+                self.eligible_count += 1.0;
             }
         }
         self.version += 1;
@@ -276,8 +276,8 @@
         self.settings.origin_kind == Some(s.entry.kind)
     }
 
-    /// Whether a server can be a candidate for keys. The origin cannot: cache-aside proxies ask it last.
-    pub fn can_be_candidate(&self, s: &Server) -> bool {
+    /// Whether a server may be a candidate for keys. The origin is not: cache-aside proxies ask it last.
+    pub fn is_eligible_for_keys(&self, s: &Server) -> bool {
         s.is_ready() && !(self.settings.cache_aside && self.is_origin(s))
     }
 
