--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -30,7 +30,7 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// The operations that the owner of a follower provides.
-pub trait Host {
+pub trait FollowerHandler {
     /// Checks a version and puts it in force. On an error the previous version stays in force.
     fn apply(&self, version: Version) -> impl Future<Output = Result<(), Rejection>>;
 
@@ -61,7 +61,7 @@
     }
 
     /// Called when a newer version arrives while another one is being put in force.
-    fn newer_queued(&self) {}
+    fn newer_version_queued(&self) {}
 }
 
 /// A message about purges to be sent upstream.
@@ -113,9 +113,9 @@
     }
 }
 
-/// A follower, its connection and its host.
+/// A follower, its connection and its handler.
 struct Client<'a, H> {
-    host: &'a H,
+    handler: &'a H,
     follower: Follower,
     services: Vec<SocketAddr>,
     max_frame_bytes: usize,
@@ -133,11 +133,11 @@
     follower: Follower,
     services: Vec<SocketAddr>,
     max_frame_bytes: usize,
-    host: impl Host,
+    handler: impl FollowerHandler,
 ) -> Infallible {
     let (events, mut incoming) = mpsc::channel::<NumberedEvent>(MAX_QUEUED_EVENTS);
     let mut client = Client {
-        host: &host,
+        handler: &handler,
         follower,
         services,
         max_frame_bytes,
@@ -159,7 +159,7 @@
                     client.handle(event, &mut actions);
                 }
             }
-            message = host.next_upstream(), if client.connection.writer.is_some() => {
+            message = handler.next_upstream(), if client.connection.writer.is_some() => {
                 client.send_upstream(message, &mut actions);
             }
             _ = ticks.tick() => client.tick(&mut actions),
@@ -177,7 +177,7 @@
     }
 }
 
-impl<H: Host> Client<'_, H> {
+impl<H: FollowerHandler> Client<'_, H> {
     fn applied(&mut self, outcome: Result<(), Rejection>, actions: &mut Vec<Action>) {
         self.applying = None;
         self.follower.applied(self.clock.now(), outcome, actions);
@@ -193,11 +193,11 @@
             }
             ConnectionEvent::Message(message) => {
                 if matches!(message, ServiceMessage::Purges { .. } | ServiceMessage::Flush { .. }) {
-                    self.host.receive_purges(message.clone());
+                    self.handler.receive_purges(message.clone());
                 }
                 self.follower.receive(now, message, actions);
                 if self.follower.has_newer_version() {
-                    self.host.newer_queued();
+                    self.handler.newer_version_queued();
                 }
             }
             ConnectionEvent::Malformed(error) => self.follower.malformed(now, &error, actions),
@@ -209,16 +209,16 @@
         self.connection.writer = Some(Uninterrupted(writer));
         let reading = read(self.connection.number, reader, self.max_frame_bytes, self.events.clone());
         self.connection.task = Some(tokio::task::spawn_local(reading).abort_handle());
-        self.follower.set_purge_progress(self.host.purge_progress());
+        self.follower.set_purge_progress(self.handler.purge_progress());
         self.follower.connected(self.clock.now(), actions);
-        self.host.connected();
+        self.handler.connected();
     }
 
     fn send_upstream(&mut self, message: UpstreamMessage, actions: &mut Vec<Action>) {
         let now = self.clock.now();
         match message {
             UpstreamMessage::Hello => {
-                self.follower.set_purge_progress(self.host.purge_progress());
+                self.follower.set_purge_progress(self.handler.purge_progress());
                 self.follower.send_hello(now, actions);
             }
             UpstreamMessage::Send(message) => self.follower.send(now, message, actions),
@@ -230,7 +230,7 @@
         self.follower.tick(now, actions);
         if self.last_report.elapsed() >= REPORT_INTERVAL {
             self.last_report = Instant::now();
-            self.follower.report(now, self.host.take_request_counts(), actions);
+            self.follower.report(now, self.handler.take_request_counts(), actions);
         }
     }
 
@@ -245,9 +245,9 @@
                         self.follower.disconnected(self.clock.now());
                     }
                 }
-                Action::Apply(version) => self.applying = Some(Box::pin(self.host.apply(version))),
-                Action::Persist(version) => self.host.persist(version),
-                Action::Warn(message) => self.host.warn(&message),
+                Action::Apply(version) => self.applying = Some(Box::pin(self.handler.apply(version))),
+                Action::Persist(version) => self.handler.persist(version),
+                Action::Warn(message) => self.handler.warn(&message),
             }
         }
     }
--- a/crates/control/src/connections.rs
+++ b/crates/control/src/connections.rs
@@ -61,7 +61,7 @@
     pub fn send_or_close(&self, frame: OutgoingFrame) {
         let to = frame.to;
         if !self.send(frame) {
-            self.forget(to);
+            self.remove(to);
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Removes a connection. Frames that are queued already are still written.
-    pub fn forget(&self, id: ConnectionId) {
+    pub fn remove(&self, id: ConnectionId) {
         self.open.borrow_mut().remove(&id);
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -120,7 +120,7 @@
 pub enum CallError {
     /// The connection could not be established.
     #[error("the control service at {addr}: {source}")]
-    Unreached {
+    ConnectFailed {
         /// The address at which the service accepts operators' requests.
         addr: SocketAddr,
         /// The cause.
@@ -149,10 +149,10 @@
 /// # Errors
 /// If the connection can't be established or fails, or if the request or the response is not a valid frame.
 pub async fn call(addr: SocketAddr, request: &OperatorRequest) -> Result<OperatorResponse, CallError> {
-    let to_unreached = |source| CallError::Unreached { addr, source };
+    let to_connect_error = |source| CallError::ConnectFailed { addr, source };
     let to_connection_error = |source| CallError::Connection { addr, source };
     let to_frame_error = |source| CallError::Frame { addr, source };
-    let mut stream = Uninterrupted(connect(addr, || ()).await.map_err(to_unreached)?);
+    let mut stream = Uninterrupted(connect(addr, || ()).await.map_err(to_connect_error)?);
     let bytes = encode(request).map_err(to_frame_error)?;
     stream.write_all(&bytes).await.map_err(to_connection_error)?;
     receive(&mut stream).await.map_err(to_connection_error)?.map_err(to_frame_error)
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -351,7 +351,7 @@
         let Some(s) = self.subscribers.get_mut(&id) else { return };
         s.in_flight = s.in_flight.filter(|in_flight| *in_flight != stamp);
         if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == stamp) {
-            rollout.nacked(&s.instance, &reasons.join("; "));
+            rollout.record_rejection(&s.instance, &reasons.join("; "));
         }
         s.rejected = Some((stamp, reasons));
         // A newer version may have been published since this one was sent.
@@ -432,7 +432,7 @@
             let size = bytes.len() - HEADER_BYTES;
             let reason = format!("{size} bytes are more than the {} that it reads", s.max_frame_bytes);
             if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == wanted) {
-                rollout.nacked(&s.instance, &reason);
+                rollout.record_rejection(&s.instance, &reason);
             }
             s.rejected = Some((wanted, vec![reason]));
             return;
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,7 +1,7 @@
 //! Starts roots and relays. A root is a service that accepts purges from publishers. A relay follows
 //! its upstreams, and is a service for its children.
 
-use crate::client::{follow, Host, UpstreamMessage};
+use crate::client::{follow, FollowerHandler, UpstreamMessage};
 use crate::follower::{Follower, Identity, Rejection, RequestCounts, Times};
 use crate::frame::{ServiceMessage, MAX_FRAME_BYTES};
 use crate::operators;
@@ -120,19 +120,19 @@
         service: service.clone(),
         purges,
         warn,
-        newer_queued: Notify::new(),
+        newer_version_queued: Notify::new(),
         superseded: Cell::new(false),
     };
     (service, follow(follower, upstream, MAX_FRAME_BYTES, downstream))
 }
 
-/// The children of a relay. As the host of the relay's follower, it applies the upstream's versions and
+/// The children of a relay. As the handler of the relay's follower, it applies the upstream's versions and
 /// purges to them.
 struct Downstream {
     service: Rc<Service>,
     purges: Rc<PurgeDriver>,
     warn: fn(&str),
-    newer_queued: Notify,
+    newer_version_queued: Notify,
     /// Whether a newer version is queued behind the one that children are answering.
     superseded: Cell<bool>,
 }
@@ -159,7 +159,7 @@
     }
 }
 
-impl Host for Downstream {
+impl FollowerHandler for Downstream {
     /// Applies a version. It is in force at a relay once it is in force at all connected children.
     async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
@@ -175,7 +175,7 @@
             }
             tokio::select! {
                 _ = timeout(CHECK_INTERVAL, self.service.answered.notified()) => {}
-                () = self.newer_queued.notified() => {}
+                () = self.newer_version_queued.notified() => {}
             }
         }
         match self.rejections(stamp) {
@@ -210,8 +210,8 @@
         self.purges.next_upstream().await
     }
 
-    fn newer_queued(&self) {
+    fn newer_version_queued(&self) {
         self.superseded.set(true);
-        self.newer_queued.notify_one();
+        self.newer_version_queued.notify_one();
     }
 }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -77,7 +77,7 @@
     },
     /// A stage has a lower percentage than the one before.
     #[error("stages.{stage}.percent: {percent} is less than the {before} of the stage before")]
-    Narrower {
+    DecreasingPercent {
         /// The index of the stage.
         stage: usize,
         /// Its percentage.
@@ -104,7 +104,7 @@
                 return Err(PlanError::Percent { stage, percent });
             }
             if percent < before {
-                return Err(PlanError::Narrower { stage, percent, before });
+                return Err(PlanError::DecreasingPercent { stage, percent, before });
             }
             before = percent;
         }
@@ -209,8 +209,9 @@
         if is_new { &mut self.under_new } else { &mut self.under_others }.add(counts);
     }
 
-    /// Handles the rejection of the version (a NACK) by a proxy, which halts the rollout if it is in a stage.
-    pub fn nacked(&mut self, instance: &str, reason: &str) {
+    /// Records the rejection of the version by a proxy (a NACK, or a frame that is too long for it), which
+    /// halts the rollout if it is in a stage.
+    pub fn record_rejection(&mut self, instance: &str, reason: &str) {
         self.halt(&format!("{instance} rejected it: {reason}"));
     }
 
--- a/crates/control/src/rollout/tests.rs
+++ b/crates/control/src/rollout/tests.rs
@@ -58,7 +58,7 @@
 #[test]
 fn a_rejection_by_a_proxy_halts_the_rollout() {
     let mut rollout = Rollout::new(0, stamp(), plan(&[5, 100]));
-    rollout.nacked("proxy-1", "it empties pool a");
+    rollout.record_rejection("proxy-1", "it empties pool a");
     assert!(
         matches!(rollout.state(), RolloutState::Halted(why) if why.contains("proxy-1") && why.contains("pool a"))
     );
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -211,7 +211,7 @@
             () = self.read_messages(id, reader) => {}
             () = closed.notified() => {}
         }
-        self.connections.forget(id);
+        self.connections.remove(id);
         self.update(|p, _, _| p.disconnected(id));
         if let Some(purges) = &self.purges {
             purges.child_disconnected(self.clock.now(), id);
--- a/crates/proxy/src/versions/follow.rs
+++ b/crates/proxy/src/versions/follow.rs
@@ -10,7 +10,7 @@
 use crate::wall_clock::{unix_millis, unix_time};
 use aniseyoke_config::model::Control;
 use aniseyoke_config::ConfigError;
-use aniseyoke_control::client::{follow, Host};
+use aniseyoke_control::client::{follow, FollowerHandler};
 use aniseyoke_control::follower::{Follower, Identity, Rejection, RequestCounts, Times};
 use aniseyoke_control::store::{Disk, Loaded, Store, StoredVersion};
 use aniseyoke_control::Version;
@@ -145,7 +145,7 @@
     }
 }
 
-impl Host for Subscription {
+impl FollowerHandler for Subscription {
     async fn apply(&self, version: Version) -> Result<(), Rejection> {
         let stamp = version.stamp;
         let (current, nodes) = self.request(UpdateRequest::Read).await?;
