--- a/crates/fanout/src/relay.rs
+++ b/crates/fanout/src/relay.rs
@@ -13,7 +13,7 @@
 use std::hash::BuildHasher;
 
 /// The id of a connection to a child.
-pub type Id = u64;
+pub type ChildId = u64;
 
 const SECOND: Nanos = 1_000_000_000;
 /// The minimum time between two resync requests.
@@ -29,7 +29,7 @@
     /// Send these entries to all of these children. Without keys it is a heartbeat: there is no newer entry.
     Purges {
         /// The children's connections.
-        to: Vec<Id>,
+        to: Vec<ChildId>,
         /// The log's epoch.
         epoch: u64,
         /// The number before the first entry.
@@ -40,7 +40,7 @@
     /// Tell a child to drop every object.
     Flush {
         /// The child's connection.
-        to: Id,
+        to: ChildId,
         /// The child's position afterwards.
         position: Progress,
     },
@@ -49,7 +49,7 @@
     /// Send a report to the upstream.
     Report(Report),
     /// Close a child's connection for this reason.
-    Disconnect(Id, String),
+    Disconnect(ChildId, String),
     /// Write a warning to the log.
     Warn(String),
 }
@@ -93,7 +93,7 @@
     is_root: bool,
     settings: Settings,
     log: Log,
-    children: FxHashMap<Id, Child>,
+    children: FxHashMap<ChildId, Child>,
     departed: BTreeMap<String, DepartedChild>,
     /// When the next batch is sent to children.
     send_due_at: Option<Nanos>,
@@ -288,7 +288,7 @@
                 child.joined_at.through = child.joined_at.through.max(child.acked.through);
             }
         }
-        let ids: Vec<Id> = self.children.keys().copied().collect();
+        let ids: Vec<ChildId> = self.children.keys().copied().collect();
         ids.into_iter().for_each(|id| self.align_child(now, id));
     }
 
@@ -303,7 +303,7 @@
     /// Handles a child's `hello`: the first on a connection, or a further one if the child lacks entries. The
     /// child counts as lagging until it acknowledges a position ([`Self::child_acked`]). Returns false if
     /// there are too many children; the connection then has to be closed.
-    pub fn child_connected(&mut self, now: Nanos, id: Id, hello: ChildHello<'_>) -> bool {
+    pub fn child_connected(&mut self, now: Nanos, id: ChildId, hello: ChildHello<'_>) -> bool {
         let ChildHello { name, boot, position, max_frame_entries } = hello;
         // The same process on another connection: the old connection is dead, even if its end was not
         // detected yet.
@@ -345,7 +345,7 @@
 
     /// Decides how a child is brought up to date: by a replay, by a flush, or by refetching entries from the
     /// upstream.
-    fn align_child(&mut self, now: Nanos, id: Id) {
+    fn align_child(&mut self, now: Nanos, id: ChildId) {
         let (epoch, newest) = (self.log.epoch(), self.log.newest());
         let Some(child) = self.children.get_mut(&id).filter(|_| epoch > 0) else { return };
         let batch_end = now.saturating_add(self.settings.batch);
@@ -375,7 +375,7 @@
     }
 
     /// Handles a child's report of the position up to which it, or its whole subtree, has applied purges.
-    pub fn child_acked(&mut self, now: Nanos, id: Id, report: Report) {
+    pub fn child_acked(&mut self, now: Nanos, id: ChildId, report: Report) {
         let Some(child) = self.children.get_mut(&id) else { return };
         child.last_ack = now;
         let Report { position, lagging, mut names } = report;
@@ -394,7 +394,7 @@
 
     /// Handles a failed send: the entries from `after + 1` on were not sent to a child, since its queue is
     /// full.
-    pub fn send_failed(&mut self, now: Nanos, id: Id, after: u64) {
+    pub fn send_failed(&mut self, now: Nanos, id: ChildId, after: u64) {
         if let Some(child) = self.children.get_mut(&id) {
             child.sent = child.sent.map(|sent| sent.min(after));
             self.schedule_send(now.saturating_add(self.settings.batch.max(REPLAY_INTERVAL)));
@@ -402,7 +402,7 @@
     }
 
     /// Handles the end of a child's connection.
-    pub fn child_disconnected(&mut self, now: Nanos, id: Id) {
+    pub fn child_disconnected(&mut self, now: Nanos, id: ChildId) {
         let Some(child) = self.children.remove(&id) else { return };
         self.report_changed = true;
         if self.children.values().any(|other| other.name == child.name) {
--- a/crates/fanout/src/relay/downstream.rs
+++ b/crates/fanout/src/relay/downstream.rs
@@ -1,7 +1,7 @@
 //! What a relay sends to its children: entries, heartbeats and flushes.
 
 use super::child::Child;
-use super::{Id, Relay, RelayAction, REPLAY_INTERVAL};
+use super::{ChildId, Relay, RelayAction, REPLAY_INTERVAL};
 use crate::{Nanos, Progress};
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 #[derive(Default)]
 struct Pass {
     /// The children that are sent the same entries, by the number before the first one and the count.
-    groups: BTreeMap<(u64, u64), Vec<Id>>,
+    groups: BTreeMap<(u64, u64), Vec<ChildId>>,
     /// The children that have every entry once the frames of this pass are sent.
-    current: Vec<Id>,
+    current: Vec<ChildId>,
     /// When the next pass is due.
     next: Option<Nanos>,
 }
@@ -48,7 +48,7 @@
         let next_pass_at = now.saturating_add(self.settings.batch.max(REPLAY_INTERVAL));
         let heartbeat = std::mem::take(&mut self.heartbeat_pending);
         let mut pass = Pass::default();
-        let mut ids: Vec<Id> = self.children.keys().copied().collect();
+        let mut ids: Vec<ChildId> = self.children.keys().copied().collect();
         ids.sort_unstable();
         for id in ids {
             let Some(child) = self.children.get_mut(&id) else { continue };
@@ -88,7 +88,7 @@
     }
 
     /// Aligns a child again after the log has dropped the entries that it needs next.
-    fn realign(&mut self, now: Nanos, id: Id, after: u64) {
+    fn realign(&mut self, now: Nanos, id: ChildId, after: u64) {
         let epoch = self.log.epoch();
         if let Some(child) = self.children.get_mut(&id) {
             child.joined_at = Progress { epoch, through: after };
@@ -101,7 +101,7 @@
 /// Adds the entries that are due to one child to the pass.
 fn plan_entries(
     pass: &mut Pass,
-    id: Id,
+    id: ChildId,
     child: &mut Child,
     position: Progress,
     window: u64,
--- a/crates/fanout/src/relay/tests.rs
+++ b/crates/fanout/src/relay/tests.rs
@@ -17,7 +17,7 @@
 fn join(
     relay: &mut Relay,
     now: Nanos,
-    id: Id,
+    id: ChildId,
     name: &str,
     position: Progress,
     max_frame_entries: usize,
@@ -31,7 +31,7 @@
     actions
 }
 
-fn purges_sent(actions: &[RelayAction]) -> Vec<(Vec<Id>, u64, usize)> {
+fn purges_sent(actions: &[RelayAction]) -> Vec<(Vec<ChildId>, u64, usize)> {
     let entries_sent = |action: &RelayAction| match action {
         RelayAction::Purges { to, after, keys, .. } if !keys.is_empty() => {
             Some((to.clone(), *after, keys.len()))
@@ -41,7 +41,7 @@
     actions.iter().filter_map(entries_sent).collect()
 }
 
-fn ack(relay: &mut Relay, now: Nanos, id: Id, through: u64) {
+fn ack(relay: &mut Relay, now: Nanos, id: ChildId, through: u64) {
     relay.child_acked(now, id, Report { position: position(through), ..Report::default() });
 }
 
