--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -6,7 +6,7 @@
 use crate::frame::{decode, encode, ProxyMessage, ServiceMessage};
 use crate::version::Version;
 use aniseyoke_fanout::Progress;
-use aniseyoke_sockets::{connect, Uninterrupted};
+use aniseyoke_sockets::{connect, UninterruptedStream};
 use std::convert::Infallible;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -93,7 +93,7 @@
 struct Connection {
     number: u64,
     task: Option<AbortHandle>,
-    writer: Option<Uninterrupted<OwnedWriteHalf>>,
+    writer: Option<UninterruptedStream<OwnedWriteHalf>>,
 }
 
 impl Connection {
@@ -206,7 +206,7 @@
 
     fn connected(&mut self, stream: TcpStream, actions: &mut Vec<Action>) {
         let (reader, writer) = stream.into_split();
-        self.connection.writer = Some(Uninterrupted(writer));
+        self.connection.writer = Some(UninterruptedStream(writer));
         let reading = read(self.connection.number, reader, self.max_frame_bytes, self.events.clone());
         self.connection.task = Some(tokio::task::spawn_local(reading).abort_handle());
         self.follower.set_purge_progress(self.handler.purge_progress());
@@ -281,7 +281,7 @@
     max_frame_bytes: usize,
     events: mpsc::Sender<NumberedEvent>,
 ) {
-    let mut reader = Uninterrupted(reader);
+    let mut reader = UninterruptedStream(reader);
     let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
         let event = match decode::<ServiceMessage>(&mut buffer, max_frame_bytes) {
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::publisher::{PublishError, Publisher};
 use crate::service::{Service, ACCEPT_RETRY_DELAY, READ_BUFFER_BYTES};
 use crate::version::Stamp;
-use aniseyoke_sockets::{classify_accept_error, connect, AcceptError, ConnectError, Uninterrupted};
+use aniseyoke_sockets::{classify_accept_error, connect, AcceptError, ConnectError, UninterruptedStream};
 use serde::de::DeserializeOwned;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -44,7 +44,7 @@
 }
 
 async fn serve_operator(service: &Service, stream: TcpStream) -> io::Result<()> {
-    let mut stream = Uninterrupted(stream);
+    let mut stream = UninterruptedStream(stream);
     let response = match receive::<OperatorRequest>(&mut stream).await? {
         Ok(OperatorRequest::Purge { publisher, sequence, keys }) => match service.purge_queue() {
             Some(queue) => queue.submit(publisher, sequence, &keys).await,
@@ -100,7 +100,7 @@
 
 /// Reads one message. The outer error is an I/O error of the connection, the inner one an invalid frame.
 async fn receive<T: DeserializeOwned>(
-    stream: &mut Uninterrupted<TcpStream>,
+    stream: &mut UninterruptedStream<TcpStream>,
 ) -> io::Result<Result<T, FrameError>> {
     let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
@@ -152,7 +152,7 @@
     let to_connect_error = |source| CallError::ConnectFailed { addr, source };
     let to_connection_error = |source| CallError::Connection { addr, source };
     let to_frame_error = |source| CallError::Frame { addr, source };
-    let mut stream = Uninterrupted(connect(addr, || ()).await.map_err(to_connect_error)?);
+    let mut stream = UninterruptedStream(connect(addr, || ()).await.map_err(to_connect_error)?);
     let bytes = encode(request).map_err(to_frame_error)?;
     stream.write_all(&bytes).await.map_err(to_connection_error)?;
     receive(&mut stream).await.map_err(to_connection_error)?.map_err(to_frame_error)
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -12,7 +12,7 @@
 use crate::rollout::Plan;
 use crate::store::StoreError;
 use crate::version::{Stamp, Version};
-use aniseyoke_sockets::{classify_accept_error, AcceptError, Uninterrupted};
+use aniseyoke_sockets::{classify_accept_error, AcceptError, UninterruptedStream};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -205,7 +205,7 @@
         // A failure only increases latency.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
-        let (reader, writer) = (Uninterrupted(reader), Uninterrupted(writer));
+        let (reader, writer) = (UninterruptedStream(reader), UninterruptedStream(writer));
         tokio::select! {
             () = write_frames(frames, writer) => {}
             () = self.read_messages(id, reader) => {}
@@ -220,7 +220,7 @@
     }
 
     /// Reads messages from a connection until it closes or an invalid frame arrives.
-    async fn read_messages(&self, id: ConnectionId, mut reader: Uninterrupted<OwnedReadHalf>) {
+    async fn read_messages(&self, id: ConnectionId, mut reader: UninterruptedStream<OwnedReadHalf>) {
         let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
         loop {
             match decode::<ProxyMessage>(&mut buffer, MAX_PROXY_FRAME_BYTES) {
@@ -250,7 +250,10 @@
 }
 
 /// Writes frames until the queue is closed, a write fails, or a frame with `close_after` is written.
-async fn write_frames(mut frames: mpsc::Receiver<OutgoingFrame>, mut writer: Uninterrupted<OwnedWriteHalf>) {
+async fn write_frames(
+    mut frames: mpsc::Receiver<OutgoingFrame>,
+    mut writer: UninterruptedStream<OwnedWriteHalf>,
+) {
     while let Some(OutgoingFrame { mut bytes, mut close_after, .. }) = frames.recv().await {
         // Short queued frames are sent in one segment: sent separately, headers would be half of the traffic.
         while !close_after && bytes.len() < READ_BUFFER_BYTES {
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -7,7 +7,7 @@
 pub use reply::AdminReply;
 
 use crate::bind::{bind, BindError};
-use aniseyoke_sockets::{classify_accept_error, AcceptError, Uninterrupted};
+use aniseyoke_sockets::{classify_accept_error, AcceptError, UninterruptedStream};
 use call::{parse, MAX_CALL_BYTES};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -99,7 +99,7 @@
     F: Fn(Call) -> A,
     A: Future<Output = AdminReply>,
 {
-    let mut stream = Uninterrupted(stream);
+    let mut stream = UninterruptedStream(stream);
     let mut received = Vec::new();
     let parsed = loop {
         if let Some(parsed) = parse(&received) {
--- a/crates/proxy/src/cli/ctl.rs
+++ b/crates/proxy/src/cli/ctl.rs
@@ -1,6 +1,6 @@
 //! The `aniseyoke ctl` commands: one call to a running proxy's admin endpoint.
 
-use aniseyoke_sockets::{connect, ConnectError, Uninterrupted};
+use aniseyoke_sockets::{connect, ConnectError, UninterruptedStream};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
 use hyper::{Method, Request, StatusCode};
@@ -131,7 +131,7 @@
 async fn call(addr: SocketAddr, call: &Call) -> Result<(StatusCode, String), CtlError> {
     let failed = |source: hyper::Error| CtlError::Exchange { addr, source: source.into() };
     let stream = connect(addr, || ()).await.map_err(|source| CtlError::Connect { addr, source })?;
-    let io = TokioIo::new(Uninterrupted(stream));
+    let io = TokioIo::new(UninterruptedStream(stream));
     let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.map_err(failed)?;
     // The task ends by itself after the answer; its errors are reported by the exchange.
     let driver = tokio::spawn(connection);
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -7,4 +7,4 @@
 
 pub use connect::{connect, ConnectError};
 pub use errors::{classify_accept_error, is_local_shortage, is_transient_shortage, AcceptError};
-pub use uninterrupted::{uninterrupted, Uninterrupted};
+pub use uninterrupted::{uninterrupted, UninterruptedStream};
--- a/crates/sockets/src/uninterrupted.rs
+++ b/crates/sockets/src/uninterrupted.rs
@@ -35,9 +35,9 @@
 /// A stream that retries interrupted reads and writes; the runtime's own streams return interruptions as
 /// errors.
 #[derive(Debug)]
-pub struct Uninterrupted<S>(pub S);
+pub struct UninterruptedStream<S>(pub S);
 
-impl<S: AsyncRead + Unpin> AsyncRead for Uninterrupted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for UninterruptedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -47,7 +47,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Uninterrupted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for UninterruptedStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         poll_uninterrupted(|| Pin::new(&mut self.0).poll_write(cx, buf))
     }
--- a/crates/sockets/tests/errors.rs
+++ b/crates/sockets/tests/errors.rs
@@ -2,7 +2,7 @@
 
 use aniseyoke_sockets::{
     classify_accept_error, connect, is_local_shortage, uninterrupted, AcceptError, ConnectError,
-    Uninterrupted,
+    UninterruptedStream,
 };
 use std::io;
 use std::pin::Pin;
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn a_stream_retries_interrupted_reads() {
     let mut received = String::new();
-    let mut stream = Uninterrupted(InterruptedReader { interrupt: false, remaining: 3 });
+    let mut stream = UninterruptedStream(InterruptedReader { interrupt: false, remaining: 3 });
     stream.read_to_string(&mut received).await.expect("read");
     assert_eq!(received, "xxx");
 }
