--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -4,7 +4,9 @@
 use aniseyoke_control::frame::{OperatorRequest, OperatorResponse};
 use aniseyoke_control::operators::{call, CallError};
 use aniseyoke_control::rollout::Plan as Rollout;
-use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
+use aniseyoke_faults::{
+    configure_preload, errno, ActivePlan, Call, CallTarget, Effect, Frequency, Plan, Rule,
+};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::io::{BufRead as _, BufReader, Read as _};
@@ -51,16 +53,16 @@
         TestDirectories { state: directory(), faults: directory() }
     }
 
-    fn command(&self, plan: &Plan) -> (Command, Armed) {
+    fn command(&self, plan: &Plan) -> (Command, ActivePlan) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_aniseyoke-control"));
         command.args(["serve", "--purges", "--listen", "127.0.0.1:0", "--door", "127.0.0.1:0"]);
         command.args(["--batch", "0ms", "--log-entries", "30", "--dir"]).arg(self.state.path());
         command.stderr(Stdio::piped());
-        let fault_plan = arm(&mut command, self.faults.path(), plan).expect("armed");
+        let fault_plan = configure_preload(&mut command, self.faults.path(), plan).expect("armed");
         (command, fault_plan)
     }
 
-    fn start(&self, plan: &Plan) -> (Service, Armed) {
+    fn start(&self, plan: &Plan) -> (Service, ActivePlan) {
         let (mut command, fault_plan) = self.command(plan);
         let mut child = command.spawn().expect("started");
         let mut lines = BufReader::new(child.stderr.take().expect("its errors")).lines();
@@ -79,7 +81,7 @@
     fn fault_rule(&self, calls: &[Call], name: &str, effect: Effect) -> Rule {
         // An empty name matches the directory itself and all files in it.
         let path = if name.is_empty() { self.state.path().into() } else { self.state.path().join(name) };
-        Rule::new(&format!("at-{}", name.replace('/', "-")), calls, effect).about(About::Files(path))
+        Rule::new(&format!("at-{}", name.replace('/', "-")), calls, effect).about(CallTarget::Files(path))
     }
 
     fn segments(&self) -> Vec<PathBuf> {
@@ -174,12 +176,12 @@
 fn a_version_that_cannot_be_stored_is_rejected_and_the_current_version_remains() {
     use Call::{Fsync, Open, Rename, Write};
     let steps = [
-        (Open, "newest.new", Often::Always),
-        (Write, "newest.new", Often::Always),
-        (Fsync, "newest.new", Often::Always),
-        (Rename, "newest", Often::Always),
+        (Open, "newest.new", Frequency::Always),
+        (Write, "newest.new", Frequency::Always),
+        (Fsync, "newest.new", Frequency::Always),
+        (Rename, "newest", Frequency::Always),
         // The second sync is that of the directory, after that of the file.
-        (Fsync, "", Often::Only(2)),
+        (Fsync, "", Frequency::Only(2)),
     ];
     let (mut calls, mut false_successes) = (0, Vec::new());
     for number in [errno::ENOSPC, errno::EIO] {
@@ -319,7 +321,7 @@
         // After one more record the next one begins a new segment.
         let mut acknowledged = acknowledged_purges(&service, 1..=29);
         assert_eq!(acknowledged.len(), 29);
-        let mut short = Often::Only(1);
+        let mut short = Frequency::Only(1);
         let rule = |(calls, effect): &(Vec<Call>, Effect)| {
             let rule = directories.fault_rule(calls, "purges/purges-", *effect);
             if matches!(effect, Effect::Short(_)) {
--- a/crates/faults-preload/src/engine.rs
+++ b/crates/faults-preload/src/engine.rs
@@ -1,6 +1,6 @@
 //! The rule engine: selects the rules that affect a call, applies their effects, and logs injected faults.
 
-use aniseyoke_faults::{About, Call, Effect, Often, Plan, Rule, OVERRUN, PLAN_VARIABLE};
+use aniseyoke_faults::{Call, CallTarget, Effect, Frequency, Plan, Rule, OVERRUN, PLAN_VARIABLE};
 use libc::c_int;
 use std::cell::Cell;
 use std::ffi::{CStr, OsStr};
@@ -216,10 +216,10 @@
 /// Whether a rule affects the `count`th call that it applies to; `index` is the rule's position in the plan.
 fn affects(rule: &Rule, seed: u64, index: u64, count: u64) -> bool {
     match rule.often {
-        Often::Always => true,
-        Often::First(limit) => count <= limit,
-        Often::Only(number) => count == number,
-        Often::OneIn(n) => mix(seed ^ index.rotate_left(32) ^ count).is_multiple_of(n.max(1)),
+        Frequency::Always => true,
+        Frequency::First(limit) => count <= limit,
+        Frequency::Only(number) => count == number,
+        Frequency::OneIn(n) => mix(seed ^ index.rotate_left(32) ^ count).is_multiple_of(n.max(1)),
     }
 }
 
@@ -231,24 +231,29 @@
     mixed ^ (mixed >> 31)
 }
 
-fn applies(about: &About, subject: Subject<'_>) -> bool {
+fn applies(about: &CallTarget, subject: Subject<'_>) -> bool {
     match (about, subject) {
-        (About::Any, _) => true,
-        (About::Thread(name), _) => thread_is_named(name),
+        (CallTarget::Any, _) => true,
+        (CallTarget::Thread(name), _) => thread_is_named(name),
         (
-            About::Sockets | About::LocalPort(_) | About::PeerPort(_) | About::ArrivedFrom(_),
+            CallTarget::Sockets
+            | CallTarget::LocalPort(_)
+            | CallTarget::PeerPort(_)
+            | CallTarget::ArrivedFrom(_),
             Subject::Path(_),
         ) => false,
-        (About::Sockets, Subject::Descriptor(fd)) => local_port(fd).is_some_and(|port| port > 0),
-        (About::Sockets, _) => true,
-        (About::LocalPort(port), Subject::Descriptor(fd)) => local_port(fd) == Some(*port),
-        (About::PeerPort(port), Subject::Descriptor(fd)) => peer_port(fd) == Some(*port),
-        (About::ArrivedFrom(port), Subject::Descriptor(fd)) => peer_port(fd) == Some(*port) && readable(fd),
-        (About::PeerPort(port), Subject::Connection(to)) => *port == to,
-        (About::Files(prefix), Subject::Path(path)) => {
+        (CallTarget::Sockets, Subject::Descriptor(fd)) => local_port(fd).is_some_and(|port| port > 0),
+        (CallTarget::Sockets, _) => true,
+        (CallTarget::LocalPort(port), Subject::Descriptor(fd)) => local_port(fd) == Some(*port),
+        (CallTarget::PeerPort(port), Subject::Descriptor(fd)) => peer_port(fd) == Some(*port),
+        (CallTarget::ArrivedFrom(port), Subject::Descriptor(fd)) => {
+            peer_port(fd) == Some(*port) && readable(fd)
+        }
+        (CallTarget::PeerPort(port), Subject::Connection(to)) => *port == to,
+        (CallTarget::Files(prefix), Subject::Path(path)) => {
             Path::new(OsStr::from_bytes(path.to_bytes())).starts_with_text(prefix)
         }
-        (About::Files(prefix), Subject::Descriptor(fd)) => {
+        (CallTarget::Files(prefix), Subject::Descriptor(fd)) => {
             std::fs::read_link(format!("/proc/self/fd/{fd}")).is_ok_and(|path| path.starts_with_text(prefix))
         }
         _ => false,
--- a/crates/faults/src/armed.rs
+++ b/crates/faults/src/armed.rs
@@ -11,11 +11,11 @@
 
 /// A fault plan that is active in a process; it can be changed while the process runs.
 #[derive(Clone, Debug)]
-pub struct Armed {
+pub struct ActivePlan {
     plan: PathBuf,
 }
 
-impl Armed {
+impl ActivePlan {
     /// Replaces the plan. The new one applies from the process's next call on, and all rules' call counts
     /// restart at 0.
     pub fn change(&self, plan: &Plan) -> Result<(), PlanError> {
@@ -54,51 +54,55 @@
 
 /// Makes a command's process start with a fault plan, whose file and log are in `folder`. Adds to the
 /// command's environment, so a caller that clears the environment must do so before.
-pub fn arm(command: &mut Command, folder: &Path, plan: &Plan) -> Result<Armed, ArmError> {
+pub fn configure_preload(
+    command: &mut Command,
+    folder: &Path,
+    plan: &Plan,
+) -> Result<ActivePlan, PreloadError> {
     let library = library()?;
-    let armed = Armed { plan: folder.join("faults.json") };
-    armed.change(plan).map_err(ArmError::Plan)?;
-    command.env("LD_PRELOAD", library).env(PLAN_VARIABLE, &armed.plan);
-    Ok(armed)
+    let active_plan = ActivePlan { plan: folder.join("faults.json") };
+    active_plan.change(plan).map_err(PreloadError::Plan)?;
+    command.env("LD_PRELOAD", library).env(PLAN_VARIABLE, &active_plan.plan);
+    Ok(active_plan)
 }
 
 /// Returns the path of the preload library that cargo built beside the running test.
-pub fn library() -> Result<PathBuf, ArmError> {
+pub fn library() -> Result<PathBuf, PreloadError> {
     built_library(LIBRARY)
 }
 
 /// Returns the path of the library of this file name that cargo built beside the running test.
-pub fn built_library(file: &'static str) -> Result<PathBuf, ArmError> {
-    let program = std::env::current_exe().map_err(ArmError::Own)?;
+pub fn built_library(file: &'static str) -> Result<PathBuf, PreloadError> {
+    let program = std::env::current_exe().map_err(PreloadError::Own)?;
     let folder = program.parent().unwrap_or(Path::new("."));
     let candidates = [folder.join(file), folder.join("deps").join(file)];
     candidates
         .iter()
         .find(|path| path.is_file())
         .cloned()
-        .ok_or_else(|| ArmError::Library(file, folder.to_owned()))
+        .ok_or_else(|| PreloadError::Library(file, folder.to_owned()))
 }
 
 /// Why a fault plan can't be loaded into a process.
 #[derive(Debug)]
-pub enum ArmError {
+pub enum PreloadError {
     Own(std::io::Error),
     Library(&'static str, PathBuf),
     Plan(PlanError),
 }
 
-impl fmt::Display for ArmError {
+impl fmt::Display for PreloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ArmError::Own(e) => write!(f, "cannot get the path of the running program: {e}"),
-            ArmError::Library(file, folder) => write!(
+            PreloadError::Own(e) => write!(f, "cannot get the path of the running program: {e}"),
+            PreloadError::Library(file, folder) => write!(
                 f,
                 "{file} not found in {}: add the package that builds it to the test package's dev-dependencies",
                 folder.display()
             ),
-            ArmError::Plan(e) => e.fmt(f),
+            PreloadError::Plan(e) => e.fmt(f),
         }
     }
 }
 
-impl std::error::Error for ArmError {}
+impl std::error::Error for PreloadError {}
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,13 +1,13 @@
 //! Fault injection into system calls. A test writes a [`Plan`], loads the preload library into the process
-//! under test with [`arm`], can change the plan while that process runs, and counts the injected faults in
-//! the log.
+//! under test with [`configure_preload`], can change the plan while that process runs, and counts the
+//! injected faults in the log.
 #![forbid(unsafe_code)]
 
 mod armed;
 mod plan;
 
-pub use armed::{arm, built_library, library, ArmError, Armed};
-pub use plan::{About, Call, Effect, Often, Plan, PlanError, Rule};
+pub use armed::{built_library, configure_preload, library, ActivePlan, PreloadError};
+pub use plan::{Call, CallTarget, Effect, Frequency, Plan, PlanError, Rule};
 
 /// Environment variable with the path of the plan's file, set for the process under test.
 pub const PLAN_VARIABLE: &str = "ANISEYOKE_FAULT_PLAN";
--- a/crates/faults/src/plan.rs
+++ b/crates/faults/src/plan.rs
@@ -55,7 +55,7 @@
 /// What a call must refer to for a rule to apply.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum About {
+pub enum CallTarget {
     /// Applies to every call.
     #[default]
     Any,
@@ -83,9 +83,9 @@
     /// The call is made, then reported as failed with this error number. A connection that `accept` returned
     /// is closed.
     FailAfter(i32),
-    /// The call is made for at most this many bytes. Danger: with epoll, a short read or write means that the
-    /// socket is empty or full. A process that relies on this, as the runtime's own `AsyncRead` and
-    /// `AsyncWrite` do, waits forever after an injected one.
+    /// The call is made for at most this many bytes. With epoll, a short read or write means that the socket
+    /// is empty or full. A process that relies on this, as the runtime's own `AsyncRead` and `AsyncWrite` do,
+    /// waits forever after an injected one.
     Short(usize),
     /// The call is made for at most this many bytes, then the process stops itself (SIGSTOP), so that a test
     /// can kill it at this point.
@@ -101,7 +101,7 @@
 /// How often a rule takes effect among the calls that it applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Often {
+pub enum Frequency {
     /// Every call.
     #[default]
     Always,
@@ -120,26 +120,32 @@
     pub name: String,
     pub calls: Vec<Call>,
     #[serde(default)]
-    pub about: About,
+    pub about: CallTarget,
     pub effect: Effect,
     #[serde(default)]
-    pub often: Often,
+    pub often: Frequency,
 }
 
 impl Rule {
     /// Returns a rule that affects every one of the given calls, whatever they refer to.
     pub fn new(name: &str, calls: &[Call], effect: Effect) -> Self {
-        Rule { name: name.to_owned(), calls: calls.to_vec(), about: About::Any, effect, often: Often::Always }
+        Rule {
+            name: name.to_owned(),
+            calls: calls.to_vec(),
+            about: CallTarget::Any,
+            effect,
+            often: Frequency::Always,
+        }
     }
 
     #[must_use]
-    pub fn about(mut self, about: About) -> Self {
+    pub fn about(mut self, about: CallTarget) -> Self {
         self.about = about;
         self
     }
 
     #[must_use]
-    pub fn often(mut self, often: Often) -> Self {
+    pub fn often(mut self, often: Frequency) -> Self {
         self.often = often;
         self
     }
--- a/crates/faults/tests/faults.rs
+++ b/crates/faults/tests/faults.rs
@@ -1,7 +1,9 @@
 //! Tests of fault injection into a child process, which is this test binary started again to run `subject`
 //! only.
 
-use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
+use aniseyoke_faults::{
+    configure_preload, errno, ActivePlan, Call, CallTarget, Effect, Frequency, Plan, Rule,
+};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Stdio};
@@ -51,69 +53,81 @@
 }
 
 /// Runs the subject under two plans in turn; returns the results of its reads under each.
-fn run_under_two_plans(first: &Plan, second: &Plan) -> ([Vec<i32>; 2], Armed, TempDir) {
+fn run_under_two_plans(first: &Plan, second: &Plan) -> ([Vec<i32>; 2], ActivePlan, TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
     let mut command = Command::new(std::env::current_exe().expect("a path"));
     command.args(["--exact", "subject", "--nocapture"]).env(WAIT_VARIABLE, "1");
-    let armed = arm(&mut command, folder.path(), first).expect("armed");
+    let active_plan = configure_preload(&mut command, folder.path(), first).expect("armed");
     let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("started");
     let mut stdin = child.stdin.take().expect("stdin");
     let mut stdout = BufReader::new(child.stdout.take().expect("stdout"));
     let before = read_outcomes(&mut stdout);
-    armed.change(second).expect("changed");
+    active_plan.change(second).expect("changed");
     stdin.write_all(b".").expect("told");
     let after = read_outcomes(&mut stdout);
     stdin.write_all(b".").expect("told");
     assert!(child.wait().expect("ended").success());
-    ([before, after], armed, folder)
+    ([before, after], active_plan, folder)
 }
 
-fn receive_rule(name: &str, effect: Effect, often: Often) -> Rule {
-    Rule::new(name, &Call::RECEIVING, effect).about(About::Sockets).often(often)
+fn receive_rule(name: &str, effect: Effect, often: Frequency) -> Rule {
+    Rule::new(name, &Call::RECEIVING, effect).about(CallTarget::Sockets).often(often)
 }
 
 #[test]
 fn the_first_calls_fail_and_a_changed_plan_applies_at_once() {
-    let first = receive_rule("interrupted", Effect::Fail(errno::ENOBUFS), Often::First(3));
-    let second = receive_rule("timed-out", Effect::Fail(errno::ETIMEDOUT), Often::Only(2));
-    let ([before, after], armed, _folder) =
+    let first = receive_rule("interrupted", Effect::Fail(errno::ENOBUFS), Frequency::First(3));
+    let second = receive_rule("timed-out", Effect::Fail(errno::ETIMEDOUT), Frequency::Only(2));
+    let ([before, after], active_plan, _folder) =
         run_under_two_plans(&Plan::new(1, &[first]), &Plan::new(1, &[second]));
     assert_eq!(before[..4], [errno::ENOBUFS, errno::ENOBUFS, errno::ENOBUFS, 0]);
     assert_eq!(after[..3], [0, errno::ETIMEDOUT, 0]);
-    assert_eq!((armed.forced("interrupted"), armed.forced("timed-out")), (3, 1));
-    assert_eq!(armed.forced_in(Call::Recv), 4);
+    assert_eq!((active_plan.forced("interrupted"), active_plan.forced("timed-out")), (3, 1));
+    assert_eq!(active_plan.forced_in(Call::Recv), 4);
 }
 
 #[test]
 fn a_seed_selects_the_same_calls_again_at_about_the_configured_rate() {
-    let plan = Plan::new(5, &[receive_rule("drawn", Effect::Fail(errno::ENOMEM), Often::OneIn(4))]);
-    let ([before, after], armed, _folder) = run_under_two_plans(&plan, &plan);
+    let plan = Plan::new(5, &[receive_rule("drawn", Effect::Fail(errno::ENOMEM), Frequency::OneIn(4))]);
+    let ([before, after], active_plan, _folder) = run_under_two_plans(&plan, &plan);
     let failed = before.iter().filter(|n| **n == errno::ENOMEM).count();
     assert!((10..50).contains(&failed), "{failed} of {}", READ_COUNT / 2);
     assert_eq!(before, after, "call counts must restart at 0 when a plan is replaced");
-    assert_eq!(armed.forced("drawn"), 2 * failed);
+    assert_eq!(active_plan.forced("drawn"), 2 * failed);
 }
 
 /// Guards against delays that count their own clock readings, to which a rule about the clock would apply.
 #[test]
 fn each_delay_reports_its_overrun_and_reads_no_clock_that_rules_count() {
-    let delay = receive_rule("delayed", Effect::DelayBefore(1_000), Often::Always);
+    let delay = receive_rule("delayed", Effect::DelayBefore(1_000), Frequency::Always);
     let reading = Rule::new("reading", &[Call::ClockGettime], Effect::DelayAfter(0));
     let plan = Plan::new(1, &[delay, reading]);
-    let (_, armed, _folder) = run_under_two_plans(&plan, &Plan::default());
-    assert!(armed.forced("delayed") > 0, "the test must delay some calls");
-    assert_eq!(armed.overruns().len(), armed.forced("delayed"));
-    assert!(armed.overruns().iter().any(|overrun| !overrun.is_zero()), "no thread wakes up within 1 us");
+    let (_, active_plan, _folder) = run_under_two_plans(&plan, &Plan::default());
+    assert!(active_plan.forced("delayed") > 0, "the test must delay some calls");
+    assert_eq!(active_plan.overruns().len(), active_plan.forced("delayed"));
+    assert!(
+        active_plan.overruns().iter().any(|overrun| !overrun.is_zero()),
+        "no thread wakes up within 1 us"
+    );
     // The runner of the subject reads the clock a few times itself.
-    assert!(armed.forced("reading") < armed.forced("delayed"), "{}", armed.forced("reading"));
+    assert!(
+        active_plan.forced("reading") < active_plan.forced("delayed"),
+        "{}",
+        active_plan.forced("reading")
+    );
 }
 
 #[test]
 fn a_rule_about_files_does_not_affect_sockets() {
-    let rule = receive_rule("files", Effect::Fail(errno::EIO), Often::Always).about(About::Files("/".into()));
-    let ([before, _], armed, _folder) = run_under_two_plans(&Plan::new(1, &[rule]), &Plan::default());
+    let rule = receive_rule("files", Effect::Fail(errno::EIO), Frequency::Always)
+        .about(CallTarget::Files("/".into()));
+    let ([before, _], active_plan, _folder) = run_under_two_plans(&Plan::new(1, &[rule]), &Plan::default());
     assert_eq!(before, vec![0; READ_COUNT / 2]);
-    assert_eq!(armed.forced("files"), armed.forced_in(Call::Read), "only reads of files may fail");
+    assert_eq!(
+        active_plan.forced("files"),
+        active_plan.forced_in(Call::Read),
+        "only reads of files may fail"
+    );
 }
 
 #[test]
@@ -121,8 +135,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("plan.json");
     let rule = Rule::new("short", &Call::SENDING, Effect::Short(7))
-        .about(About::PeerPort(80))
-        .often(Often::OneIn(9));
+        .about(CallTarget::PeerPort(80))
+        .often(Frequency::OneIn(9));
     let plan = Plan::new(3, &[rule]);
     plan.write(&file).expect("written");
     assert_eq!(Plan::read(&file).expect("read"), plan);
--- a/crates/lab-starts/src/error.rs
+++ b/crates/lab-starts/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors that prevent a start from being run.
 
-use aniseyoke_faults::{ArmError, PlanError};
+use aniseyoke_faults::{PlanError, PreloadError};
 use aniseyoke_lab_day::{DayError, FileError};
 use std::io;
 
@@ -15,7 +15,7 @@
     Day(#[from] DayError),
     /// The preload library that delays calls is missing, or its fault plan cannot be written.
     #[error("{0}")]
-    Arm(ArmError),
+    Arm(PreloadError),
     /// A later fault plan cannot be written.
     #[error("{0}")]
     Plan(PlanError),
--- a/crates/lab-starts/src/plan.rs
+++ b/crates/lab-starts/src/plan.rs
@@ -1,6 +1,6 @@
 //! Derives the plan of a start from a seed and a number.
 
-use aniseyoke_faults::{About, Call, Effect, Often, Plan, Rule};
+use aniseyoke_faults::{Call, CallTarget, Effect, Frequency, Plan, Rule};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -180,7 +180,7 @@
     /// delay; its record shows that the plan is active.
     pub fn plan(&self, phase: Phase, program: &str) -> Plan {
         let in_force = Rule::new(ACTIVE_RULE, &[Call::ClockGettime, Call::EpollWait], Effect::DelayBefore(0));
-        let mut rules = vec![in_force.often(Often::First(1))];
+        let mut rules = vec![in_force.often(Frequency::First(1))];
         if phase == self.phase {
             rules.push(self.rule(program));
         }
@@ -195,7 +195,7 @@
             DelayedThread::Serving => program.chars().take(MAX_THREAD_NAME).collect(),
             DelayedThread::Log => "log".to_owned(),
         };
-        let about = About::Thread(thread);
-        Rule::new(DELAY_RULE, &[self.call], effect).about(about).often(Often::Only(self.nth))
+        let about = CallTarget::Thread(thread);
+        Rule::new(DELAY_RULE, &[self.call], effect).about(about).often(Frequency::Only(self.nth))
     }
 }
--- a/crates/lab-starts/src/run.rs
+++ b/crates/lab-starts/src/run.rs
@@ -6,7 +6,7 @@
 use crate::threads::{sample, ThreadMonitor};
 use crate::verdict::{allowed_end, End, Fault, StartReport, LISTENING_LINE, READY_TIMEOUT};
 use crate::StartsError;
-use aniseyoke_faults::{arm, Armed};
+use aniseyoke_faults::{configure_preload, ActivePlan};
 use aniseyoke_lab_day::{proxy_config, Day, FileError};
 use aniseyoke_lab_process::kill_with_parent;
 use nix::sys::signal::{kill, Signal};
@@ -61,9 +61,9 @@
     // for.
     let _ = start.child.kill();
     let _ = start.child.wait();
-    let Start { pipe, armed, mut report, .. } = start;
+    let Start { pipe, active_plan, mut report, .. } = start;
     report.lines = pipe.close();
-    report.held_calls = armed.map_or(0, |armed| armed.forced(DELAY_RULE));
+    report.held_calls = active_plan.map_or(0, |active_plan| active_plan.forced(DELAY_RULE));
     if outcome?.is_some_and(|status| status.success()) {
         report.judge_log();
     }
@@ -76,7 +76,7 @@
     child: Child,
     started: Instant,
     pipe: LogPipe,
-    armed: Option<Armed>,
+    active_plan: Option<ActivePlan>,
     watch: ThreadMonitor,
     last_sample: Instant,
     report: StartReport,
@@ -88,16 +88,25 @@
         let mut command = command(&plan, subject, folder)?;
         command.stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(standard_error.map_or_else(Stdio::null, Stdio::from));
-        let armed = subject
+        let active_plan = subject
             .delay_calls
-            .then(|| arm(&mut command, folder, &plan.hold.plan(Phase::Start, &subject.name())));
-        let armed = armed.transpose().map_err(StartsError::Arm)?;
+            .then(|| configure_preload(&mut command, folder, &plan.hold.plan(Phase::Start, &subject.name())));
+        let active_plan = active_plan.transpose().map_err(StartsError::Arm)?;
         kill_with_parent(&mut command);
         let started = Instant::now();
         let child = command.spawn().map_err(StartsError::Process)?;
         let watch = ThreadMonitor::new(child.id());
         let report = StartReport::new(plan);
-        Ok(Start { name: subject.name(), child, started, pipe, armed, watch, last_sample: started, report })
+        Ok(Start {
+            name: subject.name(),
+            child,
+            started,
+            pipe,
+            active_plan,
+            watch,
+            last_sample: started,
+            report,
+        })
     }
 
     /// Runs the plan; returns the exit status if the process ended without being killed.
@@ -123,11 +132,11 @@
     /// Guards against an allocation in a signal handler: the preload library allocates memory to read a plan,
     /// which the process's signal handler must not do, so no signal is sent before the plan has been read.
     fn begin_end_phase(&mut self) -> Result<bool, StartsError> {
-        let Some(armed) = self.armed.clone() else { return Ok(true) };
-        let before = armed.forced(ACTIVE_RULE);
-        armed.change(&self.report.plan.hold.plan(Phase::End, &self.name)).map_err(StartsError::Plan)?;
+        let Some(active_plan) = self.active_plan.clone() else { return Ok(true) };
+        let before = active_plan.forced(ACTIVE_RULE);
+        active_plan.change(&self.report.plan.hold.plan(Phase::End, &self.name)).map_err(StartsError::Plan)?;
         let until = Instant::now() + ACTIVE_TIMEOUT;
-        while armed.forced(ACTIVE_RULE) == before {
+        while active_plan.forced(ACTIVE_RULE) == before {
             if Instant::now() > until {
                 return Err(StartsError::NotInForce(ACTIVE_TIMEOUT));
             }
--- a/crates/lab-starts/src/tests.rs
+++ b/crates/lab-starts/src/tests.rs
@@ -1,7 +1,7 @@
 use crate::plan::{DelayedThread, Phase, Reader, StartPlan, Terminate, DELAYED_CALLS, DELAY_RULE};
 use crate::threads::ThreadUsage;
 use crate::verdict::{allowed_end, End, Fault, StartReport};
-use aniseyoke_faults::About;
+use aniseyoke_faults::CallTarget;
 use std::collections::HashSet;
 use std::os::unix::process::ExitStatusExt;
 use std::process::ExitStatus;
@@ -37,7 +37,7 @@
         (0..).map(|number| StartPlan::draw(7, number).hold).find(|h| h.thread == DelayedThread::Serving);
     let hold = hold.expect("one");
     let about = hold.plan(hold.phase, "a-program-with-a-long-name").rules.pop().map(|rule| rule.about);
-    assert_eq!(about, Some(About::Thread("a-program-with-".into())));
+    assert_eq!(about, Some(CallTarget::Thread("a-program-with-".into())));
 }
 
 fn spent(ran_ms: u64, waited_ms: u64) -> ThreadUsage {
--- a/crates/proxy/tests/closes.rs
+++ b/crates/proxy/tests/closes.rs
@@ -4,7 +4,7 @@
 
 mod rig;
 
-use aniseyoke_faults::{arm, Armed, Call, Effect, Plan, Rule};
+use aniseyoke_faults::{configure_preload, ActivePlan, Call, Effect, Plan, Rule};
 use rig::*;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
@@ -74,7 +74,7 @@
 /// A proxy with fault injection, in front of one node and an origin.
 struct FaultyRig {
     rig: Rig,
-    armed: Armed,
+    active_plan: ActivePlan,
     _folder: TempDir,
 }
 
@@ -90,12 +90,16 @@
     config["limits"]["sockets"] = json!(sockets);
     config["settings"]["customers"][0]["quota_rps"] = json!(1e6);
     let folder = tempfile::tempdir().expect("a folder");
-    let mut armed = None;
+    let mut active_plan = None;
     let proxy = Proxy::with(&config, |command| {
-        armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
+        active_plan = Some(configure_preload(command, folder.path(), &Plan::default()).expect("armed"));
         change(command);
     });
-    FaultyRig { rig: Rig { proxy, cache, origin, discovery }, armed: armed.expect("armed"), _folder: folder }
+    FaultyRig {
+        rig: Rig { proxy, cache, origin, discovery },
+        active_plan: active_plan.expect("armed"),
+        _folder: folder,
+    }
 }
 
 /// Guards against losing requests that arrive while hundreds of overdue connections are being closed. Each
@@ -107,11 +111,11 @@
     let mut clients: Vec<TcpStream> =
         (0..SILENT).map(|_| TcpStream::connect(f.rig.proxy.addr).expect("connected")).collect();
     let slow = Rule::new("slow", &[Call::EpollWait], Effect::DelayBefore(20_000));
-    f.armed.change(&Plan::new(1, &[slow])).expect("a plan");
+    f.active_plan.change(&Plan::new(1, &[slow])).expect("a plan");
     until("the first connection is closed", || !clients.iter().all(is_open));
     let sent: Vec<bool> =
         clients.iter_mut().map(|client| send_if_open(client, &get("read", "X-Time-Left: 1.5\r\n"))).collect();
-    f.armed.change(&Plan::default()).expect("a plan");
+    f.active_plan.change(&Plan::default()).expect("a plan");
     let in_time = clients.iter_mut().zip(sent).filter(|(_, sent)| *sent);
     let fates: Vec<Fate> = in_time.map(|(client, _)| fate_of_sent(client)).collect();
     let lost = fates.iter().filter(|fate| **fate == Fate::Lost).count();
@@ -450,7 +454,7 @@
     }
     // More data arrives between the decision to close a connection and the close.
     let slow = Rule::new("slow", &[Call::EpollWait], Effect::DelayBefore(1_000));
-    f.armed.change(&Plan::new(2, &[slow])).expect("a plan");
+    f.active_plan.change(&Plan::new(2, &[slow])).expect("a plan");
     let addr = proxy.addr;
     let clients: Vec<_> =
         (0..CLIENTS).map(|index| std::thread::spawn(move || send_with_pauses(addr, index))).collect();
--- a/crates/proxy/tests/failing_calls.rs
+++ b/crates/proxy/tests/failing_calls.rs
@@ -4,7 +4,9 @@
 mod rig;
 
 use aniseyoke_control::hosted::ServiceThread;
-use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
+use aniseyoke_faults::{
+    configure_preload, errno, ActivePlan, Call, CallTarget, Effect, Frequency, Plan, Rule,
+};
 use rig::*;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -73,7 +75,7 @@
 /// A proxy with a fault plan, in front of two cache nodes and an origin that answer.
 struct FaultySite {
     proxy: Proxy,
-    armed: Armed,
+    active_plan: ActivePlan,
     _discovery: Server,
     _folder: TempDir,
 }
@@ -91,14 +93,14 @@
         let mut config = config(discovery.addr, &servers);
         config["settings"]["customers"][0]["quota_rps"] = json!(1e6);
         let folder = tempfile::tempdir().expect("a folder");
-        let mut armed = None;
+        let mut active_plan = None;
         let proxy = Proxy::with(&config, |command| {
             // No call fails before the proxy listens.
-            armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
+            active_plan = Some(configure_preload(command, folder.path(), &Plan::default()).expect("armed"));
         });
-        let armed = armed.expect("armed");
-        armed.change(&plan(nodes.map(|node| node.port()))).expect("a plan");
-        FaultySite { proxy, armed, _discovery: discovery, _folder: folder }
+        let active_plan = active_plan.expect("armed");
+        active_plan.change(&plan(nodes.map(|node| node.port()))).expect("a plan");
+        FaultySite { proxy, active_plan, _discovery: discovery, _folder: folder }
     }
 
     /// Runs all clients and counts the outcomes: each client sends one request on its own connection, and
@@ -204,14 +206,14 @@
 
 /// Returns a rule that fails one in `one_in` of these calls on sockets.
 fn failing(name: &str, calls: &[Call], number: i32, one_in: u64) -> Rule {
-    Rule::new(name, calls, Effect::Fail(number)).about(About::Sockets).often(Often::OneIn(one_in))
+    Rule::new(name, calls, Effect::Fail(number)).about(CallTarget::Sockets).often(Frequency::OneIn(one_in))
 }
 
 /// Asserts that each request gets exactly one answer, the node's.
 fn assert_all_served(after_answer: AfterAnswer, plan: impl FnOnce([u16; 3]) -> Plan) {
     let site = FaultySite::new(after_answer, plan);
     let outcomes = site.outcomes();
-    let faults = injected_faults(&site.armed);
+    let faults = injected_faults(&site.active_plan);
     println!("{outcomes:?}, injected faults: {faults:?}");
     assert_eq!(
         outcomes,
@@ -224,7 +226,7 @@
 fn assert_all_answered(after_answer: AfterAnswer, plan: impl FnOnce([u16; 3]) -> Plan) {
     let site = FaultySite::new(after_answer, plan);
     let outcomes = site.outcomes();
-    let faults = injected_faults(&site.armed);
+    let faults = injected_faults(&site.active_plan);
     println!("{outcomes:?}, injected faults: {faults:?}");
     let answered = |outcome: &Outcome| matches!(outcome, Outcome::Answered(_));
     assert!(outcomes.keys().all(answered), "{outcomes:?}, injected faults: {faults:?}");
@@ -232,8 +234,8 @@
 }
 
 /// Returns the number of injected faults by rule; panics if there is none.
-fn injected_faults(armed: &Armed) -> BTreeMap<String, usize> {
-    let text = std::fs::read_to_string(armed.log()).expect("a log");
+fn injected_faults(active_plan: &ActivePlan) -> BTreeMap<String, usize> {
+    let text = std::fs::read_to_string(active_plan.log()).expect("a log");
     let mut counts = BTreeMap::new();
     for line in text.lines() {
         *counts.entry(line.split(' ').next().expect("a rule").to_owned()).or_insert(0) += 1;
@@ -249,7 +251,7 @@
         failing("recv-interrupted", &Call::RECEIVING, errno::EINTR, one_in),
         failing("send-interrupted", &Call::SENDING, errno::EINTR, one_in),
         Rule::new("wait-interrupted", &[Call::EpollWait], Effect::Fail(errno::EINTR))
-            .often(Often::OneIn(one_in)),
+            .often(Frequency::OneIn(one_in)),
         failing("accept-interrupted", &[Call::Accept], errno::EINTR, one_in),
         failing("connect-interrupted", &[Call::Connect], errno::EINTR, one_in),
     ]
@@ -267,10 +269,10 @@
 
 #[test]
 fn short_reads_and_writes_are_continued() {
-    let short = |name, calls: &[Call]| Rule::new(name, calls, Effect::Short(7)).about(About::Sockets);
+    let short = |name, calls: &[Call]| Rule::new(name, calls, Effect::Short(7)).about(CallTarget::Sockets);
     assert_all_served(AfterAnswer::Keep, |_| {
         let rules = [short("short-recv", &Call::RECEIVING), short("short-send", &Call::SENDING)];
-        Plan::new(3, &rules.map(|rule| rule.often(Often::OneIn(3))))
+        Plan::new(3, &rules.map(|rule| rule.often(Frequency::OneIn(3))))
     });
 }
 
@@ -306,10 +308,10 @@
 fn an_aborted_connection_does_not_affect_others() {
     let site = FaultySite::new(AfterAnswer::Keep, |_| {
         let aborted = Rule::new("aborted", &[Call::Accept], Effect::FailAfter(errno::ECONNABORTED));
-        Plan::new(11, &[aborted.about(About::Sockets).often(Often::OneIn(50))])
+        Plan::new(11, &[aborted.about(CallTarget::Sockets).often(Frequency::OneIn(50))])
     });
     let outcomes = site.outcomes();
-    let aborted = site.armed.forced("aborted");
+    let aborted = site.active_plan.forced("aborted");
     println!("{outcomes:?}, aborted: {aborted}");
     let ended = outcomes.get(&Outcome::Unanswered).copied().unwrap_or(0);
     // Only the first request on a persistent connection is lost with it: later ones are sent again.
@@ -327,14 +329,15 @@
     const BROKEN: u64 = 300;
     let numbers = [errno::ECONNABORTED, errno::EPROTO, errno::EINTR];
     let site = FaultySite::new(AfterAnswer::Keep, |_| {
-        let broken = |n| Rule::new("broken", &[Call::Accept], Effect::Fail(n)).often(Often::First(BROKEN));
+        let broken =
+            |n| Rule::new("broken", &[Call::Accept], Effect::Fail(n)).often(Frequency::First(BROKEN));
         Plan::new(12, &numbers.map(broken))
     });
     let started = Instant::now();
     assert_eq!(send_one(site.proxy.addr), Outcome::Answered(200));
     let elapsed = started.elapsed();
-    println!("answered after {elapsed:?} and {} broken connections", site.armed.forced("broken"));
-    assert_eq!(site.armed.forced("broken"), numbers.len() * BROKEN as usize);
+    println!("answered after {elapsed:?} and {} broken connections", site.active_plan.forced("broken"));
+    assert_eq!(site.active_plan.forced("broken"), numbers.len() * BROKEN as usize);
     assert!(elapsed < Duration::from_secs(2), "{elapsed:?}");
 }
 
@@ -348,10 +351,10 @@
         stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").expect("written");
         assert_eq!(read_answer(stream, &mut Vec::new()), Outcome::Answered(200));
     }
-    let short = Rule::new("short", &[Call::Accept], Effect::Fail(errno::EMFILE)).often(Often::First(5));
-    site.armed.change(&Plan::new(13, &[short])).expect("a plan");
+    let short = Rule::new("short", &[Call::Accept], Effect::Fail(errno::EMFILE)).often(Frequency::First(5));
+    site.active_plan.change(&Plan::new(13, &[short])).expect("a plan");
     assert_eq!(send_one(site.proxy.addr), Outcome::Answered(200));
-    assert_eq!(site.armed.forced("short"), 5);
+    assert_eq!(site.active_plan.forced("short"), 5);
     let ended = idle.iter().filter(|stream| {
         stream.set_nonblocking(true).expect("not blocking");
         stream.peek(&mut [0]).is_ok_and(|n| n == 0)
@@ -374,20 +377,20 @@
     std::fs::write(&file, text).expect("written");
     let mut config = config(discovery.addr, &[member("c1", node, "std", "ready")]);
     config["mgmt"] = json!("127.0.0.1:0");
-    let mut armed = None;
+    let mut active_plan = None;
     let mut proxy = Proxy::with(&config, |command| {
         command.env("ANISEYOKE_FILE", &file);
-        armed = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
+        active_plan = Some(configure_preload(command, folder.path(), &Plan::default()).expect("armed"));
     });
-    let (admin_addr, armed) = (proxy.admin_addr(), armed.expect("armed"));
+    let (admin_addr, active_plan) = (proxy.admin_addr(), active_plan.expect("armed"));
     let row = || service.statuses().into_iter().next();
     until("the proxy follows the service", || row().is_some());
     let mut rules = interrupted(3);
     rules.push(
         Rule::new("opened", &[Call::Connect], Effect::DelayBefore(0))
-            .about(About::PeerPort(service.addr.port())),
+            .about(CallTarget::PeerPort(service.addr.port())),
     );
-    armed.change(&Plan::new(14, &rules)).expect("a plan");
+    active_plan.change(&Plan::new(14, &rules)).expect("a plan");
     for number in 0..VERSIONS {
         let body = json!({ "log": { "burst": 10 + number } });
         let stamp = service.publish(body, Default::default()).expect("published").0;
@@ -399,7 +402,7 @@
         sent && read_answer(&mut stream, &mut received) == Outcome::Answered(200)
     });
     let answered = answered.count();
-    let opened = armed.forced("opened");
+    let opened = active_plan.forced("opened");
     println!("{answered} of {CALLS} calls answered, {opened} new connections to the service");
     assert_eq!((answered, opened), (CALLS, 0));
 }
@@ -436,7 +439,7 @@
     assert_all_answered(AfterAnswer::Keep, |nodes| {
         let broken = |name: &str, calls: &[Call], number, port| {
             let rule = Rule::new(&format!("{name}-{number}"), calls, Effect::Fail(number));
-            rule.about(About::PeerPort(port)).often(Often::OneIn(30))
+            rule.about(CallTarget::PeerPort(port)).often(Frequency::OneIn(30))
         };
         let rules = nodes.iter().flat_map(|port| {
             [errno::ETIMEDOUT, errno::EHOSTUNREACH, errno::ECONNRESET].into_iter().flat_map(|number| {
@@ -468,7 +471,7 @@
         for port in nodes {
             rules.extend([errno::ETIMEDOUT, errno::EHOSTUNREACH].map(|n| {
                 let rule = Rule::new(&format!("broken-{n}"), &[Call::Recv, Call::Send], Effect::Fail(n));
-                rule.about(About::PeerPort(port)).often(Often::OneIn(50))
+                rule.about(CallTarget::PeerPort(port)).often(Frequency::OneIn(50))
             }));
         }
         Plan::new(9, &rules)
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use aniseyoke_faults::{arm, Armed, Call, Effect, Plan, Rule};
+use aniseyoke_faults::{configure_preload, ActivePlan, Call, Effect, Plan, Rule};
 use rig::*;
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -173,15 +173,15 @@
     let (mut delayed, mut accepted) = (0, 0);
     for _ in 0..2 * ROUNDS {
         let p = Platform::new();
-        let mut armed: Option<Armed> = None;
+        let mut active_plan: Option<ActivePlan> = None;
         let (mut old, _) = p.start_with(|command| {
-            armed = Some(arm(command, &p.folder, &Plan::default()).expect("armed"));
+            active_plan = Some(configure_preload(command, &p.folder, &Plan::default()).expect("armed"));
         });
         old.pause();
         let mut waiting = Peer::to(p.addr());
         waiting.ask("read", "");
-        let armed = armed.expect("armed");
-        armed.change(&Plan::new(1, std::slice::from_ref(&slow_handler))).expect("a plan");
+        let active_plan = active_plan.expect("armed");
+        active_plan.change(&Plan::new(1, std::slice::from_ref(&slow_handler))).expect("a plan");
         old.signal("-TERM");
         old.signal("-CONT");
         until("it has ended, or has forwarded a request", || {
@@ -190,7 +190,7 @@
             forwarded || old.child.try_wait().expect("a state").is_some()
         });
         // The handler is not delayed if the process was paused within an intercepted call.
-        delayed += armed.forced("handler").min(1);
+        delayed += active_plan.forced("handler").min(1);
         if delayed == ROUNDS {
             break;
         }
--- a/crates/proxy/tests/held/mod.rs
+++ b/crates/proxy/tests/held/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use super::rig::*;
-use aniseyoke_faults::{arm, About, Armed, Call, Effect, Often, Plan, Rule};
+use aniseyoke_faults::{configure_preload, ActivePlan, Call, CallTarget, Effect, Frequency, Plan, Rule};
 use nix::sys::socket::{
     recvmsg, setsockopt, sockopt::ReceiveTimestampns, ControlMessageOwned, MsgFlags, RecvMsg,
 };
@@ -153,7 +153,7 @@
     pub proxy: Proxy,
     pub caches: Vec<Node>,
     pub origin: Node,
-    pub faults: Armed,
+    pub faults: ActivePlan,
     _discovery: Server,
     _folder: tempfile::TempDir,
 }
@@ -173,7 +173,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut faults = None;
     let proxy = Proxy::with(&settings, |command| {
-        faults = Some(arm(command, folder.path(), &Plan::default()).expect("armed"));
+        faults = Some(configure_preload(command, folder.path(), &Plan::default()).expect("armed"));
     });
     let faults = faults.expect("armed");
     Site { proxy, caches, origin, faults, _discovery: discovery, _folder: folder }
@@ -182,14 +182,14 @@
 /// Returns a plan that delays the process after the given clock readings, counted from when the plan takes
 /// effect.
 pub fn delays_after_readings(readings: &[u64]) -> Plan {
-    let rule = |n: &u64| Rule::new("held", &[Call::ClockGettime], delay_after()).often(Often::Only(*n));
+    let rule = |n: &u64| Rule::new("held", &[Call::ClockGettime], delay_after()).often(Frequency::Only(*n));
     Plan::new(0, &readings.iter().map(rule).collect::<Vec<_>>())
 }
 
 /// Selects reads from one client's connection, so that other connections, such as one whose client has just
 /// disconnected, are not delayed.
-fn arrived_from(client: &Peer) -> About {
-    About::ArrivedFrom(client.0.get_ref().local_addr().expect("an address").port())
+fn arrived_from(client: &Peer) -> CallTarget {
+    CallTarget::ArrivedFrom(client.0.get_ref().local_addr().expect("an address").port())
 }
 
 fn micros(time: Duration) -> u64 {
@@ -247,7 +247,7 @@
         before_send: impl FnOnce(),
     ) -> Instant {
         let rule = Rule::new("read", &Call::RECEIVING, Effect::DelayAfter(micros(READ_DELAY)));
-        let rule = rule.about(arrived_from(client)).often(Often::Only(1));
+        let rule = rule.about(arrived_from(client)).often(Frequency::Only(1));
         let before = self.faults.forced("read");
         self.set_plan(&Plan::new(0, &[rule]));
         // A read that began before the request arrived doesn't match the rule, and could still return the
@@ -271,7 +271,7 @@
     /// Delays the process before the read of the client's next request.
     pub fn delay_before_read(&self, client: &Peer) {
         let rule = Rule::new("held", &Call::RECEIVING, Effect::DelayBefore(micros(DELAY)));
-        let rule = rule.about(arrived_from(client)).often(Often::Only(1));
+        let rule = rule.about(arrived_from(client)).often(Frequency::Only(1));
         self.set_plan(&Plan::new(0, &[rule]));
     }
 
@@ -279,8 +279,8 @@
     pub fn delay_before_writes(&self, nodes: &[&Node]) {
         let rule = |node: &&Node| {
             Rule::new("held", &Call::SENDING, Effect::DelayBefore(micros(DELAY)))
-                .about(About::PeerPort(node.port))
-                .often(Often::Only(1))
+                .about(CallTarget::PeerPort(node.port))
+                .often(Frequency::Only(1))
         };
         self.set_plan(&Plan::new(0, &nodes.iter().map(rule).collect::<Vec<_>>()));
     }
--- a/crates/proxy/tests/stored.rs
+++ b/crates/proxy/tests/stored.rs
@@ -6,7 +6,9 @@
 use aniseyoke_control::hosted::ServiceThread;
 use aniseyoke_control::rollout::Plan as Rollout;
 use aniseyoke_control::store::{Disk, Loaded, Store};
-use aniseyoke_faults::{arm, errno, About, Armed, Call, Effect, Often, Plan, Rule};
+use aniseyoke_faults::{
+    configure_preload, errno, ActivePlan, Call, CallTarget, Effect, Frequency, Plan, Rule,
+};
 use rig::*;
 use serde_json::{json, Value};
 use std::io::BufRead as _;
@@ -35,15 +37,15 @@
     }
 
     /// Starts a proxy with a fault plan; `settings`: the text of the operator's file.
-    fn start(&self, plan: &Plan, settings: &str) -> (Proxy, SocketAddr, Armed) {
+    fn start(&self, plan: &Plan, settings: &str) -> (Proxy, SocketAddr, ActivePlan) {
         let mut config = config(self.discovery.addr, &self.listed());
         config["mgmt"] = json!("127.0.0.1:0");
         let file = self.faults.path().join("operator.toml");
         std::fs::write(&file, settings).expect("written");
-        let mut armed = None;
+        let mut active_plan = None;
         let mut proxy = Proxy::with(&config, |command| {
             command.env("TMPDIR", self.state.path()).env("ANISEYOKE_FILE", &file);
-            armed = Some(arm(command, self.faults.path(), plan).expect("armed"));
+            active_plan = Some(configure_preload(command, self.faults.path(), plan).expect("armed"));
         });
         // The lines up to the one with the admin endpoint report the loaded state.
         let admin_addr = loop {
@@ -59,7 +61,7 @@
                 break admin_addr.expect("an address");
             }
         };
-        (proxy, admin_addr, armed.expect("armed"))
+        (proxy, admin_addr, active_plan.expect("armed"))
     }
 
     /// The path of a file in the state folder. An empty name means the folder with all files in it.
@@ -73,7 +75,7 @@
 
     /// A rule that fails these calls with error `number` on files whose path begins with that of `name`.
     fn failing(&self, calls: &[Call], name: &str, number: i32) -> Rule {
-        Rule::new("failing", calls, Effect::Fail(number)).about(About::Files(self.path(name)))
+        Rule::new("failing", calls, Effect::Fail(number)).about(CallTarget::Files(self.path(name)))
     }
 
     /// The excluded cache nodes in the file of operators' orders, which has to be complete.
@@ -104,7 +106,7 @@
 #[test]
 fn an_order_is_acknowledged_only_once_it_is_synced_and_the_next_call_succeeds() {
     use Call::{Fsync, Open, Rename, Write};
-    let always = Often::Always;
+    let always = Frequency::Always;
     let steps = [
         ("the lock", Open, "aniseyoke-operators.lock", always),
         ("reading", Open, "aniseyoke-operators.json", always),
@@ -112,26 +114,26 @@
         ("its bytes", Write, "aniseyoke-operators.new", always),
         ("its sync", Fsync, "aniseyoke-operators.new", always),
         ("its name", Rename, "aniseyoke-operators.json", always),
-        ("the folder's sync", Fsync, "", Often::Only(2)),
+        ("the folder's sync", Fsync, "", Frequency::Only(2)),
     ];
     let (mut calls, mut unexpected) = (0, Vec::new());
     for number in [errno::ENOSPC, errno::EIO] {
         for (step, call, name, often) in steps {
             let site = Site::new();
-            let (proxy, admin_addr, armed) = site.start(&Plan::default(), "");
+            let (proxy, admin_addr, active_plan) = site.start(&Plan::default(), "");
             assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
-            armed.change(&plan(site.failing(&[call], name, number).often(often))).expect("changed");
+            active_plan.change(&plan(site.failing(&[call], name, number).often(often))).expect("changed");
             calls += 1;
             let status = call_for_node(admin_addr, "/api/exclude", "c1");
             if status != 503 {
                 unexpected.push(format!("{step}, error {number}: {status}"));
                 continue;
             }
-            assert!(armed.forced("failing") > 0, "{step}");
+            assert!(active_plan.forced("failing") > 0, "{step}");
             // After the rename the file has the order already, but it was not acknowledged.
             let renamed = name.is_empty();
             assert_eq!(site.excluded().len(), if renamed { 2 } else { 1 }, "{step}");
-            armed.change(&Plan::default()).expect("changed");
+            active_plan.change(&Plan::default()).expect("changed");
             assert_eq!(call_for_node(admin_addr, "/api/exclude", "c1"), 200, "{step}: the disk works again");
             drop(proxy);
             assert_eq!(site.excluded(), ["c0", "c1"], "{step}");
@@ -151,14 +153,14 @@
 #[test]
 fn a_call_repeated_after_a_failed_sync_is_written_again() {
     let site = Site::new();
-    let (_proxy, admin_addr, armed) = site.start(&Plan::default(), "");
-    let folder = site.failing(&[Call::Fsync], "", errno::EIO).often(Often::Only(2));
-    armed.change(&plan(folder)).expect("changed");
+    let (_proxy, admin_addr, active_plan) = site.start(&Plan::default(), "");
+    let folder = site.failing(&[Call::Fsync], "", errno::EIO).often(Frequency::Only(2));
+    active_plan.change(&plan(folder)).expect("changed");
     assert_eq!(call(admin_addr, "POST", "/api/evacuate", ""), 503);
     // The file already has the order, and every sync fails.
-    armed.change(&plan(site.failing(&[Call::Fsync], "", errno::EIO))).expect("changed");
+    active_plan.change(&plan(site.failing(&[Call::Fsync], "", errno::EIO))).expect("changed");
     assert_eq!(call(admin_addr, "POST", "/api/evacuate", ""), 503, "it is still not on disk");
-    armed.change(&Plan::default()).expect("changed");
+    active_plan.change(&Plan::default()).expect("changed");
     assert_eq!(call(admin_addr, "POST", "/api/evacuate", ""), 200);
 }
 
@@ -166,11 +168,12 @@
 fn a_process_killed_while_writing_an_order_leaves_the_earlier_orders_intact() {
     for bytes in [0, 1, 13] {
         let site = Site::new();
-        let (proxy, admin_addr, armed) = site.start(&Plan::default(), "");
+        let (proxy, admin_addr, active_plan) = site.start(&Plan::default(), "");
         assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
         let new_file = site.path("aniseyoke-operators.new");
-        let stop = Rule::new("stop", &[Call::Write], Effect::StopAfter(bytes)).about(About::Files(new_file));
-        armed.change(&plan(stop)).expect("changed");
+        let stop =
+            Rule::new("stop", &[Call::Write], Effect::StopAfter(bytes)).about(CallTarget::Files(new_file));
+        active_plan.change(&plan(stop)).expect("changed");
         let mut caller = Peer::to(admin_addr);
         let body = json!({ "id": "c1" }).to_string();
         let length = body.len();
@@ -194,12 +197,12 @@
     assert_eq!(call_for_node(admin_addr, "/api/exclude", "c0"), 200);
     drop(proxy);
     let unreadable = site.failing(&[Call::Open], "aniseyoke-operators.json", errno::EIO);
-    let (mut next, admin_addr, armed) = site.start(&plan(unreadable), "");
+    let (mut next, admin_addr, active_plan) = site.start(&plan(unreadable), "");
     assert_eq!(
         (call_for_node(admin_addr, "/api/exclude", "c1"), site.excluded()),
         (503, vec!["c0".to_owned()])
     );
-    armed.change(&Plan::default()).expect("changed");
+    active_plan.change(&Plan::default()).expect("changed");
     next.logged("out {\"c0\"}");
     assert_eq!(call_for_node(admin_addr, "/api/exclude", "c1"), 200);
     assert_eq!(site.excluded(), ["c0", "c1"]);
@@ -220,19 +223,19 @@
         let folder = site.state.path().display();
         let settings = format!("[list]\nevery = \"200ms\"\nkeep = \"{folder}\"\nfresh_for = \"1h\"\n");
         let rule = site.failing(&[call], name, errno::ENOSPC);
-        let (proxy, _, armed) = site.start(&plan(rule), &settings);
+        let (proxy, _, active_plan) = site.start(&plan(rule), &settings);
         let mut watch = site.discovery.take();
         watch.request();
         watch.reply("200 OK", "", &list(50, true, &site.listed()).to_string());
-        until("the write has failed", || armed.forced("failing") > 0);
+        until("the write has failed", || active_plan.forced("failing") > 0);
         assert!(!list_is_stored(&site, 50) || name.is_empty());
-        armed.change(&Plan::default()).expect("changed");
+        active_plan.change(&Plan::default()).expect("changed");
         until("it is stored", || list_is_stored(&site, 50));
         drop((watch, proxy));
         while !site.discovery.no_new_connection() {}
         // The next process is killed when a newer list is partly written.
         let stop_mid_write = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
-            .about(About::Files(site.path("aniseyoke-list.new")));
+            .about(CallTarget::Files(site.path("aniseyoke-list.new")));
         let (proxy, ..) = site.start(&plan(stop_mid_write), &settings);
         let mut watch = site.discovery.take();
         assert!(watch.request().line.contains("from=50"));
@@ -252,21 +255,21 @@
         let settings =
             format!("[control]\nservices = [\"{}\"]\ninstance = \"p0\"\ndir = \"{folder}\"\n", service.addr);
         let rule = site.failing(&[call], "aniseyoke-version", errno::EIO);
-        let (proxy, _, armed) = site.start(&plan(rule), &settings);
+        let (proxy, _, active_plan) = site.start(&plan(rule), &settings);
         let body = json!({ "log": { "burst": 7 } });
         let (stamp, _) = service.publish(body, Rollout::default()).expect("published");
-        until("the write has failed", || armed.forced("failing") > 0);
+        until("the write has failed", || active_plan.forced("failing") > 0);
         let stored_stamp = || match Store::new(Disk, site.path("aniseyoke-version")).load().expect("read") {
             Loaded::Valid(stored) => Some(stored.version.stamp),
             Loaded::Missing => None,
             Loaded::Damaged { reason: why, .. } => panic!("{why}"),
         };
         assert_eq!(stored_stamp(), None);
-        armed.change(&Plan::default()).expect("changed");
+        active_plan.change(&Plan::default()).expect("changed");
         until("it is stored", || stored_stamp() == Some(stamp));
         let stop_mid_write = Rule::new("stop", &[Call::Write], Effect::StopAfter(90))
-            .about(About::Files(site.path("aniseyoke-version.new")));
-        armed.change(&plan(stop_mid_write)).expect("changed");
+            .about(CallTarget::Files(site.path("aniseyoke-version.new")));
+        active_plan.change(&plan(stop_mid_write)).expect("changed");
         service.publish(json!({ "log": { "burst": 8 } }), Rollout::default()).expect("published");
         kill_when_stopped(proxy);
         assert_eq!(stored_stamp(), Some(stamp));
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use aniseyoke_faults::{arm, Armed, Call, Effect, Plan, Rule};
+use aniseyoke_faults::{configure_preload, ActivePlan, Call, Effect, Plan, Rule};
 use rig::*;
 use serde_json::{json, Value};
 use std::thread::sleep;
@@ -24,7 +24,7 @@
     nodes: [Server; 2],
     origin: Server,
     discovery: Server,
-    clock: Armed,
+    clock: ActivePlan,
     _folder: tempfile::TempDir,
 }
 
@@ -95,7 +95,7 @@
     offset_s: i64,
     known: bool,
     operator_file: &str,
-) -> (Proxy, Armed) {
+) -> (Proxy, ActivePlan) {
     let servers = [
         member("c1", nodes[0].addr, "std", "ready"),
         member("c2", nodes[1].addr, "std", "ready"),
@@ -111,7 +111,7 @@
     let mut clock = None;
     let proxy = Proxy::with(&platform, |command| {
         command.env("ANISEYOKE_FILE", &file).env("TMPDIR", folder.path()).current_dir(folder.path());
-        clock = Some(arm(command, folder.path(), &clock_step(offset_s)).expect("armed"));
+        clock = Some(configure_preload(command, folder.path(), &clock_step(offset_s)).expect("armed"));
     });
     (proxy, clock.expect("armed"))
 }
--- a/crates/turns/src/armed.rs
+++ b/crates/turns/src/armed.rs
@@ -1,6 +1,6 @@
 //! Configures a command so that its process loads the preload library.
 
-use aniseyoke_faults::{built_library, ArmError};
+use aniseyoke_faults::{built_library, PreloadError};
 use std::process::Command;
 
 /// The file name of the preload library that cargo builds.
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// If the library is missing beside the running test executable.
-pub fn arm(command: &mut Command, order: &Order) -> Result<(), ArmError> {
+pub fn arm(command: &mut Command, order: &Order) -> Result<(), PreloadError> {
     command.env("LD_PRELOAD", built_library(LIBRARY)?);
     command.env(SEED_VARIABLE, order.seed.to_string()).env(SIGNALS_VARIABLE, order.signals_text());
     Ok(())
