--- a/crates/proxy/tests/thread_order.rs
+++ b/crates/proxy/tests/thread_order.rs
@@ -1,12 +1,13 @@
 //! Runs the proxy process with one thread at a time. At each call the next thread is drawn from a seed; some
 //! seeds suspend one thread for as long as others can run, and the process sends itself signals at drawn
-//! calls. In every order it has to start, serve and end by itself, with its first and last log line written.
+//! calls. With every schedule it has to start, serve and end by itself, with its first and last log line
+//! written.
 //!
 //! `ANISEYOKE_ORDER_SEEDS=FROM..TO` runs other seeds than CI's, in all tests of this file.
 
 mod rig;
 
-use aniseyoke_turns::{arm, Order, Scheduler};
+use aniseyoke_turns::{configure_preload, Scheduler, ThreadSchedule};
 use nix::sys::signal::Signal;
 use rig::*;
 use serde_json::json;
@@ -45,8 +46,8 @@
     }
 }
 
-/// Returns the order of a seed with up to two SIGHUP at drawn calls, and SIGTERM at one if `stops`.
-fn order(seed: u64, stops: bool) -> Order {
+/// Returns the schedule of a seed with up to two SIGHUP at drawn calls, and SIGTERM at one if `stops`.
+fn schedule(seed: u64, stops: bool) -> ThreadSchedule {
     let mut draws = Draws(seed);
     let hangups = draws.under(3);
     let mut signals: Vec<(u64, i32)> =
@@ -54,7 +55,7 @@
     if stops {
         signals.push((draws.under(SIGNAL_WITHIN_CALLS), Signal::SIGTERM as i32));
     }
-    Order { seed, signals }
+    ThreadSchedule { seed, signals }
 }
 
 /// Waits for the end of a process. Fails unless it ended successfully, with its last log line written.
@@ -127,20 +128,20 @@
         Site { discovery: Server::new(), node: Server::new(), state }
     }
 
-    /// Starts a proxy with this thread order and every line logged, and waits until it listens.
-    fn start(&self, order: &Order) -> Result<Proxy, String> {
+    /// Starts a proxy with this thread schedule and every line logged, and waits until it listens.
+    fn start(&self, schedule: &ThreadSchedule) -> Result<Proxy, String> {
         let mut config = config(self.discovery.addr, &[member("c0", self.node.addr, "std", "ready")]);
         config["mgmt"] = json!("127.0.0.1:0");
         let file = self.state.path().join("operator.toml");
         let state = self.state.path().display();
         let text = format!("[log]\nlevel = \"trace\"\n[list]\nevery = \"200ms\"\nkeep = \"{state}\"\n");
         std::fs::write(&file, text).expect("written");
-        let armed = |command: &mut Command| {
+        let configure = |command: &mut Command| {
             command.env("TMPDIR", self.state.path()).env("ANISEYOKE_FILE", &file);
-            arm(command, order).expect("armed");
+            configure_preload(command, schedule).expect("armed");
         };
-        let ended = |log| format!("seed {}: ended before it listened: {log}", order.seed);
-        Proxy::try_with(&config, armed).map_err(ended)
+        let ended = |log| format!("seed {}: ended before it listened: {log}", schedule.seed);
+        Proxy::try_with(&config, configure).map_err(ended)
     }
 
     /// Answers polls of the list until the proxy has stored it. After a SIGHUP the proxy ends its call and
@@ -187,7 +188,7 @@
 fn a_proxy_starts_and_serves_in_every_order_of_its_threads() {
     let failures = run_seeds(|seed| {
         let site = Site::new();
-        let mut proxy = site.start(&order(seed, false))?;
+        let mut proxy = site.start(&schedule(seed, false))?;
         let admin_addr = proxy.admin_addr();
         let log = proxy.take_log();
         let served = catch_unwind(AssertUnwindSafe(|| site.serve(&proxy, admin_addr)));
@@ -211,7 +212,7 @@
             return Ok(());
         }
         let site = Site::new();
-        check_shutdown(site.start(&order(seed, true))?, seed)
+        check_shutdown(site.start(&schedule(seed, true))?, seed)
     })
 }
 
--- a/crates/turns-preload/src/turns.rs
+++ b/crates/turns-preload/src/turns.rs
@@ -1,7 +1,7 @@
 //! The process's scheduler and the condition variables on which its threads wait for their turn.
 
 use crate::sending;
-use aniseyoke_turns::{Call, Fault, Order, Scheduler, ThreadId, Wait};
+use aniseyoke_turns::{Call, Fault, Scheduler, ThreadId, ThreadSchedule, Wait};
 use aniseyoke_turns::{BACKTRACE_VARIABLE, SEED_VARIABLE, SIGNALS_VARIABLE};
 use libc::c_int;
 use std::cell::Cell;
@@ -117,9 +117,9 @@
 impl Turns {
     fn new() -> Self {
         let text = |name| std::env::var(name).unwrap_or_default();
-        let order = Order::from_text(&text(SEED_VARIABLE), &text(SIGNALS_VARIABLE));
-        let scheduler = Scheduler::new(order.seed);
-        Turns { scheduler, gates: vec![Arc::default()], signals: order.signals, calls: 0 }
+        let schedule = ThreadSchedule::from_text(&text(SEED_VARIABLE), &text(SIGNALS_VARIABLE));
+        let scheduler = Scheduler::new(schedule.seed);
+        Turns { scheduler, gates: vec![Arc::default()], signals: schedule.signals, calls: 0 }
     }
 
     /// Counts a call, and removes and returns the signals that are due at it.
--- a/crates/turns/src/armed.rs
+++ b/crates/turns/src/armed.rs
@@ -14,7 +14,7 @@
 
 /// The thread schedule and the signals that are imposed on a process under test.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Order {
+pub struct ThreadSchedule {
     /// The seed from which the scheduler picks the next thread.
     pub seed: u64,
     /// Pairs of a call number and a signal number. The process sends itself the signal at that call, or at
@@ -23,7 +23,7 @@
     pub signals: Vec<(u64, i32)>,
 }
 
-impl Order {
+impl ThreadSchedule {
     /// Returns the signals in the format of [`SIGNALS_VARIABLE`]: comma-separated `CALL:NUMBER` pairs.
     fn signals_text(&self) -> String {
         let pairs: Vec<String> =
@@ -35,16 +35,17 @@
     pub fn from_text(seed: &str, signals: &str) -> Self {
         let pairs = signals.split(',').filter_map(|pair| pair.split_once(':'));
         let read = |(call, number): (&str, &str)| Some((call.parse().ok()?, number.parse().ok()?));
-        Order { seed: seed.parse().unwrap_or(0), signals: pairs.filter_map(read).collect() }
+        ThreadSchedule { seed: seed.parse().unwrap_or(0), signals: pairs.filter_map(read).collect() }
     }
 }
 
-/// Makes a command's process run in an order. This adds to the command's environment, so clear that first.
+/// Makes a command's process run with a thread schedule. Adds to the command's environment, so a caller that
+/// clears the environment must do so before.
 ///
 /// # Errors
 /// If the library is missing beside the running test executable.
-pub fn arm(command: &mut Command, order: &Order) -> Result<(), PreloadError> {
+pub fn configure_preload(command: &mut Command, schedule: &ThreadSchedule) -> Result<(), PreloadError> {
     command.env("LD_PRELOAD", built_library(LIBRARY)?);
-    command.env(SEED_VARIABLE, order.seed.to_string()).env(SIGNALS_VARIABLE, order.signals_text());
+    command.env(SEED_VARIABLE, schedule.seed.to_string()).env(SIGNALS_VARIABLE, schedule.signals_text());
     Ok(())
 }
--- a/crates/turns/src/fault.rs
+++ b/crates/turns/src/fault.rs
@@ -13,7 +13,7 @@
     NeverWaits(Call),
     /// All threads wait for each other without a time limit: a deadlock or a lost wake-up.
     #[error("all threads wait for each other without a time limit, since {0:?}")]
-    AllWait(Call),
+    Deadlock(Call),
     /// A thread makes a call while another thread holds the turn.
     #[error("makes a call without holding the turn, in {0:?}")]
     WithoutTurn(Call),
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -8,7 +8,7 @@
 mod fault;
 mod scheduler;
 
-pub use armed::{arm, Order, BACKTRACE_VARIABLE, SEED_VARIABLE, SIGNALS_VARIABLE};
+pub use armed::{configure_preload, ThreadSchedule, BACKTRACE_VARIABLE, SEED_VARIABLE, SIGNALS_VARIABLE};
 pub use fault::Fault;
 pub use scheduler::{Call, Scheduler, ThreadId, Wait, MAX_TURNS, MAX_YIELDS};
 
--- a/crates/turns/src/scheduler.rs
+++ b/crates/turns/src/scheduler.rs
@@ -258,7 +258,7 @@
         };
         let any_alive = self.threads.iter().any(|thread| thread.state != State::Ended);
         if any_alive && self.threads.iter().all(stuck) {
-            return Err(Fault::AllWait(call));
+            return Err(Fault::Deadlock(call));
         }
         Ok(())
     }
--- a/crates/turns/src/tests.rs
+++ b/crates/turns/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler and of the text form of an order.
+//! Tests of the scheduler and of the text form of a schedule.
 
 use super::*;
 
@@ -98,7 +98,7 @@
     let first = scheduler.holder().expect("a thread runs");
     scheduler.wait(first, Call::FutexWait, LOCK).expect("the other can run");
     let second = scheduler.holder().expect("the other runs");
-    assert_eq!(scheduler.wait(second, Call::FutexWait, LOCK), Err(Fault::AllWait(Call::FutexWait)));
+    assert_eq!(scheduler.wait(second, Call::FutexWait, LOCK), Err(Fault::Deadlock(Call::FutexWait)));
 }
 
 #[test]
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn order_round_trips_through_its_text_form() {
-    let order = Order { seed: 7, signals: vec![(40, 1), (200, 15)] };
-    assert_eq!(Order::from_text(&order.seed.to_string(), "40:1,200:15"), order);
-    assert_eq!(Order::from_text("", ""), Order::default());
+fn schedule_round_trips_through_its_text_form() {
+    let schedule = ThreadSchedule { seed: 7, signals: vec![(40, 1), (200, 15)] };
+    assert_eq!(ThreadSchedule::from_text(&schedule.seed.to_string(), "40:1,200:15"), schedule);
+    assert_eq!(ThreadSchedule::from_text("", ""), ThreadSchedule::default());
 }
--- a/crates/turns/tests/planted_faults.rs
+++ b/crates/turns/tests/planted_faults.rs
@@ -1,6 +1,6 @@
 //! The preload library aborts a process whose threads are faulty, and lets a correct process finish.
 
-use aniseyoke_turns::{arm, Order};
+use aniseyoke_turns::{configure_preload, ThreadSchedule};
 use std::ops::Range;
 use std::process::{Command, Output};
 
@@ -11,7 +11,7 @@
 fn run(fault: &str, seed: u64) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_aniseyoke-turns-planted"));
     command.env_clear().arg(fault);
-    arm(&mut command, &Order { seed, signals: Vec::new() }).expect("armed");
+    configure_preload(&mut command, &ThreadSchedule { seed, signals: Vec::new() }).expect("armed");
     command.output().expect("run")
 }
 
