--- a/crates/lab-starts/tests/planted/crashes.sh
+++ b/crates/lab-starts/tests/planted/crashes.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Ends as it should not when it is told to end, and says nothing.
+# Exits with status 3 on SIGTERM, without logging that it drains.
 trap 'exit 3' TERM
 trap '' HUP
 echo 'listening on 127.0.0.1:1' >&2
--- a/crates/lab-starts/tests/planted/sound.sh
+++ b/crates/lab-starts/tests/planted/sound.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Behaves as a proxy should: listens, and ends when it is told to.
+# Behaves like a correct proxy: reports its address, ignores SIGHUP, and exits with status 0 on SIGTERM.
 trap 'echo draining >&2; exit 0' TERM
 trap '' HUP
 echo 'listening on 127.0.0.1:1' >&2
--- a/crates/lab-starts/tests/planted/spins.sh
+++ b/crates/lab-starts/tests/planted/spins.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Uses a processor without getting anywhere; ends when it is told to.
+# Spins in a busy loop; exits with status 0 on SIGTERM.
 trap 'echo draining >&2; exit 0' TERM
 trap '' HUP
 echo 'listening on 127.0.0.1:1' >&2
--- a/crates/memcached/benches/codec.rs
+++ b/crates/memcached/benches/codec.rs
@@ -5,7 +5,7 @@
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 use std::hint::black_box;
 
-/// Number of packets in the buffer, as sent by a client that pipelines requests.
+/// Number of packets in the buffer, like the requests of a pipelining client.
 const PACKETS: u64 = 64;
 
 fn request(opcode: Opcode, extras: Extras) -> Header {
