--- a/crates/lab-audit/src/evidence.rs
+++ b/crates/lab-audit/src/evidence.rs
@@ -134,7 +134,7 @@
     },
     /// The fault rig killed or paused a proxy. Requests that are in flight there, or are sent there before `until`,
     /// may get no response.
-    Struck {
+    FaultInjected {
         /// The proxy.
         proxy: usize,
         /// The end of the fault, on the same clock.
--- a/crates/lab-audit/src/rules.rs
+++ b/crates/lab-audit/src/rules.rs
@@ -168,7 +168,7 @@
                 self.notified.retain(|(p, _), _| p != proxy);
                 None
             }
-            Observation::Struck { proxy, until } => {
+            Observation::FaultInjected { proxy, until } => {
                 let proxy_faults = self.proxy_faults.entry(*proxy).or_default();
                 if proxy_faults.len() < MAX_PROXY_FAULTS {
                     proxy_faults.push((at, *until));
--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -310,7 +310,7 @@
         if self.processes.is_running(index) && action != Action::Term {
             // Recorded before the signal is sent, so that it precedes all observations of clients that result from it.
             let until = recovery_delay.map_or(u64::MAX, |after| self.clock.now() + after.as_nanos() as u64);
-            self.record(Observation::Struck { proxy: index, until });
+            self.record(Observation::FaultInjected { proxy: index, until });
         }
         let signalled = self.processes.signal(index, action);
         if signalled && action != Action::Pause {
