--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -79,7 +79,8 @@
     }
 }
 
-/// The state of a service: its versions, its connected proxies, and the rollout of the newest version.
+/// Publishes versions to proxies: the history of versions, the connected proxies, and the rollout of the
+/// newest version.
 pub struct Publisher {
     epoch: u64,
     history: VecDeque<HistoryEntry>,
@@ -95,8 +96,8 @@
 }
 
 impl Publisher {
-    /// Creates a service without versions. The epoch has to be higher than in any start before: a service
-    /// that is restored from a backup would otherwise assign the same stamps again.
+    /// Creates a publisher without versions. The epoch has to be higher than in any earlier start. A service
+    /// restored from a backup with an old epoch would reuse stamps.
     pub fn new(epoch: u64) -> Self {
         Publisher {
             epoch,
@@ -185,6 +186,8 @@
         self.version(stamp).map(|v| v.body.value()).ok_or(PublishError::Unknown(stamp))
     }
 
+    /// Appends a version to the history, which may drop old versions from it, and starts the version's
+    /// rollout. The previous version becomes the baseline if its rollout was complete.
     fn start_rollout(&mut self, now: Nanos, prepared: PreparedVersion, out: &mut Vec<OutgoingFrame>) {
         let PreparedVersion { version, bytes, plan } = prepared;
         let stamp = version.stamp;
@@ -207,16 +210,17 @@
             history.len() > MAX_HISTORY_VERSIONS || history.len() > 2 && bytes > MAX_HISTORY_BYTES
         };
         while is_full(&self.history) {
-            // The baseline is retained, since proxies run it while the rollout of the newest version is
-            // halted.
+            // The baseline is retained, since proxies that a stage does not include run it, and those that do
+            // not have the newest version when its rollout is halted.
             let oldest = self.history.front().map(|entry| entry.version.stamp);
             let index = usize::from(oldest == self.baseline);
             self.history.remove(index);
         }
     }
 
-    /// Publishes a version of an upstream to all proxies, with the upstream's stamp. Does nothing if it is
-    /// the newest version already.
+    /// Publishes a version received from the upstream, which is the service that a relay gets its versions
+    /// from, to all proxies at once. The version keeps its stamp. Does nothing if it is the newest version
+    /// already.
     ///
     /// # Errors
     /// If it is older than the newest version, has the same stamp with another digest, or is too long for a
@@ -265,7 +269,7 @@
         self.publish(now, body, plan, out)
     }
 
-    /// Halts the rollout of the newest version.
+    /// Halts the rollout of the newest version. Has no effect if the rollout is complete or already halted.
     pub fn halt(&mut self, reason: &str) {
         self.rollout.iter_mut().for_each(|rollout| rollout.halt(reason));
     }
@@ -305,7 +309,7 @@
                 running,
                 ack_latency: None,
                 in_flight: None,
-                rejected: None,
+                rejected_version: None,
                 last_received: now,
                 last_sent: now,
             };
@@ -316,6 +320,7 @@
         };
         s.last_received = now;
         match message {
+            // The service passes each message to its purge driver first, which handles `PurgeAck`.
             ProxyMessage::Hello { .. } | ProxyMessage::PurgeAck { .. } | ProxyMessage::Heartbeat => {}
             ProxyMessage::Ack { stamp } => self.receive_ack(now, id, stamp, out),
             ProxyMessage::Nack { stamp, reasons } => self.receive_nack(now, id, stamp, reasons, out),
@@ -335,7 +340,7 @@
         s.in_flight = s.in_flight.filter(|in_flight| *in_flight != stamp);
         s.ack_latency = acked.as_ref().map(|(_, published_at)| now.saturating_sub(*published_at));
         s.running = acked.map(|(digest, _)| (stamp, digest));
-        s.rejected = s.rejected.take().filter(|(rejected, _)| *rejected > stamp);
+        s.rejected_version = s.rejected_version.take().filter(|(rejected, _)| *rejected > stamp);
         self.send_wanted(now, id, false, out);
     }
 
@@ -353,7 +358,7 @@
         if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == stamp) {
             rollout.record_rejection(&s.instance, &reasons.join("; "));
         }
-        s.rejected = Some((stamp, reasons));
+        s.rejected_version = Some((stamp, reasons));
         // A newer version may have been published since this one was sent.
         self.send_wanted(now, id, false, out);
     }
@@ -405,6 +410,9 @@
 
     /// Sends a proxy the version that it should run, unless it runs that version already, has not answered it
     /// yet, or has rejected it. It is sent as a delta if possible, unless `as_snapshot` is set.
+    ///
+    /// A frame that is longer than the proxy accepts is not sent. The version is recorded as rejected by the
+    /// proxy instead, which halts the rollout of the version if it is in a stage.
     fn send_wanted(&mut self, now: Nanos, id: ConnectionId, as_snapshot: bool, out: &mut Vec<OutgoingFrame>) {
         let Some(s) = self.subscribers.get(&id) else { return };
         let Some(wanted) = self.wanted(s) else { return };
@@ -413,7 +421,8 @@
             return;
         }
         // The base of a delta has to be exactly the version that the proxy runs: the same stamp with the same
-        // digest.
+        // digest. While a version is in flight, the proxy may run that one already and no longer have the base,
+        // so a snapshot is sent.
         let base = s.running.as_ref().filter(|_| !as_snapshot && s.in_flight.is_none());
         let base = base.and_then(|(stamp, digest)| self.version(*stamp).filter(|v| v.digest == *digest));
         let key = (base.map(|base| base.stamp), wanted);
@@ -434,7 +443,7 @@
             if let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.stamp() == wanted) {
                 rollout.record_rejection(&s.instance, &reason);
             }
-            s.rejected = Some((wanted, vec![reason]));
+            s.rejected_version = Some((wanted, vec![reason]));
             return;
         }
         s.in_flight = Some(wanted);
--- a/crates/control/src/publisher/subscriber.rs
+++ b/crates/control/src/publisher/subscriber.rs
@@ -28,7 +28,7 @@
     /// The version that it was sent last and has not answered yet.
     pub in_flight: Option<Stamp>,
     /// The last version that it rejected, and the reasons.
-    pub rejected: Option<(Stamp, Vec<String>)>,
+    pub rejected_version: Option<(Stamp, Vec<String>)>,
     pub last_received: Nanos,
     pub last_sent: Nanos,
 }
@@ -42,7 +42,7 @@
             running: self.running.as_ref().map(|(stamp, _)| *stamp),
             ack_latency: self.ack_latency,
             wanted,
-            rejected: self.rejected.clone(),
+            rejected: self.rejected_version.clone(),
         }
     }
 
@@ -54,7 +54,7 @@
 
     /// Returns whether this is the last version that it rejected.
     pub fn has_rejected(&self, stamp: Stamp) -> bool {
-        self.rejected.as_ref().is_some_and(|(rejected, _)| *rejected == stamp)
+        self.rejected_version.as_ref().is_some_and(|(rejected, _)| *rejected == stamp)
     }
 
     /// Returns why its name or its labels are not valid, or `None` if they are.
