--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -285,7 +285,7 @@
             push_confirmations(&mut output, ready.take_read_states());
             let mut light = self.node.advance(ready);
             if let Some(index) = light.commit_index() {
-                self.node.mut_store().committed(index);
+                self.node.mut_store().set_commit_index(index);
             }
             send(&mut output, light.take_messages())?;
             self.deliver_committed(&mut output, light.take_committed_entries());
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -2,7 +2,7 @@
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
-use raft::{Error as Raft, GetEntriesContext, RaftState, Storage, StorageError};
+use raft::{Error as RaftError, GetEntriesContext, RaftState, Storage, StorageError};
 use redb::backends::FileBackend;
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::fs::{File, OpenOptions};
@@ -21,9 +21,9 @@
 /// The size of a chunk that is rewritten at once.
 const REWRITE_CHUNK_BYTES: usize = 1 << 20;
 
-/// Rewrites the whole file and syncs it. If a sync failed in a process that has ended since, the data that is read may
-/// exist in the page cache only, and a later sync without a rewrite would not report that.
-fn rewrite(backend: &impl StorageBackend) -> std::io::Result<()> {
+/// Rewrites the whole file and syncs it. After a failed sync, the page cache may hold data that is not on disk, and a
+/// later sync may succeed anyway. Rewriting makes all of it dirty again.
+fn rewrite_and_sync(backend: &impl StorageBackend) -> std::io::Result<()> {
     let length = backend.len()?;
     let mut chunk = vec![0; REWRITE_CHUNK_BYTES];
     let mut position = 0;
@@ -63,8 +63,8 @@
     }
 
     /// Creates a log under a temporary name and renames it once it is complete. Otherwise a log whose creation was
-    /// interrupted could never be opened. Without the sync of the directory a power failure could remove the log, with every
-    /// vote in it.
+    /// interrupted could never be opened. Without the sync of the directory a power failure could lose the log, so the
+    /// replica could vote twice in a term.
     fn create(path: &Path, members: &[u64]) -> Result<(), StoreError> {
         let mut new = path.as_os_str().to_owned();
         new.push(".new");
@@ -82,12 +82,12 @@
     /// # Errors
     /// As [`Self::open`].
     pub fn open_on(backend: impl StorageBackend, members: &[u64]) -> Result<Self, StoreError> {
-        rewrite(&backend)?;
+        rewrite_and_sync(&backend)?;
         let disk = Database::builder().create_with_backend(backend)?;
-        let tables = disk.begin_write()?;
-        tables.open_table(LOG)?;
-        tables.open_table(META)?;
-        tables.commit()?;
+        let write = disk.begin_write()?;
+        write.open_table(LOG)?;
+        write.open_table(META)?;
+        write.commit()?;
         let (mut hard, mut snapshot, mut entries) = (HardState::default(), None, Vec::new());
         {
             let read = disk.begin_read()?;
@@ -121,7 +121,8 @@
             return Err(format!("it is a log of members {stored:?}, and not of {members:?}").into());
         }
         let mut store = Store { disk, hard, snapshot, entries };
-        // Entries that the snapshot covers stay on disk until the next write; they are ignored here.
+        // Ignores entries that the snapshot covers. None are expected: they are deleted in the transaction that stores
+        // the snapshot.
         let snapshot_index = store.snapshot_index();
         store.entries.retain(|e| e.index > snapshot_index);
         let contiguous =
@@ -137,6 +138,7 @@
         self.snapshot.get_metadata().index
     }
 
+    /// The position of an index in `entries`, which may be past the end; `None` if the snapshot covers the index.
     fn offset(&self, index: u64) -> Option<usize> {
         usize::try_from(index.checked_sub(self.snapshot_index() + 1)?).ok()
     }
@@ -165,7 +167,8 @@
     /// first entry.
     ///
     /// # Errors
-    /// If the transaction fails; the state in memory is unchanged.
+    /// If the entries would leave a gap in the log, if the snapshot covers the first of them, or if the transaction fails;
+    /// the state in memory is unchanged.
     pub(crate) fn write(&mut self, entries: &[Entry], hard: Option<&HardState>) -> Result<(), StoreError> {
         if entries.is_empty() && hard.is_none() {
             return Ok(());
@@ -198,29 +201,31 @@
     }
 
     /// Updates the commit index in memory only: Raft does not require that it is persisted on its own.
-    pub(crate) fn committed(&mut self, index: u64) {
+    pub(crate) fn set_commit_index(&mut self, index: u64) {
         self.hard.commit = index;
     }
 
-    /// Replaces the log by a snapshot of another replica.
+    /// Replaces the log with a snapshot received from another replica.
     ///
     /// # Errors
-    /// As [`Self::write`].
+    /// If the snapshot is older than the current one, or the transaction fails; the state in memory is unchanged.
     pub(crate) fn replace(&mut self, snapshot: Snapshot) -> Result<(), StoreError> {
         let index = snapshot.get_metadata().index;
         if index < self.snapshot_index() {
             return Err("the snapshot is older than the current one".into());
         }
+        // The term must not be lower than that of the snapshot's last entry. The vote stays: if Raft has changed its
+        // hard state, the caller writes that next.
         let mut hard = self.hard.clone();
         hard.term = hard.term.max(snapshot.get_metadata().term);
         hard.commit = index;
         self.install_snapshot(snapshot, hard, |_| false)
     }
 
-    /// Replaces the entries up to a committed and applied index by a snapshot.
+    /// Replaces the entries up to a committed and applied index with a snapshot.
     ///
     /// # Errors
-    /// As [`Self::write`], and if the entry at this index is not in the store.
+    /// If the entry at this index is not in the store, or the transaction fails; the state in memory is unchanged.
     pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), StoreError> {
         if index <= self.snapshot_index() {
             return Ok(());
@@ -264,9 +269,9 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        let from = self.offset(low).ok_or(Raft::Store(StorageError::Compacted))?;
-        let to = self.offset(high).ok_or(Raft::Store(StorageError::Compacted))?;
-        let part = self.entries.get(from..to).ok_or(Raft::Store(StorageError::Unavailable))?;
+        let from = self.offset(low).ok_or(RaftError::Store(StorageError::Compacted))?;
+        let to = self.offset(high).ok_or(RaftError::Store(StorageError::Compacted))?;
+        let part = self.entries.get(from..to).ok_or(RaftError::Store(StorageError::Unavailable))?;
         let mut part = part.to_vec();
         raft::util::limit_size(&mut part, max_size.into());
         Ok(part)
@@ -276,8 +281,8 @@
         if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        let position = self.offset(index).ok_or(Raft::Store(StorageError::Compacted))?;
-        self.entries.get(position).map(|e| e.term).ok_or(Raft::Store(StorageError::Unavailable))
+        let position = self.offset(index).ok_or(RaftError::Store(StorageError::Compacted))?;
+        self.entries.get(position).map(|e| e.term).ok_or(RaftError::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -290,7 +295,7 @@
 
     fn snapshot(&self, index: u64, _to: u64) -> raft::Result<Snapshot> {
         if self.snapshot_index() < index {
-            return Err(Raft::Store(StorageError::SnapshotTemporarilyUnavailable));
+            return Err(RaftError::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
     }
