--- a/crates/lab-scale/src/host.rs
+++ b/crates/lab-scale/src/host.rs
@@ -81,17 +81,17 @@
 /// The records and counters of the members of one or several hosts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// When each purge was in force at the members.
+    /// When each purge was applied at the members.
     pub purges: CompletionTally,
-    /// When each version was in force at the proxies.
+    /// When each version was applied at the proxies.
     pub versions: CompletionTally,
     /// The traffic of each member since the last reset.
     pub members: Vec<MemberTraffic>,
-    /// The number of cache flushes, without the first one after each start of a member.
+    /// The number of flushes, without the first one after each start of a member.
     pub flushes: u64,
     /// The number of connections made.
     pub connects: u64,
-    /// The number of rejected versions and malformed frames.
+    /// The number of malformed frames and of versions that conflict with another one of the same stamp.
     pub faults: u64,
 }
 
--- a/crates/lab-scale/src/member.rs
+++ b/crates/lab-scale/src/member.rs
@@ -1,6 +1,6 @@
-//! A hollow member, which runs the real state machines of a proxy's control connection on a real socket, without
-//! clients and without a cache. It records when each purge and each version was in force, and counts the traffic of its
-//! socket.
+//! A simulated member, called hollow: a proxy or node without clients and without a cache. It runs the real state
+//! machines of a proxy's control connection on a real socket. It records when each purge and, at proxies, each version
+//! was applied, and counts the traffic of its socket.
 
 use super::now;
 use super::plan::Role;
@@ -35,20 +35,21 @@
 /// The length of the IPv4 and TCP headers of a segment, with TCP timestamps.
 pub const SEGMENT_HEADER_BYTES: u64 = 52;
 
-/// The specification of a hollow member.
+/// The specification of a simulated member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberSpec {
     /// The name.
     pub name: String,
-    /// Whether the member is a node; otherwise it is a proxy.
+    /// Whether the member is a node ([`Role::Node`]); otherwise it is a proxy ([`Role::Proxy`]).
     pub node: bool,
     /// The labels for region, zone and site.
     pub labels: BTreeMap<String, String>,
     /// The addresses to which the member connects, in order of preference.
     pub services: Vec<SocketAddr>,
-    /// The discovery address that the member polls; only proxies have one.
+    /// The address of the discovery service, whose endpoint list the member polls; only proxies have one.
     pub list: Option<SocketAddr>,
-    /// The member's number among the proxies, and the number of proxies.
+    /// The member's number among all proxies, which include the real ones, and the number of all proxies. Determines
+    /// when it polls the endpoint list; unused at nodes.
     pub place: (u32, u32),
 }
 
@@ -63,18 +64,18 @@
     }
 }
 
-/// The traffic of a member's connection.
+/// The traffic of a member's control connection, or of its polls of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Bytes received, including frame headers.
+    /// Bytes received, including the headers of frames and HTTP responses.
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// Frames received.
+    /// Frames or HTTP responses received.
     pub frames_in: u64,
-    /// Frames sent.
+    /// Frames or HTTP requests sent.
     pub frames_out: u64,
-    /// The estimated number of TCP segments in both directions, if no segment contains parts of two frames. Segments
+    /// The estimated number of TCP segments in both directions, if no segment contains parts of two messages. Segments
     /// without payload are not counted.
     pub segments: u64,
 }
@@ -119,9 +120,9 @@
     pub seed: u64,
     /// Whether members follow the purge log.
     pub purging: bool,
-    /// When each purge was in force at the members.
+    /// When each purge was applied at the members.
     pub purges: RefCell<CompletionTally>,
-    /// When each version was in force at the proxies.
+    /// When each version was applied at the proxies.
     pub versions: RefCell<CompletionTally>,
     /// The number of each member among the proxies of this host; `None` for nodes.
     pub proxy: Vec<Option<usize>>,
@@ -131,11 +132,13 @@
     pub list_polls: Vec<Cell<Traffic>>,
     /// Whether each member is connected and, if it follows the purge log, knows its position in it.
     pub up: Vec<Cell<bool>>,
-    /// The number of cache flushes, without the first one after each start of a member.
+    /// The number of flushes, at which a member with a cache would drop all its objects. The first flush after each
+    /// start of a member is not counted.
     pub flushes: Cell<u64>,
     /// The number of connections made.
     pub connects: Cell<u64>,
-    /// The number of rejected versions and malformed frames.
+    /// The number of malformed frames and of versions with the stamp of another version that the member has, but another
+    /// digest. Other rejected versions are not counted.
     pub faults: Cell<u64>,
     /// The read buffer of all members. Its contents are consumed before a member awaits again, so one buffer suffices.
     pub buffer: RefCell<Vec<u8>>,
@@ -177,7 +180,7 @@
     purges: Option<Member>,
     stream: Option<TcpStream>,
     received: Vec<u8>,
-    /// Whether the member's position in the purge log is unknown since its start.
+    /// Whether the member's position in the purge log has not been known yet since the start.
     purge_position_unknown: bool,
     /// Whether the member has received no version since it was restarted.
     version_unknown: bool,
@@ -297,8 +300,8 @@
                 }
             }
             (ServiceMessage::Flush { epoch, through }, Some(member)) => {
-                let at = Progress { epoch: *epoch, through: *through };
-                if matches!(member.receive_flush(at), MemberAction::InvalidateAll) {
+                let position = Progress { epoch: *epoch, through: *through };
+                if matches!(member.receive_flush(position), MemberAction::InvalidateAll) {
                     self.record_purges(true, actions);
                 }
             }
@@ -312,7 +315,7 @@
         let Some(member) = &self.purges else { return };
         let Progress { epoch, through } = member.progress();
         let mut tally = self.shared.purges.borrow_mut();
-        // Earlier purges don't apply to a member that has just started, because its cache was empty.
+        // Earlier purges don't apply to a member that has just started, because it has no cached objects yet.
         if flushed && self.purge_position_unknown {
             tally.record_not_applicable(self.n, through);
         } else {
@@ -363,6 +366,7 @@
                     self.shared.up[self.n].set(false);
                 }
                 Action::Send(ProxyMessage::Hello { .. }) => {
+                    // The follower does not know the purge position, so its message lacks it.
                     let hello = self.hello();
                     self.send(&hello).await;
                 }
@@ -378,6 +382,8 @@
                     self.follower.applied(now(), Ok(()), &mut more);
                 }
                 Action::Warn(what) => {
+                    // Of the follower's warnings, only the one about conflicting versions matches here: versions are
+                    // never rejected when they are applied.
                     if what.contains("is rejected") || what.contains("disagree") {
                         self.count_fault();
                     }
@@ -390,6 +396,7 @@
 
     async fn send(&mut self, frame: &ProxyMessage) {
         let Some(stream) = &mut self.stream else { return };
+        // A frame that can't be encoded counts as a sent frame of 0 bytes.
         let bytes = encode(frame).unwrap_or_default();
         match timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await {
             Ok(Ok(())) => self.count_traffic(bytes.len(), true),
