--- a/crates/lab-rig/src/play.rs
+++ b/crates/lab-rig/src/play.rs
@@ -29,7 +29,7 @@
 const HEALTHY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long after the end of the load processes that are still running are killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
-/// The load opens at most one connection for each of this many descriptors of all proxies.
+/// The load opens at most (total proxy descriptors / this) connections, but at least one.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 3;
 /// The delay between the time when all proxies are healthy and the beginning of the load.
 const START_DELAY: Nanos = 50 * MILLISECOND;
@@ -38,7 +38,8 @@
 /// `folder`.
 ///
 /// # Errors
-/// Returns an error if the experiment could not be run: a system resource is missing, or a proxy did not start.
+/// Returns an error if the experiment could not be run: a system resource is missing, or a proxy did not start or did not
+/// become healthy. Also if the thread of the auditor or of the readiness watch panicked.
 pub fn run(
     plan: &Plan,
     day: &Day,
@@ -48,7 +49,8 @@
     stop: &AtomicBool,
 ) -> Result<Outcome, RigError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    // Children are killed when this thread ends, so it runs until all of them have ended.
+    // Children are killed when the thread that started them ends, so the experiment runs on the caller's thread, which
+    // waits here until the experiment has ended.
     runtime.map_err(RigError::Runtime)?.block_on(play(plan, day, program, seed, folder, stop))
 }
 
@@ -195,6 +197,7 @@
 ) -> Result<Site, RigError> {
     let relays = relays.clone();
     let route: Route = Arc::new(move |proxy, addr, kind| {
+        // `ledger` is the name of the origin in days, plans and reports.
         relays.route(proxy, addr, if kind == "ledger" { LinkEnd::Ledger } else { LinkEnd::Node(addr) })
     });
     let options = SiteOptions {
@@ -249,6 +252,7 @@
         stop: &AtomicBool,
     ) {
         site.begin();
+        // The schedule starts now, at most `START_DELAY` before the load.
         let began = Instant::now();
         let mut next = 0;
         while !load.finished() {
@@ -257,12 +261,16 @@
             while let Some((due, step)) = steps.get(next).filter(|(due, _)| *due <= elapsed) {
                 let description = self.execute_step(*due, step, &steps[next..]).await;
                 let at = self.clock.now() as f64 / 1e9;
-                tracing::info!("{at:8.3} s  {description} (due {:.3} s into the load)", due.as_secs_f64());
+                tracing::info!(
+                    "{at:8.3} s  {description} (due {:.3} s into the schedule)",
+                    due.as_secs_f64()
+                );
                 self.executed_steps.push((at, description));
                 next += 1;
             }
             while site.proxy_restarts.try_recv().is_ok() {
-                // Restarts requested by the day are discarded; only the schedule restarts proxies.
+                // Proxy restarts that the day's timeline requests are discarded; only the fault schedule restarts
+                // proxies.
             }
             for (index, reason) in self.processes.poll() {
                 self.record(Observation::Crashed { proxy: index });
@@ -307,6 +315,7 @@
     /// Performs an action on a proxy that is resumed or restarted after `recovery_delay`, or never.
     async fn signal(&mut self, index: usize, action: Action, recovery_delay: Option<Duration>) -> String {
         let pid = self.processes.pid(index);
+        // Not recorded for `Term`: a terminated proxy drains, so its requests have to be answered.
         if self.processes.is_running(index) && action != Action::Term {
             // Recorded before the signal is sent, so that it precedes all observations of clients that result from it.
             let until = recovery_delay.map_or(u64::MAX, |after| self.clock.now() + after.as_nanos() as u64);
@@ -331,6 +340,7 @@
                 self.record(Observation::Started { proxy: index });
                 format!("proxy {index} started again at {addr}, state {state:?}")
             }
+            // The proxy is running, is paused, or has crashed.
             Ok(None) => format!("proxy {index} was not down"),
             Err(reason) => {
                 self.crashes.push(reason.to_string());
@@ -368,7 +378,7 @@
     }
 }
 
-/// Opens the day that a plan names, and applies the sizes, the length and the rate of the plan. The file of a day is searched
+/// Opens the day that a plan names, and applies the sizes, the length and the rate of the plan. The file of a day is looked up
 /// first in the directory of the plan file, `plan_path`.
 ///
 /// # Errors
--- a/crates/lab-rig/src/processes.rs
+++ b/crates/lab-rig/src/processes.rs
@@ -171,7 +171,7 @@
     }
 
     /// Restarts a proxy that the rig ended; one that is still terminating is killed first. Returns its new address, or
-    /// `None` if it was not down.
+    /// `None` if the rig had not ended it: it is running, is paused, or has crashed.
     ///
     /// # Errors
     /// Returns an error if the proxy does not start.
